--- a/internal/gram/deflate_test.go
+++ b/internal/gram/deflate_test.go
@@ -16,7 +16,7 @@
 // which all moves waited.
 func TestLargeRecordFitsIntoADatagram(t *testing.T) {
 	is := is.New(t)
-	m := Owners{Service: "pages", Offset: 300, Fence: 5000}
+	m := OwnerChange{Service: "pages", Offset: 300, Fence: 5000}
 	for i := range 2416 {
 		m.Changes = append(m.Changes, shard.Range{
 			From: uint16(27 * i), To: uint16(27*i + 26), Server: fmt.Sprintf("i-%010x", (i%604)*7919*104729), Fence: uint64(4000 + i),
@@ -26,13 +26,13 @@
 	data, err := Encode(m)
 	is.NoErr(err)
 	t.Logf("%d bytes", len(data))
-	is.True(len(data) < largest-1024) // it also goes inside a message that is passed on
+	is.True(len(data) < maxDatagram-1024) // it also goes inside a message that is passed on
 	got, err := Decode(data)
 	is.NoErr(err)
 	is.Equal(got, m)
 	relayed, err := Encode(Relay{Data: data})
 	is.NoErr(err)
-	is.True(len(relayed) < largest)
+	is.True(len(relayed) < maxDatagram)
 }
 
 // Bytes that come from anyone must not take memory without bound, nor hold one another without end.
@@ -55,6 +55,6 @@
 			is.True(err != nil)
 		})
 	}
-	_, err := Decode(pack([]byte{Check{}.kind(), 0x91, 5}))
+	_, err := Decode(pack([]byte{AdmissionCheck{}.kind(), 0x91, 5}))
 	is.NoErr(err)
 }
--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -25,130 +25,130 @@
 type (
 	// Heartbeat says that an instance lives, and what it confirms.
 	Heartbeat struct{ roster.Beat }
-	// Ask asks the keeper of a pool or a server for a permit. Times are in milliseconds
+	// AdmissionRequest asks the keeper of a pool or a server for a permit. Times are in milliseconds
 	// from now, since clocks differ between machines.
-	Ask struct {
+	AdmissionRequest struct {
 		Serial uint64
 		Pool   string
 		Server string
 		// Domain is the failure domain whose servers are preferred.
-		Domain    string
-		Route     string
-		Priority  int
-		Returning bool
-		TargetIn  int
-		LimitIn   int
-		Avoid     string
-		Elsewhere bool
+		Domain       string
+		Route        string
+		Priority     int
+		Returning    bool
+		TargetInMs   int
+		DeadlineInMs int
+		Avoid        string
+		HasFallback  bool
 	}
-	// Verdict is the keeper's answer. Server is set if the permit is granted, Reason if it is
+	// AdmissionDecision is the keeper's answer. Server is set if the permit is granted, Reason if it is
 	// refused; else the request waits.
-	Verdict struct {
-		Serial  uint64
-		Server  string
-		Reason  string
-		RetryIn int
-		Wait    int
+	AdmissionDecision struct {
+		Serial    uint64
+		Server    string
+		Reason    string
+		RetryInMs int
+		WaitMs    int
 	}
-	// Done gives a permit back.
-	Done struct {
-		Serial  uint64
-		Pool    string
-		Server  string
-		Route   string
-		Outcome permit.Outcome
-		TookUs  int
-		Bytes   int
-		Running int
-		Waiting int
-		Loaded  bool
+	// Completion gives a permit back.
+	Completion struct {
+		Serial      uint64
+		Pool        string
+		Server      string
+		Route       string
+		Outcome     permit.Outcome
+		DurationUs  int
+		AnswerBytes int
+		Running     int
+		Waiting     int
+		LoadKnown   bool
 		// Slowdown is permit.Load.Slowdown in hundredths.
 		Slowdown int
 	}
-	// Withdraw takes an Ask back. Pool is empty if the sender does not know it any more.
-	Withdraw struct {
+	// Cancel takes an Ask back. Pool is empty if the sender does not know it any more.
+	Cancel struct {
 		Serial uint64
 		Pool   string
 	}
-	// Check asks who was granted a permit whether it still has it. Who does not answers with
+	// AdmissionCheck asks who was granted a permit whether it still has it. Who does not answers with
 	// Withdraw.
-	Check struct{ Serial uint64 }
-	// Loads tells the leader how many requests an instance had since the last such message, by
+	AdmissionCheck struct{ Serial uint64 }
+	// LoadReport tells the leader how many requests an instance had since the last such message, by
 	// service and key, and what servers can do in a second, with the number of answers
 	// that each figure rests on.
-	Loads struct {
+	LoadReport struct {
 		Name    string
 		Service string
 		// Keys and Counts belong together.
-		Keys    []uint16
-		Counts  []uint16
-		Servers []string
-		Powers  []float64
-		Answers []uint16
+		Keys       []uint16
+		Counts     []uint16
+		Servers    []string
+		Capacities []float64
+		Answers    []uint16
 	}
-	// Owners tells of a record of owners that was written: what it changes against the record
+	// OwnerChange tells of a record of owners that was written: what it changes against the record
 	// before it.
-	Owners struct {
+	OwnerChange struct {
 		Service string
 		Offset  int64
 		Fence   uint64
 		Changes []shard.Range
 	}
-	// Register tells of records of the register of instances, which follow one another.
-	Register struct{ Records []follow.Record }
+	// RegisterUpdate tells of records of the register of instances, which follow one another.
+	RegisterUpdate struct{ Records []follow.Record }
 	// Relay holds a datagram that the receiver takes as a message of its own, and passes on to the others of
 	// its failure domain.
 	Relay struct{ Data []byte }
-	// Behind says that an instance knows of the owners up to an offset only, and that the store
+	// ViewRequest says that an instance knows of the owners up to an offset only, and that the store
 	// refuses it.
-	Behind struct{ End int64 }
-	// Known answers Behind with all that another instance knows: the records of maps by service
+	ViewRequest struct{ End int64 }
+	// ViewSnapshot answers Behind with all that another instance knows: the records of maps by service
 	// and those of instances by name.
-	Known struct {
+	ViewSnapshot struct {
 		End       int64
 		Maps      map[string][]byte
 		Instances map[string][]byte
 	}
-	// News is what an instance read of a topic of the store, sent at a time of its lease clock.
-	News struct {
+	// TopicUpdate is what an instance read of a topic of the store, sent at a time of its lease clock.
+	TopicUpdate struct {
 		Topic  string
 		Sender string
 		SentAt int64
 		follow.News
 	}
-	// Settled says that ranges have come to their new owners, ahead of the record that says so.
-	Settled struct{ Ranges []SettledRange }
-	// Crash says that a server was lost while a request ran there.
-	Crash struct {
-		Print  uint64
-		Server string
+	// CompletedMoves says that ranges have come to their new owners, ahead of the record that says so.
+	CompletedMoves struct{ Ranges []MovedRange }
+	// CrashReport says that a server was lost while a request ran there.
+	CrashReport struct {
+		Fingerprint uint64
+		Server      string
 		// Cleared says the contrary: the request had an answer.
 		Cleared bool
 	}
 )
 
-// SettledRange is a range that has come to its new owner, by its first key and its fence.
-type SettledRange struct {
+// MovedRange is a range that has come to its new owner, by its first key and its fence.
+type MovedRange struct {
 	Service string
 	From    uint16
 	Fence   uint64
 }
 
-func (Heartbeat) kind() byte { return 1 }
-func (Ask) kind() byte       { return 2 }
-func (Verdict) kind() byte   { return 3 }
-func (Done) kind() byte      { return 4 }
-func (Withdraw) kind() byte  { return 5 }
-func (Loads) kind() byte     { return 6 }
-func (Crash) kind() byte     { return 7 }
-func (Owners) kind() byte    { return 8 }
-func (Settled) kind() byte   { return 9 }
-func (News) kind() byte      { return 10 }
-func (Check) kind() byte     { return 11 }
-func (Behind) kind() byte    { return 12 }
-func (Known) kind() byte     { return 13 }
-func (Register) kind() byte  { return 14 }
-func (Relay) kind() byte     { return 15 }
+func (Heartbeat) kind() byte         { return 1 }
+func (AdmissionRequest) kind() byte  { return 2 }
+func (AdmissionDecision) kind() byte { return 3 }
+func (Completion) kind() byte        { return 4 }
+func (Cancel) kind() byte            { return 5 }
+func (LoadReport) kind() byte        { return 6 }
+func (CrashReport) kind() byte       { return 7 }
+func (OwnerChange) kind() byte       { return 8 }
+func (CompletedMoves) kind() byte    { return 9 }
+func (TopicUpdate) kind() byte       { return 10 }
+func (AdmissionCheck) kind() byte    { return 11 }
+func (ViewRequest) kind() byte       { return 12 }
+func (ViewSnapshot) kind() byte      { return 13 }
+func (RegisterUpdate) kind() byte    { return 14 }
+func (Relay) kind() byte             { return 15 }
 
 // Received is a message with its sender's address.
 type Received struct {
@@ -185,31 +185,31 @@
 	case 1:
 		return decode[Heartbeat](data[1:])
 	case 2:
-		return decode[Ask](data[1:])
+		return decode[AdmissionRequest](data[1:])
 	case 3:
-		return decode[Verdict](data[1:])
+		return decode[AdmissionDecision](data[1:])
 	case 4:
-		return decode[Done](data[1:])
+		return decode[Completion](data[1:])
 	case 5:
-		return decode[Withdraw](data[1:])
+		return decode[Cancel](data[1:])
 	case 6:
-		return decode[Loads](data[1:])
+		return decode[LoadReport](data[1:])
 	case 7:
-		return decode[Crash](data[1:])
+		return decode[CrashReport](data[1:])
 	case 8:
-		return decode[Owners](data[1:])
+		return decode[OwnerChange](data[1:])
 	case 9:
-		return decode[Settled](data[1:])
+		return decode[CompletedMoves](data[1:])
 	case 10:
-		return decode[News](data[1:])
+		return decode[TopicUpdate](data[1:])
 	case 11:
-		return decode[Check](data[1:])
+		return decode[AdmissionCheck](data[1:])
 	case 12:
-		return decode[Behind](data[1:])
+		return decode[ViewRequest](data[1:])
 	case 13:
-		return decode[Known](data[1:])
+		return decode[ViewSnapshot](data[1:])
 	case 14:
-		return decode[Register](data[1:])
+		return decode[RegisterUpdate](data[1:])
 	case 15:
 		return decode[Relay](data[1:])
 	default:
@@ -227,19 +227,19 @@
 
 // The sizes of a port.
 const (
-	largest  = 60 << 10
-	inbound  = 1024
-	readSize = 1 << 20
+	maxDatagram      = 60 << 10
+	queueSize        = 1024
+	socketReadBuffer = 1 << 20
 )
 
 // Port sends and receives messages.
 type Port struct {
-	conn *net.UDPConn
-	in   chan Received
+	conn  *net.UDPConn
+	queue chan Received
 	// Failed counts messages that could not be sent or understood, Lost those for which the
 	// reader was too slow.
-	Failed atomic.Int64
-	Lost   atomic.Int64
+	Failed  atomic.Int64
+	Dropped atomic.Int64
 }
 
 // Listen opens a port on an address.
@@ -252,15 +252,15 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(readSize)
-	return &Port{conn: conn, in: make(chan Received, inbound)}, nil
+	_ = conn.SetReadBuffer(socketReadBuffer)
+	return &Port{conn: conn, queue: make(chan Received, queueSize)}, nil
 }
 
 // Address returns the address that the port listens on.
 func (p *Port) Address() string { return p.conn.LocalAddr().String() }
 
-// In is the channel of messages.
-func (p *Port) In() <-chan Received { return p.in }
+// Messages is the channel of messages.
+func (p *Port) Messages() <-chan Received { return p.queue }
 
 // Send sends a message. Errors are counted: a message may be lost anyway.
 func (p *Port) Send(to netip.AddrPort, m Message) {
@@ -297,7 +297,7 @@
 func (p *Port) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
-	buffer := make([]byte, largest)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -313,9 +313,9 @@
 			continue
 		}
 		select {
-		case p.in <- Received{From: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), Message: m}:
+		case p.queue <- Received{From: netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), Message: m}:
 		default:
-			p.Lost.Add(1)
+			p.Dropped.Add(1)
 		}
 	}
 }
--- a/internal/gram/gram_test.go
+++ b/internal/gram/gram_test.go
@@ -22,9 +22,9 @@
 // Whatever arrives on the port, it is a message or an error.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
-		Heartbeat{Beat: roster.Beat{Name: "i1", Failing: []string{"s1"}}}, Ask{}, Verdict{}, Done{}, Withdraw{}, Loads{Name: "i1", Keys: []uint16{1}},
-		Crash{}, Owners{Service: "s", Changes: []shard.Range{{From: 1, To: 9, Server: "a", Before: []shard.Holder{{Server: "b"}}}}},
-		Settled{}, News{}, Check{}, Behind{}, Known{Maps: map[string][]byte{"s": {1}}},
+		Heartbeat{Beat: roster.Beat{Name: "i1", Failing: []string{"s1"}}}, AdmissionRequest{}, AdmissionDecision{}, Completion{}, Cancel{}, LoadReport{Name: "i1", Keys: []uint16{1}},
+		CrashReport{}, OwnerChange{Service: "s", Changes: []shard.Range{{From: 1, To: 9, Server: "a", Before: []shard.Holder{{Server: "b"}}}}},
+		CompletedMoves{}, TopicUpdate{}, AdmissionCheck{}, ViewRequest{}, ViewSnapshot{Maps: map[string][]byte{"s": {1}}},
 	} {
 		if data, err := Encode(m); err == nil {
 			f.Add(data)
--- a/internal/node/asker_test.go
+++ b/internal/node/admission_client_test.go
@@ -17,59 +17,59 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// office is a keeper on another instance, to which messages take some time.
-type office struct {
-	address netip.AddrPort
-	asker   *asker
-	there   time.Duration
-	back    time.Duration
+// remoteController is a keeper on another instance, to which messages take some time.
+type remoteController struct {
+	address      netip.AddrPort
+	asker        *admissionClient
+	requestDelay time.Duration
+	replyDelay   time.Duration
 
-	mu     sync.Mutex
-	keeper *permit.Keeper
+	mu         sync.Mutex
+	controller *permit.Keeper
 }
 
-func newOffice(port uint16, there, back time.Duration, slots int) *office {
-	o := &office{address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), there: there, back: back}
-	o.keeper = permit.New(rand.New(rand.NewPCG(1, 2)))
-	o.keeper.SetServers(time.Now(), []rules.Server{{ID: "s", Service: "books", Slots: slots}})
+func newRemoteController(port uint16, there, back time.Duration, slots int) *remoteController {
+	o := &remoteController{address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), requestDelay: there, replyDelay: back}
+	o.controller = permit.New(rand.New(rand.NewPCG(1, 2)))
+	o.controller.SetServers(time.Now(), []rules.Server{{ID: "s", Service: "books", Slots: slots}})
 	return o
 }
 
-func (o *office) take(m gram.Message) {
+func (o *remoteController) handle(m gram.Message) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	key := func(serial uint64) permit.Key { return permit.Key{From: "a", Serial: serial} }
 	var verdicts []permit.Verdict
 	switch m := m.(type) {
-	case gram.Ask:
-		verdicts = []permit.Verdict{o.keeper.Ask(now, permit.Ask{
+	case gram.AdmissionRequest:
+		verdicts = []permit.Verdict{o.controller.Ask(now, permit.Ask{
 			Key: key(m.Serial), Service: "books", Server: m.Server, Route: "read",
 			TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
 		})}
-	case gram.Withdraw:
-		verdicts = o.keeper.Withdraw(now, key(m.Serial))
-	case gram.Done:
-		verdicts = o.keeper.Done(now, permit.Done{Key: key(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
+	case gram.Cancel:
+		verdicts = o.controller.Withdraw(now, key(m.Serial))
+	case gram.Completion:
+		verdicts = o.controller.Done(now, permit.Done{Key: key(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
 	for _, v := range verdicts {
-		time.AfterFunc(o.back, func() { o.asker.told(o.address, message(v)) })
+		time.AfterFunc(o.replyDelay, func() { o.asker.handleDecision(o.address, decisionMessage(v)) })
 	}
 }
 
 // network carries messages to offices.
-func network(offices ...*office) func(to netip.AddrPort, m gram.Message) {
+func network(offices ...*remoteController) func(to netip.AddrPort, m gram.Message) {
 	return func(to netip.AddrPort, m gram.Message) {
 		for _, o := range offices {
 			if o.address == to {
-				time.AfterFunc(o.there, func() { o.take(m) })
+				time.AfterFunc(o.requestDelay, func() { o.handle(m) })
 			}
 		}
 	}
 }
 
-// free reports whether a keeper has a slot for a request at once.
-func (o *office) free(serial uint64) bool {
+// hasFreeSlot reports whether a keeper has a slot for a request at once.
+func (o *remoteController) hasFreeSlot(serial uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -78,8 +78,8 @@
 		TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
 		Elsewhere: true, // not to wait at the server
 	}
-	_, granted := o.keeper.Ask(now, a).(permit.Granted)
-	o.keeper.Withdraw(now, a.Key)
+	_, granted := o.controller.Ask(now, a).(permit.Granted)
+	o.controller.Withdraw(now, a.Key)
 	return granted
 }
 
@@ -87,7 +87,7 @@
 // asked was small and heard a keeper's word late; it asked the next keeper, took the late word of
 // the first for that of the second, and gave the permit back there. The second keeper then granted
 // what nobody waited for, and held the slot until the request's limit.
-func TestLateWordOfAnotherKeeper(t *testing.T) {
+func TestLateDecisionOfAnotherController(t *testing.T) {
 	tests := map[string]struct{ there, back time.Duration }{
 		"the asking is late":       {200 * time.Millisecond, time.Millisecond},
 		"the word is late":         {time.Millisecond, 160 * time.Millisecond},
@@ -98,28 +98,28 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				first, second := newOffice(1, test.there, test.back, 1), newOffice(2, time.Millisecond, 30*time.Millisecond, 1)
-				k := newAsker(network(first, second), func(string) {}, 0.16, 1000)
+				first, second := newRemoteController(1, test.there, test.back, 1), newRemoteController(2, time.Millisecond, 30*time.Millisecond, 1)
+				k := newAdmissionClient(network(first, second), func(string) {}, 0.16, 1000)
 				first.asker, second.asker = k, k
 				// The second keeper's server is busy for a moment, so that it says "wait" first.
-				second.take(gram.Ask{Serial: 99, Server: "s"})
-				time.AfterFunc(300*time.Millisecond, func() { second.take(gram.Done{Serial: 99}) })
+				second.handle(gram.AdmissionRequest{Serial: 99, Server: "s"})
+				time.AfterFunc(300*time.Millisecond, func() { second.handle(gram.Completion{Serial: 99}) })
 				a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
-				for _, o := range []*office{first, second} {
-					v, heard := k.ask(t.Context(), a, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, o.address)
+				for _, o := range []*remoteController{first, second} {
+					v, heard := k.request(t.Context(), a, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, o.address)
 					if !heard {
 						continue
 					}
 					is.Equal(v.Server, "s")
 					time.Sleep(100 * time.Millisecond)
-					k.send(o.address, gram.Done{Serial: v.Serial})
+					k.send(o.address, gram.Completion{Serial: v.Serial})
 					k.close(v.Serial)
 					break
 				}
 				time.Sleep(time.Second)
-				is.True(first.free(1))
-				is.True(second.free(2))
-				is.Equal(len(k.askings), 0)
+				is.True(first.hasFreeSlot(1))
+				is.True(second.hasFreeSlot(2))
+				is.Equal(len(k.decisions), 0)
 			})
 		})
 	}
@@ -130,46 +130,46 @@
 func TestCallerLeavesWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOffice(1, 50*time.Millisecond, time.Millisecond, 1)
-		k := newAsker(network(o), func(string) {}, 1, 1000)
+		o := newRemoteController(1, 50*time.Millisecond, time.Millisecond, 1)
+		k := newAdmissionClient(network(o), func(string) {}, 1, 1000)
 		o.asker = k
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
-		_, heard := k.ask(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, o.address)
+		_, heard := k.request(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, o.address)
 		is.True(!heard)
-		o.take(gram.Withdraw{Serial: k.serial})
+		o.handle(gram.Cancel{Serial: k.lastSerial})
 		time.Sleep(time.Second)
-		is.True(o.free(1))
+		is.True(o.hasFreeSlot(1))
 	})
 }
 
 // An instance on a thin link gave a permit back while its link was full, and the message and its
 // repetition were lost. The server's slot stayed taken for two seconds, and those who waited for
 // it were late or refused.
-func TestGivingBackIsLost(t *testing.T) {
+func TestLostCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newOffice(1, time.Millisecond, time.Millisecond, 1)
-		k := newAsker(network(o), func(string) {}, 1, 10)
+		o := newRemoteController(1, time.Millisecond, time.Millisecond, 1)
+		k := newAdmissionClient(network(o), func(string) {}, 1, 10)
 		o.asker = k
 		a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
-		v, heard := k.ask(t.Context(), a, roster.Peer{}, o.address)
+		v, heard := k.request(t.Context(), a, roster.Peer{}, o.address)
 		is.True(heard)
 		o.mu.Lock()
-		is.Equal(len(o.keeper.Doubtful(time.Now())), 0) // it has just been granted
+		is.Equal(len(o.controller.Doubtful(time.Now())), 0) // it has just been granted
 		o.mu.Unlock()
 		time.Sleep(9 * time.Second) // the fake route is taken for 3.3 seconds long until one is seen
 		o.mu.Lock()
-		doubtful := o.keeper.Doubtful(time.Now())
-		is.Equal(len(o.keeper.Doubtful(time.Now())), 0) // not twice at once
+		doubtful := o.controller.Doubtful(time.Now())
+		is.Equal(len(o.controller.Doubtful(time.Now())), 0) // not twice at once
 		o.mu.Unlock()
 		is.Equal(len(doubtful), 1)
-		k.check(o.address, gram.Check{Serial: doubtful[0].Serial})
+		k.handleCheck(o.address, gram.AdmissionCheck{Serial: doubtful[0].Serial})
 		time.Sleep(time.Second)
-		is.True(!o.free(1)) // it is in use
+		is.True(!o.hasFreeSlot(1)) // it is in use
 		k.close(v.Serial)
-		k.check(o.address, gram.Check{Serial: doubtful[0].Serial})
+		k.handleCheck(o.address, gram.AdmissionCheck{Serial: doubtful[0].Serial})
 		time.Sleep(time.Second)
-		is.True(o.free(2))
+		is.True(o.hasFreeSlot(2))
 	})
 }
--- a/internal/node/tell.go
+++ b/internal/node/broadcast.go
@@ -13,9 +13,9 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// tellAll sends a message to all other instances: those of the own failure domain directly, those of others
+// broadcast sends a message to all other instances: those of the own failure domain directly, those of others
 // through one of them.
-func (n *Node) tellAll(m gram.Message) {
+func (n *Node) broadcast(m gram.Message) {
 	data, err := gram.Encode(m)
 	if err != nil {
 		n.events.Note(event.Belief, "message-not-sent", "error", err)
@@ -26,8 +26,8 @@
 	n.port.SendData(addresses(direct), data)
 }
 
-// passOn hands a message to the others of this instance's failure domain and takes it in.
-func (n *Node) passOn(from netip.AddrPort, m gram.Relay) {
+// forward hands a message to the others of this instance's failure domain and takes it in.
+func (n *Node) forward(from netip.AddrPort, m gram.Relay) {
 	inner, err := gram.Decode(m.Data)
 	if _, nested := inner.(gram.Relay); err != nil || nested {
 		n.events.Note(event.Belief, "message-malformed", "from", from, "error", err)
@@ -40,13 +40,13 @@
 		}
 	}
 	n.port.SendData(addresses(near), m.Data)
-	n.handle(gram.Received{From: from, Message: inner})
+	n.handleMessage(gram.Received{From: from, Message: inner})
 }
 
 func addresses(peers []roster.Peer) []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
-		if at, ok := address(p); ok {
+		if at, ok := peerAddress(p); ok {
 			out = append(out, at)
 		}
 	}
@@ -54,13 +54,13 @@
 }
 
 const (
-	// largestNews is the largest message with news, partsMost the number of messages of one read. What is
+	// maxUpdateSize is the largest message with news, partsMost the number of messages of one read. What is
 	// larger the others read from the store.
-	largestNews = 24 << 10
-	partsMost   = 12
-	// newsTime is how long news may fill the link of this instance. A reader on a link of 10
+	maxUpdateSize  = 24 << 10
+	maxUpdateParts = 12
+	// maxLinkTime is how long news may fill the link of this instance. A reader on a link of 10
 	// Mbit/s that told 80 others of each of three configurations a second was cut off by it.
-	newsTime = 100 * time.Millisecond
+	maxLinkTime = 100 * time.Millisecond
 	// partSpacing is the pause after a part, in multiples of the time that the link needs for it: whoever passes
 	// it on may have a slower one.
 	partSpacing = 2
@@ -73,17 +73,17 @@
 	return time.Duration(bits / (n.settings.LinkMbps * 1e6) * float64(time.Second))
 }
 
-// affordable reports whether this instance can tell all others of news of a size.
-func (n *Node) affordable(size int) bool {
-	return size <= largestNews && n.sendTime(size) <= newsTime
+// canBroadcast reports whether this instance can tell all others of news of a size.
+func (n *Node) canBroadcast(size int) bool {
+	return size <= maxUpdateSize && n.sendTime(size) <= maxLinkTime
 }
 
-// toldMost is the number of updates of a topic that may wait to be told.
-const toldMost = 16
+// maxQueuedBroadcasts is the number of updates of a topic that may wait to be told.
+const maxQueuedBroadcasts = 16
 
-// tellLater passes an update to the duty that tells the others of its topic.
-func (n *Node) tellLater(u follow.Update) {
-	told, has := n.told[u.Topic]
+// queueBroadcast passes an update to the duty that tells the others of its topic.
+func (n *Node) queueBroadcast(u follow.Update) {
+	told, has := n.broadcasts[u.Topic]
 	if !has {
 		return
 	}
@@ -95,14 +95,14 @@
 	}
 }
 
-// tellUpdates returns a duty that tells the others of a topic. Each topic has its own: the parts of a large directory
+// broadcastLoop returns a duty that tells the others of a topic. Each topic has its own: the parts of a large directory
 // are paced, and a configuration must not wait for them.
-func (n *Node) tellUpdates(topic string) func(ctx context.Context) error {
+func (n *Node) broadcastLoop(topic string) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			select {
-			case u := <-n.told[topic]:
-				n.relay(ctx, u)
+			case u := <-n.broadcasts[topic]:
+				n.broadcastUpdate(ctx, u)
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -110,24 +110,24 @@
 	}
 }
 
-// relay tells the others what this instance has read.
-func (n *Node) relay(ctx context.Context, u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 || !u.Overdue && !n.reads() {
+// broadcastUpdate tells the others what this instance has read.
+func (n *Node) broadcastUpdate(ctx context.Context, u follow.Update) {
+	if u.Err != nil || u.BegunAt == 0 || !u.Overdue && !n.readsStore() {
 		return
 	}
 	if u.Overdue {
 		// The others wait for the same word.
-		n.announceToAll()
+		n.sendHeartbeatToAll()
 	}
-	if len(u.Records) == 0 || u.Whole && u.Topic != n.around.Config {
+	if len(u.Records) == 0 || u.Whole && u.Topic != n.platform.Config {
 		return
 	}
 	if u.Whole {
 		// What came before it does not count.
 		u.From = 0
 	}
-	parts := partsOf(u)
-	if len(parts) > partsMost || u.Whole && len(parts) > 1 || !n.affordable(largest(parts)) {
+	parts := splitUpdate(u)
+	if len(parts) > maxUpdateParts || u.Whole && len(parts) > 1 || !n.canBroadcast(maxPartSize(parts)) {
 		// Too large to pass on: the others hear that there is news, and read it themselves. From
 		// heartbeats alone they would know half a second later.
 		parts = []follow.Batch{{End: u.End}}
@@ -135,28 +135,28 @@
 	}
 	sentAt := clock.Boot{}.Now()
 	for i, part := range parts {
-		news := follow.News{From: u.From, Age: n.ageOf(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
+		news := follow.News{From: u.From, Age: n.updateAge(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
 		if i == len(parts)-1 {
-			news.Complete = millis(sentAt, u.Complete)
+			news.Complete = ageMillis(sentAt, u.Complete)
 		}
-		n.tellAll(gram.News{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: news})
+		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: news})
 		u.From = part.End
 		if i < len(parts)-1 {
 			// Sent at once, the next part would find the link full and be lost to all.
-			duty.Pause(ctx, partSpacing*n.sendTime(sizeOf(part.Records...)))
+			duty.Pause(ctx, partSpacing*n.sendTime(recordsSize(part.Records...)))
 		}
 	}
 }
 
-// partsOf cuts what was read into runs of records that each fit into a message. The end of the last one is that
+// splitUpdate cuts what was read into runs of records that each fit into a message. The end of the last one is that
 // of the topic.
-func partsOf(u follow.Update) []follow.Batch {
+func splitUpdate(u follow.Update) []follow.Batch {
 	var out []follow.Batch
 	part, size := follow.Batch{}, 0
 	for _, r := range u.Records {
-		if size += sizeOf(r); len(part.Records) > 0 && size > largestNews {
+		if size += recordsSize(r); len(part.Records) > 0 && size > maxUpdateSize {
 			out = append(out, part)
-			part, size = follow.Batch{}, sizeOf(r)
+			part, size = follow.Batch{}, recordsSize(r)
 		}
 		part.Records, part.End = append(part.Records, r), r.Offset+1
 	}
@@ -164,8 +164,8 @@
 	return append(out, part)
 }
 
-// sizeOf returns the size of some records.
-func sizeOf(records ...follow.Record) int {
+// recordsSize returns the size of some records.
+func recordsSize(records ...follow.Record) int {
 	size := 0
 	for _, r := range records {
 		size += len(r.Key) + len(r.Value)
@@ -173,11 +173,11 @@
 	return size
 }
 
-// largest returns the size of the largest of some runs of records.
-func largest(parts []follow.Batch) int {
+// maxPartSize returns the size of the largest of some runs of records.
+func maxPartSize(parts []follow.Batch) int {
 	most := 0
 	for _, part := range parts {
-		most = max(most, sizeOf(part.Records...))
+		most = max(most, recordsSize(part.Records...))
 	}
 	return most
 }
--- a/internal/node/tell_test.go
+++ b/internal/node/broadcast_test.go
@@ -19,8 +19,8 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// entries returns news of as many servers.
-func entries(count int) follow.Update {
+// serverEntries returns news of as many servers.
+func serverEntries(count int) follow.Update {
 	u := follow.Update{Topic: "servers", From: 40, BegunAt: 1, Overdue: true}
 	for i := range count {
 		u.Records = append(u.Records, follow.Record{Key: fmt.Sprint(i), Value: make([]byte, 250), Offset: int64(40 + i)})
@@ -31,15 +31,15 @@
 
 // 989 servers wrote their entries within a second. The news of them were too large for a message, so that each
 // of 295 instances read the directory for itself, several times.
-func TestNewsInParts(t *testing.T) {
+func TestUpdateIsSplit(t *testing.T) {
 	is := is.New(t)
-	u := entries(400)
+	u := serverEntries(400)
 	u.End = 450 // the topic ends behind what was read
-	parts := partsOf(u)
+	parts := splitUpdate(u)
 	is.True(len(parts) > 1)
 	next := u.From
 	for _, part := range parts {
-		is.True(largest([]follow.Batch{part}) <= largestNews)
+		is.True(maxPartSize([]follow.Batch{part}) <= maxUpdateSize)
 		for _, r := range part.Records {
 			is.Equal(r.Offset, next)
 			next++
@@ -64,18 +64,18 @@
 			n.roster.Put(fmt.Sprintf("i%d", i), roster.Entry{Address: port.Address(), Domain: "d0", Incarnation: 1}, time.Now())
 		}
 		begun := time.Now()
-		n.relay(t.Context(), entries(80))
+		n.broadcastUpdate(t.Context(), serverEntries(80))
 		is.Equal(time.Since(begun), time.Duration(0)) // one part waits for nothing
-		u := entries(180)
-		parts := partsOf(u)
+		u := serverEntries(180)
+		parts := splitUpdate(u)
 		is.Equal(len(parts), 2)
-		n.relay(t.Context(), u)
-		is.True(time.Since(begun) >= n.sendTime(largest(parts[:1])))
+		n.broadcastUpdate(t.Context(), u)
+		is.True(time.Since(begun) >= n.sendTime(maxPartSize(parts[:1])))
 	})
 }
 
 // Guards against a configuration that comes into force late since the directory is being told in parts.
-func TestConfigurationDoesNotWaitForTheDirectory(t *testing.T) {
+func TestConfigurationDoesNotWaitForDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		settings := config.Serve{Name: "i0", Domain: "d0", IP: "127.0.0.1", PeerPorts: []int{0}, LinkMbps: 20}
@@ -89,16 +89,16 @@
 			n.roster.Put(fmt.Sprintf("i%d", i), roster.Entry{Address: n.port.Address(), Domain: "d0", Incarnation: 1}, time.Now())
 		}
 		duties := duty.New(t.Context(), 4)
-		duties.Go("updates", n.update)
-		directory := entries(900)
-		is.True(len(partsOf(directory)) > 8)
+		duties.Go("updates", n.updateLoop)
+		directory := serverEntries(900)
+		is.True(len(splitUpdate(directory)) > 8)
 		begun := time.Now()
 		n.updates <- directory
 		n.updates <- follow.Update{
 			Topic: "config", BegunAt: 1, Overdue: true,
 			Batch: follow.Batch{End: 1, Records: []follow.Record{{Key: "config", Value: []byte("1")}}},
 		}
-		for n.world.config.Load() == nil {
+		for n.cluster.config.Load() == nil {
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.True(time.Since(begun) < 100*time.Millisecond)
--- a/internal/node/adopt.go
+++ b/internal/node/catchup.go
@@ -12,24 +12,24 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// askForOwners asks another instance for what it knows of the owners, if the store refuses this one.
-func (n *Node) askForOwners(name string) {
-	if n.holder.StoreOK() {
+// requestView asks another instance for what it knows of the owners, if the store refuses this one.
+func (n *Node) requestView(name string) {
+	if n.leases.StoreOK() {
 		return
 	}
 	p, known := n.roster.Peer(name)
-	if to, ok := address(p); known && ok {
-		n.port.Send(to, gram.Behind{End: n.holder.Owners().End})
+	if to, ok := peerAddress(p); known && ok {
+		n.port.Send(to, gram.ViewRequest{End: n.leases.Owners().End})
 	}
 }
 
-// help tells an instance that is behind what this one knows of the owners.
-func (n *Node) help(from netip.AddrPort, m gram.Behind) {
-	known := n.holder.Owners()
+// sendView tells an instance that is behind what this one knows of the owners.
+func (n *Node) sendView(from netip.AddrPort, m gram.ViewRequest) {
+	known := n.leases.Owners()
 	if known.End <= m.End {
 		return
 	}
-	all := gram.Known{End: known.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
+	all := gram.ViewSnapshot{End: known.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
 	for service, ranges := range known.Maps {
 		data, err := ranges.Encode()
 		if err != nil {
@@ -49,8 +49,8 @@
 	n.port.Send(from, all)
 }
 
-// hearKnown takes in what another instance knows of the owners.
-func (n *Node) hearKnown(m gram.Known) {
+// adoptView takes in what another instance knows of the owners.
+func (n *Node) adoptView(m gram.ViewSnapshot) {
 	known := &holder.Owners{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
@@ -69,27 +69,27 @@
 		known.Instances[name] = entry
 	}
 	select {
-	case n.holder.Adopted() <- known:
+	case n.leases.Adopted() <- known:
 	default:
 		// Another one is being taken in; the next heartbeat asks again.
 	}
 }
 
-// registerMost is the number of records of instances in one message, each of some 100 bytes.
-const registerMost = 200
+// maxRegisterRecords is the number of records of instances in one message, each of some 100 bytes.
+const maxRegisterRecords = 200
 
-// tellRegister tells all others of records of the register.
-func (n *Node) tellRegister(records []follow.Record) {
-	for part := range slices.Chunk(records, registerMost) {
-		n.tellAll(gram.Register{Records: part})
+// broadcastRegister tells all others of records of the register.
+func (n *Node) broadcastRegister(records []follow.Record) {
+	for part := range slices.Chunk(records, maxRegisterRecords) {
+		n.broadcast(gram.RegisterUpdate{Records: part})
 	}
 }
 
-// hearRegister takes in records of the register that the leader tells of.
-func (n *Node) hearRegister(m gram.Register) {
+// handleRegisterUpdate takes in records of the register that the leader tells of.
+func (n *Node) handleRegisterUpdate(m gram.RegisterUpdate) {
 	select {
-	case n.holder.Enrolled() <- m.Records:
+	case n.leases.Enrolled() <- m.Records:
 	default:
-		n.readAgain(n.around.Owners)
+		n.requestRead(n.platform.Owners)
 	}
 }
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -17,28 +17,28 @@
 	events *event.Log
 	// servers holds the servers by the id of their life. It is never changed, only replaced.
 	servers map[string]rules.Server
-	// lives holds the newest life by name, also of servers whose entry is gone.
-	lives map[string]rules.Server
+	// newest holds the newest life by name, also of servers whose entry is gone.
+	newest map[string]rules.Server
 	// missing holds the names whose entry is gone although the server may still be there.
 	missing map[string]struct{}
 }
 
-// livesMost bounds the memory of servers that are gone.
-const livesMost = 8192
+// maxIncarnations bounds the memory of servers that are gone.
+const maxIncarnations = 8192
 
 func newDirectory(events *event.Log) *directory {
 	return &directory{
-		events: events, servers: map[string]rules.Server{}, lives: map[string]rules.Server{}, missing: map[string]struct{}{},
+		events: events, servers: map[string]rules.Server{}, newest: map[string]rules.Server{}, missing: map[string]struct{}{},
 	}
 }
 
 // decodeEntry reads the entry of a server that stands under a name.
 type decodeEntry func(name string, data []byte, readAt time.Time) (rules.Server, error)
 
-// take takes in news. LeaveBy is until when servers that leave by it may get requests.
-func (d *directory) take(u follow.Update, now, leaveBy time.Time, decode decodeEntry) {
+// apply takes in news. LeaveBy is until when servers that leave by it may get requests.
+func (d *directory) apply(u follow.Update, now, leaveBy time.Time, decode decodeEntry) {
 	d.servers = maps.Clone(d.servers)
-	many := len(u.Records) >= notedMost
+	many := len(u.Records) >= minGroupedEntries
 	var joined []rules.Server
 	listed := make(map[string]bool, len(u.Records))
 	for _, r := range u.Records {
@@ -61,7 +61,7 @@
 		}
 	}
 	if many {
-		d.noteJoined(joined, u.End)
+		d.logJoined(joined, u.End)
 	}
 	if u.Whole {
 		for _, s := range d.servers {
@@ -70,12 +70,12 @@
 			}
 		}
 	}
-	d.dropUnstated()
+	d.dropWithoutStart()
 }
 
-// dropUnstated drops the servers without a start where most state theirs: another writer listed
+// dropWithoutStart drops the servers without a start where most state theirs: another writer listed
 // them, or an older life would pass for a server of its own.
-func (d *directory) dropUnstated() {
+func (d *directory) dropWithoutStart() {
 	stated := 0
 	for _, s := range d.servers {
 		if s.StartedAt != 0 {
@@ -93,12 +93,12 @@
 	})
 }
 
-// notedMost is the number of entries in one piece of news from which on servers that join are logged together.
-const notedMost = 16
+// minGroupedEntries is the number of entries in one piece of news from which on servers that join are logged together.
+const minGroupedEntries = 16
 
-// noteJoined logs servers that joined together, a line for each service and failure domain: a line for each of
+// logJoined logs servers that joined together, a line for each service and failure domain: a line for each of
 // a thousand servers is most of what an instance writes at its start.
-func (d *directory) noteJoined(servers []rules.Server, offset int64) {
+func (d *directory) logJoined(servers []rules.Server, offset int64) {
 	type place struct{ service, domain string }
 	ids := map[place][]string{}
 	for _, s := range servers {
@@ -116,7 +116,7 @@
 // over several ways, and a store that lost its history answers with what was. Noted says whether a server
 // that is new gets a line. It reports whether the server is new and ready.
 func (d *directory) put(r follow.Record, s rules.Server, now, leaveBy time.Time, noted bool) (joined bool) {
-	old, known := d.lives[r.Key]
+	old, known := d.newest[r.Key]
 	if known && older(s, old) {
 		d.events.Note(event.Belief, "entry-outdated", "server", s.ID, "known", old.ID, "sequence", s.Sequence,
 			"sequence-known", old.Sequence, "offset", r.Offset)
@@ -143,7 +143,7 @@
 			"offset", r.Offset)
 	}
 	d.servers[s.ID] = s
-	d.remember(r.Key, s)
+	d.setNewest(r.Key, s)
 	return !known && !s.Draining
 }
 
@@ -157,22 +157,22 @@
 	return s.Sequence < known.Sequence
 }
 
-// remember keeps which life of a name is the newest.
-func (d *directory) remember(name string, s rules.Server) {
-	if len(d.lives) >= livesMost {
-		maps.DeleteFunc(d.lives, func(_ string, s rules.Server) bool {
+// setNewest keeps which life of a name is the newest.
+func (d *directory) setNewest(name string, s rules.Server) {
+	if len(d.newest) >= maxIncarnations {
+		maps.DeleteFunc(d.newest, func(_ string, s rules.Server) bool {
 			_, there := d.servers[s.ID]
 			return !there
 		})
 	}
-	d.lives[name] = s
+	d.newest[name] = s
 }
 
 // close bounds the time for which servers whose entry is missing may get requests. The entry may
 // come back, but if the server has left it must not get them for longer than one that drains.
 func (d *directory) close(leaveBy time.Time) {
 	for name := range d.missing {
-		s, known := d.servers[d.lives[name].ID]
+		s, known := d.servers[d.newest[name].ID]
 		if known && s.LeaveBy.IsZero() {
 			s.LeaveBy = leaveBy
 			d.servers[s.ID] = s
@@ -180,14 +180,14 @@
 	}
 }
 
-// forget drops the servers whose entry is missing. It reports whether there were any.
-func (d *directory) forget() bool {
+// removeMissing drops the servers whose entry is missing. It reports whether there were any.
+func (d *directory) removeMissing() bool {
 	if len(d.missing) == 0 {
 		return false
 	}
 	d.servers = maps.Clone(d.servers)
 	for name := range d.missing {
-		id := d.lives[name].ID
+		id := d.newest[name].ID
 		if s, known := d.servers[id]; known {
 			d.events.Note(event.Belief, "server-gone", "server", id, "service", s.Service)
 			delete(d.servers, id)
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -17,8 +17,8 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// decodeLife decodes "state start sequence".
-func decodeLife(name string, data []byte, _ time.Time) (rules.Server, error) {
+// decodeIncarnation decodes "state start sequence".
+func decodeIncarnation(name string, data []byte, _ time.Time) (rules.Server, error) {
 	s := rules.Server{Service: "books"}
 	var state string
 	if _, err := fmt.Sscan(string(data), &state, &s.StartedAt, &s.Sequence); err != nil {
@@ -31,7 +31,7 @@
 // A server started again under the name that it had. Whatever order the store, the news of others
 // and a new read bring its entries in, the life that started last counts, and in it what was said
 // last: else requests and keys went to a life that was gone, or to one that was leaving.
-func TestLives(t *testing.T) {
+func TestNewestIncarnationCounts(t *testing.T) {
 	tests := map[string]struct {
 		updates [][]string
 		want    []string
@@ -58,8 +58,8 @@
 				for i := 0; i+1 < len(update); i += 2 {
 					u.Records = append(u.Records, follow.Record{Key: update[i], Value: []byte(update[i+1])})
 				}
-				d.take(u, time.Now(), time.Now(), decodeLife)
-				d.forget()
+				d.apply(u, time.Now(), time.Now(), decodeIncarnation)
+				d.removeMissing()
 			}
 			var got []string
 			for id, s := range d.servers {
@@ -77,13 +77,13 @@
 
 // A read of everything found only what another writer had stored under the name of a server. The
 // server works on, and says so itself within a heartbeat.
-func TestOtherWriterDoesNotEndAServer(t *testing.T) {
+func TestMalformedEntryKeepsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestWorld()
+		w := newTestState()
 		tell := func(whole bool, value string) {
 			u := follow.Update{Whole: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
-			w.putServers(u, 0, decodeLife)
+			w.applyServers(u, 0, decodeIncarnation)
 		}
 		tell(true, "ready 20 4")
 		tell(true, "bad")
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -19,8 +19,8 @@
 	// knownAt is when this instance heard of it. From closeAt on its servers get nothing more, keys or not.
 	knownAt time.Time
 	closeAt time.Time
-	// emptied says that the servers have been seen without requests and keys.
-	emptied bool
+	// empty says that the servers have been seen without requests and keys.
+	empty bool
 }
 
 // evacuations is the failure domains that operators evacuate, and those that they have taken back. It has no input or
@@ -29,15 +29,15 @@
 	events *event.Log
 	// active holds the evacuated domains, back when others were taken back.
 	active map[string]evacuation
-	back   map[string]time.Time
+	ended  map[string]time.Time
 }
 
 func newEvacuations(events *event.Log) *evacuations {
-	return &evacuations{events: events, active: map[string]evacuation{}, back: map[string]time.Time{}}
+	return &evacuations{events: events, active: map[string]evacuation{}, ended: map[string]time.Time{}}
 }
 
-// backMost bounds the memory of domains that were taken back.
-const backMost = 256
+// maxEnded bounds the memory of domains that were taken back.
+const maxEnded = 256
 
 // begin takes in that a domain is to be evacuated. It reports whether that is new.
 func (e *evacuations) begin(domain string, r follow.Record, now, closeAt time.Time) bool {
@@ -59,12 +59,12 @@
 	if !there {
 		return false
 	}
-	if len(e.back) >= backMost {
-		clear(e.back)
+	if len(e.ended) >= maxEnded {
+		clear(e.ended)
 	}
 	delete(e.active, domain)
-	e.back[domain] = now
-	e.events.Note(event.Belief, "evacuation-ended", "domain", domain, "took", now.Sub(known.knownAt), "emptied", known.emptied, "offset", offset)
+	e.ended[domain] = now
+	e.events.Note(event.Belief, "evacuation-ended", "domain", domain, "took", now.Sub(known.knownAt), "emptied", known.empty, "offset", offset)
 	return true
 }
 
@@ -84,7 +84,7 @@
 // anew meanwhile, and an entry says so up to a second later.
 func (e *evacuations) apply(s rules.Server, service rules.Service) rules.Server {
 	s.ColdRate = service.ColdRate
-	if at, was := e.back[s.Domain]; was && service.ColdTime > 0 {
+	if at, was := e.ended[s.Domain]; was && service.ColdTime > 0 {
 		if warmAt := at.Add(service.ColdTime); warmAt.After(s.WarmAt) {
 			s.WarmAt = warmAt
 		}
@@ -98,9 +98,9 @@
 	return s
 }
 
-// takeEvacuations takes in what records of the operator's topic say of evacuations, the oldest of which can have been
+// applyEvacuations takes in what records of the operator's topic say of evacuations, the oldest of which can have been
 // written the given time ago. Domain decodes the key of such a record. It reports whether anything changed.
-func (w *world) takeEvacuations(u follow.Update, age time.Duration, domain func(key string) (string, bool)) bool {
+func (w *clusterState) applyEvacuations(u follow.Update, age time.Duration, domain func(key string) (string, bool)) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -114,7 +114,7 @@
 			changed = w.evacuated.end(name, now, r.Offset) || changed
 		default:
 			listed[name] = true
-			changed = w.evacuated.begin(name, r, now, now.Add(w.evacuateTime-age)) || changed
+			changed = w.evacuated.begin(name, r, now, now.Add(w.evacuationTime-age)) || changed
 		}
 	}
 	if u.Whole {
@@ -131,31 +131,31 @@
 }
 
 // evacuationRecords returns what asks for the evacuations in force.
-func (w *world) evacuationRecords() []follow.Record {
+func (w *clusterState) evacuationRecords() []follow.Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.evacuated.records()
 }
 
-// left is what an evacuated domain still has: requests that this instance sent there, and keys.
-type left struct {
+// remaining is what an evacuated domain still has: requests that this instance sent there, and keys.
+type remaining struct {
 	requests int
 	keys     int
 }
 
-// noteEmptied logs the evacuated domains that have become empty, and those that are not when they should be.
-func (w *world) noteEmptied(leftAt func(domain string) left) {
+// logEmptied logs the evacuated domains that have become empty, and those that are not when they should be.
+func (w *clusterState) logEmptied(leftAt func(domain string) remaining) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	for domain, v := range w.evacuated.active {
-		if v.emptied {
+		if v.empty {
 			continue
 		}
 		l := leftAt(domain)
-		if v.emptied = l == (left{}); v.emptied {
+		if v.empty = l == (remaining{}); v.empty {
 			w.events.Note(event.Belief, "domain-empty", "domain", domain, "took", now.Sub(v.knownAt))
-		} else if now.After(v.closeAt) && now.Sub(v.closeAt) < lookEvery {
+		} else if now.After(v.closeAt) && now.Sub(v.closeAt) < checkInterval {
 			w.events.Note(event.Belief, "domain-not-empty", "domain", domain, "requests", l.requests, "keys", l.keys)
 		}
 		w.evacuated.active[domain] = v
@@ -163,7 +163,7 @@
 }
 
 // evacuatedDomains returns the evacuated domains and for how long each has been known to be so.
-func (w *world) evacuatedDomains() map[string]time.Duration {
+func (w *clusterState) evacuatedDomains() map[string]time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]time.Duration{}
@@ -178,26 +178,26 @@
 func (n *Node) withEvacuations(u follow.Update) follow.Update {
 	last := -1
 	for i, r := range u.Records {
-		if r.Key == n.around.ConfigKey {
+		if r.Key == n.platform.ConfigKey {
 			last = i
 		}
 	}
 	if last < 0 {
 		return u
 	}
-	u.Records = append(n.world.evacuationRecords(), u.Records[last])
+	u.Records = append(n.cluster.evacuationRecords(), u.Records[last])
 	u.Whole = true
 	return u
 }
 
-// noteEmptied logs which evacuated domains may be worked on.
-func (n *Node) noteEmptied() { n.world.noteEmptied(n.leftAt) }
+// logEmptied logs which evacuated domains may be worked on.
+func (n *Node) logEmptied() { n.cluster.logEmptied(n.remainingIn) }
 
-// leftAt returns what is left at the servers of a domain.
-func (n *Node) leftAt(domain string) left {
-	l := left{requests: n.edge.Running(domain)}
-	servers := n.world.servers()
-	for service, m := range n.holder.Owners().Maps {
+// remainingIn returns what is left at the servers of a domain.
+func (n *Node) remainingIn(domain string) remaining {
+	l := remaining{requests: n.edge.Running(domain)}
+	servers := n.cluster.servers()
+	for service, m := range n.leases.Owners().Maps {
 		for _, r := range m.Ranges {
 			if s, there := servers[r.Server]; there && s.Service == service && s.Domain == domain {
 				l.keys += r.Len()
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -18,25 +18,25 @@
 // evacuationOf decodes the keys of evacuations in tests.
 func evacuationOf(key string) (string, bool) { return strings.CutPrefix(key, "evacuate/") }
 
-// operate gives a world one update of the operator's topic, of keys and values in turn.
-func (w *world) operate(whole bool, age time.Duration, pairs ...string) bool {
+// applyOperatorRecords gives a world one update of the operator's topic, of keys and values in turn.
+func (w *clusterState) applyOperatorRecords(whole bool, age time.Duration, pairs ...string) bool {
 	u := follow.Update{Whole: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1]), Offset: int64(i)})
 	}
-	return w.takeEvacuations(u, age, evacuationOf)
+	return w.applyEvacuations(u, age, evacuationOf)
 }
 
-// newZonedWorld returns a world with a server in each of two failure domains, named like them.
-func newZonedWorld() *world {
-	w := newWorld(event.New(io.Discard, log.ErrorLevel), 1500*time.Millisecond, 2500*time.Millisecond)
-	w.putConfig(&rules.Config{Version: 1, Services: map[string]rules.Service{
+// newTwoDomainState returns a world with a server in each of two failure domains, named like them.
+func newTwoDomainState() *clusterState {
+	w := newClusterState(event.New(io.Discard, log.ErrorLevel), 1500*time.Millisecond, 2500*time.Millisecond)
+	w.applyConfig(&rules.Config{Version: 1, Services: map[string]rules.Service{
 		"books": {Name: "books", ColdTime: 3 * time.Second, ColdRate: 7},
 	}})
 	decode := func(id string, _ []byte, readAt time.Time) (rules.Server, error) {
 		return rules.Server{ID: id, Service: "books", Domain: id, WarmAt: readAt}, nil
 	}
-	w.putServers(follow.Update{Batch: follow.Batch{Records: []follow.Record{{Key: "north", Value: []byte("x")}, {Key: "south", Value: []byte("x")}}}}, 0, decode)
+	w.applyServers(follow.Update{Batch: follow.Batch{Records: []follow.Record{{Key: "north", Value: []byte("x")}, {Key: "south", Value: []byte("x")}}}}, 0, decode)
 	return w
 }
 
@@ -67,9 +67,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newZonedWorld()
+			w := newTwoDomainState()
 			for _, u := range test.updates {
-				w.operate(u.whole, 0, u.pairs...)
+				w.applyOperatorRecords(u.whole, 0, u.pairs...)
 			}
 			var got []string
 			for _, id := range []string{"north", "south"} {
@@ -89,10 +89,10 @@
 func TestEvacuatedKeysClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newZonedWorld()
-		w.operate(false, time.Second, "evacuate/north", "{}")
+		w := newTwoDomainState()
+		w.applyOperatorRecords(false, time.Second, "evacuate/north", "{}")
 		time.Sleep(time.Second)
-		w.operate(false, 0, "evacuate/north", "{}")
+		w.applyOperatorRecords(false, 0, "evacuate/north", "{}")
 		is.True(!w.servers()["north"].Closed(true, time.Now()))
 		time.Sleep(600 * time.Millisecond)
 		is.True(w.servers()["north"].Closed(true, time.Now()))
@@ -104,10 +104,10 @@
 func TestDomainTakenBackIsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newZonedWorld()
-		w.operate(false, 0, "evacuate/north", "{}")
+		w := newTwoDomainState()
+		w.applyOperatorRecords(false, 0, "evacuate/north", "{}")
 		time.Sleep(8 * time.Second)
-		is.True(w.operate(false, 0, "evacuate/north", ""))
+		is.True(w.applyOperatorRecords(false, 0, "evacuate/north", ""))
 		s := w.servers()["north"]
 		is.True(!s.Closed(true, time.Now()) && s.LeavesIn(time.Now()) == 0)
 		is.True(s.Cold(time.Now()))
@@ -118,15 +118,15 @@
 }
 
 // Guards against an evacuation that instances miss since only the newest configuration was told them.
-func TestConfigurationIsToldWithEvacuations(t *testing.T) {
+func TestConfigurationIsBroadcastWithEvacuations(t *testing.T) {
 	is := is.New(t)
-	leader := &Node{around: Surroundings{ConfigKey: "config"}, world: newZonedWorld()}
-	leader.world.operate(false, 0, "evacuate/north", "{}", "evacuate/south", "{}", "evacuate/south", "")
+	leader := &Node{platform: Surroundings{ConfigKey: "config"}, cluster: newTwoDomainState()}
+	leader.cluster.applyOperatorRecords(false, 0, "evacuate/north", "{}", "evacuate/south", "{}", "evacuate/south", "")
 	told := leader.withEvacuations(follow.Update{Batch: follow.Batch{End: 9, Records: []follow.Record{{Key: "config", Value: []byte("new"), Offset: 8}}}})
 	is.True(told.Whole)
-	other := newZonedWorld()
-	other.operate(false, 0, "evacuate/south", "{}")
-	other.takeEvacuations(told, 0, evacuationOf)
+	other := newTwoDomainState()
+	other.applyOperatorRecords(false, 0, "evacuate/south", "{}")
+	other.applyEvacuations(told, 0, evacuationOf)
 	is.True(other.servers()["north"].Evacuated && !other.servers()["south"].Evacuated)
 	is.Equal(told.Records[len(told.Records)-1].Key, "config")
 	alone := follow.Update{Batch: follow.Batch{End: 10, Records: []follow.Record{{Key: "evacuate/north", Offset: 9}}}}
@@ -134,14 +134,14 @@
 }
 
 // Guards against operators who take a domain for empty that still has requests or keys.
-func TestEmptiedDomainIsLogged(t *testing.T) {
+func TestEmptyDomainIsDetected(t *testing.T) {
 	is := is.New(t)
-	w := newZonedWorld()
-	w.operate(false, 0, "evacuate/north", "{}")
-	w.noteEmptied(func(string) left { return left{keys: 1} })
-	is.True(!w.evacuated.active["north"].emptied)
-	w.noteEmptied(func(string) left { return left{requests: 1} })
-	is.True(!w.evacuated.active["north"].emptied)
-	w.noteEmptied(func(string) left { return left{} })
-	is.True(w.evacuated.active["north"].emptied)
+	w := newTwoDomainState()
+	w.applyOperatorRecords(false, 0, "evacuate/north", "{}")
+	w.logEmptied(func(string) remaining { return remaining{keys: 1} })
+	is.True(!w.evacuated.active["north"].empty)
+	w.logEmptied(func(string) remaining { return remaining{requests: 1} })
+	is.True(!w.evacuated.active["north"].empty)
+	w.logEmptied(func(string) remaining { return remaining{} })
+	is.True(w.evacuated.active["north"].empty)
 }
--- /dev/null
+++ b/internal/node/handlers.go
@@ -0,0 +1,321 @@
+package node
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/rules"
+	"example.org/mustardring/internal/shard"
+)
+
+// checkInterval is the pause between two looks at what changes by itself: servers whose entries stay away, the reach of the
+// store, evacuated failure domains.
+const checkInterval = 100 * time.Millisecond
+
+// updateLoop takes in news from the store.
+func (n *Node) updateLoop(ctx context.Context) error {
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case u := <-n.updates:
+			n.applyUpdate(ctx, u)
+		case <-ticker.C:
+			if n.cluster.removeMissing() {
+				n.serversChanged()
+			}
+			n.logReach()
+			n.logEmptied()
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+func (n *Node) applyUpdate(ctx context.Context, u follow.Update) {
+	n.logRead(u)
+	if u.Err == nil && u.BegunAt != 0 {
+		n.storeAnsweredAt.Store(int64(clock.Boot{}.Now()))
+	}
+	n.retryUnanswered(u)
+	switch u.Topic {
+	case n.platform.Config:
+		n.applyConfigTopic(u)
+		n.watches[u.Topic].Applied(u)
+		u = n.withEvacuations(u)
+	case n.platform.Servers:
+		n.logDirectoryUpdate(u)
+		if n.cluster.applyServers(u, n.updateAge(u), n.platform.DecodeServer) {
+			n.serversChanged()
+		}
+		n.watches[u.Topic].Applied(u)
+	case n.platform.Owners:
+		select {
+		case n.leases.Updates() <- u:
+		case <-ctx.Done():
+		}
+	}
+	n.queueBroadcast(u)
+}
+
+// retryUnanswered asks for the topics whose last read had no answer when another one has got its own: each is in a pause of
+// its own, and an instance may lead only if all are read.
+func (n *Node) retryUnanswered(u follow.Update) {
+	if u.Err != nil || u.BegunAt == 0 {
+		return
+	}
+	for name, t := range n.watches {
+		if name != u.Topic && t.Unanswered() {
+			n.requestRead(name)
+		}
+	}
+}
+
+// logRead counts a read of the store by its reason.
+func (n *Node) logRead(u follow.Update) {
+	if u.Reason == "" {
+		return
+	}
+	n.storeCalls.Add("read "+u.Topic+" "+string(u.Reason), 1)
+	if u.Err != nil {
+		n.storeCalls.Add("read-failed "+u.Topic, 1)
+	}
+	age := n.watches[u.Topic].Age()
+	if u.Topic == n.platform.Owners {
+		age = n.leases.Age()
+	}
+	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
+		"records", len(u.Records), "wait", u.HeldUntil.Sub(u.BegunAt), "took", u.EndedAt.Sub(u.BegunAt),
+		"knowledge-age", age, "error", u.Err)
+}
+
+// currentReach reports whether the store answered the last calls about owners and about the directory. Who leads
+// needs both.
+func (n *Node) currentReach() storeReach {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return storeReach{owners: n.leases.StoreOK(), directory: !n.cluster.storeDown}
+}
+
+// logReach logs which of the store's topics this instance takes for reachable, when that changes.
+func (n *Node) logReach() {
+	now := n.currentReach()
+	if now != n.loggedReach {
+		n.loggedReach = now
+		n.events.Note(event.Belief, "store-reached", "owners", now.owners, "directory", now.directory)
+	}
+}
+
+// logDirectoryUpdate logs how news of the directory came and how old it is taken to be.
+func (n *Node) logDirectoryUpdate(u follow.Update) {
+	if u.Err != nil || len(u.Records) == 0 {
+		return
+	}
+	from, took := "instance", time.Duration(0)
+	if u.BegunAt != 0 {
+		from, took = "store", clock.Boot{}.Now().Sub(u.BegunAt)
+	}
+	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Whole, "overdue", u.Overdue,
+		"took", took, "age", n.updateAge(u), "end", u.End)
+}
+
+// unknownAge stands for the age of records of which nothing is known: older than any time that counts.
+const unknownAge = maxKnowledgeAge
+
+// updateAge returns how long ago the oldest record of an update can have been written.
+//
+// An instance that has just started does not know. Taken for new, the word of a leaving server would give that
+// server its whole time once more.
+func (n *Node) updateAge(u follow.Update) time.Duration {
+	if u.Since == 0 {
+		return unknownAge
+	}
+	return max(clock.Boot{}.Now().Sub(u.Since), 0)
+}
+
+// handleTopicUpdate takes in what another instance has read.
+func (n *Node) handleTopicUpdate(m gram.TopicUpdate) {
+	news := m.News
+	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
+		news.SentAt = sentAt
+	}
+	select {
+	case n.peerUpdates[m.Topic] <- news:
+	default:
+	}
+}
+
+func (n *Node) applyConfigTopic(u follow.Update) {
+	if u.Err != nil {
+		n.events.Note(event.Belief, "configuration-unread", "error", u.Err)
+		return
+	}
+	changed := n.cluster.applyEvacuations(u, n.updateAge(u), n.platform.DecodeEvacuation)
+	for _, r := range u.Records {
+		if r.Key != n.platform.ConfigKey || len(r.Value) == 0 {
+			continue
+		}
+		c, err := n.platform.DecodeConfig(r.Value)
+		if err != nil {
+			n.events.Note(event.Belief, "configuration-malformed", "offset", r.Offset, "error", err)
+			continue
+		}
+		n.cluster.applyConfig(c)
+		changed = true
+	}
+	if changed {
+		n.admissions.setServers()
+	}
+}
+
+func (n *Node) serversChanged() {
+	servers := n.cluster.servers()
+	n.admissions.setServers()
+	n.edge.Pool.Keep(func(id string) bool { _, there := servers[id]; return there })
+}
+
+func (n *Node) ownersChanged() { n.cluster.ownersChanged() }
+
+// receiveLoop takes messages of other instances.
+func (n *Node) receiveLoop(ctx context.Context) error {
+	for {
+		select {
+		case m := <-n.port.Messages():
+			n.handleMessage(m)
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+func (n *Node) handleMessage(r gram.Received) {
+	switch m := r.Message.(type) {
+	case gram.Relay:
+		n.forward(r.From, m)
+	case gram.Heartbeat:
+		n.handleHeartbeat(m.Beat)
+	case gram.AdmissionRequest:
+		n.admissions.handleRequest(r.From, m)
+	case gram.AdmissionDecision:
+		n.admissions.client.handleDecision(r.From, m)
+	case gram.Completion:
+		n.admissions.handleCompletion(r.From, m)
+	case gram.Cancel:
+		n.admissions.handleCancel(r.From, m)
+	case gram.AdmissionCheck:
+		n.admissions.client.handleCheck(r.From, m)
+	case gram.LoadReport:
+		n.loadTracker.add(m, time.Now())
+	case gram.OwnerChange:
+		n.handleOwnerChange(m)
+	case gram.RegisterUpdate:
+		n.handleRegisterUpdate(m)
+	case gram.ViewRequest:
+		n.sendView(r.From, m)
+	case gram.ViewSnapshot:
+		n.adoptView(m)
+	case gram.TopicUpdate:
+		n.handleTopicUpdate(m)
+	case gram.CompletedMoves:
+		n.cluster.markMovesComplete(m.Ranges)
+	case gram.CrashReport:
+		n.handleCrashReport(m)
+	}
+}
+
+// leadershipChanged tells all whether this instance leads, and shortens the reads that wait if the others now rely on
+// it.
+func (n *Node) leadershipChanged(leads bool) {
+	n.sendHeartbeatToAll()
+	if !leads {
+		return
+	}
+	n.requestRead(n.platform.Config)
+	n.requestRead(n.platform.Servers)
+}
+
+// handleOwnerChange takes in a record of owners that another instance wrote.
+func (n *Node) handleOwnerChange(m gram.OwnerChange) {
+	select {
+	case n.leases.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
+	default:
+		n.requestRead(n.platform.Owners)
+	}
+}
+
+func (n *Node) broadcastOwnerChange(service string, offset int64, fence uint64, changes []shard.Range) {
+	n.broadcast(gram.OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes})
+}
+
+// Config implements edge.World.
+func (n *Node) Config() *rules.Config { return n.cluster.config.Load() }
+
+// Server implements edge.World.
+func (n *Node) Server(id string) (rules.Server, bool) {
+	s, found := n.cluster.servers()[id]
+	return s, found
+}
+
+// Owner implements edge.World.
+func (n *Node) Owner(service string, key uint16) (shard.Range, bool, <-chan struct{}) {
+	changed := n.cluster.ownersChange()
+	m := n.leases.Owners().Maps[service]
+	if m == nil {
+		return shard.Range{}, false, changed
+	}
+	i := m.Find(key)
+	if i < 0 {
+		return shard.Range{}, false, changed
+	}
+	r := m.Ranges[i]
+	if len(r.Before) > 0 && n.cluster.isMoveComplete(service, r.From, r.Fence) {
+		r.Before = nil
+	}
+	return r, true, changed
+}
+
+// Count implements edge.World.
+func (n *Node) Count(service string, key uint16) { n.loadTracker.count(service, key) }
+
+// Suspicious implements edge.World.
+func (n *Node) Suspicious(print uint64) bool { return n.suspects.Blocked(print, time.Now()) }
+
+// crashProbeTimeout bounds the look whether a server whose connection was lost still takes new ones.
+const crashProbeTimeout = 300 * time.Millisecond
+
+// Crashed implements edge.World. Servers also break off single answers, so a lost connection
+// counts as a crash only if the server refuses a new one.
+func (n *Node) Crashed(print uint64, s rules.Server) {
+	go func() {
+		c, err := net.DialTimeout("tcp4", s.Address, crashProbeTimeout)
+		if err == nil {
+			_ = c.Close()
+			return
+		}
+		n.events.Note(event.Belief, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
+		n.suspects.Lost(print, s.ID, time.Now())
+		n.broadcast(gram.CrashReport{Fingerprint: print, Server: s.ID})
+	}()
+}
+
+// Cleared implements edge.World.
+func (n *Node) Cleared(print uint64) {
+	if n.suspects.Clear(print) {
+		n.broadcast(gram.CrashReport{Fingerprint: print, Cleared: true})
+	}
+}
+
+// handleCrashReport takes in what another instance has seen of a request.
+func (n *Node) handleCrashReport(m gram.CrashReport) {
+	if m.Cleared {
+		n.suspects.Clear(m.Fingerprint)
+		return
+	}
+	n.suspects.Lost(m.Fingerprint, m.Server, time.Now())
+}
--- a/internal/node/beats_test.go
+++ b/internal/node/heartbeat_test.go
@@ -13,7 +13,7 @@
 // A process stood still while it made up a heartbeat: what it knew was told with an age of before and a
 // time of sending of after, and seemed younger to the others by the time between. The age counts at the
 // instant that is told as that of sending.
-func TestAgeCountsAtTheTimeOfSending(t *testing.T) {
+func TestAgeRefersToSendTime(t *testing.T) {
 	const second = clock.Instant(time.Second)
 	tests := map[string]struct {
 		config, servers, at clock.Instant
@@ -29,12 +29,12 @@
 			is := is.New(t)
 			config, servers := &follow.Topic{}, &follow.Topic{}
 			n := &Node{
-				around: Surroundings{Config: "config", Servers: "servers"},
-				topics: map[string]*follow.Topic{"config": config, "servers": servers},
+				platform: Surroundings{Config: "config", Servers: "servers"},
+				watches:  map[string]*follow.Topic{"config": config, "servers": servers},
 			}
 			config.Applied(follow.Update{Batch: follow.Batch{End: 3}, Complete: test.config})
 			servers.Applied(follow.Update{Batch: follow.Batch{End: 9}, Complete: test.servers})
-			age, configEnd, serversEnd := n.complete(test.at)
+			age, configEnd, serversEnd := n.completeness(test.at)
 			is.Equal(age, test.want)
 			is.Equal(configEnd, int64(3))
 			is.Equal(serversEnd, int64(9))
--- a/internal/node/behind.go
+++ b/internal/node/lag.go
@@ -6,36 +6,36 @@
 // usually news is on its way to it. Who does not lead waits longer where there are many, by behindEach for
 // each instance: the leader reads, and tells all, and they need not read as well.
 const (
-	behindTime = 150 * time.Millisecond
-	behindEach = 4 * time.Millisecond
+	minLagTimeout         = 150 * time.Millisecond
+	lagTimeoutPerInstance = 4 * time.Millisecond
 )
 
-// behind notices that this instance knows less of a topic than others, although news of it
+// lagDetector notices that this instance knows less of a topic than others, although news of it
 // should have come: a read that waits for news may have lost its answer, or a message was lost.
-type behind struct {
-	mine  int64
-	since time.Time
+type lagDetector struct {
+	ownEnd int64
+	since  time.Time
 }
 
-// patience returns how long this instance waits for news that others have.
-func (n *Node) patience() time.Duration {
-	if n.holder.Leads() {
-		return behindTime
+// lagTimeout returns how long this instance waits for news that others have.
+func (n *Node) lagTimeout() time.Duration {
+	if n.leases.Leads() {
+		return minLagTimeout
 	}
-	return behindTime + time.Duration(n.instances())*behindEach
+	return minLagTimeout + time.Duration(n.instances())*lagTimeoutPerInstance
 }
 
-// hear takes in what another instance knows, and what this one knows. It returns true when this
+// observe takes in what another instance knows, and what this one knows. It returns true when this
 // instance has been behind for longer than it is patient, and should read the topic again.
 //
 // Only the instance's own progress starts the time anew. Word of others that know no more must
 // not: most do not while news is missing, and their heartbeats come between.
-func (b *behind) hear(theirs, mine int64, patience time.Duration, now time.Time) bool {
+func (b *lagDetector) observe(theirs, mine int64, patience time.Duration, now time.Time) bool {
 	if theirs <= mine {
 		return false
 	}
-	if b.since.IsZero() || b.mine != mine {
-		b.mine, b.since = mine, now
+	if b.since.IsZero() || b.ownEnd != mine {
+		b.ownEnd, b.since = mine, now
 		return false
 	}
 	if now.Sub(b.since) < patience {
--- a/internal/node/behind_test.go
+++ b/internal/node/lag_test.go
@@ -11,23 +11,23 @@
 // The store had dropped its history; two instances read the newest configuration and said so in
 // their heartbeats. Between these came the heartbeats of the eight, which knew no more, and each
 // of them let the others forget that they were behind.
-func TestBehindAmongOthers(t *testing.T) {
+func TestLagShownByFewPeers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	var b behind
+	var b lagDetector
 	read := false
 	for range 4 {
-		read = b.hear(4, 2, behindTime, now) || read // one that knows more
+		read = b.observe(4, 2, minLagTimeout, now) || read // one that knows more
 		for range 8 {
 			now = now.Add(28 * time.Millisecond)
-			read = b.hear(2, 2, behindTime, now) || read // those that do not
+			read = b.observe(2, 2, minLagTimeout, now) || read // those that do not
 		}
 		now = now.Add(26 * time.Millisecond)
 	}
 	is.True(read)
 }
 
-func TestBehind(t *testing.T) {
+func TestLagDetector(t *testing.T) {
 	start := time.Unix(0, 0)
 	type word struct {
 		after        time.Duration
@@ -44,9 +44,9 @@
 	for name, words := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b behind
+			var b lagDetector
 			for _, w := range words {
-				is.Equal(b.hear(w.theirs, w.mine, behindTime, start.Add(w.after)), w.read)
+				is.Equal(b.observe(w.theirs, w.mine, minLagTimeout, start.Add(w.after)), w.read)
 			}
 		})
 	}
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -13,54 +13,54 @@
 
 // The times of loads.
 const (
-	reportEvery = 500 * time.Millisecond
-	// powerHalf is the time after which an answer counts half for the power of a server, and
+	reportInterval = 500 * time.Millisecond
+	// capacityHalfLife is the time after which an answer counts half for the power of a server, and
 	// powerLeast the number of answers, so counted, from which on a power is believed.
-	powerHalf  = 3 * time.Second
-	powerLeast = 3
-	// wordForgotten is the number of answers, so counted, below which a word is forgotten.
-	wordForgotten = 0.1
+	capacityHalfLife   = 3 * time.Second
+	minCapacityAnswers = 3
+	// minEstimateAnswers is the number of answers, so counted, below which a word is forgotten.
+	minEstimateAnswers = 0.1
 )
 
-// loads counts the requests for keys, and at the leader adds up what all instances counted.
-type loads struct {
+// loadTracker counts the requests for keys, and at the leader adds up what all instances counted.
+type loadTracker struct {
 	mu sync.Mutex
 	// counts are this instance's own, since its last report.
-	counts map[string]map[uint16]uint16
-	sums   map[string]*sum
+	counts   map[string]map[uint16]uint16
+	services map[string]*serviceLoad
 }
 
-// sum is the load of one service as the leader knows it.
-type sum struct {
-	rates *shard.Rates
-	power map[string]power
+// serviceLoad is the load of one service as the leader knows it.
+type serviceLoad struct {
+	rates      *shard.Rates
+	capacities map[string]capacityEstimates
 }
 
-// power is what the instances say of a server: the last word of each, weighed by the answers that
+// capacityEstimates is what the instances say of a server: the last word of each, weighed by the answers that
 // it has seen of late.
 //
 // With the last word of all counting, an instance that has seen a single answer outdoes the one in
 // charge of the server: the server seems several times as powerful to each second plan, which moves ranges
 // there that the next one moves away.
-type power map[string]*word
+type capacityEstimates map[string]*capacityEstimate
 
-// word is what one instance says of a server.
-type word struct {
+// capacityEstimate is what one instance says of a server.
+type capacityEstimate struct {
 	rate    float64
 	answers float64
 	at      time.Time
 }
 
-func (w *word) decay(now time.Time) {
-	w.answers *= math.Exp2(-now.Sub(w.at).Seconds() / powerHalf.Seconds())
+func (w *capacityEstimate) decay(now time.Time) {
+	w.answers *= math.Exp2(-now.Sub(w.at).Seconds() / capacityHalfLife.Seconds())
 	w.at = now
 }
 
 // add takes in the word of an instance.
-func (p power) add(name string, rate float64, answers int, now time.Time) {
+func (p capacityEstimates) add(name string, rate float64, answers int, now time.Time) {
 	w := p[name]
 	if w == nil {
-		w = &word{at: now}
+		w = &capacityEstimate{at: now}
 		p[name] = w
 	}
 	w.decay(now)
@@ -69,24 +69,24 @@
 }
 
 // rate returns the requests that the server can run in a second, and whether that is known.
-func (p power) rate(now time.Time) (float64, bool) {
+func (p capacityEstimates) rate(now time.Time) (float64, bool) {
 	sum, answers := 0.0, 0.0
 	for name, w := range p {
-		if w.decay(now); w.answers < wordForgotten {
+		if w.decay(now); w.answers < minEstimateAnswers {
 			delete(p, name)
 			continue
 		}
 		sum += w.rate * w.answers
 		answers += w.answers
 	}
-	return sum / max(answers, powerLeast), answers >= powerLeast
+	return sum / max(answers, minCapacityAnswers), answers >= minCapacityAnswers
 }
 
-func newLoads() *loads {
-	return &loads{counts: map[string]map[uint16]uint16{}, sums: map[string]*sum{}}
+func newLoadTracker() *loadTracker {
+	return &loadTracker{counts: map[string]map[uint16]uint16{}, services: map[string]*serviceLoad{}}
 }
 
-func (l *loads) count(service string, key uint16) {
+func (l *loadTracker) count(service string, key uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.counts[service] == nil {
@@ -96,12 +96,12 @@
 }
 
 // flush returns the counts since the last call.
-func (l *loads) flush(name string) map[string]gram.Loads {
+func (l *loadTracker) flush(name string) map[string]gram.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]gram.Loads, len(l.counts))
+	out := make(map[string]gram.LoadReport, len(l.counts))
 	for service, counts := range l.counts {
-		m := gram.Loads{Name: name, Service: service}
+		m := gram.LoadReport{Name: name, Service: service}
 		for key, count := range counts {
 			m.Keys = append(m.Keys, key)
 			m.Counts = append(m.Counts, count)
@@ -112,14 +112,14 @@
 	return out
 }
 
-// take adds the report of an instance.
-func (l *loads) take(m gram.Loads, now time.Time) {
+// add adds the report of an instance.
+func (l *loadTracker) add(m gram.LoadReport, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[m.Service]
+	s := l.services[m.Service]
 	if s == nil {
-		s = &sum{rates: shard.NewRates(now), power: map[string]power{}}
-		l.sums[m.Service] = s
+		s = &serviceLoad{rates: shard.NewRates(now), capacities: map[string]capacityEstimates{}}
+		l.services[m.Service] = s
 	}
 	for i, key := range m.Keys {
 		if i < len(m.Counts) {
@@ -127,50 +127,50 @@
 		}
 	}
 	for i, id := range m.Servers {
-		if i >= len(m.Powers) || i >= len(m.Answers) || m.Answers[i] == 0 {
+		if i >= len(m.Capacities) || i >= len(m.Answers) || m.Answers[i] == 0 {
 			continue
 		}
-		if s.power[id] == nil {
-			s.power[id] = power{}
+		if s.capacities[id] == nil {
+			s.capacities[id] = capacityEstimates{}
 		}
-		s.power[id].add(m.Name, m.Powers[i], int(m.Answers[i]), now)
+		s.capacities[id].add(m.Name, m.Capacities[i], int(m.Answers[i]), now)
 	}
 }
 
 // load returns the load of a service by key.
-func (l *loads) load(service string) []float64 {
+func (l *loadTracker) load(service string) []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[service]
+	s := l.services[service]
 	if s == nil {
 		return nil
 	}
 	return s.rates.Load(time.Now())
 }
 
-// powers returns what the servers of a service can do.
-func (l *loads) powers(service string) map[string]float64 {
+// capacities returns what the servers of a service can do.
+func (l *loadTracker) capacities(service string) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[service]
+	s := l.services[service]
 	if s == nil {
 		return nil
 	}
 	now := time.Now()
-	out := make(map[string]float64, len(s.power))
-	for id, p := range s.power {
+	out := make(map[string]float64, len(s.capacities))
+	for id, p := range s.capacities {
 		if rate, known := p.rate(now); known {
 			out[id] = rate
 		} else if len(p) == 0 {
-			delete(s.power, id)
+			delete(s.capacities, id)
 		}
 	}
 	return out
 }
 
-// report sends what this instance counted to the leader.
-func (n *Node) report(ctx context.Context) error {
-	ticker := time.NewTicker(reportEvery)
+// reportLoop sends what this instance counted to the leader.
+func (n *Node) reportLoop(ctx context.Context) error {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -178,33 +178,33 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if lost, failed := n.port.Lost.Swap(0), n.port.Failed.Swap(0); lost+failed > 0 {
+		if lost, failed := n.port.Dropped.Swap(0), n.port.Failed.Swap(0); lost+failed > 0 {
 			n.events.Note(event.Belief, "messages-lost", "lost", lost, "failed", failed)
 		}
-		reports := n.loads.flush(n.settings.Name)
-		for _, service := range n.world.divided() {
+		reports := n.loadTracker.flush(n.settings.Name)
+		for _, service := range n.cluster.dividedServices() {
 			m := reports[service]
 			m.Name, m.Service = n.settings.Name, service
-			for id, power := range n.permits.report(service) {
+			for id, power := range n.admissions.capacityReport(service) {
 				m.Servers = append(m.Servers, id)
-				m.Powers = append(m.Powers, power.Rate)
+				m.Capacities = append(m.Capacities, power.Rate)
 				m.Answers = append(m.Answers, uint16(min(power.Answers, math.MaxUint16)))
 			}
-			n.sendLoads(m)
+			n.sendLoadReport(m)
 		}
 	}
 }
 
-func (n *Node) sendLoads(m gram.Loads) {
+func (n *Node) sendLoadReport(m gram.LoadReport) {
 	leader, found := n.roster.Leader(time.Now())
 	if !found || len(m.Keys)+len(m.Servers) == 0 {
 		return
 	}
 	if leader.Name == n.settings.Name {
-		n.loads.take(m, time.Now())
+		n.loadTracker.add(m, time.Now())
 		return
 	}
-	if to, ok := address(leader); ok {
+	if to, ok := peerAddress(leader); ok {
 		n.port.Send(to, m)
 	}
 }
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -12,29 +12,29 @@
 // Two instances spoke of the same server: the one in charge of it had seen sixty answers, the other
 // a single quick one from a time when it had not heard of the first. Each second plan believed the
 // other, moved half a dozen ranges to the server, and the next plan moved them away.
-func TestPowerOfManyAnswers(t *testing.T) {
+func TestCapacityIsWeightedByAnswers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	l := newLoads()
+	l := newLoadTracker()
 	for range 20 {
-		now = now.Add(reportEvery)
-		l.take(gram.Loads{Name: "a", Service: "books", Servers: []string{"s"}, Powers: []float64{12}, Answers: []uint16{6}}, now)
-		l.take(gram.Loads{Name: "b", Service: "books", Servers: []string{"s"}, Powers: []float64{40}, Answers: []uint16{1}}, now)
+		now = now.Add(reportInterval)
+		l.add(gram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{12}, Answers: []uint16{6}}, now)
+		l.add(gram.LoadReport{Name: "b", Service: "books", Servers: []string{"s"}, Capacities: []float64{40}, Answers: []uint16{1}}, now)
 	}
-	rate, _ := l.sums["books"].power["s"].rate(now)
+	rate, _ := l.services["books"].capacities["s"].rate(now)
 	is.True(rate > 11 && rate < 17)
 	// The server turns five times slower: that shows at once.
-	now = now.Add(reportEvery)
-	l.take(gram.Loads{Name: "a", Service: "books", Servers: []string{"s"}, Powers: []float64{2.4}, Answers: []uint16{2}}, now)
-	rate, _ = l.sums["books"].power["s"].rate(now)
+	now = now.Add(reportInterval)
+	l.add(gram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{2.4}, Answers: []uint16{2}}, now)
+	rate, _ = l.services["books"].capacities["s"].rate(now)
 	is.True(rate < 9)
 }
 
 // A server that nobody hears of any more is not believed to be what it was.
-func TestPowerIsForgotten(t *testing.T) {
+func TestCapacityIsForgotten(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	p := power{}
+	p := capacityEstimates{}
 	p.add("a", 10, 4, now)
 	rate, known := p.rate(now)
 	is.True(known)
--- a/internal/node/settle_test.go
+++ b/internal/node/moves_test.go
@@ -16,7 +16,7 @@
 
 // A plan moved 200 ranges, and each told 294 instances for itself that it had come to its new owner: 59,000
 // messages of one instance in half a second. Those that come close together must go in one.
-func TestSettledAreToldTogether(t *testing.T) {
+func TestCompletedMovesAreBatched(t *testing.T) {
 	is := is.New(t)
 	port, err := gram.Listen("127.0.0.1:0")
 	is.NoErr(err)
@@ -27,17 +27,17 @@
 	go func() { ended <- other.Run(ctx) }()
 	events := event.New(io.Discard, log.ErrorLevel)
 	n := &Node{
-		port: port, roster: roster.New("i0", "d0"), world: newWorld(events, time.Second, time.Second), events: events,
-		settled: make(chan gram.SettledRange, settledMost),
+		port: port, roster: roster.New("i0", "d0"), cluster: newClusterState(events, time.Second, time.Second), events: events,
+		completedMoves: make(chan gram.MovedRange, maxCompletedMoves),
 	}
 	n.roster.Put("i1", roster.Entry{Address: other.Address(), Domain: "d0", Incarnation: 1}, time.Now())
 	for i := range 200 {
-		n.settledHere("books", uint16(i), 7)
+		n.moveCompleted("books", uint16(i), 7)
 	}
-	go func() { ended <- n.tellSettled(ctx) }()
-	received := <-other.In()
-	is.Equal(len(received.Message.(gram.Settled).Ranges), 200)
-	is.True(n.world.isSettled("books", 199, 7))
+	go func() { ended <- n.broadcastMovesLoop(ctx) }()
+	received := <-other.Messages()
+	is.Equal(len(received.Message.(gram.CompletedMoves).Ranges), 200)
+	is.True(n.cluster.isMoveComplete("books", 199, 7))
 	cancel()
 	for range 2 {
 		is.Equal(<-ended, context.Canceled)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,54 +50,54 @@
 	DecodeServer     func(id string, data []byte, readAt time.Time) (rules.Server, error)
 }
 
-// newsMost is the number of messages with news that may wait. What does not fit is read from
+// maxQueuedPeerUpdates is the number of messages with news that may wait. What does not fit is read from
 // the store.
-const newsMost = 32
+const maxQueuedPeerUpdates = 32
 
 // Node is an instance.
 type Node struct {
-	settings config.Serve
-	around   Surroundings
-	events   *event.Log
-	world    *world
-	roster   *roster.Roster
-	port     *gram.Port
-	permits  *permits
-	loads    *loads
-	holder   *holder.Holder
-	edge     *edge.Edge
-	suspects *edge.Suspects
-	meters   *edge.Meters
-	inlet    *inlet.Server
-	// calls counts the calls to the store by reason.
-	calls *expvar.Map
-	// times holds how long calls to the store took that do not wait for news.
-	times       *edge.Times
-	incarnation uint64
-	updates     chan follow.Update
-	again       map[string]chan struct{}
-	news        map[string]chan follow.News
-	// told holds what was read of the configuration and the directory and is to be told to the others.
-	told     map[string]chan follow.Update
-	silentMu sync.Mutex
-	// silentAt is when a keeper's silence was last logged.
-	silentAt map[string]time.Time
-	// settled holds ranges that have come to their new owners and that the others are to be told of.
-	settled chan gram.SettledRange
-	beatNow chan struct{}
-	beatAll chan struct{}
-	topics  map[string]*follow.Topic
-	// provenAt is when the store last answered this instance.
-	provenAt   atomic.Int64
-	behind     map[string]*behind
-	registered chan struct{}
-	stopping   chan struct{}
-	// reachNoted is what was logged last; it belongs to the goroutine of updates.
-	reachNoted reach
+	settings    config.Serve
+	platform    Surroundings
+	events      *event.Log
+	cluster     *clusterState
+	roster      *roster.Roster
+	port        *gram.Port
+	admissions  *admissions
+	loadTracker *loadTracker
+	leases      *holder.Holder
+	edge        *edge.Edge
+	suspects    *edge.Suspects
+	meters      *edge.Meters
+	inlet       *inlet.Server
+	// storeCalls counts the calls to the store by reason.
+	storeCalls *expvar.Map
+	// storeTimes holds how long calls to the store took that do not wait for news.
+	storeTimes   *edge.Times
+	incarnation  uint64
+	updates      chan follow.Update
+	readRequests map[string]chan struct{}
+	peerUpdates  map[string]chan follow.News
+	// broadcasts holds what was read of the configuration and the directory and is to be told to the others.
+	broadcasts    map[string]chan follow.Update
+	unreachableMu sync.Mutex
+	// unreachableLoggedAt is when a keeper's silence was last logged.
+	unreachableLoggedAt map[string]time.Time
+	// completedMoves holds ranges that have come to their new owners and that the others are to be told of.
+	completedMoves     chan gram.MovedRange
+	heartbeatLeaderNow chan struct{}
+	heartbeatAllNow    chan struct{}
+	watches            map[string]*follow.Topic
+	// storeAnsweredAt is when the store last answered this instance.
+	storeAnsweredAt atomic.Int64
+	lag             map[string]*lagDetector
+	registered      chan struct{}
+	stopping        chan struct{}
+	// loggedReach is what was logged last; it belongs to the goroutine of updates.
+	loggedReach storeReach
 }
 
-// reach is which topics of the store an instance takes for reachable.
-type reach struct {
+// storeReach is which topics of the store an instance takes for reachable.
+type storeReach struct {
 	owners    bool
 	directory bool
 }
@@ -109,43 +109,43 @@
 		return nil, fmt.Errorf("node: %w", err)
 	}
 	n := &Node{
-		settings: settings, around: around, events: events, port: port,
+		settings: settings, platform: around, events: events, port: port,
 		roster: roster.New(settings.Name, settings.Domain),
 		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
-		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewTimes(),
-		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.News{}, told: map[string]chan follow.Update{},
-		behind: map[string]*behind{}, settled: make(chan gram.SettledRange, settledMost), beatNow: make(chan struct{}, 1), beatAll: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
+		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewTimes(),
+		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{}, broadcasts: map[string]chan follow.Update{},
+		lag: map[string]*lagDetector{}, completedMoves: make(chan gram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
-	n.around.Store = &countedStore{Store: around.Store, calls: n.calls, times: n.times, events: events}
-	n.world = newWorld(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
-		evacuateTime(settings.Bounds))
+	n.platform.Store = &instrumentedStore{Store: around.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
+	n.cluster = newClusterState(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
+		evacuationTime(settings.Bounds))
 	for _, topic := range []string{around.Config, around.Servers, around.Owners} {
-		n.again[topic] = make(chan struct{}, 1)
-		n.behind[topic] = &behind{}
-		n.news[topic] = make(chan follow.News, newsMost)
+		n.readRequests[topic] = make(chan struct{}, 1)
+		n.lag[topic] = &lagDetector{}
+		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
 	}
 	for _, topic := range []string{around.Config, around.Servers} {
-		n.told[topic] = make(chan follow.Update, toldMost)
+		n.broadcasts[topic] = make(chan follow.Update, maxQueuedBroadcasts)
 	}
-	n.loads = newLoads()
-	n.permits = newPermits(n)
-	n.holder = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.around.Store,
+	n.loadTracker = newLoadTracker()
+	n.admissions = newAdmissions(n)
+	n.leases = holder.New(holder.Deps{
+		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.platform.Store,
 		Topic: around.Owners, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
-		Servers: n.world.servers, Directory: n.world.published.Load, Services: n.world.divided, Target: n.world.target, Load: n.loads.load, Powers: n.loads.powers,
-		Again:        func() { n.readAgain(around.Owners) },
-		DirectoryAge: func() time.Duration { return n.topics[around.Servers].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
-		Leading: n.leading, Tell: n.tellOwners, TellRegister: n.tellRegister, Settled: n.settledHere,
-		Changed: n.ownersChanged, Announce: n.announce,
+		Servers: n.cluster.servers, Directory: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, Target: n.cluster.shortestTarget, Load: n.loadTracker.load, Powers: n.loadTracker.capacities,
+		Again:        func() { n.requestRead(around.Owners) },
+		DirectoryAge: func() time.Duration { return n.watches[around.Servers].Age() },
+		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(around.Servers) },
+		Leading: n.leadershipChanged, Tell: n.broadcastOwnerChange, TellRegister: n.broadcastRegister, Settled: n.moveCompleted,
+		Changed: n.ownersChanged, Announce: n.sendHeartbeatToLeader,
 	})
-	n.world.owners = n.holder.Owners
-	n.topics = n.newTopics()
+	n.cluster.owners = n.leases.Owners
+	n.watches = n.newWatches()
 	budget := edge.NewBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Wire: around.Wire, World: n, Permits: n.permits, Pool: edge.NewPool(n.connections), Budget: budget,
+		Wire: around.Wire, World: n, Permits: n.admissions, Pool: edge.NewPool(n.connections), Budget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
@@ -156,24 +156,24 @@
 // an interval, and the first time as soon as it runs. Renewals wait for it after a connection was
 // lost, so that more than entryMost, half a lease, would cost the server its keys.
 const (
-	entrySlack = 1.1
-	entryMost  = 1100 * time.Millisecond
+	entryIntervalFactor = 1.1
+	maxEntryTime        = 1100 * time.Millisecond
 )
 
 func entryTime(interval float64) time.Duration {
 	if interval <= 0 {
-		return entryMost
+		return maxEntryTime
 	}
-	return min(time.Duration(interval*entrySlack*float64(time.Second)), entryMost)
+	return min(time.Duration(interval*entryIntervalFactor*float64(time.Second)), maxEntryTime)
 }
 
 // evacuationShare is the part of the time in which evacuated servers must get their last request that this instance uses:
 // the rest is for what it cannot know, as how long the news of it took while the store was away.
 const evacuationShare = 0.5
 
-// evacuateTime returns how long after its evacuation is known a server may get requests. Without a bound of its own an
+// evacuationTime returns how long after its evacuation is known a server may get requests. Without a bound of its own an
 // evacuation is as urgent as a leaving server.
-func evacuateTime(b config.Bounds) time.Duration {
+func evacuationTime(b config.Bounds) time.Duration {
 	seconds := b.EvacuationSeconds * evacuationShare
 	if seconds == 0 {
 		seconds = b.DrainSeconds
@@ -189,7 +189,7 @@
 
 // connections returns how many connections this instance may open to a server of a service.
 func (n *Node) connections(service string) int {
-	c := n.world.config.Load()
+	c := n.cluster.config.Load()
 	most := 100
 	if c != nil && c.Services[service].MaxConns > 0 {
 		most = c.Services[service].MaxConns
@@ -198,26 +198,26 @@
 }
 
 func (n *Node) limits() inlet.Limits {
-	c := n.world.config.Load()
+	c := n.cluster.config.Load()
 	if c == nil {
 		return inlet.DefaultLimits
 	}
 	return inlet.Limits(c.Limits)
 }
 
-// notify wakes the reader of a channel that holds one element, unless it is to wake already.
-func notify(c chan<- struct{}) {
+// signalOnce wakes the reader of a channel that holds one element, unless it is to wake already.
+func signalOnce(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-func (n *Node) readAgain(topic string) { notify(n.again[topic]) }
+func (n *Node) requestRead(topic string) { signalOnce(n.readRequests[topic]) }
 
-func (n *Node) announce() { notify(n.beatNow) }
+func (n *Node) sendHeartbeatToLeader() { signalOnce(n.heartbeatLeaderNow) }
 
-func (n *Node) announceToAll() { notify(n.beatAll) }
+func (n *Node) sendHeartbeatToAll() { signalOnce(n.heartbeatAllNow) }
 
 // Run serves until the context ends or a signal asks to stop.
 func (n *Node) Run(ctx context.Context) error {
@@ -236,21 +236,21 @@
 	duties := duty.New(ctx, 24)
 	duties.Go("events", n.events.Run)
 	duties.Go("port", n.port.Run)
-	duties.Go("messages", n.receive)
-	duties.Go("register", n.register)
-	duties.Go("updates", n.update)
-	for topic := range n.told {
-		duties.Go("tell-"+topic, n.tellUpdates(topic))
+	duties.Go("messages", n.receiveLoop)
+	duties.Go("register", n.registerLoop)
+	duties.Go("updates", n.updateLoop)
+	for topic := range n.broadcasts {
+		duties.Go("tell-"+topic, n.broadcastLoop(topic))
 	}
-	duties.Go("beats", n.beat)
-	duties.Go("settled", n.tellSettled)
-	duties.Go("holder", n.holder.Run)
-	duties.Go("permits", n.permits.run)
-	duties.Go("loads", n.report)
+	duties.Go("beats", n.heartbeatLoop)
+	duties.Go("settled", n.broadcastMovesLoop)
+	duties.Go("holder", n.leases.Run)
+	duties.Go("permits", n.admissions.run)
+	duties.Go("loads", n.reportLoop)
 	duties.Go("ready", n.serveReady)
 	duties.Go("metrics", n.serveMetrics)
 	duties.Go("front", func(ctx context.Context) error { return n.inlet.Serve(ctx, front) })
-	n.follow(duties)
+	n.startWatches(duties)
 	taken := 0
 	for running := true; running; {
 		select {
@@ -282,28 +282,28 @@
 func (n *Node) entry(ended bool) roster.Entry {
 	return roster.Entry{
 		Address: net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.PeerPorts[0])), Domain: n.settings.Domain,
-		Incarnation: n.incarnation, Share: n.share(), Ended: ended,
+		Incarnation: n.incarnation, Share: n.cpuShare(), Ended: ended,
 	}
 }
 
-func (n *Node) putRecord(ctx context.Context, ended bool) error {
+func (n *Node) appendEntry(ctx context.Context, ended bool) error {
 	value, err := n.entry(ended).Encode()
 	if err != nil {
 		return err
 	}
-	_, err = n.around.Store.Append(ctx, n.around.Owners, holder.InstanceKey(n.settings.Name), value, -1)
+	_, err = n.platform.Store.Append(ctx, n.platform.Owners, holder.InstanceKey(n.settings.Name), value, -1)
 	return err
 }
 
-// fullLink is the speed of a link, in Mbit/s, from which on it does not bind what an instance can do for
+// fullLinkMbps is the speed of a link, in Mbit/s, from which on it does not bind what an instance can do for
 // others.
-const fullLink = 100
+const fullLinkMbps = 100
 
-func (n *Node) share() float64 {
-	return n.settings.CPUShare * min(1, n.settings.LinkMbps/fullLink)
+func (n *Node) cpuShare() float64 {
+	return n.settings.CPUShare * min(1, n.settings.LinkMbps/fullLinkMbps)
 }
 
-func address(p roster.Peer) (netip.AddrPort, bool) {
+func peerAddress(p roster.Peer) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(p.Address)
 	return a, err == nil
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -21,85 +21,85 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// silentStore is a store that takes calls during an outage and never answers these.
-type silentStore struct {
+// hangingStore is a store that takes calls during an outage and never answers these.
+type hangingStore struct {
 	mu      sync.Mutex
-	silent  bool
+	hanging bool
 	records []follow.Record
 	calls   int
 }
 
-func (s *silentStore) setSilent(silent bool) {
+func (s *hangingStore) setHanging(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
+	s.hanging = silent
 }
 
-func (s *silentStore) put(key, value string) {
+func (s *hangingStore) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = append(s.records, follow.Record{Key: key, Value: []byte(value), Offset: int64(len(s.records))})
 }
 
-func (s *silentStore) Append(ctx context.Context, _, _ string, _ []byte, _ int64) (int64, error) {
-	return 0, awaitSilence(ctx)
+func (s *hangingStore) Append(ctx context.Context, _, _ string, _ []byte, _ int64) (int64, error) {
+	return 0, hang(ctx)
 }
 
-// awaitSilence waits as long as a call that is not answered.
-func awaitSilence(ctx context.Context) error {
+// hang waits as long as a call that is not answered.
+func hang(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, follow.SilenceMost)
 	defer cancel()
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (s *silentStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
+func (s *hangingStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
 	return s.Read(ctx, topic, 0, 0)
 }
 
-func (s *silentStore) Read(ctx context.Context, _ string, from int64, _ time.Duration) (follow.Batch, error) {
+func (s *hangingStore) Read(ctx context.Context, _ string, from int64, _ time.Duration) (follow.Batch, error) {
 	s.mu.Lock()
 	s.calls++
-	silent := s.silent
+	silent := s.hanging
 	all := follow.Batch{Records: s.records[min(from, int64(len(s.records))):], End: int64(len(s.records))}
 	s.mu.Unlock()
 	if !silent {
 		return all, nil
 	}
-	return follow.Batch{}, awaitSilence(ctx)
+	return follow.Batch{}, hang(ctx)
 }
 
-// running is a lease clock that goes on with the time of the test.
-type running struct{}
+// testClock is a lease clock that goes on with the time of the test.
+type testClock struct{}
 
-func (running) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
+func (testClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
 
 // newFollower returns an instance among others that follows the topics of a store.
 func newFollower(s follow.Store, others int) *Node {
 	n := &Node{
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
-		around:   Surroundings{Store: s, Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners"},
+		platform: Surroundings{Store: s, Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners"},
 		roster:   roster.New("i0", "a"), updates: make(chan follow.Update, 64),
-		again: map[string]chan struct{}{}, news: map[string]chan follow.News{},
+		readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{},
 	}
 	for _, topic := range []string{"config", "servers", "owners"} {
-		n.again[topic] = make(chan struct{}, 1)
-		n.news[topic] = make(chan follow.News, newsMost)
+		n.readRequests[topic] = make(chan struct{}, 1)
+		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
 	}
-	n.holder = holder.New(holder.Deps{Clock: running{}, Roster: n.roster})
+	n.leases = holder.New(holder.Deps{Clock: testClock{}, Roster: n.roster})
 	for i := range others + 1 {
 		name := fmt.Sprintf("i%d", i)
 		n.roster.Put(name, roster.Entry{Address: fmt.Sprintf("127.0.0.1:%d", 1000+i), Domain: "a", Incarnation: 1, Share: 1}, time.Now())
 	}
-	n.topics = n.newTopics()
-	for _, topic := range n.topics {
-		topic.Clock = running{}
+	n.watches = n.newWatches()
+	for _, topic := range n.watches {
+		topic.Clock = testClock{}
 	}
 	return n
 }
 
-// hearOthers lets an instance hear all others, which know no more than it does, until the context ends.
-func (n *Node) hearOthers(ctx context.Context) error {
+// heartbeatsFromOthers lets an instance hear all others, which know no more than it does, until the context ends.
+func (n *Node) heartbeatsFromOthers(ctx context.Context) error {
 	for duty.Pause(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
 			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
@@ -117,14 +117,14 @@
 			for outage := 500 * time.Millisecond; outage <= 9*time.Second; outage += 20 * time.Millisecond {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					s := &silentStore{}
+					s := &hangingStore{}
 					s.put("config", "1")
 					n := newFollower(s, others)
 					ctx, cancel := context.WithCancel(t.Context())
 					ended := make(chan error, 2)
-					topic := n.topics["config"]
+					topic := n.watches["config"]
 					go func() { ended <- topic.Run(ctx) }()
-					go func() { ended <- n.hearOthers(ctx) }()
+					go func() { ended <- n.heartbeatsFromOthers(ctx) }()
 					defer func() {
 						cancel()
 						is.True(<-ended != nil)
@@ -132,9 +132,9 @@
 					}()
 					topic.Applied(<-n.updates)
 					time.Sleep(5 * time.Second)
-					s.setSilent(true)
+					s.setHanging(true)
 					time.Sleep(outage)
-					s.setSilent(false)
+					s.setHanging(false)
 					s.put("config", "2")
 					changedAt := time.Now()
 					for u := range n.updates {
@@ -155,13 +155,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const others, draws = 299, 1000
-		n := newFollower(&silentStore{}, others)
+		n := newFollower(&hangingStore{}, others)
 		for _, p := range n.roster.Others() {
 			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 		sum := time.Duration(0)
 		for range draws {
-			sum += n.retryPause()
+			sum += n.retryDelay()
 		}
 		perSecond := float64(others+1) / (sum / draws).Seconds()
 		is.True(perSecond < 50)
@@ -169,17 +169,17 @@
 }
 
 // Guards against an instance that reaches the store for one topic and does not try the others, so that nobody leads.
-func TestAnswerEndsThePausesOfOtherTopics(t *testing.T) {
+func TestAnswerEndsRetryDelaysOfOtherTopics(t *testing.T) {
 	for outage := 10 * time.Second; outage <= 14*time.Second; outage += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			s := &silentStore{}
+			s := &hangingStore{}
 			s.put("key", "1")
 			n := newFollower(s, 99)
 			ctx, cancel := context.WithCancel(t.Context())
-			ended := make(chan error, len(n.topics)+1)
-			go func() { ended <- n.hearOthers(ctx) }()
-			for _, topic := range n.topics {
+			ended := make(chan error, len(n.watches)+1)
+			go func() { ended <- n.heartbeatsFromOthers(ctx) }()
+			for _, topic := range n.watches {
 				go func() { ended <- topic.Run(ctx) }()
 			}
 			defer func() {
@@ -188,14 +188,14 @@
 					is.True(<-ended != nil)
 				}
 			}()
-			for range n.topics {
+			for range n.watches {
 				<-n.updates
 			}
-			s.setSilent(true)
+			s.setHanging(true)
 			backAt := time.Now().Add(outage)
-			time.AfterFunc(outage, func() { s.setSilent(false) })
+			time.AfterFunc(outage, func() { s.setHanging(false) })
 			var answeredAt time.Time
-			for regained := map[string]bool{}; len(regained) < len(n.topics); {
+			for regained := map[string]bool{}; len(regained) < len(n.watches); {
 				u := <-n.updates
 				if u.Err != nil || time.Now().Before(backAt) {
 					continue
@@ -204,7 +204,7 @@
 					answeredAt = time.Now()
 				}
 				regained[u.Topic] = true
-				n.resume(u)
+				n.retryUnanswered(u)
 			}
 			is.True(time.Since(answeredAt) <= follow.SilenceMost)
 		})
@@ -215,7 +215,7 @@
 func TestStopDoesNotWaitForTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := newFollower(&silentStore{}, 0)
+		n := newFollower(&hangingStore{}, 0)
 		n.events = event.New(io.Discard, log.InfoLevel)
 		begun := time.Now()
 		n.recordEnd(t.Context(), begun.Add(stopReserve/2))
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -12,34 +12,34 @@
 type pools struct {
 	name    string
 	domain  string
-	members map[string][]rules.Server
+	servers map[string][]rules.Server
 	pickers map[string]*permit.Picker
 }
 
 func newPools(name, domain string) *pools {
-	return &pools{name: name, domain: domain, members: map[string][]rules.Server{}, pickers: map[string]*permit.Picker{}}
+	return &pools{name: name, domain: domain, servers: map[string][]rules.Server{}, pickers: map[string]*permit.Picker{}}
 }
 
-// servers returns the servers of a pool, or of a service that is divided by key.
-func (p *pools) servers(pool string) []rules.Server { return p.members[pool] }
+// serversOf returns the servers of a pool, or of a service that is divided by key.
+func (p *pools) serversOf(pool string) []rules.Server { return p.servers[pool] }
 
 // picker returns what chooses the pools of a service.
 func (p *pools) picker(service string) *permit.Picker {
 	k := p.pickers[service]
 	if k == nil {
-		k = p.pick([]permit.Pool{{Name: service, Service: service}})
+		k = p.newPicker([]permit.Pool{{Name: service, Service: service}})
 		p.pickers[service] = k
 	}
 	return k
 }
 
-func (p *pools) pick(all []permit.Pool) *permit.Picker {
+func (p *pools) newPicker(all []permit.Pool) *permit.Picker {
 	return permit.NewPicker(p.name, p.domain, all, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// arrange takes in the servers and the configuration. Servers that leave get no more requests, but have
+// rebuild takes in the servers and the configuration. Servers that leave get no more requests, but have
 // their keys until these are moved.
-func (p *pools) arrange(servers map[string]rules.Server, c *rules.Config) {
+func (p *pools) rebuild(servers map[string]rules.Server, c *rules.Config) {
 	divided := func(service string) bool { return c != nil && c.Services[service].Divided }
 	services := map[string][]rules.Server{}
 	for _, s := range servers {
@@ -47,15 +47,15 @@
 			services[s.Service] = append(services[s.Service], s)
 		}
 	}
-	p.members, p.pickers = map[string][]rules.Server{}, map[string]*permit.Picker{}
+	p.servers, p.pickers = map[string][]rules.Server{}, map[string]*permit.Picker{}
 	for service, members := range services {
 		all := []permit.Pool{{Name: service, Service: service, Servers: members}}
 		if !divided(service) {
 			all = permit.Divide(service, members)
 		}
 		for _, pool := range all {
-			p.members[pool.Name] = pool.Servers
+			p.servers[pool.Name] = pool.Servers
 		}
-		p.pickers[service] = p.pick(all)
+		p.pickers[service] = p.newPicker(all)
 	}
 }
--- a/internal/node/register_test.go
+++ b/internal/node/register_test.go
@@ -11,15 +11,15 @@
 )
 
 // Guards against instances that write themselves down again and again since each answer comes too late.
-func TestRegistrationIsReadBeforeItIsRepeated(t *testing.T) {
+func TestRegisterIsReadBeforeAppendIsRepeated(t *testing.T) {
 	tests := map[string]struct {
 		err     error
 		maybe   bool
 		repeats time.Duration
 	}{
-		"answered":  {nil, true, recordTime},
-		"no answer": {fmt.Errorf("%w: silent", follow.ErrUnknown), true, recordTime},
-		"refused":   {fmt.Errorf("%w: status 503", follow.ErrNotDone), false, registerEvery},
+		"answered":  {nil, true, maxAppendTime},
+		"no answer": {fmt.Errorf("%w: silent", follow.ErrUnknown), true, maxAppendTime},
+		"refused":   {fmt.Errorf("%w: status 503", follow.ErrNotDone), false, registerInterval},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -27,11 +27,11 @@
 			var r registration
 			now := time.Now()
 			is.True(r.due(false, now))
-			is.Equal(r.sent(test.err, now), test.maybe)
+			is.Equal(r.attempted(test.err, now), test.maybe)
 			is.True(!r.due(false, now.Add(test.repeats-time.Millisecond)))
 			is.True(r.due(false, now.Add(test.repeats)))
 			is.True(!r.due(true, now.Add(time.Hour)))
-			is.True(!r.unknown)
+			is.True(!r.outcomeUnknown)
 		})
 	}
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -16,15 +16,15 @@
 
 // The times of a stop.
 const (
-	// rotationTime is how long the balancer may take to leave this instance out: it asks once a
+	// balancerTime is how long the balancer may take to leave this instance out: it asks once a
 	// second and twice in vain.
-	rotationTime = 2300 * time.Millisecond
+	balancerTime = 2300 * time.Millisecond
 	// stopReserve is kept of the time that a stop may take.
-	stopReserve = 500 * time.Millisecond
-	stopPoll    = 20 * time.Millisecond
+	stopReserve      = 500 * time.Millisecond
+	stopPollInterval = 20 * time.Millisecond
 )
 
-func (n *Node) stopped() bool {
+func (n *Node) isStopping() bool {
 	select {
 	case <-n.stopping:
 		return true
@@ -40,18 +40,18 @@
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
-	n.holder.Stop()
+	n.leases.Stop()
 	// The others take over its renewals only when they hear of it, within a lease.
-	n.announceToAll()
+	n.sendHeartbeatToAll()
 	n.inlet.Drain()
-	for time.Since(began) < rotationTime && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+	for time.Since(began) < balancerTime && ctx.Err() == nil {
+		time.Sleep(stopPollInterval)
 	}
 	_ = front.Close()
 	n.inlet.Finish()
 	// A connection lasts until the caller has taken the last answer from it.
 	for n.inlet.Conns() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 		n.inlet.Finish()
 	}
 	n.recordEnd(ctx, deadline.Add(stopReserve/2))
@@ -63,7 +63,7 @@
 func (n *Node) recordEnd(ctx context.Context, until time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
-	if err := n.putRecord(ctx, true); err != nil {
+	if err := n.appendEntry(ctx, true); err != nil {
 		n.events.Note(event.Belief, "end-not-recorded", "error", err)
 	}
 }
@@ -71,13 +71,13 @@
 // ready reports whether callers should come to this instance: it knows a configuration and
 // servers, and does not stop.
 func (n *Node) ready() bool {
-	return !n.stopped() && n.world.config.Load() != nil && len(n.world.servers()) > 0
+	return !n.isStopping() && n.cluster.config.Load() != nil && len(n.cluster.servers()) > 0
 }
 
 // serveReady answers the balancer.
 func (n *Node) serveReady(ctx context.Context) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc(n.around.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(n.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -90,18 +90,18 @@
 	vars := new(expvar.Map).Init()
 	vars.Set("mustardring-requests", n.meters.Var())
 	vars.Set("mustardring-events", n.events.Counts())
-	vars.Set("mustardring-store-calls", n.calls)
+	vars.Set("mustardring-store-calls", n.storeCalls)
 	mux := http.NewServeMux()
 	mux.HandleFunc("/debug/vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 		_, _ = w.Write([]byte(vars.String()))
 	})
-	mux.HandleFunc("/metrics", n.metrics)
+	mux.HandleFunc("/metrics", n.serveMetricsText)
 	address := net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort))
 	return serveHTTP(ctx, address, mux)
 }
 
-func (n *Node) metrics(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) serveMetricsText(w http.ResponseWriter, _ *http.Request) {
 	s := n.meters.Snapshot()
 	var lines []string
 	for route, counts := range s.Requests {
@@ -116,16 +116,16 @@
 	n.events.Counts().Do(func(v expvar.KeyValue) {
 		lines = append(lines, fmt.Sprintf("events{name=%q} %s\n", v.Key, v.Value))
 	})
-	n.calls.Do(func(v expvar.KeyValue) {
+	n.storeCalls.Do(func(v expvar.KeyValue) {
 		lines = append(lines, fmt.Sprintf("store_calls{what=%q} %s\n", v.Key, v.Value))
 	})
-	for call, l := range n.times.Snapshot() {
+	for call, l := range n.storeTimes.Snapshot() {
 		lines = append(lines, fmt.Sprintf("store_time_us{call=%q,quantile=\"0.5\"} %d\n", call, l.P50),
 			fmt.Sprintf("store_time_us{call=%q,quantile=\"0.99\"} %d\n", call, l.P99),
 			fmt.Sprintf("store_time_us{call=%q,quantile=\"1\"} %d\n", call, l.Most))
 	}
-	for domain, since := range n.world.evacuatedDomains() {
-		l := n.leftAt(domain)
+	for domain, since := range n.cluster.evacuatedDomains() {
+		l := n.remainingIn(domain)
 		lines = append(lines, fmt.Sprintf("evacuated_seconds{domain=%q} %.1f\n", domain, since.Seconds()),
 			fmt.Sprintf("evacuated_requests{domain=%q} %d\n", domain, l.requests),
 			fmt.Sprintf("evacuated_keys{domain=%q} %d\n", domain, l.keys))
@@ -136,8 +136,8 @@
 	}
 }
 
-// shutdownTime bounds the end of the small servers.
-const shutdownTime = 100 * time.Millisecond
+// shutdownTimeout bounds the end of the small servers.
+const shutdownTimeout = 100 * time.Millisecond
 
 func serveHTTP(ctx context.Context, address string, handler http.Handler) error {
 	l, err := net.Listen("tcp4", address)
@@ -146,7 +146,7 @@
 	}
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	stop := context.AfterFunc(ctx, func() {
-		ended, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		ended, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = s.Shutdown(ended)
 		_ = s.Close()
--- a/internal/node/calls.go
+++ b/internal/node/store.go
@@ -12,8 +12,8 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// countedStore counts what is written to the store by what it is about, and logs it.
-type countedStore struct {
+// instrumentedStore counts what is written to the store by what it is about, and logs it.
+type instrumentedStore struct {
 	follow.Store
 	calls  *expvar.Map
 	times  *edge.Times
@@ -21,7 +21,7 @@
 }
 
 // Read implements follow.Store.
-func (s *countedStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+func (s *instrumentedStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
 	begun := clock.Boot{}.Now()
 	batch, err := s.Store.Read(ctx, topic, from, wait)
 	if wait == 0 {
@@ -31,7 +31,7 @@
 }
 
 // Newest implements follow.Store.
-func (s *countedStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
+func (s *instrumentedStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
 	begun := clock.Boot{}.Now()
 	batch, err := s.Store.Newest(ctx, topic)
 	s.times.Record("newest "+topic, clock.Boot{}.Now().Sub(begun))
@@ -39,7 +39,7 @@
 }
 
 // Append implements follow.Store.
-func (s *countedStore) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
+func (s *instrumentedStore) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
 	about, _, _ := strings.Cut(key, "/")
 	s.calls.Add("append "+topic+" "+about, 1)
 	begun := clock.Boot{}.Now()
