--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -119,7 +119,7 @@
 		// The others wait for the same word.
 		n.sendHeartbeatToAll()
 	}
-	if len(u.Records) == 0 || u.Whole && u.Topic != n.platform.Config {
+	if len(u.Records) == 0 || u.Whole && u.Topic != n.platform.ConfigTopic {
 		return
 	}
 	if u.Whole {
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -90,6 +90,6 @@
 	select {
 	case n.leases.Enrolled() <- m.Records:
 	default:
-		n.requestRead(n.platform.Owners)
+		n.requestRead(n.platform.OwnersTopic)
 	}
 }
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -45,17 +45,17 @@
 	}
 	n.retryUnanswered(u)
 	switch u.Topic {
-	case n.platform.Config:
+	case n.platform.ConfigTopic:
 		n.applyConfigTopic(u)
 		n.watches[u.Topic].Applied(u)
 		u = n.withEvacuations(u)
-	case n.platform.Servers:
+	case n.platform.ServersTopic:
 		n.logDirectoryUpdate(u)
 		if n.cluster.applyServers(u, n.updateAge(u), n.platform.DecodeServer) {
 			n.serversChanged()
 		}
 		n.watches[u.Topic].Applied(u)
-	case n.platform.Owners:
+	case n.platform.OwnersTopic:
 		select {
 		case n.leases.Updates() <- u:
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 		n.storeCalls.Add("read-failed "+u.Topic, 1)
 	}
 	age := n.watches[u.Topic].Age()
-	if u.Topic == n.platform.Owners {
+	if u.Topic == n.platform.OwnersTopic {
 		age = n.leases.Age()
 	}
 	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
@@ -236,8 +236,8 @@
 	if !leads {
 		return
 	}
-	n.requestRead(n.platform.Config)
-	n.requestRead(n.platform.Servers)
+	n.requestRead(n.platform.ConfigTopic)
+	n.requestRead(n.platform.ServersTopic)
 }
 
 // handleOwnerChange takes in a record of owners that another instance wrote.
@@ -245,7 +245,7 @@
 	select {
 	case n.leases.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
-		n.requestRead(n.platform.Owners)
+		n.requestRead(n.platform.OwnersTopic)
 	}
 }
 
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -142,8 +142,8 @@
 // old the knowledge is at an instant that nothing is missing before them, in milliseconds, negative if
 // it is of no use to others.
 func (n *Node) completeness(at clock.Instant) (age, config, servers int64) {
-	config, configUntil := n.watches[n.platform.Config].Known()
-	servers, serversUntil := n.watches[n.platform.Servers].Known()
+	config, configUntil := n.watches[n.platform.ConfigTopic].Known()
+	servers, serversUntil := n.watches[n.platform.ServersTopic].Known()
 	return ageMillis(at, min(configUntil, serversUntil)), config, servers
 }
 
@@ -164,8 +164,8 @@
 		return
 	}
 	until := sentAt.Add(-time.Duration(b.Complete) * time.Millisecond)
-	n.watches[n.platform.Config].Refresh(b.Config, until)
-	n.watches[n.platform.Servers].Refresh(b.Servers, until)
+	n.watches[n.platform.ConfigTopic].Refresh(b.Config, until)
+	n.watches[n.platform.ServersTopic].Refresh(b.Servers, until)
 }
 
 // handleHeartbeat takes in the heartbeat of another instance, and reads again what that one knows more
@@ -178,13 +178,13 @@
 		n.replyWithHeartbeat(b.Name)
 	}
 	n.leases.Hear(b)
-	if n.checkLag(n.platform.Owners, b.Known, n.leases.Owners().End, now) {
+	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.Owners().End, now) {
 		n.requestView(b.Name)
 	}
-	config, _ := n.watches[n.platform.Config].Known()
-	servers, _ := n.watches[n.platform.Servers].Known()
-	n.checkLag(n.platform.Config, b.Config, config, now)
-	n.checkLag(n.platform.Servers, b.Servers, servers, now)
+	config, _ := n.watches[n.platform.ConfigTopic].Known()
+	servers, _ := n.watches[n.platform.ServersTopic].Known()
+	n.checkLag(n.platform.ConfigTopic, b.Config, config, now)
+	n.checkLag(n.platform.ServersTopic, b.Servers, servers, now)
 	n.confirmCurrent(b)
 }
 
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -29,7 +29,7 @@
 			is := is.New(t)
 			config, servers := &follow.Topic{}, &follow.Topic{}
 			n := &Node{
-				platform: Surroundings{Config: "config", Servers: "servers"},
+				platform: Platform{ConfigTopic: "config", ServersTopic: "servers"},
 				watches:  map[string]*follow.Topic{"config": config, "servers": servers},
 			}
 			config.Applied(follow.Update{Batch: follow.Batch{End: 3}, Complete: test.config})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,17 +30,17 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// Surroundings is what the adapter brings.
-type Surroundings struct {
+// Platform is what the adapter brings.
+type Platform struct {
 	Store  follow.Store
 	Orders holder.Orders
 	Wire   edge.Wire
-	// Config, Servers and Owners are topics of the store, ConfigKey is the key of the
+	// ConfigTopic, Servers and Owners are topics of the store, ConfigKey is the key of the
 	// configuration.
-	Config    string
+	ConfigTopic    string
 	ConfigKey string
-	Servers   string
-	Owners    string
+	ServersTopic   string
+	OwnersTopic    string
 	// ReadyPath is the path that the balancer asks.
 	ReadyPath    string
 	DecodeConfig func(data []byte) (*rules.Config, error)
@@ -57,7 +57,7 @@
 // Node is an instance.
 type Node struct {
 	settings    config.Serve
-	platform    Surroundings
+	platform    Platform
 	events      *event.Log
 	cluster     *clusterState
 	roster      *roster.Roster
@@ -103,7 +103,7 @@
 }
 
 // New returns an instance that is not started.
-func New(settings config.Serve, around Surroundings, events *event.Log) (*Node, error) {
+func New(settings config.Serve, around Platform, events *event.Log) (*Node, error) {
 	port, err := gram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
@@ -119,23 +119,23 @@
 	n.platform.Store = &instrumentedStore{Store: around.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
 	n.cluster = newClusterState(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
 		evacuationTime(settings.Bounds))
-	for _, topic := range []string{around.Config, around.Servers, around.Owners} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic, around.OwnersTopic} {
 		n.readRequests[topic] = make(chan struct{}, 1)
 		n.lag[topic] = &lagDetector{}
 		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
 	}
-	for _, topic := range []string{around.Config, around.Servers} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic} {
 		n.broadcasts[topic] = make(chan follow.Update, maxQueuedBroadcasts)
 	}
 	n.loadTracker = newLoadTracker()
 	n.admissions = newAdmissions(n)
 	n.leases = holder.New(holder.Deps{
 		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.platform.Store,
-		Topic: around.Owners, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
+		Topic: around.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
 		Servers: n.cluster.servers, Directory: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, Target: n.cluster.shortestTarget, Load: n.loadTracker.load, Powers: n.loadTracker.capacities,
-		Again:        func() { n.requestRead(around.Owners) },
-		DirectoryAge: func() time.Duration { return n.watches[around.Servers].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(around.Servers) },
+		Again:        func() { n.requestRead(around.OwnersTopic) },
+		DirectoryAge: func() time.Duration { return n.watches[around.ServersTopic].Age() },
+		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(around.ServersTopic) },
 		Leading: n.leadershipChanged, Tell: n.broadcastOwnerChange, TellRegister: n.broadcastRegister, Settled: n.moveCompleted,
 		Changed: n.ownersChanged, Announce: n.sendHeartbeatToLeader,
 	})
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = n.platform.Store.Append(ctx, n.platform.Owners, holder.InstanceKey(n.settings.Name), value, -1)
+	_, err = n.platform.Store.Append(ctx, n.platform.OwnersTopic, holder.InstanceKey(n.settings.Name), value, -1)
 	return err
 }
 
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -69,13 +69,13 @@
 				continue
 			}
 			if following {
-				n.requestRead(n.platform.Owners)
+				n.requestRead(n.platform.OwnersTopic)
 				continue
 			}
 			following = true
 			close(n.registered)
-		case r.outcomeUnknown && !n.watches[n.platform.Owners].Unanswered():
-			n.requestRead(n.platform.Owners)
+		case r.outcomeUnknown && !n.watches[n.platform.OwnersTopic].Unanswered():
+			n.requestRead(n.platform.OwnersTopic)
 		}
 	}
 	return ctx.Err()
--- a/internal/node/watches.go
+++ b/internal/node/watches.go
@@ -38,9 +38,9 @@
 func (n *Node) newWatches() map[string]*follow.Topic {
 	calm := func() time.Duration { return configBatchDelay }
 	out := map[string]*follow.Topic{
-		n.platform.Config:  {Direct: n.readsStore, Wait: n.pollTimeout, Settle: calm, Latest: true, Overdue: n.maxStaleness},
-		n.platform.Servers: {Direct: n.readsStore, Wait: n.pollTimeout, Settle: n.batchDelay, Overdue: n.maxStaleness},
-		n.platform.Owners:  {Direct: n.readsOwners, Every: n.ownersReadInterval, Settle: calm},
+		n.platform.ConfigTopic:  {Direct: n.readsStore, Wait: n.pollTimeout, Settle: calm, Latest: true, Overdue: n.maxStaleness},
+		n.platform.ServersTopic: {Direct: n.readsStore, Wait: n.pollTimeout, Settle: n.batchDelay, Overdue: n.maxStaleness},
+		n.platform.OwnersTopic:  {Direct: n.readsOwners, Every: n.ownersReadInterval, Settle: calm},
 	}
 	for name, t := range out {
 		t.Store, t.Name, t.Clock, t.Out = n.platform.Store, name, clock.Boot{}, n.updates
@@ -52,7 +52,7 @@
 func (n *Node) startWatches(duties *duty.Group) {
 	for name, t := range n.watches {
 		duties.Go("follow-"+name, func(ctx context.Context) error {
-			if name == n.platform.Owners && !n.awaitRegistration(ctx) {
+			if name == n.platform.OwnersTopic && !n.awaitRegistration(ctx) {
 				return ctx.Err()
 			}
 			return t.Run(ctx)
