--- a/internal/gram/deflate.go
+++ b/internal/gram/deflate.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// minDeflateSize is the size of a datagram from which on it is compressed. Large ones name the same servers
-	// and addresses many times; uncompressed, the record of a plan that replaces some hundred servers does not
-	// fit into a datagram, and nobody hears of it.
+	// minDeflateSize is the size in bytes from which on datagrams are compressed. Large messages repeat the same
+	// servers and addresses; uncompressed, the record of a plan that replaces some hundred servers does not
+	// fit into a datagram, and no instance receives it.
 	minDeflateSize = 2 << 10
-	// maxInflatedSize bounds what a compressed datagram may hold.
+	// maxInflatedSize is the maximum size of a decompressed datagram in bytes.
 	maxInflatedSize = 1 << 20
-	// kindDeflated marks a compressed datagram.
+	// kindDeflated is the first byte of a compressed datagram, in place of the kind of a message.
 	kindDeflated = 16
 )
 
-// deflate compresses a datagram if it is large.
+// deflate compresses a datagram of at least minDeflateSize and returns others unchanged.
 func deflate(data []byte) ([]byte, error) {
 	if len(data) < minDeflateSize {
 		return data, nil
@@ -38,7 +38,7 @@
 	return out.Bytes(), nil
 }
 
-// inflate returns the datagram that a compressed one holds, without its mark.
+// inflate decompresses a datagram, given without its first byte. It rejects nested compression.
 func inflate(body []byte) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxInflatedSize+1))
 	if err != nil {
--- a/internal/gram/deflate_test.go
+++ b/internal/gram/deflate_test.go
@@ -11,10 +11,10 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// A third of 604 servers fell silent. The record that gave their keys to others had 900 changes, 70 KB, more than
-// a datagram holds: nobody was told, and instances that the store refused did not know of it for six seconds, for
-// which all moves waited.
-func TestLargeRecordFitsIntoADatagram(t *testing.T) {
+// Guards against owner changes that are too large for a datagram. When a third of 604 servers failed, the record that
+// reassigned their keys had 900 changes in 70 KB and was not broadcast. Instances that could not read the store missed
+// it for six seconds, and all moves waited for them.
+func TestLargeRecordFitsIntoDatagram(t *testing.T) {
 	is := is.New(t)
 	m := OwnerChange{Service: "pages", Offset: 300, Fence: 5000}
 	for i := range 2416 {
@@ -26,7 +26,7 @@
 	data, err := Encode(m)
 	is.NoErr(err)
 	t.Logf("%d bytes", len(data))
-	is.True(len(data) < maxDatagram-1024) // it also goes inside a message that is passed on
+	is.True(len(data) < maxDatagram-1024) // it must also fit into a Relay
 	got, err := Decode(data)
 	is.NoErr(err)
 	is.Equal(got, m)
@@ -35,7 +35,7 @@
 	is.True(len(relayed) < maxDatagram)
 }
 
-// Bytes that come from anyone must not take memory without bound, nor hold one another without end.
+// Guards against datagrams of unknown senders that use unbounded memory, or nest compression endlessly.
 func TestInflateIsBounded(t *testing.T) {
 	is := is.New(t)
 	pack := func(data []byte) []byte {
@@ -47,7 +47,7 @@
 		return out.Bytes()
 	}
 	for name, data := range map[string][]byte{
-		"too much": pack(make([]byte, 64<<20)), "itself": pack(pack([]byte{1})), "nothing": pack(nil), "cut": {kindDeflated, 1}, "no more": {kindDeflated},
+		"too large": pack(make([]byte, 64<<20)), "nested": pack(pack([]byte{1})), "empty": pack(nil), "truncated": {kindDeflated, 1}, "no body": {kindDeflated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode(data)
--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -1,5 +1,5 @@
-// Package gram carries small messages between instances in datagrams. A message may be lost,
-// doubled or late; the messages are made so that each of these does no harm.
+// Package gram sends small messages between instances as UDP datagrams. A message may be lost,
+// duplicated or delayed; receivers must tolerate all three.
 package gram
 
 import (
@@ -18,39 +18,43 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// Message is what instances tell one another.
+// Message is one of the message types below.
 type Message interface{ kind() byte }
 
-// The messages.
+// The messages, encoded by position: fields may be renamed but keep their order and types.
 type (
-	// Heartbeat says that an instance lives, and what it confirms.
+	// Heartbeat shows that an instance is alive and states what it knows and confirms.
 	Heartbeat struct{ roster.Beat }
-	// AdmissionRequest asks the keeper of a pool or a server for a permit. Times are in milliseconds
-	// from now, since clocks differ between machines.
+	// AdmissionRequest asks the controller of a pool or a server to admit a request. Times are in
+	// milliseconds from now, since clocks differ between machines.
 	AdmissionRequest struct {
 		Serial uint64
 		Pool   string
 		Server string
 		// Domain is the failure domain whose servers are preferred.
-		Domain       string
-		Route        string
-		Priority     int
+		Domain   string
+		Route    string
+		Priority int
+		// Returning is set if the caller was rejected before and came back.
 		Returning    bool
 		TargetInMs   int
 		DeadlineInMs int
-		Avoid        string
-		HasFallback  bool
+		// Avoid is a server that failed this request before.
+		Avoid string
+		// HasFallback is set if the sender can ask another pool.
+		HasFallback bool
 	}
-	// AdmissionDecision is the keeper's answer. Server is set if the permit is granted, Reason if it is
-	// refused; else the request waits.
+	// AdmissionDecision is the controller's answer. Server is set if the request is admitted, Reason if
+	// it is rejected; if both are empty, the request is queued.
 	AdmissionDecision struct {
 		Serial    uint64
 		Server    string
 		Reason    string
 		RetryInMs int
-		WaitMs    int
+		// WaitMs is the predicted wait that a rejection rests on.
+		WaitMs int
 	}
-	// Completion gives a permit back.
+	// Completion ends an admission and reports how the request went.
 	Completion struct {
 		Serial      uint64
 		Pool        string
@@ -59,75 +63,79 @@
 		Outcome     permit.Outcome
 		DurationUs  int
 		AnswerBytes int
-		Running     int
-		Waiting     int
-		LoadKnown   bool
+		// Running, Waiting and Slowdown are the load that the server reported, valid if LoadKnown is set.
+		Running   int
+		Waiting   int
+		LoadKnown bool
 		// Slowdown is permit.Load.Slowdown in hundredths.
 		Slowdown int
 	}
-	// Cancel takes an Ask back. Pool is empty if the sender does not know it any more.
+	// Cancel cancels an AdmissionRequest or gives up the admission that followed. Pool is empty if the
+	// sender no longer knows it.
 	Cancel struct {
 		Serial uint64
 		Pool   string
 	}
-	// AdmissionCheck asks who was granted a permit whether it still has it. Who does not answers with
-	// Withdraw.
+	// AdmissionCheck asks the holder of an admission whether it is still in use. If not, the receiver
+	// answers with Cancel.
 	AdmissionCheck struct{ Serial uint64 }
-	// LoadReport tells the leader how many requests an instance had since the last such message, by
-	// service and key, and what servers can do in a second, with the number of answers
-	// that each figure rests on.
+	// LoadReport tells the leader how many requests of a service an instance had since its last report,
+	// by key, and the capacity of servers, with the number of answers that each figure rests on.
 	LoadReport struct {
 		Name    string
 		Service string
-		// Keys and Counts belong together.
-		Keys       []uint16
-		Counts     []uint16
+		// Keys and Counts are parallel slices.
+		Keys   []uint16
+		Counts []uint16
+		// Servers, Capacities (in requests per second) and Answers are parallel slices.
 		Servers    []string
 		Capacities []float64
 		Answers    []uint16
 	}
-	// OwnerChange tells of a record of owners that was written: what it changes against the record
-	// before it.
+	// OwnerChange announces a record of owners that was written to the store, as the difference to the
+	// record before it.
 	OwnerChange struct {
 		Service string
 		Offset  int64
 		Fence   uint64
 		Changes []shard.Range
 	}
-	// RegisterUpdate tells of records of the register of instances, which follow one another.
+	// RegisterUpdate announces consecutive records of the register of instances.
 	RegisterUpdate struct{ Records []follow.Record }
-	// Relay holds a datagram that the receiver takes as a message of its own, and passes on to the others of
-	// its failure domain.
+	// Relay holds an encoded message that the receiver handles itself and forwards to the other instances
+	// of its failure domain.
 	Relay struct{ Data []byte }
-	// ViewRequest says that an instance knows of the owners up to an offset only, and that the store
-	// refuses it.
+	// ViewRequest asks a peer for its view of the owners. The sender knows the records before End only,
+	// and cannot read the store.
 	ViewRequest struct{ End int64 }
-	// ViewSnapshot answers Behind with all that another instance knows: the records of maps by service
-	// and those of instances by name.
+	// ViewSnapshot answers ViewRequest with the complete view of the sender: the encoded maps of owners by
+	// service, and the records of instances by name, as of offset End.
 	ViewSnapshot struct {
 		End       int64
 		Maps      map[string][]byte
 		Instances map[string][]byte
 	}
-	// TopicUpdate is what an instance read of a topic of the store, sent at a time of its lease clock.
+	// TopicUpdate passes on what an instance read of a topic of the store. SentAt is a time of the sender's
+	// lease clock.
 	TopicUpdate struct {
 		Topic  string
 		Sender string
 		SentAt int64
 		follow.News
 	}
-	// CompletedMoves says that ranges have come to their new owners, ahead of the record that says so.
+	// CompletedMoves announces ranges whose move to a new owner is complete, before a record in the store
+	// says so.
 	CompletedMoves struct{ Ranges []MovedRange }
-	// CrashReport says that a server was lost while a request ran there.
+	// CrashReport announces that a server was lost while it ran the request with a fingerprint, or, if
+	// Cleared is set, that such a request had an answer.
 	CrashReport struct {
 		Fingerprint uint64
 		Server      string
-		// Cleared says the contrary: the request had an answer.
-		Cleared bool
+		Cleared     bool
 	}
 )
 
-// MovedRange is a range that has come to its new owner, by its first key and its fence.
+// MovedRange identifies a range whose move is complete by its first key and its fencing token.
 type MovedRange struct {
 	Service string
 	From    uint16
@@ -150,16 +158,16 @@
 func (RegisterUpdate) kind() byte    { return 14 }
 func (Relay) kind() byte             { return 15 }
 
-// Received is a message with its sender's address.
+// Received is a message and the address of its sender.
 type Received struct {
 	From    netip.AddrPort
 	Message Message
 }
 
-// ErrMessage says that a datagram is no message.
+// ErrMessage reports a datagram that does not hold a valid message.
 var ErrMessage = errors.New("gram: malformed message")
 
-// Encode returns the datagram of a message.
+// Encode returns the datagram of a message: its kind in one byte and the packed fields, compressed if large.
 func Encode(m Message) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteByte(m.kind())
@@ -169,7 +177,7 @@
 	return deflate(out.Bytes())
 }
 
-// Decode reads a datagram.
+// Decode returns the message in a datagram. Its errors wrap ErrMessage.
 func Decode(data []byte) (Message, error) {
 	if len(data) > 0 && data[0] == kindDeflated {
 		inner, err := inflate(data[1:])
@@ -225,24 +233,24 @@
 	return m, nil
 }
 
-// The sizes of a port.
+// Sizes in bytes, except for queueSize, which is a number of messages.
 const (
 	maxDatagram      = 60 << 10
 	queueSize        = 1024
 	socketReadBuffer = 1 << 20
 )
 
-// Port sends and receives messages.
+// Port sends and receives messages on one UDP socket.
 type Port struct {
 	conn  *net.UDPConn
 	queue chan Received
-	// Failed counts messages that could not be sent or understood, Lost those for which the
-	// reader was too slow.
+	// Failed counts messages that could not be sent, received or decoded, Dropped those that arrived while the
+	// queue of Messages was full.
 	Failed  atomic.Int64
 	Dropped atomic.Int64
 }
 
-// Listen opens a port on an address.
+// Listen opens a port on an address, given as IPv4 host and port.
 func Listen(address string) (*Port, error) {
 	at, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -256,13 +264,13 @@
 	return &Port{conn: conn, queue: make(chan Received, queueSize)}, nil
 }
 
-// Address returns the address that the port listens on.
+// Address returns the local address as host and port.
 func (p *Port) Address() string { return p.conn.LocalAddr().String() }
 
-// Messages is the channel of messages.
+// Messages returns the channel of received messages. It is never closed.
 func (p *Port) Messages() <-chan Received { return p.queue }
 
-// Send sends a message. Errors are counted: a message may be lost anyway.
+// Send sends a message. Errors are only counted, since a message may be lost anyway.
 func (p *Port) Send(to netip.AddrPort, m Message) {
 	data, err := Encode(m)
 	if err == nil {
@@ -273,8 +281,8 @@
 	}
 }
 
-// SendAll sends a message to several others. It is encoded once: for hundreds of them that is most of the
-// work.
+// SendAll sends a message to several receivers. It encodes the message once, since for hundreds of receivers
+// encoding would be most of the work.
 func (p *Port) SendAll(to []netip.AddrPort, m Message) {
 	data, err := Encode(m)
 	if err != nil {
@@ -284,7 +292,7 @@
 	p.SendData(to, data)
 }
 
-// SendData sends a datagram to several others.
+// SendData sends an encoded message to several receivers.
 func (p *Port) SendData(to []netip.AddrPort, data []byte) {
 	for _, address := range to {
 		if _, err := p.conn.WriteToUDPAddrPort(data, address); err != nil {
@@ -293,7 +301,7 @@
 	}
 }
 
-// Run receives until the context ends.
+// Run receives messages until the context ends, then closes the socket and returns the error of the context.
 func (p *Port) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
--- a/internal/gram/gram_test.go
+++ b/internal/gram/gram_test.go
@@ -19,7 +19,7 @@
 	is.Equal(got, sent)
 }
 
-// Whatever arrives on the port, it is a message or an error.
+// Checks that Decode returns either a message or an error for any bytes.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		Heartbeat{Beat: roster.Beat{Name: "i1", Failing: []string{"s1"}}}, AdmissionRequest{}, AdmissionDecision{}, Completion{}, Cancel{}, LoadReport{Name: "i1", Keys: []uint16{1}},
@@ -34,7 +34,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Decode(data)
 		if err == nil && m == nil {
-			t.Errorf("%q is neither message nor error", data)
+			t.Errorf("Decode(%q) returned neither a message nor an error", data)
 		}
 	})
 }
--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -13,172 +13,174 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// The times of asking for permits.
+// Times of an exchange with a controller.
 const (
-	// replyTimeout is how long a keeper may take for its first word, besides the time for which an
-	// instance may stand still. A message takes 3 milliseconds there and back; the rest is for
-	// a keeper whose processor is busy.
+	// replyTimeout is how long a controller may take for its first reply, besides the time for which an instance may
+	// be throttled. The round trip takes 3 milliseconds; the rest is for a controller whose processor is busy.
 	replyTimeout = 50 * time.Millisecond
-	// resendInterval is when the same asking is sent once more, in case the message was lost.
+	// resendInterval is the time after which the same request is sent again, in case the message was lost.
 	resendInterval = 40 * time.Millisecond
-	// cpuQuotaPeriod is how long an instance may stand still at most: its part of a core is a
-	// quota of each tenth of a second. An asker with a sixth of a core finds the answer that
-	// came meanwhile only after its timer; with 60 ms each twentieth asking ended so.
+	// cpuQuotaPeriod is the maximum time for which an instance is throttled: its share of a core is a quota per tenth
+	// of a second. An instance with a sixth of a core reads a reply that arrived meanwhile only after its timer has
+	// fired; with 60 ms, one request in twenty timed out that way.
 	cpuQuotaPeriod = 100 * time.Millisecond
-	// slowLinkMbps is the speed, in Mbit/s, below which an instance's link is full at times, and
-	// thinTime for how long: an answer of 90 KB takes 72 ms on a link of 10. Messages are lost
-	// meanwhile, to whichever keeper.
+	// slowLinkMbps is the speed, in Mbit/s, below which the link of an instance is saturated at times, and
+	// slowLinkDelay for how long: an answer of 90 KB takes 72 ms on a link of 10 Mbit/s. Messages to all controllers
+	// are lost meanwhile.
 	slowLinkMbps  = 50
 	slowLinkDelay = 100 * time.Millisecond
-	// minStall is how late a timer fires at least when the instance stood still: what came
-	// meanwhile has not been read yet. It gets catchUp for that.
+	// minStall is the delay of a timer from which on the instance is taken to have been throttled: messages that
+	// arrived meanwhile are still unread. It then has stallCatchUp to read them.
 	minStall     = 5 * time.Millisecond
 	stallCatchUp = 25 * time.Millisecond
-	// completionResendDelay is when a permit is given back once more: the first message may be lost, and
-	// the server would look busy until the request's limit.
+	// completionResendDelay is the time after which a completion is sent a second time, in case the first message was
+	// lost: the server would look busy until the deadline of the request.
 	completionResendDelay = 40 * time.Millisecond
-	// queuedRecheckInterval is how long a request waits before it asks whether the keeper still knows it.
+	// queuedRecheckInterval is how long a request is queued before it asks whether the controller still knows it.
 	queuedRecheckInterval = 300 * time.Millisecond
-	// maxControllersTried is the number of keepers that are tried before the instance decides by itself.
+	// maxControllersTried is the number of controllers that are asked before the instance decides by itself.
 	maxControllersTried = 2
-	// unreachableLogInterval is how often the silence of one keeper is logged: each request in progress
-	// finds it out for itself.
+	// unreachableLogInterval is the minimum time between two log lines about the same unreachable controller, which
+	// each request in progress detects separately.
 	unreachableLogInterval = time.Second
 )
 
-// admissionClient asks keepers on other instances for permits.
+// admissionClient requests admissions from the controllers on other instances.
 //
-// Each asking has a serial number of its own, and a grant that nobody waits for any more is sent
-// back. With one number for all askings of a request, the late word of a first keeper was taken
-// for that of a second, which went on keeping a slot that nobody used, for up to four seconds.
+// Each admission request has its own serial number, and an admission that nobody waits for any more is cancelled. If
+// all admission requests for a request shared a number, a late decision of the first controller would be taken for
+// that of the second, which would keep an unused slot for up to four seconds.
 type admissionClient struct {
-	send        func(to netip.AddrPort, m gram.Message)
-	unreachable func(keeper string)
-	// cpuShare is this instance's part of a core, thin says that its link is.
+	send func(to netip.AddrPort, m gram.Message)
+	// unreachable is called with the name of a controller that does not answer.
+	unreachable func(controller string)
+	// cpuShare is the part of a core that this instance has, slowLink says whether its link is below slowLinkMbps.
 	cpuShare float64
 	slowLink bool
 
 	mu         sync.Mutex
 	lastSerial uint64
-	// decisions holds those who wait for a verdict or have a permit, by serial number.
+	// decisions holds, by serial number, the channels of requests that wait for a decision or are admitted.
 	decisions map[uint64]chan gram.AdmissionDecision
 }
 
-func newAdmissionClient(send func(netip.AddrPort, gram.Message), silent func(string), share, linkMbps float64) *admissionClient {
+func newAdmissionClient(send func(netip.AddrPort, gram.Message), unreachable func(string), cpuShare, linkMbps float64) *admissionClient {
 	return &admissionClient{
-		send: send, unreachable: silent, cpuShare: share, slowLink: linkMbps < slowLinkMbps,
-		// An instance that starts again must not use the numbers of its life before.
+		send: send, unreachable: unreachable, cpuShare: cpuShare, slowLink: linkMbps < slowLinkMbps,
+		// After a restart, the serial numbers of the previous incarnation must not be used again.
 		lastSerial: uint64(rand.Uint32()), decisions: map[uint64]chan gram.AdmissionDecision{},
 	}
 }
 
-// open begins an asking. It lasts until it is closed: after a refusal, or when the permit is
-// given back.
-func (k *admissionClient) open() (uint64, <-chan gram.AdmissionDecision) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lastSerial++
-	verdicts := make(chan gram.AdmissionDecision, 4)
-	k.decisions[k.lastSerial] = verdicts
-	return k.lastSerial, verdicts
+// open returns a new serial number and the channel for its decisions. The number is in use until it is closed: after a
+// rejection, or at the end of the admission.
+func (c *admissionClient) open() (uint64, <-chan gram.AdmissionDecision) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastSerial++
+	decisions := make(chan gram.AdmissionDecision, 4)
+	c.decisions[c.lastSerial] = decisions
+	return c.lastSerial, decisions
 }
 
-func (k *admissionClient) close(serial uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.decisions, serial)
+func (c *admissionClient) close(serial uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.decisions, serial)
 }
 
-// handleDecision takes the verdict of a keeper. A permit that nobody has use for goes back at once.
-func (k *admissionClient) handleDecision(from netip.AddrPort, m gram.AdmissionDecision) {
-	k.mu.Lock()
-	verdicts, known := k.decisions[m.Serial]
-	k.mu.Unlock()
+// handleDecision passes a decision to the request that waits for it. An admission that nobody waits for is cancelled
+// at once.
+func (c *admissionClient) handleDecision(from netip.AddrPort, m gram.AdmissionDecision) {
+	c.mu.Lock()
+	decisions, known := c.decisions[m.Serial]
+	c.mu.Unlock()
 	if known {
 		select {
-		case verdicts <- m:
+		case decisions <- m:
 		default:
 		}
 		return
 	}
 	if m.Server != "" && from.IsValid() {
-		k.send(from, gram.Cancel{Serial: m.Serial})
+		c.send(from, gram.Cancel{Serial: m.Serial})
 	}
 }
 
-// handleCheck tells a keeper that a permit is not in use any more, if so.
-func (k *admissionClient) handleCheck(from netip.AddrPort, m gram.AdmissionCheck) {
-	k.mu.Lock()
-	_, known := k.decisions[m.Serial]
-	k.mu.Unlock()
+// handleCheck answers a controller that asks about an admission which is no longer in use: it cancels it.
+func (c *admissionClient) handleCheck(from netip.AddrPort, m gram.AdmissionCheck) {
+	c.mu.Lock()
+	_, known := c.decisions[m.Serial]
+	c.mu.Unlock()
 	if !known {
-		k.send(from, gram.Cancel{Serial: m.Serial})
+		c.send(from, gram.Cancel{Serial: m.Serial})
 	}
 }
 
-// request asks one keeper, and waits as long as the keeper says that the request waits. The second
-// result is false if it does not answer.
-func (k *admissionClient) request(ctx context.Context, a permit.Ask, keeper roster.Peer, to netip.AddrPort) (gram.AdmissionDecision, bool) {
-	serial, verdicts := k.open()
-	a.Key = permit.Key{Serial: serial}
-	m, heard := k.requestUntilFinal(ctx, a, to, verdicts, k.replyTimeoutFor(keeper))
-	if !heard || m.Server == "" {
-		k.close(serial)
+// request requests an admission from one controller and waits for the final decision, as long as the request is
+// queued there. It returns false if the controller does not answer or the context ends.
+func (c *admissionClient) request(ctx context.Context, r permit.Ask, controller roster.Peer, to netip.AddrPort) (gram.AdmissionDecision, bool) {
+	serial, decisions := c.open()
+	r.Key = permit.Key{Serial: serial}
+	m, answered := c.requestUntilFinal(ctx, r, to, decisions, c.replyTimeoutFor(controller))
+	if !answered || m.Server == "" {
+		c.close(serial)
 	}
-	if heard {
+	if answered {
 		return m, true
 	}
-	k.send(to, gram.Cancel{Serial: serial, Pool: a.Pool})
+	c.send(to, gram.Cancel{Serial: serial, Pool: r.Pool})
 	if ctx.Err() == nil {
-		k.unreachable(keeper.Name)
+		c.unreachable(controller.Name)
 	}
 	return gram.AdmissionDecision{}, false
 }
 
-// replyTimeoutFor returns how long a keeper may take for a word. Either end may stand still.
-func (k *admissionClient) replyTimeoutFor(keeper roster.Peer) time.Duration {
-	out := replyTimeout + time.Duration((1-min(k.cpuShare, keeper.Share, 1))*float64(cpuQuotaPeriod))
-	if k.slowLink {
+// replyTimeoutFor returns how long a controller may take to reply. Both this instance and the controller may be
+// throttled.
+func (c *admissionClient) replyTimeoutFor(controller roster.Peer) time.Duration {
+	out := replyTimeout + time.Duration((1-min(c.cpuShare, controller.Share, 1))*float64(cpuQuotaPeriod))
+	if c.slowLink {
 		out += slowLinkDelay
 	}
 	return out
 }
 
-// requestUntilFinal asks until there is a final verdict. It returns false if the keeper falls silent, or
-// if the context ends.
-func (k *admissionClient) requestUntilFinal(ctx context.Context, a permit.Ask, to netip.AddrPort, verdicts <-chan gram.AdmissionDecision, patience time.Duration) (gram.AdmissionDecision, bool) {
+// requestUntilFinal sends the request, again if necessary, until there is a final decision. It returns false if the
+// controller stops answering or the context ends.
+func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Ask, to netip.AddrPort, decisions <-chan gram.AdmissionDecision, timeout time.Duration) (gram.AdmissionDecision, bool) {
 	for {
 		var m gram.AdmissionDecision
-		heard := false
-		for left := patience; left > 0 && !heard && ctx.Err() == nil; left -= resendInterval {
-			k.send(to, requestMessage(a))
-			m, heard = awaitDecision(ctx, verdicts, min(resendInterval, left))
+		answered := false
+		for left := timeout; left > 0 && !answered && ctx.Err() == nil; left -= resendInterval {
+			c.send(to, requestMessage(r))
+			m, answered = awaitDecision(ctx, decisions, min(resendInterval, left))
 		}
-		if !heard {
+		if !answered {
 			return m, false
 		}
-		for heard && !isFinal(m) {
-			m, heard = awaitDecision(ctx, verdicts, queuedRecheckInterval)
+		for answered && !isFinal(m) {
+			m, answered = awaitDecision(ctx, decisions, queuedRecheckInterval)
 		}
-		if heard {
+		if answered {
 			return m, true
 		}
 		if ctx.Err() != nil {
 			return m, false
 		}
-		// The keeper has answered before: it is asked whether it still is there.
+		// The request is queued. Sending it again shows whether the controller still answers.
 	}
 }
 
-// awaitDecision waits for a verdict. If the instance stood still meanwhile, so that the time is over long
-// ago, what came is read first.
-func awaitDecision(ctx context.Context, verdicts <-chan gram.AdmissionDecision, d time.Duration) (gram.AdmissionDecision, bool) {
+// awaitDecision waits up to d for a decision. If the timer fires so late that the instance must have been throttled,
+// it first reads what arrived meanwhile.
+func awaitDecision(ctx context.Context, decisions <-chan gram.AdmissionDecision, d time.Duration) (gram.AdmissionDecision, bool) {
 	until := time.Now().Add(d)
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for range 2 {
 		select {
-		case m := <-verdicts:
+		case m := <-decisions:
 			return m, true
 		case <-timer.C:
 		case <-ctx.Done():
@@ -190,32 +192,33 @@
 		timer.Reset(stallCatchUp)
 	}
 	select {
-	case m := <-verdicts:
+	case m := <-decisions:
 		return m, true
 	default:
 		return gram.AdmissionDecision{}, false
 	}
 }
 
+// isFinal reports whether a request is admitted or rejected, that is, not queued.
 func isFinal(m gram.AdmissionDecision) bool { return m.Server != "" || m.Reason != "" }
 
-func requestMessage(a permit.Ask) gram.AdmissionRequest {
+func requestMessage(r permit.Ask) gram.AdmissionRequest {
 	return gram.AdmissionRequest{
-		Serial: a.Serial, Pool: a.Pool, Server: a.Server, Domain: a.Domain, Route: a.Route, Priority: a.Priority,
-		Returning: a.Returning, Avoid: a.Avoid, HasFallback: a.Elsewhere,
-		TargetInMs: int(time.Until(a.TargetAt).Milliseconds()), DeadlineInMs: int(time.Until(a.LimitAt).Milliseconds()),
+		Serial: r.Serial, Pool: r.Pool, Server: r.Server, Domain: r.Domain, Route: r.Route, Priority: r.Priority,
+		Returning: r.Returning, Avoid: r.Avoid, HasFallback: r.Elsewhere,
+		TargetInMs: int(time.Until(r.TargetAt).Milliseconds()), DeadlineInMs: int(time.Until(r.LimitAt).Milliseconds()),
 	}
 }
 
-// controllerUnreachable takes in that a keeper did not answer.
-func (n *Node) controllerUnreachable(keeper string) {
+// controllerUnreachable marks an instance that did not answer as a controller as suspected.
+func (n *Node) controllerUnreachable(controller string) {
 	now := time.Now()
-	n.roster.Silent(keeper, now)
+	n.roster.Silent(controller, now)
 	n.unreachableMu.Lock()
 	defer n.unreachableMu.Unlock()
-	if now.Sub(n.unreachableLoggedAt[keeper]) < unreachableLogInterval {
+	if now.Sub(n.unreachableLoggedAt[controller]) < unreachableLogInterval {
 		return
 	}
-	n.unreachableLoggedAt[keeper] = now
-	n.events.Note(event.Belief, "keeper-silent", "keeper", keeper)
+	n.unreachableLoggedAt[controller] = now
+	n.events.Note(event.Belief, "keeper-silent", "keeper", controller)
 }
--- a/internal/node/admission_client_test.go
+++ b/internal/node/admission_client_test.go
@@ -17,10 +17,11 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// remoteController is a keeper on another instance, to which messages take some time.
+// remoteController is an admission controller on another instance. Messages to it take requestDelay, its decisions
+// replyDelay.
 type remoteController struct {
 	address      netip.AddrPort
-	asker        *admissionClient
+	client       *admissionClient
 	requestDelay time.Duration
 	replyDelay   time.Duration
 
@@ -28,148 +29,147 @@
 	controller *permit.Keeper
 }
 
-func newRemoteController(port uint16, there, back time.Duration, slots int) *remoteController {
-	o := &remoteController{address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), requestDelay: there, replyDelay: back}
-	o.controller = permit.New(rand.New(rand.NewPCG(1, 2)))
-	o.controller.SetServers(time.Now(), []rules.Server{{ID: "s", Service: "books", Slots: slots}})
-	return o
+func newRemoteController(port uint16, requestDelay, replyDelay time.Duration, slots int) *remoteController {
+	rc := &remoteController{address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), requestDelay: requestDelay, replyDelay: replyDelay}
+	rc.controller = permit.New(rand.New(rand.NewPCG(1, 2)))
+	rc.controller.SetServers(time.Now(), []rules.Server{{ID: "s", Service: "books", Slots: slots}})
+	return rc
 }
 
-func (o *remoteController) handle(m gram.Message) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (rc *remoteController) handle(m gram.Message) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	now := time.Now()
-	key := func(serial uint64) permit.Key { return permit.Key{From: "a", Serial: serial} }
-	var verdicts []permit.Verdict
+	id := func(serial uint64) permit.Key { return permit.Key{From: "a", Serial: serial} }
+	var decisions []permit.Verdict
 	switch m := m.(type) {
 	case gram.AdmissionRequest:
-		verdicts = []permit.Verdict{o.controller.Ask(now, permit.Ask{
-			Key: key(m.Serial), Service: "books", Server: m.Server, Route: "read",
+		decisions = []permit.Verdict{rc.controller.Ask(now, permit.Ask{
+			Key: id(m.Serial), Service: "books", Server: m.Server, Route: "read",
 			TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
 		})}
 	case gram.Cancel:
-		verdicts = o.controller.Withdraw(now, key(m.Serial))
+		decisions = rc.controller.Withdraw(now, id(m.Serial))
 	case gram.Completion:
-		verdicts = o.controller.Done(now, permit.Done{Key: key(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
+		decisions = rc.controller.Done(now, permit.Done{Key: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
-	for _, v := range verdicts {
-		time.AfterFunc(o.replyDelay, func() { o.asker.handleDecision(o.address, decisionMessage(v)) })
+	for _, v := range decisions {
+		time.AfterFunc(rc.replyDelay, func() { rc.client.handleDecision(rc.address, decisionMessage(v)) })
 	}
 }
 
-// network carries messages to offices.
-func network(offices ...*remoteController) func(to netip.AddrPort, m gram.Message) {
+// network returns a function that delivers messages to controllers by address.
+func network(controllers ...*remoteController) func(to netip.AddrPort, m gram.Message) {
 	return func(to netip.AddrPort, m gram.Message) {
-		for _, o := range offices {
-			if o.address == to {
-				time.AfterFunc(o.requestDelay, func() { o.handle(m) })
+		for _, rc := range controllers {
+			if rc.address == to {
+				time.AfterFunc(rc.requestDelay, func() { rc.handle(m) })
 			}
 		}
 	}
 }
 
-// hasFreeSlot reports whether a keeper has a slot for a request at once.
-func (o *remoteController) hasFreeSlot(serial uint64) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// hasFreeSlot reports whether the controller admits a request at once.
+func (rc *remoteController) hasFreeSlot(serial uint64) bool {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	now := time.Now()
-	a := permit.Ask{
+	request := permit.Ask{
 		Key: permit.Key{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
 		TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
-		Elsewhere: true, // not to wait at the server
+		Elsewhere: true, // reject instead of queueing
 	}
-	_, granted := o.controller.Ask(now, a).(permit.Granted)
-	o.controller.Withdraw(now, a.Key)
-	return granted
+	_, admitted := rc.controller.Ask(now, request).(permit.Granted)
+	rc.controller.Withdraw(now, request.Key)
+	return admitted
 }
 
-// Requests for a key waited 1.2 seconds at a server that had nothing to do. The instance that
-// asked was small and heard a keeper's word late; it asked the next keeper, took the late word of
-// the first for that of the second, and gave the permit back there. The second keeper then granted
-// what nobody waited for, and held the slot until the request's limit.
+// Guards against slots that nobody uses. An instance with a small share of a core got the decision of the first
+// controller late, while it asked the second one. It took the decision for that of the second and completed the
+// request there. The second then admitted a request that nobody waited for and held the slot until the deadline,
+// while other requests waited 1.2 seconds at an idle server.
 func TestLateDecisionOfAnotherController(t *testing.T) {
-	tests := map[string]struct{ there, back time.Duration }{
-		"the asking is late":       {200 * time.Millisecond, time.Millisecond},
-		"the word is late":         {time.Millisecond, 160 * time.Millisecond},
-		"the word is later still":  {time.Millisecond, 400 * time.Millisecond},
-		"both keepers are in time": {time.Millisecond, time.Millisecond},
+	tests := map[string]struct{ requestDelay, replyDelay time.Duration }{
+		"late request":       {200 * time.Millisecond, time.Millisecond},
+		"late decision":      {time.Millisecond, 160 * time.Millisecond},
+		"very late decision": {time.Millisecond, 400 * time.Millisecond},
+		"both in time":       {time.Millisecond, time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				first, second := newRemoteController(1, test.there, test.back, 1), newRemoteController(2, time.Millisecond, 30*time.Millisecond, 1)
-				k := newAdmissionClient(network(first, second), func(string) {}, 0.16, 1000)
-				first.asker, second.asker = k, k
-				// The second keeper's server is busy for a moment, so that it says "wait" first.
+				first, second := newRemoteController(1, test.requestDelay, test.replyDelay, 1), newRemoteController(2, time.Millisecond, 30*time.Millisecond, 1)
+				client := newAdmissionClient(network(first, second), func(string) {}, 0.16, 1000)
+				first.client, second.client = client, client
+				// The server of the second controller is busy for a moment, so that the request is queued first.
 				second.handle(gram.AdmissionRequest{Serial: 99, Server: "s"})
 				time.AfterFunc(300*time.Millisecond, func() { second.handle(gram.Completion{Serial: 99}) })
-				a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
-				for _, o := range []*remoteController{first, second} {
-					v, heard := k.request(t.Context(), a, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, o.address)
-					if !heard {
+				request := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+				for _, rc := range []*remoteController{first, second} {
+					v, answered := client.request(t.Context(), request, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, rc.address)
+					if !answered {
 						continue
 					}
 					is.Equal(v.Server, "s")
 					time.Sleep(100 * time.Millisecond)
-					k.send(o.address, gram.Completion{Serial: v.Serial})
-					k.close(v.Serial)
+					client.send(rc.address, gram.Completion{Serial: v.Serial})
+					client.close(v.Serial)
 					break
 				}
 				time.Sleep(time.Second)
 				is.True(first.hasFreeSlot(1))
 				is.True(second.hasFreeSlot(2))
-				is.Equal(len(k.decisions), 0)
+				is.Equal(len(client.decisions), 0)
 			})
 		})
 	}
 }
 
-// A caller leaves while its request waits, and the message that withdraws it overtakes the
-// asking. The permit that follows goes back.
+// Guards against a slot that stays taken if a caller leaves while its request is queued and the message that cancels
+// it overtakes the request: the admission that follows is cancelled.
 func TestCallerLeavesWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newRemoteController(1, 50*time.Millisecond, time.Millisecond, 1)
-		k := newAdmissionClient(network(o), func(string) {}, 1, 1000)
-		o.asker = k
+		rc := newRemoteController(1, 50*time.Millisecond, time.Millisecond, 1)
+		client := newAdmissionClient(network(rc), func(string) {}, 1, 1000)
+		rc.client = client
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
-		_, heard := k.request(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, o.address)
-		is.True(!heard)
-		o.handle(gram.Cancel{Serial: k.lastSerial})
+		_, answered := client.request(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
+		is.True(!answered)
+		rc.handle(gram.Cancel{Serial: client.lastSerial})
 		time.Sleep(time.Second)
-		is.True(o.hasFreeSlot(1))
+		is.True(rc.hasFreeSlot(1))
 	})
 }
 
-// An instance on a thin link gave a permit back while its link was full, and the message and its
-// repetition were lost. The server's slot stayed taken for two seconds, and those who waited for
-// it were late or refused.
+// Guards against a slot that stays taken if a completion and its repetition are lost on a saturated slow link. The
+// slot was not free for two seconds, and the requests that waited for it were late or rejected.
 func TestLostCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		o := newRemoteController(1, time.Millisecond, time.Millisecond, 1)
-		k := newAdmissionClient(network(o), func(string) {}, 1, 10)
-		o.asker = k
-		a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
-		v, heard := k.request(t.Context(), a, roster.Peer{}, o.address)
-		is.True(heard)
-		o.mu.Lock()
-		is.Equal(len(o.controller.Doubtful(time.Now())), 0) // it has just been granted
-		o.mu.Unlock()
-		time.Sleep(9 * time.Second) // the fake route is taken for 3.3 seconds long until one is seen
-		o.mu.Lock()
-		doubtful := o.controller.Doubtful(time.Now())
-		is.Equal(len(o.controller.Doubtful(time.Now())), 0) // not twice at once
-		o.mu.Unlock()
-		is.Equal(len(doubtful), 1)
-		k.handleCheck(o.address, gram.AdmissionCheck{Serial: doubtful[0].Serial})
+		rc := newRemoteController(1, time.Millisecond, time.Millisecond, 1)
+		client := newAdmissionClient(network(rc), func(string) {}, 1, 10)
+		rc.client = client
+		request := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+		v, answered := client.request(t.Context(), request, roster.Peer{}, rc.address)
+		is.True(answered)
+		rc.mu.Lock()
+		is.Equal(len(rc.controller.Doubtful(time.Now())), 0) // it has just been admitted
+		rc.mu.Unlock()
+		time.Sleep(9 * time.Second) // the route counts as 3.3 seconds long until a duration is known
+		rc.mu.Lock()
+		longRunning := rc.controller.Doubtful(time.Now())
+		is.Equal(len(rc.controller.Doubtful(time.Now())), 0) // not reported twice in a row
+		rc.mu.Unlock()
+		is.Equal(len(longRunning), 1)
+		client.handleCheck(rc.address, gram.AdmissionCheck{Serial: longRunning[0].Serial})
 		time.Sleep(time.Second)
-		is.True(!o.hasFreeSlot(1)) // it is in use
-		k.close(v.Serial)
-		k.handleCheck(o.address, gram.AdmissionCheck{Serial: doubtful[0].Serial})
+		is.True(!rc.hasFreeSlot(1)) // still in use
+		client.close(v.Serial)
+		client.handleCheck(rc.address, gram.AdmissionCheck{Serial: longRunning[0].Serial})
 		time.Sleep(time.Second)
-		is.True(o.hasFreeSlot(2))
+		is.True(rc.hasFreeSlot(2))
 	})
 }
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -13,29 +13,29 @@
 	"example.org/mustardring/internal/permit"
 )
 
-// The pace at which keepers look at their queues, and at the permits in use while nothing waits: each
-// wake-up costs an idle instance.
 const (
+	// tickInterval is the pause between two looks at the queues of the controllers, idleTickInterval that while
+	// nothing is queued, when only the admissions in use are checked: each wake-up costs an idle instance.
 	tickInterval     = 10 * time.Millisecond
 	idleTickInterval = 50 * time.Millisecond
 )
 
-// slowdownScale is the number of units of gram.Done.Slowdown that stand for the usual pace.
+// slowdownScale is the value of gram.Completion.Slowdown that stands for the usual speed.
 const slowdownScale = 100
 
-// admissions gets permits for the requests of this instance, and keeps those of the services and
-// servers that it is in charge of.
+// admissions requests admissions for the requests of this instance, and runs the controllers of the pools and servers
+// that this instance is responsible for.
 type admissions struct {
 	node   *Node
 	client *admissionClient
 
 	mu sync.Mutex
-	// controllers holds those of pools by name, and those of divided services by service.
+	// controllers holds the controllers of pools by name, and those of services divided by key by service.
 	controllers map[string]*permit.Keeper
 	pools       *pools
-	// queued says that a request begins to wait while none did.
+	// queued signals that a request was queued while none was.
 	queued chan struct{}
-	// isolated says that this instance hears too few others to be sure that it alone gives the permits that it gives.
+	// isolated says that this instance hears too few others to be sure that only it admits requests to its servers.
 	isolated bool
 }
 
@@ -46,18 +46,18 @@
 	}
 }
 
-// run lets time pass for the keepers.
-func (p *admissions) run(ctx context.Context) error {
+// run calls tick until the context ends, more often while requests are queued.
+func (ad *admissions) run(ctx context.Context) error {
 	timer := time.NewTimer(idleTickInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-p.queued:
+		case <-ad.queued:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if p.tick() {
+		if ad.tick() {
 			timer.Reset(tickInterval)
 		} else {
 			timer.Reset(idleTickInterval)
@@ -65,93 +65,95 @@
 	}
 }
 
-// wake quickens the pace, as a request waits.
-func (p *admissions) wake() { signalOnce(p.queued) }
+// wake makes run tick at once because a request was queued.
+func (ad *admissions) wake() { signalOnce(ad.queued) }
 
-// tick reports whether requests wait.
-func (p *admissions) tick() (waiting bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// tick advances all controllers, rechecks admissions that are in use for long, and reports whether requests are
+// queued.
+func (ad *admissions) tick() (waiting bool) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
 	now := time.Now()
-	p.isolated = !p.node.roster.Most(now)
-	for pool, k := range p.controllers {
-		if !k.Idle() {
-			p.deliver(k.Tick(now))
+	ad.isolated = !ad.node.roster.Most(now)
+	for pool, c := range ad.controllers {
+		if !c.Idle() {
+			ad.deliver(c.Tick(now))
 			waiting = true
 		}
-		for _, key := range k.Doubtful(now) {
-			p.recheck(k, key, now)
+		for _, id := range c.Doubtful(now) {
+			ad.recheck(c, id, now)
 		}
-		if n := k.Expired(); n > 0 {
-			p.node.events.Note(event.Belief, "permits-expired", "pool", pool, "count", n)
+		if n := c.Expired(); n > 0 {
+			ad.node.events.Note(event.Belief, "permits-expired", "pool", pool, "count", n)
 		}
 	}
 	return waiting
 }
 
-// recheck asks the holder of a permit whether it still has it, or takes it back if the holder is not
-// heard any more; the lock is held.
+// recheck asks the holder of an admission whether it is still in use, or cancels it if the holder is unreachable. The
+// lock is held.
 //
-// When a failure domain is cut off, its instances keep permits that they cannot give back. They would hold
-// slots of servers that are free, and requests would be refused there.
-func (p *admissions) recheck(k *permit.Keeper, key permit.Key, now time.Time) {
-	if !p.node.roster.Reached(key.From, now) {
-		p.node.events.Note(event.Belief, "permit-taken-back", "from", key.From, "serial", key.Serial, "reason", "instance-silent")
-		p.deliver(k.Withdraw(now, key))
+// When a failure domain is cut off, its instances hold admissions that they cannot give up. These would occupy free
+// slots of servers, and requests would be rejected there.
+func (ad *admissions) recheck(c *permit.Keeper, id permit.Key, now time.Time) {
+	if !ad.node.roster.Reached(id.From, now) {
+		ad.node.events.Note(event.Belief, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
+		ad.deliver(c.Withdraw(now, id))
 		return
 	}
-	if to, err := netip.ParseAddrPort(key.From); err == nil {
-		p.node.port.Send(to, gram.AdmissionCheck{Serial: key.Serial})
+	if to, err := netip.ParseAddrPort(id.From); err == nil {
+		ad.node.port.Send(to, gram.AdmissionCheck{Serial: id.Serial})
 	}
 }
 
-// controller returns the keeper of a pool; the lock is held.
-func (p *admissions) controller(pool string) *permit.Keeper {
-	k := p.controllers[pool]
-	if k == nil {
-		k = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-		p.controllers[pool] = k
-		p.deliver(k.SetServers(time.Now(), p.pools.serversOf(pool)))
+// controller returns the controller of a pool, or of a service that is divided by key. The lock is held.
+func (ad *admissions) controller(pool string) *permit.Keeper {
+	c := ad.controllers[pool]
+	if c == nil {
+		c = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		ad.controllers[pool] = c
+		ad.deliver(c.SetServers(time.Now(), ad.pools.serversOf(pool)))
 	}
-	return k
+	return c
 }
 
-// setServers takes in that the servers or the services have changed.
-func (p *admissions) setServers() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pools.rebuild(p.node.cluster.servers(), p.node.cluster.config.Load())
-	for pool, k := range p.controllers {
-		p.deliver(k.SetServers(time.Now(), p.pools.serversOf(pool)))
+// setServers updates pools and controllers after a change of servers or services.
+func (ad *admissions) setServers() {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.pools.rebuild(ad.node.cluster.servers(), ad.node.cluster.config.Load())
+	for pool, c := range ad.controllers {
+		ad.deliver(c.SetServers(time.Now(), ad.pools.serversOf(pool)))
 	}
 }
 
-// capacityReport returns what this instance has learnt of the servers of a service since the last call.
-func (p *admissions) capacityReport(service string) map[string]permit.Power {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	k := p.controllers[service]
-	if k == nil {
+// capacityReport returns what the controller of a service has measured of its servers since the last call.
+func (ad *admissions) capacityReport(service string) map[string]permit.Power {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	c := ad.controllers[service]
+	if c == nil {
 		return nil
 	}
-	return k.Report()
+	return c.Report()
 }
 
-// deliver tells verdicts to those who asked; the lock is held.
-func (p *admissions) deliver(verdicts []permit.Verdict) {
-	for _, v := range verdicts {
-		key := permit.KeyOf(v)
+// deliver sends decisions to the instances that requested them, or passes them to the own client. The lock is held.
+func (ad *admissions) deliver(decisions []permit.Verdict) {
+	for _, v := range decisions {
+		id := permit.KeyOf(v)
 		m := decisionMessage(v)
-		if key.From == "" {
-			p.client.handleDecision(netip.AddrPort{}, m)
+		if id.From == "" {
+			ad.client.handleDecision(netip.AddrPort{}, m)
 			continue
 		}
-		if to, err := netip.ParseAddrPort(key.From); err == nil {
-			p.node.port.Send(to, m)
+		if to, err := netip.ParseAddrPort(id.From); err == nil {
+			ad.node.port.Send(to, m)
 		}
 	}
 }
 
+// decisionMessage returns the message that states a decision.
 func decisionMessage(v permit.Verdict) gram.AdmissionDecision {
 	m := gram.AdmissionDecision{Serial: permit.KeyOf(v).Serial}
 	switch v := v.(type) {
@@ -165,30 +167,31 @@
 	return m
 }
 
-// handleRequest answers another instance.
-func (p *admissions) handleRequest(from netip.AddrPort, m gram.AdmissionRequest) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// handleRequest answers an admission request of another instance.
+func (ad *admissions) handleRequest(from netip.AddrPort, m gram.AdmissionRequest) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
 	now := time.Now()
-	a := permit.Ask{
+	r := permit.Ask{
 		Key: permit.Key{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
 		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, Elsewhere: m.HasFallback,
 		TargetAt: now.Add(time.Duration(m.TargetInMs) * time.Millisecond),
 		LimitAt:  now.Add(time.Duration(m.DeadlineInMs) * time.Millisecond),
 	}
-	a.Apart = p.isolated
-	k := p.controller(m.Pool)
-	idle := k.Idle()
-	p.deliver([]permit.Verdict{k.Ask(now, a)})
-	if idle && !k.Idle() {
-		p.wake()
+	r.Apart = ad.isolated
+	c := ad.controller(m.Pool)
+	idle := c.Idle()
+	ad.deliver([]permit.Verdict{c.Ask(now, r)})
+	if idle && !c.Idle() {
+		ad.wake()
 	}
 }
 
-func (p *admissions) handleCompletion(from netip.AddrPort, m gram.Completion) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.deliver(p.controller(m.Pool).Done(time.Now(), permit.Done{
+// handleCompletion passes the completion of another instance's request to the controller.
+func (ad *admissions) handleCompletion(from netip.AddrPort, m gram.Completion) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.deliver(ad.controller(m.Pool).Done(time.Now(), permit.Done{
 		Key: permit.Key{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
 		Outcome: m.Outcome, Took: time.Duration(m.DurationUs) * time.Microsecond, Bytes: m.AnswerBytes,
 		Load: permit.Load{
@@ -197,145 +200,150 @@
 	}))
 }
 
-func (p *admissions) handleCancel(from netip.AddrPort, m gram.Cancel) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	key := permit.Key{From: from.String(), Serial: m.Serial}
-	for pool, k := range p.controllers {
+// handleCancel cancels an admission of another instance, in all pools if the message names none.
+func (ad *admissions) handleCancel(from netip.AddrPort, m gram.Cancel) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	id := permit.Key{From: from.String(), Serial: m.Serial}
+	for pool, c := range ad.controllers {
 		if m.Pool == "" || m.Pool == pool {
-			p.deliver(k.Withdraw(time.Now(), key))
+			ad.deliver(c.Withdraw(time.Now(), id))
 		}
 	}
 }
 
-// admission is a permit that was granted.
+// admission is the right to send one request to a server. It implements edge.Admission.
 type admission struct {
 	admissions *admissions
 	serial     uint64
 	pool       string
 	route      string
 	server     string
-	// controller is the instance that granted it, empty for this one.
+	// controller is the address of the instance that admitted the request; the zero value stands for this one.
 	controller netip.AddrPort
 }
 
-// Server implements edge.Permit.
-func (h *admission) Server() string { return h.server }
+// Server returns the id of the server to send the request to.
+func (a *admission) Server() string { return a.server }
 
-// Done implements edge.Permit.
-func (h *admission) Done(d permit.Done) {
-	defer h.admissions.client.close(h.serial)
-	d.Key, d.Server, d.Route = permit.Key{Serial: h.serial}, h.server, h.route
-	if !h.controller.IsValid() {
-		h.admissions.mu.Lock()
-		defer h.admissions.mu.Unlock()
-		h.admissions.deliver(h.admissions.controller(h.pool).Done(time.Now(), d))
+// Done reports the completion of the request to the controller, twice if that is remote: a lost completion would
+// occupy a slot. The second message leaves out the load, which is no longer current.
+func (a *admission) Done(d permit.Done) {
+	defer a.admissions.client.close(a.serial)
+	d.Key, d.Server, d.Route = permit.Key{Serial: a.serial}, a.server, a.route
+	if !a.controller.IsValid() {
+		a.admissions.mu.Lock()
+		defer a.admissions.mu.Unlock()
+		a.admissions.deliver(a.admissions.controller(a.pool).Done(time.Now(), d))
 		return
 	}
 	m := gram.Completion{
-		Serial: h.serial, Pool: h.pool, Server: h.server, Route: h.route, Outcome: d.Outcome,
+		Serial: a.serial, Pool: a.pool, Server: a.server, Route: a.route, Outcome: d.Outcome,
 		DurationUs: int(d.Took.Microseconds()), AnswerBytes: d.Bytes,
 		Running: d.Load.Running, Waiting: d.Load.Waiting, LoadKnown: d.Load.Known,
 		Slowdown: int(d.Load.Slowdown * slowdownScale),
 	}
-	h.admissions.node.port.Send(h.controller, m)
+	a.admissions.node.port.Send(a.controller, m)
 	m.LoadKnown = false
-	time.AfterFunc(completionResendDelay, func() { h.admissions.node.port.Send(h.controller, m) })
+	time.AfterFunc(completionResendDelay, func() { a.admissions.node.port.Send(a.controller, m) })
 }
 
-// Acquire implements edge.Permits.
-func (p *admissions) Acquire(ctx context.Context, a permit.Ask, domain string) (edge.Permit, *permit.Refused) {
-	if a.Server != "" {
-		a.Pool, a.Domain = a.Service, p.node.settings.Domain
-		return p.requestFrom(ctx, a, a.Server, domain)
+// Acquire implements edge.Admitter. A request with an owner is decided by the controller of that server; others try
+// the pools of the service in turn until one has room.
+func (ad *admissions) Acquire(ctx context.Context, r permit.Ask, domain string) (edge.Permit, *permit.Refused) {
+	if r.Server != "" {
+		r.Pool, r.Domain = r.Service, ad.node.settings.Domain
+		return ad.requestFrom(ctx, r, r.Server, domain)
 	}
-	tries := p.candidates(a.Service)
-	for i, pool := range tries {
-		a.Pool, a.Elsewhere, a.Domain = pool.Name, i < len(tries)-1, p.node.settings.Domain
+	candidates := ad.candidates(r.Service)
+	for i, pool := range candidates {
+		r.Pool, r.Elsewhere, r.Domain = pool.Name, i < len(candidates)-1, ad.node.settings.Domain
 		if pool.Domain != "" {
-			a.Domain = pool.Domain
+			r.Domain = pool.Domain
 		}
-		granted, refused := p.requestFrom(ctx, a, pool.Name, pool.Domain)
-		if refused == nil || !a.Elsewhere || refused.Reason != permit.Busy {
-			return granted, refused
+		admitted, rejected := ad.requestFrom(ctx, r, pool.Name, pool.Domain)
+		if rejected == nil || !r.Elsewhere || rejected.Reason != permit.Busy {
+			return admitted, rejected
 		}
-		p.markBusy(pool, refused.Wait)
+		ad.markBusy(pool, rejected.Wait)
 	}
 	return nil, &permit.Refused{Reason: permit.NoServer}
 }
 
-// candidates returns the pools that a request should ask in turn.
-func (p *admissions) candidates(service string) []permit.Pool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.pools.picker(service).Tries(time.Now())
+// candidates returns the pools that a request should try in turn.
+func (ad *admissions) candidates(service string) []permit.Pool {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	return ad.pools.picker(service).Tries(time.Now())
 }
 
-func (p *admissions) markBusy(pool permit.Pool, wait time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pools.picker(pool.Service).Busy(pool.Name, wait, time.Now())
+// markBusy notes that a pool has no room for a time, so that other requests try another pool first.
+func (ad *admissions) markBusy(pool permit.Pool, wait time.Duration) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.pools.picker(pool.Service).Busy(pool.Name, wait, time.Now())
 }
 
-// requestFrom asks those in charge of a pool or a server in turn, and decides itself if they are silent.
-func (p *admissions) requestFrom(ctx context.Context, a permit.Ask, thing, domain string) (edge.Permit, *permit.Refused) {
-	for i, keeper := range p.node.roster.Rank(thing, domain, time.Now()) {
+// requestFrom asks the instances that are responsible for a pool or a server in turn, and decides locally if this
+// instance is one of them or they do not answer.
+func (ad *admissions) requestFrom(ctx context.Context, r permit.Ask, name, domain string) (edge.Permit, *permit.Refused) {
+	for i, controller := range ad.node.roster.Rank(name, domain, time.Now()) {
 		if i == maxControllersTried {
-			a.Apart = true
+			r.Apart = true
 			break
 		}
-		if keeper.Name == p.node.settings.Name {
+		if controller.Name == ad.node.settings.Name {
 			break
 		}
-		if to, ok := peerAddress(keeper); ok {
-			if v, answered := p.client.request(ctx, a, keeper, to); answered {
-				return p.result(a, v, to)
+		if to, ok := peerAddress(controller); ok {
+			if v, answered := ad.client.request(ctx, r, controller, to); answered {
+				return ad.result(r, v, to)
 			}
 		}
 		if ctx.Err() != nil {
 			return nil, &permit.Refused{Reason: permit.Overload}
 		}
 	}
-	return p.result(a, p.requestLocally(ctx, a), netip.AddrPort{})
+	return ad.result(r, ad.requestLocally(ctx, r), netip.AddrPort{})
 }
 
-// result turns a final verdict into a permit or a refusal.
-func (p *admissions) result(a permit.Ask, m gram.AdmissionDecision, keeper netip.AddrPort) (edge.Permit, *permit.Refused) {
+// result converts a final decision to an admission or a rejection.
+func (ad *admissions) result(r permit.Ask, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Permit, *permit.Refused) {
 	if m.Server != "" {
-		return &admission{admissions: p, serial: m.Serial, pool: a.Pool, route: a.Route, server: m.Server, controller: keeper}, nil
+		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
 	}
 	reason := permit.Reason(m.Reason)
 	if reason == "" {
 		reason = permit.Overload
 	}
 	return nil, &permit.Refused{
-		Pool: a.Pool, Reason: reason, RetryIn: time.Duration(m.RetryInMs) * time.Millisecond, Wait: time.Duration(m.WaitMs) * time.Millisecond,
+		Pool: r.Pool, Reason: reason, RetryIn: time.Duration(m.RetryInMs) * time.Millisecond, Wait: time.Duration(m.WaitMs) * time.Millisecond,
 	}
 }
 
-// requestLocally asks this instance's own keeper.
-func (p *admissions) requestLocally(ctx context.Context, a permit.Ask) gram.AdmissionDecision {
-	serial, verdicts := p.client.open()
-	a.Key = permit.Key{Serial: serial}
-	p.mu.Lock()
-	a.Apart = a.Apart || p.isolated
-	m := decisionMessage(p.controller(a.Pool).Ask(time.Now(), a))
-	p.mu.Unlock()
+// requestLocally requests an admission from this instance's own controller and waits for the final decision.
+func (ad *admissions) requestLocally(ctx context.Context, r permit.Ask) gram.AdmissionDecision {
+	serial, decisions := ad.client.open()
+	r.Key = permit.Key{Serial: serial}
+	ad.mu.Lock()
+	r.Apart = r.Apart || ad.isolated
+	m := decisionMessage(ad.controller(r.Pool).Ask(time.Now(), r))
+	ad.mu.Unlock()
 	if !isFinal(m) {
-		p.wake()
+		ad.wake()
 	}
 	for !isFinal(m) {
 		select {
-		case m = <-verdicts:
+		case m = <-decisions:
 		case <-ctx.Done():
-			p.mu.Lock()
-			p.deliver(p.controller(a.Pool).Withdraw(time.Now(), a.Key))
-			p.mu.Unlock()
+			ad.mu.Lock()
+			ad.deliver(ad.controller(r.Pool).Withdraw(time.Now(), r.Key))
+			ad.mu.Unlock()
 			m = gram.AdmissionDecision{Reason: string(permit.Overload)}
 		}
 	}
 	if m.Server == "" {
-		p.client.close(serial)
+		ad.client.close(serial)
 	}
 	return m
 }
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -13,8 +13,8 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// broadcast sends a message to all other instances: those of the own failure domain directly, those of others
-// through one of them.
+// broadcast sends a message to all other instances: directly to those of the own failure domain and of small ones,
+// and to those of other domains through a relay in each.
 func (n *Node) broadcast(m gram.Message) {
 	data, err := gram.Encode(m)
 	if err != nil {
@@ -26,23 +26,24 @@
 	n.port.SendData(addresses(direct), data)
 }
 
-// forward hands a message to the others of this instance's failure domain and takes it in.
+// forward sends a relayed message to the other instances of this instance's failure domain, then handles it.
 func (n *Node) forward(from netip.AddrPort, m gram.Relay) {
 	inner, err := gram.Decode(m.Data)
 	if _, nested := inner.(gram.Relay); err != nil || nested {
 		n.events.Note(event.Belief, "message-malformed", "from", from, "error", err)
 		return
 	}
-	var near []roster.Peer
+	var peers []roster.Peer
 	for _, p := range n.roster.Others() {
 		if p.Domain == n.settings.Domain {
-			near = append(near, p)
+			peers = append(peers, p)
 		}
 	}
-	n.port.SendData(addresses(near), m.Data)
+	n.port.SendData(addresses(peers), m.Data)
 	n.handleMessage(gram.Received{From: from, Message: inner})
 }
 
+// addresses returns the valid addresses of peers.
 func addresses(peers []roster.Peer) []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(peers))
 	for _, p := range peers {
@@ -54,49 +55,49 @@
 }
 
 const (
-	// maxUpdateSize is the largest message with news, partsMost the number of messages of one read. What is
-	// larger the others read from the store.
+	// maxUpdateSize is the maximum size in bytes of the records in one message, maxUpdateParts the maximum number of
+	// messages for one update. The other instances read larger updates from the store.
 	maxUpdateSize  = 24 << 10
 	maxUpdateParts = 12
-	// maxLinkTime is how long news may fill the link of this instance. A reader on a link of 10
-	// Mbit/s that told 80 others of each of three configurations a second was cut off by it.
+	// maxLinkTime is the maximum time for which an update may fill the link of this instance. An instance on a link of
+	// 10 Mbit/s that broadcast three configurations a second to 80 others was cut off by that.
 	maxLinkTime = 100 * time.Millisecond
-	// partSpacing is the pause after a part, in multiples of the time that the link needs for it: whoever passes
-	// it on may have a slower one.
+	// partSpacing is the pause after a part, as a multiple of the time that the link needs for it: a relay that passes
+	// the part on may have a slower link.
 	partSpacing = 2
 )
 
-// sendTime returns how long the link of this instance needs for news of a size to all.
+// sendTime returns how long the link of this instance needs to broadcast a message of a size in bytes.
 func (n *Node) sendTime(size int) time.Duration {
 	direct, relays := n.roster.Relays(time.Now())
 	bits := float64(8 * size * (len(direct) + len(relays)))
 	return time.Duration(bits / (n.settings.LinkMbps * 1e6) * float64(time.Second))
 }
 
-// canBroadcast reports whether this instance can tell all others of news of a size.
+// canBroadcast reports whether a message of a size in bytes may be broadcast.
 func (n *Node) canBroadcast(size int) bool {
 	return size <= maxUpdateSize && n.sendTime(size) <= maxLinkTime
 }
 
-// maxQueuedBroadcasts is the number of updates of a topic that may wait to be told.
+// maxQueuedBroadcasts is the maximum number of updates of a topic that wait to be broadcast.
 const maxQueuedBroadcasts = 16
 
-// queueBroadcast passes an update to the duty that tells the others of its topic.
+// queueBroadcast passes an update to the worker that broadcasts those of its topic, if there is one.
 func (n *Node) queueBroadcast(u follow.Update) {
-	told, has := n.broadcasts[u.Topic]
-	if !has {
+	queue, found := n.broadcasts[u.Topic]
+	if !found {
 		return
 	}
 	select {
-	case told <- u:
+	case queue <- u:
 	default:
-		// The others learn from heartbeats that they are behind.
+		// The other instances learn from heartbeats that they are behind.
 		n.events.Note(event.Belief, "news-not-told", "topic", u.Topic, "end", u.End)
 	}
 }
 
-// broadcastLoop returns a duty that tells the others of a topic. Each topic has its own: the parts of a large directory
-// are paced, and a configuration must not wait for them.
+// broadcastLoop returns the worker that broadcasts the updates of a topic. Each topic has its own: the parts of a
+// large directory are sent with pauses, and a configuration must not wait for them.
 func (n *Node) broadcastLoop(topic string) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		for {
@@ -110,61 +111,61 @@
 	}
 }
 
-// broadcastUpdate tells the others what this instance has read.
+// broadcastUpdate broadcasts what this instance has read, if it reads for the others or they may lack it as well.
 func (n *Node) broadcastUpdate(ctx context.Context, u follow.Update) {
 	if u.Err != nil || u.BegunAt == 0 || !u.Overdue && !n.readsStore() {
 		return
 	}
 	if u.Overdue {
-		// The others wait for the same word.
+		// The other instances lack the same confirmation.
 		n.sendHeartbeatToAll()
 	}
 	if len(u.Records) == 0 || u.Whole && u.Topic != n.platform.ConfigTopic {
 		return
 	}
 	if u.Whole {
-		// What came before it does not count.
+		// A snapshot replaces all earlier records.
 		u.From = 0
 	}
 	parts := splitUpdate(u)
 	if len(parts) > maxUpdateParts || u.Whole && len(parts) > 1 || !n.canBroadcast(maxPartSize(parts)) {
-		// Too large to pass on: the others hear that there is news, and read it themselves. From
-		// heartbeats alone they would know half a second later.
+		// Too large to broadcast: send only the new end of the topic, so that the others read it from the store. From
+		// heartbeats alone they would learn of it half a second later.
 		parts = []follow.Batch{{End: u.End}}
 		u.From, u.Whole = u.End, false
 	}
 	sentAt := clock.Boot{}.Now()
 	for i, part := range parts {
-		news := follow.News{From: u.From, Age: n.updateAge(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
+		update := follow.News{From: u.From, Age: n.updateAge(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
 		if i == len(parts)-1 {
-			news.Complete = ageMillis(sentAt, u.Complete)
+			update.Complete = ageMillis(sentAt, u.Complete)
 		}
-		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: news})
+		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: update})
 		u.From = part.End
 		if i < len(parts)-1 {
-			// Sent at once, the next part would find the link full and be lost to all.
+			// Without a pause, the next part would find the link full and be lost to all.
 			duty.Pause(ctx, partSpacing*n.sendTime(recordsSize(part.Records...)))
 		}
 	}
 }
 
-// splitUpdate cuts what was read into runs of records that each fit into a message. The end of the last one is that
-// of the topic.
+// splitUpdate splits an update into runs of records that each fit into a message. The last run ends where the topic
+// does.
 func splitUpdate(u follow.Update) []follow.Batch {
-	var out []follow.Batch
+	var parts []follow.Batch
 	part, size := follow.Batch{}, 0
 	for _, r := range u.Records {
 		if size += recordsSize(r); len(part.Records) > 0 && size > maxUpdateSize {
-			out = append(out, part)
+			parts = append(parts, part)
 			part, size = follow.Batch{}, recordsSize(r)
 		}
 		part.Records, part.End = append(part.Records, r), r.Offset+1
 	}
 	part.End = u.End
-	return append(out, part)
+	return append(parts, part)
 }
 
-// recordsSize returns the size of some records.
+// recordsSize returns the total size of the keys and values of records in bytes.
 func recordsSize(records ...follow.Record) int {
 	size := 0
 	for _, r := range records {
@@ -173,11 +174,11 @@
 	return size
 }
 
-// maxPartSize returns the size of the largest of some runs of records.
+// maxPartSize returns the size of the largest of some runs of records in bytes.
 func maxPartSize(parts []follow.Batch) int {
-	most := 0
+	largest := 0
 	for _, part := range parts {
-		most = max(most, recordsSize(part.Records...))
+		largest = max(largest, recordsSize(part.Records...))
 	}
-	return most
+	return largest
 }
--- a/internal/node/broadcast_test.go
+++ b/internal/node/broadcast_test.go
@@ -19,7 +19,7 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// serverEntries returns news of as many servers.
+// serverEntries returns an update of the directory with count entries.
 func serverEntries(count int) follow.Update {
 	u := follow.Update{Topic: "servers", From: 40, BegunAt: 1, Overdue: true}
 	for i := range count {
@@ -29,12 +29,12 @@
 	return u
 }
 
-// 989 servers wrote their entries within a second. The news of them were too large for a message, so that each
-// of 295 instances read the directory for itself, several times.
+// Guards against updates that are too large for a message. 989 servers wrote their entries within a second, and since
+// no message could hold them, each of 295 instances read the directory itself, several times.
 func TestUpdateIsSplit(t *testing.T) {
 	is := is.New(t)
 	u := serverEntries(400)
-	u.End = 450 // the topic ends behind what was read
+	u.End = 450 // the topic ends after what was read
 	parts := splitUpdate(u)
 	is.True(len(parts) > 1)
 	next := u.From
@@ -45,16 +45,16 @@
 			next++
 		}
 		if next < 440 {
-			is.Equal(part.End, next) // the next one goes on where this ends
+			is.Equal(part.End, next) // the next part starts where this one ends
 		}
 	}
 	is.Equal(next, int64(440))
 	is.Equal(parts[len(parts)-1].End, u.End)
 }
 
-// 179 servers joined, and the news of them went in two parts. The second found the link full of the first and was
-// lost to all 294 others, which read the directory for themselves.
-func TestPartsArePaced(t *testing.T) {
+// Guards against parts of an update that are sent without a pause. When 179 servers joined, the second of two parts
+// found the link full of the first and was lost to all 294 other instances, which read the directory themselves.
+func TestPartsAreSentWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		port, err := gram.Listen("127.0.0.1:0")
@@ -65,7 +65,7 @@
 		}
 		begun := time.Now()
 		n.broadcastUpdate(t.Context(), serverEntries(80))
-		is.Equal(time.Since(begun), time.Duration(0)) // one part waits for nothing
+		is.Equal(time.Since(begun), time.Duration(0)) // a single part is sent without a pause
 		u := serverEntries(180)
 		parts := splitUpdate(u)
 		is.Equal(len(parts), 2)
@@ -74,7 +74,7 @@
 	})
 }
 
-// Guards against a configuration that comes into force late since the directory is being told in parts.
+// Guards against a configuration that comes into force late because the directory is being broadcast in parts.
 func TestConfigurationDoesNotWaitForDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,8 +88,8 @@
 		for i := range 5 {
 			n.roster.Put(fmt.Sprintf("i%d", i), roster.Entry{Address: n.port.Address(), Domain: "d0", Incarnation: 1}, time.Now())
 		}
-		duties := duty.New(t.Context(), 4)
-		duties.Go("updates", n.updateLoop)
+		group := duty.New(t.Context(), 4)
+		group.Go("updates", n.updateLoop)
 		directory := serverEntries(900)
 		is.True(len(splitUpdate(directory)) > 8)
 		begun := time.Now()
@@ -102,7 +102,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.True(time.Since(begun) < 100*time.Millisecond)
-		duties.Stop()
-		is.NoErr(duties.Wait(0))
+		group.Stop()
+		is.NoErr(group.Wait(0))
 	})
 }
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -12,7 +12,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// requestView asks another instance for what it knows of the owners, if the store refuses this one.
+// requestView asks a peer for its view of the owners if this instance cannot read the store.
 func (n *Node) requestView(name string) {
 	if n.leases.StoreOK() {
 		return
@@ -23,42 +23,42 @@
 	}
 }
 
-// sendView tells an instance that is behind what this one knows of the owners.
+// sendView answers a ViewRequest with the view of this instance if that is newer than the sender's.
 func (n *Node) sendView(from netip.AddrPort, m gram.ViewRequest) {
-	known := n.leases.Owners()
-	if known.End <= m.End {
+	view := n.leases.Owners()
+	if view.End <= m.End {
 		return
 	}
-	all := gram.ViewSnapshot{End: known.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
-	for service, ranges := range known.Maps {
+	snapshot := gram.ViewSnapshot{End: view.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
+	for service, ranges := range view.Maps {
 		data, err := ranges.Encode()
 		if err != nil {
 			n.events.Note(event.Belief, "owners-not-told", "service", service, "error", err)
 			return
 		}
-		all.Maps[service] = data
+		snapshot.Maps[service] = data
 	}
-	for name, entry := range known.Instances {
+	for name, entry := range view.Instances {
 		data, err := entry.Encode()
 		if err != nil {
 			n.events.Note(event.Belief, "owners-not-told", "instance", name, "error", err)
 			return
 		}
-		all.Instances[name] = data
+		snapshot.Instances[name] = data
 	}
-	n.port.Send(from, all)
+	n.port.Send(from, snapshot)
 }
 
-// adoptView takes in what another instance knows of the owners.
+// adoptView passes the view of a peer to the lease manager.
 func (n *Node) adoptView(m gram.ViewSnapshot) {
-	known := &holder.Owners{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
+	view := &holder.Owners{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
 		if err != nil {
 			n.events.Note(event.Belief, "owners-malformed", "service", service, "error", err)
 			return
 		}
-		known.Maps[service] = ranges
+		view.Maps[service] = ranges
 	}
 	for name, data := range m.Instances {
 		entry, err := roster.Decode(data)
@@ -66,26 +66,27 @@
 			n.events.Note(event.Belief, "owners-malformed", "instance", name, "error", err)
 			return
 		}
-		known.Instances[name] = entry
+		view.Instances[name] = entry
 	}
 	select {
-	case n.leases.Adopted() <- known:
+	case n.leases.Adopted() <- view:
 	default:
-		// Another one is being taken in; the next heartbeat asks again.
+		// Another view is being adopted. The next heartbeat of a peer that knows more asks again.
 	}
 }
 
-// maxRegisterRecords is the number of records of instances in one message, each of some 100 bytes.
+// maxRegisterRecords is the maximum number of records in a RegisterUpdate. Each has some 100 bytes.
 const maxRegisterRecords = 200
 
-// broadcastRegister tells all others of records of the register.
+// broadcastRegister broadcasts records of the register of instances, in messages of limited size.
 func (n *Node) broadcastRegister(records []follow.Record) {
 	for part := range slices.Chunk(records, maxRegisterRecords) {
 		n.broadcast(gram.RegisterUpdate{Records: part})
 	}
 }
 
-// handleRegisterUpdate takes in records of the register that the leader tells of.
+// handleRegisterUpdate passes records of the register, which the leader broadcasts, to the lease manager. If its
+// queue is full, the topic is read from the store instead.
 func (n *Node) handleRegisterUpdate(m gram.RegisterUpdate) {
 	select {
 	case n.leases.Enrolled() <- m.Records:
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -12,68 +12,71 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// entryReturnTime is how long after the store is back entries of servers that live may be missing:
-// they lapsed while the store was away, and are written again within this time.
+// entryReturnTime is how long the entries of live servers may be missing after an outage of the store: they expired
+// meanwhile, and are written again within this time.
 const entryReturnTime = 2 * time.Second
 
-// clusterState is what the instance knows of configuration and servers.
+// clusterState holds the configuration, the servers and the evacuations as this instance knows them.
 type clusterState struct {
 	events *event.Log
-	// drainTime is how long after it has said that it leaves a server may get requests.
+	// drainTime is how long a server may get requests after it has stated that it leaves.
 	drainTime time.Duration
 	// evacuationTime is the same for the servers of a failure domain that is evacuated.
 	evacuationTime time.Duration
 	config         atomic.Pointer[rules.Config]
-	// snapshot is never changed, only replaced.
+	// snapshot holds the servers by id as requests see them. The map is replaced, never changed.
 	snapshot atomic.Pointer[map[string]rules.Server]
-	// snapshotVersion counts how often it was replaced.
+	// snapshotVersion counts how often snapshot was replaced.
 	snapshotVersion atomic.Uint64
 	owners          func() *holder.Owners
 
 	mu sync.Mutex
-	// changed is closed when owners change.
-	changed   chan struct{}
-	directory *directory
-	evacuated *evacuations
-	// awayUntil is when missing entries are believed to be gone for good.
+	// changed is closed and replaced when the owners change.
+	changed     chan struct{}
+	directory   *directory
+	evacuations *evacuations
+	// storeDown says that the last read of the directory failed. Until missingUntil, missing entries do not mean that
+	// servers are gone.
 	storeDown    bool
 	missingUntil time.Time
-	// completedMoves holds the ranges that have come to their new owners although no record says so
-	// yet, by service and first key, with the fence.
+	// completedMoves holds the fencing tokens of ranges whose moves are complete, although no record says so yet, by
+	// service and first key.
 	completedMoves map[moveKey]uint64
 }
 
+// moveKey identifies a range by its service and first key.
 type moveKey struct {
 	service string
 	from    uint16
 }
 
-// maxRememberedMoves bounds the memory of settled ranges.
+// maxRememberedMoves bounds the number of completedMoves. When it is reached, all of them are dropped.
 const maxRememberedMoves = 4096
 
-// drainReserve is kept of the time in which a leaving server must get its last request, for the way from the
-// first byte to the server: a thin link that is full holds packets for each large answer.
+// drainReserve is kept free at the end of the time within which a leaving server must get its last request. It covers
+// the transfer of the request to the server: a saturated slow link delays packets behind each large answer.
 const drainReserve = 250 * time.Millisecond
 
-func newClusterState(events *event.Log, drain, evacuate time.Duration) *clusterState {
-	w := &clusterState{
-		events: events, drainTime: drain, evacuationTime: evacuate, changed: make(chan struct{}),
-		directory: newDirectory(events), evacuated: newEvacuations(events), completedMoves: map[moveKey]uint64{},
+func newClusterState(events *event.Log, drainTime, evacuationTime time.Duration) *clusterState {
+	c := &clusterState{
+		events: events, drainTime: drainTime, evacuationTime: evacuationTime, changed: make(chan struct{}),
+		directory: newDirectory(events), evacuations: newEvacuations(events), completedMoves: map[moveKey]uint64{},
 	}
-	w.snapshot.Store(&map[string]rules.Server{})
-	return w
+	c.snapshot.Store(&map[string]rules.Server{})
+	return c
 }
 
-func (w *clusterState) servers() map[string]rules.Server { return *w.snapshot.Load() }
+// servers returns the servers by id. Callers must not change the map.
+func (c *clusterState) servers() map[string]rules.Server { return *c.snapshot.Load() }
 
-// dividedServices returns the services whose keys have owners.
-func (w *clusterState) dividedServices() []string {
-	c := w.config.Load()
-	if c == nil {
+// dividedServices returns the services that are divided by key, whose keys have owners.
+func (c *clusterState) dividedServices() []string {
+	cfg := c.config.Load()
+	if cfg == nil {
 		return nil
 	}
 	var out []string
-	for name, s := range c.Services {
+	for name, s := range cfg.Services {
 		if s.Divided {
 			out = append(out, name)
 		}
@@ -81,123 +84,124 @@
 	return out
 }
 
-// defaultTarget is assumed of a service without a route.
+// defaultTarget is the target latency of a service without a route.
 const defaultTarget = time.Second
 
-// shortestTarget returns the shortest target of the routes of a service.
-func (w *clusterState) shortestTarget(service string) time.Duration {
-	least := time.Duration(0)
-	for _, routes := range w.config.Load().Hosts {
+// shortestTarget returns the shortest target latency of the routes of a service. A configuration must be known.
+func (c *clusterState) shortestTarget(service string) time.Duration {
+	shortest := time.Duration(0)
+	for _, routes := range c.config.Load().Hosts {
 		for _, r := range routes {
 			for _, p := range r.Parts {
-				if p.Service == service && r.Target > 0 && (least == 0 || r.Target < least) {
-					least = r.Target
+				if p.Service == service && r.Target > 0 && (shortest == 0 || r.Target < shortest) {
+					shortest = r.Target
 				}
 			}
 		}
 	}
-	if least == 0 {
+	if shortest == 0 {
 		return defaultTarget
 	}
-	return least
+	return shortest
 }
 
-// applyConfig takes in a configuration, unless a newer one is in force.
-func (w *clusterState) applyConfig(c *rules.Config) {
-	if old := w.config.Load(); old != nil && old.Version >= c.Version {
+// applyConfig applies a configuration unless its version is not newer than that in force.
+func (c *clusterState) applyConfig(cfg *rules.Config) {
+	if old := c.config.Load(); old != nil && old.Version >= cfg.Version {
 		return
 	}
-	w.config.Store(c)
-	w.events.Note(event.Belief, "configuration", "version", c.Version, "hosts", len(c.Hosts), "services", len(c.Services))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.publish()
+	c.config.Store(cfg)
+	c.events.Note(event.Belief, "configuration", "version", cfg.Version, "hosts", len(cfg.Hosts), "services", len(cfg.Services))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.publish()
 }
 
-// applyServers takes in news of the directory, the oldest of which can have been written the given
-// time ago. It reports whether anything changed.
-func (w *clusterState) applyServers(u follow.Update, age time.Duration, decode decodeEntry) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// applyServers applies an update of the directory, whose oldest record can have been written as long ago as age. It
+// reports whether the directory was updated, false after a failed read.
+func (c *clusterState) applyServers(u follow.Update, age time.Duration, decode decodeEntry) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
 	if u.Err != nil {
-		if !w.storeDown {
-			w.events.Note(event.Belief, "directory-unread", "error", u.Err)
+		if !c.storeDown {
+			c.events.Note(event.Belief, "directory-unread", "error", u.Err)
 		}
-		w.storeDown = true
+		c.storeDown = true
 		return false
 	}
-	if w.storeDown {
-		w.storeDown = false
-		w.missingUntil = now.Add(entryReturnTime)
-		w.events.Note(event.Belief, "directory-regained", "offset", u.End)
+	if c.storeDown {
+		c.storeDown = false
+		c.missingUntil = now.Add(entryReturnTime)
+		c.events.Note(event.Belief, "directory-regained", "offset", u.End)
 	}
-	leaveBy := now.Add(w.drainTime - age)
-	w.directory.apply(u, now, leaveBy, decode)
-	if !now.Before(w.missingUntil) {
-		w.directory.removeMissing()
+	leaveBy := now.Add(c.drainTime - age)
+	c.directory.apply(u, now, leaveBy, decode)
+	if !now.Before(c.missingUntil) {
+		c.directory.removeMissing()
 	}
-	w.directory.close(leaveBy)
-	w.publish()
+	c.directory.close(leaveBy)
+	c.publish()
 	return true
 }
 
-// publish lets the others see the directory, with what the operator says of services and failure domains; the lock is
-// held.
-func (w *clusterState) publish() {
+// publish replaces the snapshot by the servers of the directory, with the effects of the configuration and of
+// evacuations. The lock is held.
+func (c *clusterState) publish() {
 	services := map[string]rules.Service{}
-	if c := w.config.Load(); c != nil {
-		services = c.Services
+	if cfg := c.config.Load(); cfg != nil {
+		services = cfg.Services
 	}
-	servers := make(map[string]rules.Server, len(w.directory.servers))
-	for id, s := range w.directory.servers {
-		servers[id] = w.evacuated.apply(s, services[s.Service])
+	servers := make(map[string]rules.Server, len(c.directory.servers))
+	for id, s := range c.directory.servers {
+		servers[id] = c.evacuations.apply(s, services[s.Service])
 	}
-	w.snapshot.Store(&servers)
-	w.snapshotVersion.Add(1)
+	c.snapshot.Store(&servers)
+	c.snapshotVersion.Add(1)
 }
 
-// removeMissing removes the servers whose entries did not come back. It reports whether there were
-// any.
-func (w *clusterState) removeMissing() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.storeDown || time.Now().Before(w.missingUntil) || !w.directory.removeMissing() {
+// removeMissing removes the servers whose entries did not reappear in time. It reports whether there were any.
+func (c *clusterState) removeMissing() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.storeDown || time.Now().Before(c.missingUntil) || !c.directory.removeMissing() {
 		return false
 	}
-	w.publish()
+	c.publish()
 	return true
 }
 
-// markMovesComplete takes in that ranges have come to their new owners.
-func (w *clusterState) markMovesComplete(ranges []gram.MovedRange) {
-	w.mu.Lock()
+// markMovesComplete records that the moves of ranges are complete.
+func (c *clusterState) markMovesComplete(ranges []gram.MovedRange) {
+	c.mu.Lock()
 	for _, r := range ranges {
-		if len(w.completedMoves) >= maxRememberedMoves {
-			clear(w.completedMoves)
+		if len(c.completedMoves) >= maxRememberedMoves {
+			clear(c.completedMoves)
 		}
-		w.completedMoves[moveKey{r.Service, r.From}] = r.Fence
+		c.completedMoves[moveKey{r.Service, r.From}] = r.Fence
 	}
-	w.mu.Unlock()
-	w.ownersChanged()
+	c.mu.Unlock()
+	c.ownersChanged()
 }
 
-func (w *clusterState) isMoveComplete(service string, from uint16, fence uint64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.completedMoves[moveKey{service, from}] == fence
+// isMoveComplete reports whether the move that gave a range its fencing token is known to be complete.
+func (c *clusterState) isMoveComplete(service string, from uint16, fence uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.completedMoves[moveKey{service, from}] == fence
 }
 
-// ownersChanged wakes those who wait for owners.
-func (w *clusterState) ownersChanged() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	close(w.changed)
-	w.changed = make(chan struct{})
+// ownersChanged wakes the requests that wait for a change of owners.
+func (c *clusterState) ownersChanged() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-func (w *clusterState) ownersChange() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changed
+// ownersChange returns a channel that is closed at the next change of owners.
+func (c *clusterState) ownersChange() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -26,124 +26,125 @@
 	return newClusterState(event.New(io.Discard, log.ErrorLevel), 1500*time.Millisecond, 2500*time.Millisecond)
 }
 
-// applyDirectory gives a world one update of the directory, of keys and values in turn.
-func (w *clusterState) applyDirectory(whole bool, pairs ...string) {
+// applyDirectory applies one update of the directory, given as keys and values in turn.
+func (c *clusterState) applyDirectory(whole bool, pairs ...string) {
 	u := follow.Update{Whole: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1])})
 	}
-	w.applyServers(u, 0, decodeServer)
+	c.applyServers(u, 0, decodeServer)
 }
 
-func (w *clusterState) has(id string) bool {
-	_, found := w.servers()[id]
+func (c *clusterState) has(id string) bool {
+	_, found := c.servers()[id]
 	return found
 }
 
 func TestDirectoryUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		w.applyDirectory(true, "a", "ready", "b", "ready")
-		w.applyDirectory(false, "b", "")
-		is.True(w.has("a") && !w.has("b")) // an entry that is removed is gone at once
-		w.applyDirectory(false, "a", "bad")
-		is.True(w.has("a")) // one that cannot be read changes nothing
-		w.applyDirectory(true, "c", "ready")
-		is.True(!w.has("a") && w.has("c")) // all there is
+		c := newTestState()
+		c.applyDirectory(true, "a", "ready", "b", "ready")
+		c.applyDirectory(false, "b", "")
+		is.True(c.has("a") && !c.has("b")) // a removed entry is gone at once
+		c.applyDirectory(false, "a", "bad")
+		is.True(c.has("a")) // a malformed entry changes nothing
+		c.applyDirectory(true, "c", "ready")
+		is.True(!c.has("a") && c.has("c")) // a snapshot replaces all entries
 	})
 }
 
-// The store was away, and entries of servers that live had lapsed. Taking them for gone at once
-// would move their keys for nothing; they are back within two seconds.
+// Guards against keys that are moved for nothing because entries of live servers expired during an outage of the
+// store. The entries are back within two seconds.
 func TestEntriesReappearAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		w.applyDirectory(true, "a", "ready", "b", "ready")
-		w.applyServers(follow.Update{Err: errors.New("down")}, 0, decodeServer)
-		w.applyDirectory(true)
-		is.True(w.has("a") && w.has("b"))
+		c := newTestState()
+		c.applyDirectory(true, "a", "ready", "b", "ready")
+		c.applyServers(follow.Update{Err: errors.New("down")}, 0, decodeServer)
+		c.applyDirectory(true)
+		is.True(c.has("a") && c.has("b"))
 		time.Sleep(time.Second)
-		w.applyDirectory(false, "a", "ready")
+		c.applyDirectory(false, "a", "ready")
 		time.Sleep(1100 * time.Millisecond)
-		is.True(w.removeMissing())
-		is.True(w.has("a") && !w.has("b")) // one that is still missing is gone
+		is.True(c.removeMissing())
+		is.True(c.has("a") && !c.has("b")) // an entry that stays missing is gone
 	})
 }
 
-// A server left without a word just after one instance had missed a read. That instance waited
-// two seconds for the entry to come back, and sent requests 52 ms beyond the bound.
+// Guards against requests to a server that left without stating so, beyond its time limit. An instance whose last
+// read had failed waited two seconds for the entry to reappear, and sent requests until 52 ms after the limit.
 func TestMissingServerClosesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		w.applyDirectory(true, "a", "ready")
-		w.applyServers(follow.Update{Err: errors.New("timeout")}, 0, decodeServer)
-		w.applyDirectory(false, "a", "")
-		is.True(!w.servers()["a"].Closed(false, time.Now())) // it may come back
+		c := newTestState()
+		c.applyDirectory(true, "a", "ready")
+		c.applyServers(follow.Update{Err: errors.New("timeout")}, 0, decodeServer)
+		c.applyDirectory(false, "a", "")
+		is.True(!c.servers()["a"].Closed(false, time.Now())) // it may come back
 		time.Sleep(1600 * time.Millisecond)
-		is.True(w.servers()["a"].Closed(false, time.Now()))
-		w.applyDirectory(false, "a", "ready")
-		is.True(!w.servers()["a"].Closed(false, time.Now()))
+		is.True(c.servers()["a"].Closed(false, time.Now()))
+		c.applyDirectory(false, "a", "ready")
+		is.True(!c.servers()["a"].Closed(false, time.Now()))
 	})
 }
 
-// The time to leave counts from the first word of it, not from each.
+// Checks that the drain time of a server counts from its first draining entry, not from each.
 func TestDrainTimeCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		w.applyDirectory(true, "a", "draining")
+		c := newTestState()
+		c.applyDirectory(true, "a", "draining")
 		time.Sleep(time.Second)
-		w.applyDirectory(false, "a", "draining")
-		is.True(!w.servers()["a"].Closed(true, time.Now()))
+		c.applyDirectory(false, "a", "draining")
+		is.True(!c.servers()["a"].Closed(true, time.Now()))
 		time.Sleep(600 * time.Millisecond)
-		is.True(w.servers()["a"].Closed(true, time.Now()))
+		is.True(c.servers()["a"].Closed(true, time.Now()))
 	})
 }
 
-// Four of eleven instances were cut off, the leader and all that read the directory among them.
-// The others heard 2.1 seconds late that a server leaves, counted its time from then, and sent it
-// requests beyond the bound. What was missed for some time counts from its earliest moment.
+// Guards against requests to a draining server beyond its time limit when its entry arrives late. Four of eleven
+// instances were cut off, among them the leader and all that read the directory. The others learned 2.1 seconds late
+// that a server was leaving and counted its drain time from then. It must count from the earliest time at which the
+// entry can have been written.
 func TestDrainTimeCountsFromOldestPossibleWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		w.applyDirectory(true, "a", "ready", "b", "ready")
+		c := newTestState()
+		c.applyDirectory(true, "a", "ready", "b", "ready")
 		u := follow.Update{Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("draining")}, {Key: "b"}}}}
-		w.applyServers(follow.Update{Err: errors.New("timeout")}, 0, decodeServer)
-		w.applyServers(u, 1200*time.Millisecond, decodeServer)
+		c.applyServers(follow.Update{Err: errors.New("timeout")}, 0, decodeServer)
+		c.applyServers(u, 1200*time.Millisecond, decodeServer)
 		for _, id := range []string{"a", "b"} {
-			is.True(!w.servers()[id].Closed(true, time.Now()))
+			is.True(!c.servers()[id].Closed(true, time.Now()))
 		}
 		time.Sleep(301 * time.Millisecond)
 		for _, id := range []string{"a", "b"} {
-			is.True(w.servers()[id].Closed(true, time.Now()))
+			is.True(c.servers()[id].Closed(true, time.Now()))
 		}
 	})
 }
 
 func TestConfigNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	w := newTestState()
-	w.applyConfig(&rules.Config{Version: 5})
-	w.applyConfig(&rules.Config{Version: 4})
-	is.Equal(w.config.Load().Version, uint64(5))
+	c := newTestState()
+	c.applyConfig(&rules.Config{Version: 5})
+	c.applyConfig(&rules.Config{Version: 4})
+	is.Equal(c.config.Load().Version, uint64(5))
 }
 
-// All instances were stopped and started in turn while servers left. Each that had just started took
-// the word that a server leaves for new, however old it was, and gave the server its whole time once
-// more: up to 2.9 seconds beyond it.
+// Guards against instances that take draining entries for new in their first read. While all instances were restarted
+// in turn and servers left, each restarted instance gave these servers their whole drain time again, up to 2.9
+// seconds too much.
 func TestRecordsOfFirstReadCountAsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, n := newTestState(), &Node{}
+		c, n := newTestState(), &Node{}
 		u := follow.Update{Whole: true, Batch: follow.Batch{Records: []follow.Record{
 			{Key: "a", Value: []byte("draining")}, {Key: "b", Value: []byte("ready")},
 		}}}
-		w.applyServers(u, n.updateAge(u), decodeServer)
-		is.True(w.servers()["a"].Closed(true, time.Now()))
-		is.True(!w.servers()["b"].Closed(true, time.Now()))
+		c.applyServers(u, n.updateAge(u), decodeServer)
+		is.True(c.servers()["a"].Closed(true, time.Now()))
+		is.True(!c.servers()["b"].Closed(true, time.Now()))
 	})
 }
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -11,19 +11,20 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// directory is the servers as their entries state them. Each name has one life at a time, the one
-// that started last. It has no input or output but its lines; world guards it.
+// directory holds the servers as their entries state them. Of each name, only the incarnation that started last
+// counts. It is pure state, apart from log lines; clusterState guards it.
 type directory struct {
 	events *event.Log
-	// servers holds the servers by the id of their life. It is never changed, only replaced.
+	// servers holds the servers by the id of their incarnation. apply and removeMissing replace the map instead of
+	// changing that of an earlier update.
 	servers map[string]rules.Server
-	// newest holds the newest life by name, also of servers whose entry is gone.
+	// newest holds the newest incarnation by name, also of servers whose entry is gone.
 	newest map[string]rules.Server
 	// missing holds the names whose entry is gone although the server may still be there.
 	missing map[string]struct{}
 }
 
-// maxIncarnations bounds the memory of servers that are gone.
+// maxIncarnations bounds the number of names in newest, which keeps servers that are gone.
 const maxIncarnations = 8192
 
 func newDirectory(events *event.Log) *directory {
@@ -32,13 +33,14 @@
 	}
 }
 
-// decodeEntry reads the entry of a server that stands under a name.
+// decodeEntry decodes the entry of a server, given its name.
 type decodeEntry func(name string, data []byte, readAt time.Time) (rules.Server, error)
 
-// apply takes in news. LeaveBy is until when servers that leave by it may get requests.
+// apply applies an update of the directory. Servers that this update says are draining may get requests until
+// leaveBy.
 func (d *directory) apply(u follow.Update, now, leaveBy time.Time, decode decodeEntry) {
 	d.servers = maps.Clone(d.servers)
-	many := len(u.Records) >= minGroupedEntries
+	grouped := len(u.Records) >= minGroupedEntries
 	var joined []rules.Server
 	listed := make(map[string]bool, len(u.Records))
 	for _, r := range u.Records {
@@ -49,18 +51,17 @@
 		listed[r.Key] = true
 		s, err := decode(r.Key, r.Value, now)
 		if err != nil {
-			// Another writer stored it. It names no server to use, nor does it say that the server
-			// of that name is gone: what that one said of itself last holds until it says more, or
-			// its entry is removed. To drop it instead would let anyone who can write an entry take
-			// a server out that works.
+			// Another writer stored this entry. It describes no usable server, and does not mean that the server of that
+			// name is gone: the last valid entry holds until the server writes another one or its entry is removed.
+			// Otherwise anyone who can write an entry could take a working server out.
 			d.events.Note(event.Belief, "entry-malformed", "server", r.Key, "offset", r.Offset, "error", err)
 			continue
 		}
-		if d.put(r, s, now, leaveBy, !many) {
+		if d.put(r, s, now, leaveBy, !grouped) {
 			joined = append(joined, s)
 		}
 	}
-	if many {
+	if grouped {
 		d.logJoined(joined, u.End)
 	}
 	if u.Whole {
@@ -73,16 +74,16 @@
 	d.dropWithoutStart()
 }
 
-// dropWithoutStart drops the servers without a start where most state theirs: another writer listed
-// them, or an older life would pass for a server of its own.
+// dropWithoutStart drops the servers without a start time if most servers state theirs: such an entry is from another
+// writer, or of an older incarnation that would pass for a server of its own.
 func (d *directory) dropWithoutStart() {
-	stated := 0
+	withStart := 0
 	for _, s := range d.servers {
 		if s.StartedAt != 0 {
-			stated++
+			withStart++
 		}
 	}
-	if 2*stated <= len(d.servers) {
+	if 2*withStart <= len(d.servers) {
 		return
 	}
 	maps.DeleteFunc(d.servers, func(id string, s rules.Server) bool {
@@ -93,11 +94,11 @@
 	})
 }
 
-// minGroupedEntries is the number of entries in one piece of news from which on servers that join are logged together.
+// minGroupedEntries is the number of entries in an update from which on servers that join are logged together.
 const minGroupedEntries = 16
 
-// logJoined logs servers that joined together, a line for each service and failure domain: a line for each of
-// a thousand servers is most of what an instance writes at its start.
+// logJoined logs servers that joined together, in one line per service and failure domain: one line per server would
+// be most of what an instance logs at its start with a thousand servers.
 func (d *directory) logJoined(servers []rules.Server, offset int64) {
 	type place struct{ service, domain string }
 	ids := map[place][]string{}
@@ -112,10 +113,10 @@
 	}
 }
 
-// put takes in the entry of a life of a server, unless it is older than what is known: news come
-// over several ways, and a store that lost its history answers with what was. Noted says whether a server
-// that is new gets a line. It reports whether the server is new and ready.
-func (d *directory) put(r follow.Record, s rules.Server, now, leaveBy time.Time, noted bool) (joined bool) {
+// put applies the entry of one incarnation of a server unless it is older than what is known: updates arrive over
+// several paths, and a store that lost its history returns older records. LogNew says whether a new server is logged.
+// It reports whether the server is new and ready.
+func (d *directory) put(r follow.Record, s rules.Server, now, leaveBy time.Time, logNew bool) (joined bool) {
 	old, known := d.newest[r.Key]
 	if known && older(s, old) {
 		d.events.Note(event.Belief, "entry-outdated", "server", s.ID, "known", old.ID, "sequence", s.Sequence,
@@ -123,8 +124,8 @@
 		return false
 	}
 	if known && old.ID != s.ID {
-		// The life before has ended, whatever its entry said: nobody can reach it any more.
-		if _, there := d.servers[old.ID]; there {
+		// The previous incarnation has ended, whatever its entry said: it cannot be reached any more.
+		if _, found := d.servers[old.ID]; found {
 			d.events.Note(event.Belief, "server-started-again", "server", s.ID, "before", old.ID, "offset", r.Offset)
 		}
 		delete(d.servers, old.ID)
@@ -137,7 +138,7 @@
 			s.LeaveBy = old.LeaveBy
 		}
 	}
-	if turned := known && old.Draining != s.Draining; turned || !known && (noted || s.Draining) {
+	if changed := known && old.Draining != s.Draining; changed || !known && (logNew || s.Draining) {
 		d.events.Note(event.Belief, "server", "server", s.ID, "service", s.Service, "address", s.Address,
 			"domain", s.Domain, "draining", s.Draining, "leave-in", s.LeavesIn(now), "warm-in", s.WarmAt.Sub(now),
 			"offset", r.Offset)
@@ -147,9 +148,8 @@
 	return !known && !s.Draining
 }
 
-// older reports whether an entry says less than what is known: it is of an earlier life, or was
-// said earlier in the same one. The first said by a life of a server whose lives all have names of
-// their own is never older.
+// older reports whether an entry states less than the known one: it is of an earlier incarnation, or an earlier entry
+// of the same one. Where each incarnation of a server has a name of its own, its first entry is never older.
 func older(s, known rules.Server) bool {
 	if s.StartedAt != known.StartedAt {
 		return s.StartedAt < known.StartedAt
@@ -157,19 +157,19 @@
 	return s.Sequence < known.Sequence
 }
 
-// setNewest keeps which life of a name is the newest.
+// setNewest records the newest incarnation of a name.
 func (d *directory) setNewest(name string, s rules.Server) {
 	if len(d.newest) >= maxIncarnations {
 		maps.DeleteFunc(d.newest, func(_ string, s rules.Server) bool {
-			_, there := d.servers[s.ID]
-			return !there
+			_, found := d.servers[s.ID]
+			return !found
 		})
 	}
 	d.newest[name] = s
 }
 
-// close bounds the time for which servers whose entry is missing may get requests. The entry may
-// come back, but if the server has left it must not get them for longer than one that drains.
+// close limits the time for which servers whose entry is missing may get requests. The entry may come back, but a
+// server that has left must not get requests for longer than one that drains.
 func (d *directory) close(leaveBy time.Time) {
 	for name := range d.missing {
 		s, known := d.servers[d.newest[name].ID]
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -17,7 +17,7 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// decodeIncarnation decodes "state start sequence".
+// decodeIncarnation decodes entries of the form "state start sequence".
 func decodeIncarnation(name string, data []byte, _ time.Time) (rules.Server, error) {
 	s := rules.Server{Service: "books"}
 	var state string
@@ -28,26 +28,26 @@
 	return s, nil
 }
 
-// A server started again under the name that it had. Whatever order the store, the news of others
-// and a new read bring its entries in, the life that started last counts, and in it what was said
-// last: else requests and keys went to a life that was gone, or to one that was leaving.
+// Guards against requests and keys for an incarnation of a server that is gone or leaving, after the server was
+// restarted under the same name. In whatever order the store, peers and a new read deliver the entries, the
+// incarnation that started last counts, and its entry with the highest sequence number.
 func TestNewestIncarnationCounts(t *testing.T) {
 	tests := map[string]struct {
 		updates [][]string
 		want    []string
 	}{
-		"again":                           {[][]string{{"a", "ready 10 5"}, {"a", "ready 20 1"}}, []string{"a~k ready"}},
-		"again in one update":             {[][]string{{"a", "ready 10 5", "a", "ready 20 1"}}, []string{"a~k ready"}},
-		"older life late":                 {[][]string{{"a", "ready 20 1"}, {"a", "ready 10 9"}}, []string{"a~k ready"}},
-		"older life late, draining":       {[][]string{{"a", "ready 20 1"}, {"a", "draining 10 9"}}, []string{"a~k ready"}},
-		"twice":                           {[][]string{{"a", "ready 10 5"}, {"a", "ready 30 1"}, {"a", "ready 20 7"}}, []string{"a~u ready"}},
-		"older life after the newer left": {[][]string{{"a", "ready 20 1"}, {"a", ""}, {"a", "ready 10 9"}}, nil},
-		"the same life comes back":        {[][]string{{"a", "ready 20 4"}, {"a", ""}, {"a", "ready 20 9"}}, []string{"a~k ready"}},
-		"said earlier, heard later":       {[][]string{{"a", "draining 20 9"}, {"a", "ready 20 8"}}, []string{"a~k draining"}},
-		"a new life does not drain":       {[][]string{{"a", "draining 20 9"}, {"a", "ready 30 1"}}, []string{"a~u ready"}},
-		"another writer":                  {[][]string{{"a", "ready 20 4"}, {"a", "bad"}, {"b", "bad"}}, []string{"a~k ready"}},
-		"another writer, no start":        {[][]string{{"a", "ready 20 4", "c", "ready 5 1"}, {"a", "ready 0 9"}, {"b", "ready 0 1"}}, []string{"a~k ready", "c~5 ready"}},
-		"names of their own":              {[][]string{{"a", "ready 0 4"}, {"b", "draining 0 4"}, {"b", "ready 0 3"}}, []string{"a ready", "b draining"}},
+		"restarted":                              {[][]string{{"a", "ready 10 5"}, {"a", "ready 20 1"}}, []string{"a~k ready"}},
+		"restarted in one update":                {[][]string{{"a", "ready 10 5", "a", "ready 20 1"}}, []string{"a~k ready"}},
+		"older incarnation late":                 {[][]string{{"a", "ready 20 1"}, {"a", "ready 10 9"}}, []string{"a~k ready"}},
+		"older incarnation late, draining":       {[][]string{{"a", "ready 20 1"}, {"a", "draining 10 9"}}, []string{"a~k ready"}},
+		"restarted twice":                        {[][]string{{"a", "ready 10 5"}, {"a", "ready 30 1"}, {"a", "ready 20 7"}}, []string{"a~u ready"}},
+		"older incarnation after the newer left": {[][]string{{"a", "ready 20 1"}, {"a", ""}, {"a", "ready 10 9"}}, nil},
+		"same incarnation comes back":            {[][]string{{"a", "ready 20 4"}, {"a", ""}, {"a", "ready 20 9"}}, []string{"a~k ready"}},
+		"older entry arrives later":              {[][]string{{"a", "draining 20 9"}, {"a", "ready 20 8"}}, []string{"a~k draining"}},
+		"new incarnation does not drain":         {[][]string{{"a", "draining 20 9"}, {"a", "ready 30 1"}}, []string{"a~u ready"}},
+		"another writer":                         {[][]string{{"a", "ready 20 4"}, {"a", "bad"}, {"b", "bad"}}, []string{"a~k ready"}},
+		"another writer, no start":               {[][]string{{"a", "ready 20 4", "c", "ready 5 1"}, {"a", "ready 0 9"}, {"b", "ready 0 1"}}, []string{"a~k ready", "c~5 ready"}},
+		"no start times":                         {[][]string{{"a", "ready 0 4"}, {"b", "draining 0 4"}, {"b", "ready 0 3"}}, []string{"a ready", "b draining"}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -75,20 +75,20 @@
 	}
 }
 
-// A read of everything found only what another writer had stored under the name of a server. The
-// server works on, and says so itself within a heartbeat.
+// Guards against a server that is dropped because another writer stored an entry under its name, and a full read
+// finds only that. The server still works, and writes its own entry again within a heartbeat.
 func TestMalformedEntryKeepsServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestState()
-		tell := func(whole bool, value string) {
+		c := newTestState()
+		apply := func(whole bool, value string) {
 			u := follow.Update{Whole: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
-			w.applyServers(u, 0, decodeIncarnation)
+			c.applyServers(u, 0, decodeIncarnation)
 		}
-		tell(true, "ready 20 4")
-		tell(true, "bad")
-		is.True(w.has("a~k"))
-		tell(false, "")
-		is.True(!w.has("a~k")) // its entry is removed
+		apply(true, "ready 20 4")
+		apply(true, "bad")
+		is.True(c.has("a~k"))
+		apply(false, "")
+		is.True(!c.has("a~k")) // a removed entry ends the server at once
 	})
 }
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -12,22 +12,23 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// evacuation is a failure domain whose servers are to get nothing more.
+// evacuation is the evacuation of a failure domain: its servers are to get no more requests.
 type evacuation struct {
-	// record is what asks for it.
+	// record is the record that asks for the evacuation.
 	record follow.Record
-	// knownAt is when this instance heard of it. From closeAt on its servers get nothing more, keys or not.
+	// knownAt is when this instance learned of the evacuation. From closeAt on, the servers get no more requests,
+	// whether or not they own keys.
 	knownAt time.Time
 	closeAt time.Time
-	// empty says that the servers have been seen without requests and keys.
+	// empty is set once the domain has been seen without requests and keys.
 	empty bool
 }
 
-// evacuations is the failure domains that operators evacuate, and those that they have taken back. It has no input or
-// output but its lines; world guards it.
+// evacuations holds the failure domains that operators evacuate, and those whose evacuation has ended. It is pure
+// state, apart from log lines; clusterState guards it.
 type evacuations struct {
 	events *event.Log
-	// active holds the evacuated domains, back when others were taken back.
+	// active holds the evacuations in force by domain, ended the times at which others ended.
 	active map[string]evacuation
 	ended  map[string]time.Time
 }
@@ -36,13 +37,13 @@
 	return &evacuations{events: events, active: map[string]evacuation{}, ended: map[string]time.Time{}}
 }
 
-// maxEnded bounds the memory of domains that were taken back.
+// maxEnded bounds the number of domains in ended. When it is reached, all of them are dropped.
 const maxEnded = 256
 
-// begin takes in that a domain is to be evacuated. It reports whether that is new.
+// begin starts the evacuation of a domain. It reports whether that is new.
 func (e *evacuations) begin(domain string, r follow.Record, now, closeAt time.Time) bool {
-	if known, there := e.active[domain]; there {
-		// Written again, it gives the domain no more time.
+	if known, found := e.active[domain]; found {
+		// A repeated record does not give the domain more time.
 		known.record = r
 		known.closeAt = clock.Earlier(known.closeAt, closeAt)
 		e.active[domain] = known
@@ -53,10 +54,10 @@
 	return true
 }
 
-// end takes in that a domain is taken back. It reports whether it was evacuated.
+// end ends the evacuation of a domain. It reports whether the domain was being evacuated.
 func (e *evacuations) end(domain string, now time.Time, offset int64) bool {
-	known, there := e.active[domain]
-	if !there {
+	known, found := e.active[domain]
+	if !found {
 		return false
 	}
 	if len(e.ended) >= maxEnded {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// records returns what asks for the evacuations in force, in the order of their offsets.
+// records returns the records of the evacuations in force, in the order of their offsets.
 func (e *evacuations) records() []follow.Record {
 	out := make([]follow.Record, 0, len(e.active))
 	for _, v := range e.active {
@@ -78,18 +79,18 @@
 	return out
 }
 
-// apply returns a server of a service as decisions are to see it.
+// apply returns a server with the effects of evacuations, as requests are to see it.
 //
-// Servers of a domain that is taken back are taken for cold, whatever their entries say: they may have been started
-// anew meanwhile, and an entry says so up to a second later.
+// Servers of a domain whose evacuation has ended are treated as cold, whatever their entries say: they may have been
+// restarted meanwhile, and an entry shows that up to a second late.
 func (e *evacuations) apply(s rules.Server, service rules.Service) rules.Server {
 	s.ColdRate = service.ColdRate
-	if at, was := e.ended[s.Domain]; was && service.ColdTime > 0 {
+	if at, found := e.ended[s.Domain]; found && service.ColdTime > 0 {
 		if warmAt := at.Add(service.ColdTime); warmAt.After(s.WarmAt) {
 			s.WarmAt = warmAt
 		}
 	}
-	if v, there := e.active[s.Domain]; there {
+	if v, found := e.active[s.Domain]; found {
 		s.Evacuated = true
 		if s.LeaveBy.IsZero() || v.closeAt.Before(s.LeaveBy) {
 			s.LeaveBy = v.closeAt
@@ -98,83 +99,83 @@
 	return s
 }
 
-// applyEvacuations takes in what records of the operator's topic say of evacuations, the oldest of which can have been
-// written the given time ago. Domain decodes the key of such a record. It reports whether anything changed.
-func (w *clusterState) applyEvacuations(u follow.Update, age time.Duration, domain func(key string) (string, bool)) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// applyEvacuations applies the records of an update that start or end evacuations. The oldest of them can have been
+// written as long ago as age. Domain decodes the key of such a record. It reports whether anything changed.
+func (c *clusterState) applyEvacuations(u follow.Update, age time.Duration, domain func(key string) (string, bool)) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
 	changed := false
 	listed := map[string]bool{}
 	for _, r := range u.Records {
-		name, is := domain(r.Key)
+		name, ok := domain(r.Key)
 		switch {
-		case !is:
+		case !ok:
 		case len(r.Value) == 0:
-			changed = w.evacuated.end(name, now, r.Offset) || changed
+			changed = c.evacuations.end(name, now, r.Offset) || changed
 		default:
 			listed[name] = true
-			changed = w.evacuated.begin(name, r, now, now.Add(w.evacuationTime-age)) || changed
+			changed = c.evacuations.begin(name, r, now, now.Add(c.evacuationTime-age)) || changed
 		}
 	}
 	if u.Whole {
-		for name := range maps.Clone(w.evacuated.active) {
+		for name := range maps.Clone(c.evacuations.active) {
 			if !listed[name] {
-				changed = w.evacuated.end(name, now, u.End) || changed
+				changed = c.evacuations.end(name, now, u.End) || changed
 			}
 		}
 	}
 	if changed {
-		w.publish()
+		c.publish()
 	}
 	return changed
 }
 
-// evacuationRecords returns what asks for the evacuations in force.
-func (w *clusterState) evacuationRecords() []follow.Record {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.evacuated.records()
+// evacuationRecords returns the records of the evacuations in force.
+func (c *clusterState) evacuationRecords() []follow.Record {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.evacuations.records()
 }
 
-// remaining is what an evacuated domain still has: requests that this instance sent there, and keys.
+// remaining is what is left in an evacuated domain: requests in progress that this instance sent there, and keys.
 type remaining struct {
 	requests int
 	keys     int
 }
 
-// logEmptied logs the evacuated domains that have become empty, and those that are not when they should be.
-func (w *clusterState) logEmptied(leftAt func(domain string) remaining) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// logEmptied logs once for each evacuated domain that it has become empty, and that it has not when its time is over.
+func (c *clusterState) logEmptied(remainingIn func(domain string) remaining) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	for domain, v := range w.evacuated.active {
+	for domain, v := range c.evacuations.active {
 		if v.empty {
 			continue
 		}
-		l := leftAt(domain)
-		if v.empty = l == (remaining{}); v.empty {
-			w.events.Note(event.Belief, "domain-empty", "domain", domain, "took", now.Sub(v.knownAt))
+		rest := remainingIn(domain)
+		if v.empty = rest == (remaining{}); v.empty {
+			c.events.Note(event.Belief, "domain-empty", "domain", domain, "took", now.Sub(v.knownAt))
 		} else if now.After(v.closeAt) && now.Sub(v.closeAt) < checkInterval {
-			w.events.Note(event.Belief, "domain-not-empty", "domain", domain, "requests", l.requests, "keys", l.keys)
+			c.events.Note(event.Belief, "domain-not-empty", "domain", domain, "requests", rest.requests, "keys", rest.keys)
 		}
-		w.evacuated.active[domain] = v
+		c.evacuations.active[domain] = v
 	}
 }
 
-// evacuatedDomains returns the evacuated domains and for how long each has been known to be so.
-func (w *clusterState) evacuatedDomains() map[string]time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// evacuatedDomains returns the evacuated domains and for how long each evacuation has been known.
+func (c *clusterState) evacuatedDomains() map[string]time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := map[string]time.Duration{}
-	for domain, v := range w.evacuated.active {
+	for domain, v := range c.evacuations.active {
 		out[domain] = time.Since(v.knownAt)
 	}
 	return out
 }
 
-// withEvacuations returns news of the operator's topic for the others: a configuration with all evacuations in force,
-// so that it says all there is, whatever they missed before it.
+// withEvacuations returns an update of ConfigTopic as it is broadcast: a configuration goes with all evacuations in
+// force, as a snapshot that is complete whatever the receivers have missed before.
 func (n *Node) withEvacuations(u follow.Update) follow.Update {
 	last := -1
 	for i, r := range u.Records {
@@ -190,19 +191,19 @@
 	return u
 }
 
-// logEmptied logs which evacuated domains may be worked on.
+// logEmptied logs which evacuated domains are empty, so that operators can work on them.
 func (n *Node) logEmptied() { n.cluster.logEmptied(n.remainingIn) }
 
-// remainingIn returns what is left at the servers of a domain.
+// remainingIn returns what is left in a domain: requests in progress, and keys that its servers own.
 func (n *Node) remainingIn(domain string) remaining {
-	l := remaining{requests: n.edge.Running(domain)}
+	rest := remaining{requests: n.edge.Running(domain)}
 	servers := n.cluster.servers()
 	for service, m := range n.leases.Owners().Maps {
 		for _, r := range m.Ranges {
-			if s, there := servers[r.Server]; there && s.Service == service && s.Domain == domain {
-				l.keys += r.Len()
+			if s, found := servers[r.Server]; found && s.Service == service && s.Domain == domain {
+				rest.keys += r.Len()
 			}
 		}
 	}
-	return l
+	return rest
 }
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -14,11 +14,11 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// checkInterval is the pause between two looks at what changes by itself: servers whose entries stay away, the reach of the
-// store, evacuated failure domains.
+// checkInterval is the pause between two checks for changes that no update announces: servers whose entries stay
+// missing, the reachability of the store, and evacuated failure domains that become empty.
 const checkInterval = 100 * time.Millisecond
 
-// updateLoop takes in news from the store.
+// updateLoop applies the updates of all watches until the context ends.
 func (n *Node) updateLoop(ctx context.Context) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -38,6 +38,7 @@
 	}
 }
 
+// applyUpdate applies an update to the part that it is for, and queues it for the broadcast to peers.
 func (n *Node) applyUpdate(ctx context.Context, u follow.Update) {
 	n.logRead(u)
 	if u.Err == nil && u.BegunAt != 0 {
@@ -64,8 +65,8 @@
 	n.queueBroadcast(u)
 }
 
-// retryUnanswered asks for the topics whose last read had no answer when another one has got its own: each is in a pause of
-// its own, and an instance may lead only if all are read.
+// retryUnanswered asks for a read of the topics whose last read failed when the read of another topic has succeeded.
+// Each topic has its own retry delay, and an instance may lead only if all topics can be read.
 func (n *Node) retryUnanswered(u follow.Update) {
 	if u.Err != nil || u.BegunAt == 0 {
 		return
@@ -77,7 +78,8 @@
 	}
 }
 
-// logRead counts a read of the store by its reason.
+// logRead counts a read of the store by topic and reason, and logs it. Updates of peers have no reason and are left
+// out.
 func (n *Node) logRead(u follow.Update) {
 	if u.Reason == "" {
 		return
@@ -95,15 +97,15 @@
 		"knowledge-age", age, "error", u.Err)
 }
 
-// currentReach reports whether the store answered the last calls about owners and about the directory. Who leads
-// needs both.
+// currentReach returns whether the store answered the last calls about owners and about the directory. A leader needs
+// both.
 func (n *Node) currentReach() storeReach {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return storeReach{owners: n.leases.StoreOK(), directory: !n.cluster.storeDown}
 }
 
-// logReach logs which of the store's topics this instance takes for reachable, when that changes.
+// logReach logs which topics of the store are reachable, when that changes.
 func (n *Node) logReach() {
 	now := n.currentReach()
 	if now != n.loggedReach {
@@ -112,7 +114,7 @@
 	}
 }
 
-// logDirectoryUpdate logs how news of the directory came and how old it is taken to be.
+// logDirectoryUpdate logs how records of the directory arrived and how old they may be.
 func (n *Node) logDirectoryUpdate(u follow.Update) {
 	if u.Err != nil || len(u.Records) == 0 {
 		return
@@ -125,13 +127,13 @@
 		"took", took, "age", n.updateAge(u), "end", u.End)
 }
 
-// unknownAge stands for the age of records of which nothing is known: older than any time that counts.
+// unknownAge stands for an age that is not known: it exceeds every time limit that an age is compared with.
 const unknownAge = maxKnowledgeAge
 
 // updateAge returns how long ago the oldest record of an update can have been written.
 //
-// An instance that has just started does not know. Taken for new, the word of a leaving server would give that
-// server its whole time once more.
+// An instance that has just started does not know. If it took the records for new, it would give a server that is
+// already leaving its whole drain time again.
 func (n *Node) updateAge(u follow.Update) time.Duration {
 	if u.Since == 0 {
 		return unknownAge
@@ -139,18 +141,20 @@
 	return max(clock.Boot{}.Now().Sub(u.Since), 0)
 }
 
-// handleTopicUpdate takes in what another instance has read.
+// handleTopicUpdate passes on what a peer has read to the watch of the topic. If its queue is full, the update is
+// dropped, and heartbeats show later that this instance is behind.
 func (n *Node) handleTopicUpdate(m gram.TopicUpdate) {
-	news := m.News
+	update := m.News
 	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
-		news.SentAt = sentAt
+		update.SentAt = sentAt
 	}
 	select {
-	case n.peerUpdates[m.Topic] <- news:
+	case n.peerUpdates[m.Topic] <- update:
 	default:
 	}
 }
 
+// applyConfigTopic applies the evacuations and the configuration in an update of ConfigTopic.
 func (n *Node) applyConfigTopic(u follow.Update) {
 	if u.Err != nil {
 		n.events.Note(event.Belief, "configuration-unread", "error", u.Err)
@@ -174,15 +178,18 @@
 	}
 }
 
+// serversChanged updates what depends on the servers: admission controllers and pools, and connections, which are
+// closed for servers that are gone.
 func (n *Node) serversChanged() {
 	servers := n.cluster.servers()
 	n.admissions.setServers()
 	n.edge.Pool.Keep(func(id string) bool { _, there := servers[id]; return there })
 }
 
+// ownersChanged wakes the requests that wait for a change of owners.
 func (n *Node) ownersChanged() { n.cluster.ownersChanged() }
 
-// receiveLoop takes messages of other instances.
+// receiveLoop handles the messages of other instances until the context ends.
 func (n *Node) receiveLoop(ctx context.Context) error {
 	for {
 		select {
@@ -194,6 +201,7 @@
 	}
 }
 
+// handleMessage dispatches a message by its type.
 func (n *Node) handleMessage(r gram.Received) {
 	switch m := r.Message.(type) {
 	case gram.Relay:
@@ -229,18 +237,19 @@
 	}
 }
 
-// leadershipChanged tells all whether this instance leads, and shortens the reads that wait if the others now rely on
-// it.
-func (n *Node) leadershipChanged(leads bool) {
+// leadershipChanged announces to all instances whether this one leads. A new leader also ends the long polls of its
+// watches, since the other instances now rely on its reads.
+func (n *Node) leadershipChanged(leading bool) {
 	n.sendHeartbeatToAll()
-	if !leads {
+	if !leading {
 		return
 	}
 	n.requestRead(n.platform.ConfigTopic)
 	n.requestRead(n.platform.ServersTopic)
 }
 
-// handleOwnerChange takes in a record of owners that another instance wrote.
+// handleOwnerChange passes a record of owners that a peer wrote to the lease manager. If its queue is full, the topic
+// is read from the store instead.
 func (n *Node) handleOwnerChange(m gram.OwnerChange) {
 	select {
 	case n.leases.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
@@ -249,20 +258,22 @@
 	}
 }
 
+// broadcastOwnerChange broadcasts a record of owners that this instance wrote.
 func (n *Node) broadcastOwnerChange(service string, offset int64, fence uint64, changes []shard.Range) {
 	n.broadcast(gram.OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes})
 }
 
-// Config implements edge.World.
+// Config implements edge.Cluster. It returns nil before a configuration is known.
 func (n *Node) Config() *rules.Config { return n.cluster.config.Load() }
 
-// Server implements edge.World.
+// Server implements edge.Cluster.
 func (n *Node) Server(id string) (rules.Server, bool) {
 	s, found := n.cluster.servers()[id]
 	return s, found
 }
 
-// Owner implements edge.World.
+// Owner implements edge.Cluster. The former owners of a range are left out if its move is known to be complete,
+// although no record says so yet.
 func (n *Node) Owner(service string, key uint16) (shard.Range, bool, <-chan struct{}) {
 	changed := n.cluster.ownersChange()
 	m := n.leases.Owners().Maps[service]
@@ -280,17 +291,19 @@
 	return r, true, changed
 }
 
-// Count implements edge.World.
+// Count implements edge.Cluster. It counts a request for the load report.
 func (n *Node) Count(service string, key uint16) { n.loadTracker.count(service, key) }
 
-// Suspicious implements edge.World.
-func (n *Node) Suspicious(print uint64) bool { return n.suspects.Blocked(print, time.Now()) }
+// Suspicious implements edge.Cluster.
+func (n *Node) Suspicious(print uint64) bool {
+	return n.suspects.Blocked(print, time.Now())
+}
 
-// crashProbeTimeout bounds the look whether a server whose connection was lost still takes new ones.
+// crashProbeTimeout limits the check whether a server that lost a connection still accepts new ones.
 const crashProbeTimeout = 300 * time.Millisecond
 
-// Crashed implements edge.World. Servers also break off single answers, so a lost connection
-// counts as a crash only if the server refuses a new one.
+// Crashed implements edge.Cluster. Servers also break off single answers, so a lost connection counts as a crash only
+// if the server does not accept a new one.
 func (n *Node) Crashed(print uint64, s rules.Server) {
 	go func() {
 		c, err := net.DialTimeout("tcp4", s.Address, crashProbeTimeout)
@@ -304,14 +317,14 @@
 	}()
 }
 
-// Cleared implements edge.World.
+// Cleared implements edge.Cluster.
 func (n *Node) Cleared(print uint64) {
 	if n.suspects.Clear(print) {
 		n.broadcast(gram.CrashReport{Fingerprint: print, Cleared: true})
 	}
 }
 
-// handleCrashReport takes in what another instance has seen of a request.
+// handleCrashReport records what another instance has seen of a request that may crash servers.
 func (n *Node) handleCrashReport(m gram.CrashReport) {
 	if m.Cleared {
 		n.suspects.Clear(m.Fingerprint)
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -10,47 +10,47 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// scope says whom a heartbeat goes to, besides the leader.
+// scope says which instances get a heartbeat, besides the leader, which always does.
 type scope int
 
-// The scopes, each of which holds those before it.
+// The scopes. Each includes those before it.
 const (
 	toLeader scope = iota
 	toDomain
 	toAll
 )
 
-// heartbeatLoop sends heartbeats to the instances of its domain and, less often, to all, and, as soon as what it
-// confirms has changed, to the leader, which may wait for that.
+// heartbeatLoop sends heartbeats to the instances of the own failure domain and, less often, to all. When what this
+// instance confirms has changed, it sends one to the leader at once, which may wait for it.
 func (n *Node) heartbeatLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var asked echoRequest
+	var echo echoRequest
 	var allAt time.Time
 	for {
-		whom := toLeader
+		to := toLeader
 		select {
 		case <-timer.C:
-			whom = toDomain
+			to = toDomain
 			timer.Reset(n.domainHeartbeatInterval())
 		case <-n.heartbeatAllNow:
-			whom = toAll
+			to = toAll
 		case <-n.heartbeatLeaderNow:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		now := time.Now()
-		if whom == toDomain && !now.Before(allAt) {
-			whom = toAll
+		if to == toDomain && !now.Before(allAt) {
+			to = toAll
 		}
-		if whom == toAll {
+		if to == toAll {
 			allAt = now.Add(n.allHeartbeatInterval())
 		}
-		n.sendHeartbeats(whom, &asked, now)
+		n.sendHeartbeats(to, &echo, now)
 	}
 }
 
-// domainHeartbeatInterval returns the time to the next heartbeat to the own domain.
+// domainHeartbeatInterval returns the time to the next heartbeat to the own failure domain.
 func (n *Node) domainHeartbeatInterval() time.Duration {
 	if n.leases.Leads() {
 		return min(n.roster.EveryNear(), n.roster.LeaderEvery())
@@ -58,55 +58,56 @@
 	return n.roster.EveryNear()
 }
 
-// allHeartbeatInterval returns the time to the next heartbeat to all. It goes with one to the own domain, the nearest in
-// time.
+// allHeartbeatInterval returns the minimum time to the next heartbeat to all instances. It is shortened by half a
+// domain interval, so that the heartbeat goes out with the nearest one to the own domain.
 func (n *Node) allHeartbeatInterval() time.Duration {
-	every := n.roster.Every()
+	interval := n.roster.Every()
 	if n.leases.Leads() {
-		every = n.roster.LeaderEvery()
+		interval = n.roster.LeaderEvery()
 	}
-	return every - n.domainHeartbeatInterval()/2
+	return interval - n.domainHeartbeatInterval()/2
 }
 
-// sendHeartbeats sends a heartbeat to the leader and to those in a scope.
+// sendHeartbeats sends a heartbeat to the leader and to the instances in a scope.
 //
-// What came from them is taken down before what this instance says: by the echo of a heartbeat that came
-// in between, they would date its word by a moment after it.
-func (n *Node) sendHeartbeats(whom scope, asked *echoRequest, now time.Time) {
+// The peers, whose last heartbeats are echoed, are read before the heartbeat is made. If a heartbeat that arrived in
+// between were echoed, its sender would take the content of this one for newer than it is.
+func (n *Node) sendHeartbeats(to scope, echo *echoRequest, now time.Time) {
 	others := n.roster.Others()
 	leader, found := n.roster.Leader(now)
 	b := n.newHeartbeat()
 	n.roster.Heard(b, now)
 	if found && leader.Name != n.settings.Name {
-		n.sendHeartbeat(leader, b, asked.due(leader.Name, now))
+		n.sendHeartbeat(leader, b, echo.due(leader.Name, now))
 	}
 	for _, p := range others {
-		if p.Name != leader.Name && (whom == toAll || whom == toDomain && p.Domain == n.settings.Domain) {
+		if p.Name != leader.Name && (to == toAll || to == toDomain && p.Domain == n.settings.Domain) {
 			n.sendHeartbeat(p, b, false)
 		}
 	}
 }
 
-// echoRequestInterval is the pause between two heartbeats that ask the leader for one at once. The time from one
-// that it gets to the next that it sends is half a second else, and its news would seem older by that.
+// echoRequestInterval is the pause between two heartbeats that ask the leader to reply at once. Without these, half a
+// second passes between a heartbeat that the leader gets and the next that it sends, and its information would seem
+// older by that.
 const echoRequestInterval = 2 * time.Second
 
-// echoRequest is who was asked last for a heartbeat at once, and when to ask again.
+// echoRequest is the peer that was last asked to reply at once, and when to ask again.
 type echoRequest struct {
 	peer   string
 	nextAt time.Time
 }
 
-// due reports whether an instance should be asked, and notes that it is.
-func (a *echoRequest) due(name string, now time.Time) bool {
-	if a.peer == name && now.Before(a.nextAt) {
+// due reports whether a peer is to be asked now, and if so records the request.
+func (e *echoRequest) due(name string, now time.Time) bool {
+	if e.peer == name && now.Before(e.nextAt) {
 		return false
 	}
-	*a = echoRequest{name, now.Add(echoRequestInterval)}
+	*e = echoRequest{name, now.Add(echoRequestInterval)}
 	return true
 }
 
-// sendHeartbeat sends a heartbeat to one instance, with the echo of its last one.
+// sendHeartbeat sends a heartbeat to one peer, with the echo of the peer's last one. Ask asks for a reply at once.
 func (n *Node) sendHeartbeat(p roster.Peer, b roster.Beat, ask bool) {
 	if to, ok := peerAddress(p); ok {
 		b.EchoAt, b.Ask = p.Beat.SentAt, ask
@@ -114,40 +115,43 @@
 	}
 }
 
-// maxKnowledgeAge is the age from which on knowledge of the owners is of no use to others.
+// maxKnowledgeAge is the age from which on a view of the owners, the configuration or the directory is of no use to
+// peers.
 const maxKnowledgeAge = 30 * time.Second
 
+// newHeartbeat returns the heartbeat of this instance, without the fields that depend on the receiver.
 func (n *Node) newHeartbeat() roster.Beat {
-	// The time of sending is taken first: an age that is told with a later one would make what is known
-	// seem younger by what passed between, a good part of a tenth of a second where a part of a core is a quota.
+	// Take the send time first. If it were taken after the ages, the view would seem younger by the time in between,
+	// which is a large part of a tenth of a second where the share of a core is a quota.
 	sentAt := clock.Boot{}.Now()
-	complete, config, servers := n.completeness(sentAt)
+	complete, configEnd, serversEnd := n.completeness(sentAt)
 	reached := n.currentReach()
 	age := int64(-1)
 	if a := n.leases.Age(); a < maxKnowledgeAge {
 		age = a.Milliseconds() + 1
 	}
-	proven := clock.Instant(n.storeAnsweredAt.Load())
+	answeredAt := clock.Instant(n.storeAnsweredAt.Load())
 	return roster.Beat{
-		Proven:   proven != 0 && clock.Boot{}.Now().Sub(proven) < n.leaderPollTimeout()+storeAnswerSlack,
+		Proven:   answeredAt != 0 && clock.Boot{}.Now().Sub(answeredAt) < n.leaderPollTimeout()+storeAnswerSlack,
 		Complete: complete,
 		SentAt:   int64(sentAt), KnownAge: age,
 		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.leases.Confirmed(),
 		Known: n.leases.Owners().End, StoreOK: reached.owners && reached.directory,
-		Stopping: n.isStopping(), Leads: n.leases.Leads(), Config: config, Servers: servers, Failing: n.leases.Failing(),
+		Stopping: n.isStopping(), Leads: n.leases.Leads(), Config: configEnd, Servers: serversEnd, Failing: n.leases.Failing(),
 	}
 }
 
-// completeness returns the ends of the configuration and the directory that this instance acts by, and how
-// old the knowledge is at an instant that nothing is missing before them, in milliseconds, negative if
-// it is of no use to others.
-func (n *Node) completeness(at clock.Instant) (age, config, servers int64) {
-	config, configUntil := n.watches[n.platform.ConfigTopic].Known()
-	servers, serversUntil := n.watches[n.platform.ServersTopic].Known()
-	return ageMillis(at, min(configUntil, serversUntil)), config, servers
+// completeness returns the end offsets of the configuration and the directory that this instance acts by, and the age
+// of its knowledge that nothing is missing before them, in milliseconds at an instant; negative if it is of no use to
+// peers.
+func (n *Node) completeness(at clock.Instant) (age, configEnd, serversEnd int64) {
+	configEnd, configUntil := n.watches[n.platform.ConfigTopic].Known()
+	serversEnd, serversUntil := n.watches[n.platform.ServersTopic].Known()
+	return ageMillis(at, min(configUntil, serversUntil)), configEnd, serversEnd
 }
 
-// ageMillis returns the age at an instant of knowledge up to another, negative if it is of no use to others.
+// ageMillis returns the age in milliseconds, at an instant, of a view that is current as of another; negative if it
+// is of no use to peers.
 func ageMillis(at, until clock.Instant) int64 {
 	age := at.Sub(until)
 	if until == 0 || age > maxKnowledgeAge {
@@ -156,8 +160,8 @@
 	return max(age.Milliseconds()+1, 0)
 }
 
-// confirmCurrent takes in that another instance misses nothing before the ends it knows. Who knows less
-// than that one must read instead.
+// confirmCurrent uses the statement of a peer that it misses nothing before the ends that it knows: a watch of this
+// instance with the same end is current as of the same time. A watch with a lower end must read the store instead.
 func (n *Node) confirmCurrent(b roster.Beat) {
 	sentAt, dated := n.roster.Date(b.Name, b.SentAt, clock.Boot{}.Now())
 	if b.Complete < 0 || !dated {
@@ -168,8 +172,7 @@
 	n.watches[n.platform.ServersTopic].Refresh(b.Servers, until)
 }
 
-// handleHeartbeat takes in the heartbeat of another instance, and reads again what that one knows more
-// of.
+// handleHeartbeat processes the heartbeat of a peer, and reads the topics of which the peer knows more.
 func (n *Node) handleHeartbeat(b roster.Beat) {
 	now := time.Now()
 	n.roster.Heard(b, now)
@@ -181,26 +184,27 @@
 	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.Owners().End, now) {
 		n.requestView(b.Name)
 	}
-	config, _ := n.watches[n.platform.ConfigTopic].Known()
-	servers, _ := n.watches[n.platform.ServersTopic].Known()
-	n.checkLag(n.platform.ConfigTopic, b.Config, config, now)
-	n.checkLag(n.platform.ServersTopic, b.Servers, servers, now)
+	configEnd, _ := n.watches[n.platform.ConfigTopic].Known()
+	serversEnd, _ := n.watches[n.platform.ServersTopic].Known()
+	n.checkLag(n.platform.ConfigTopic, b.Config, configEnd, now)
+	n.checkLag(n.platform.ServersTopic, b.Servers, serversEnd, now)
 	n.confirmCurrent(b)
 }
 
-// replyWithHeartbeat sends a heartbeat at once to who asked for it.
+// replyWithHeartbeat sends a heartbeat at once to the peer that asked for it.
 func (n *Node) replyWithHeartbeat(name string) {
 	if p, known := n.roster.Peer(name); known {
 		n.sendHeartbeat(p, n.newHeartbeat(), false)
 	}
 }
 
-// checkLag reads a topic again, and reports so, if this instance is behind another one for too long.
-func (n *Node) checkLag(topic string, theirs, mine int64, now time.Time) bool {
-	if !n.lag[topic].observe(theirs, mine, n.lagTimeout(), now) {
+// checkLag requests a read of a topic, and logs and reports it, if this instance has known less of the topic than a
+// peer for too long.
+func (n *Node) checkLag(topic string, peerEnd, ownEnd int64, now time.Time) bool {
+	if !n.lag[topic].observe(peerEnd, ownEnd, n.lagTimeout(), now) {
 		return false
 	}
-	n.events.Note(event.Belief, "behind", "topic", topic, "known", mine, "known-elsewhere", theirs)
+	n.events.Note(event.Belief, "behind", "topic", topic, "known", ownEnd, "known-elsewhere", peerEnd)
 	n.requestRead(topic)
 	return true
 }
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -10,19 +10,19 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// A process stood still while it made up a heartbeat: what it knew was told with an age of before and a
-// time of sending of after, and seemed younger to the others by the time between. The age counts at the
-// instant that is told as that of sending.
+// Guards against ages that look too young. A process was throttled while it made a heartbeat: the age was from
+// before, the send time from after, and its view seemed younger to its peers by the time in between. The age must be
+// as of the stated send time.
 func TestAgeRefersToSendTime(t *testing.T) {
 	const second = clock.Instant(time.Second)
 	tests := map[string]struct {
 		config, servers, at clock.Instant
 		want                int64
 	}{
-		"the older of the two counts":   {5 * second, 6 * second, 7 * second, 2001},
-		"applied after the time":        {9 * second, 8 * second, 7 * second, 0},
-		"the configuration is not read": {0, 6 * second, 7 * second, -1},
-		"too old for others":            {5 * second, 6 * second, 36 * second, -1},
+		"older one counts":         {5 * second, 6 * second, 7 * second, 2001},
+		"applied after that time":  {9 * second, 8 * second, 7 * second, 0},
+		"configuration never read": {0, 6 * second, 7 * second, -1},
+		"too old for peers":        {5 * second, 6 * second, 36 * second, -1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/lag.go
+++ b/internal/node/lag.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// behindTime is how long an instance may know less than another one before it reads again:
-// usually news is on its way to it. Who does not lead waits longer where there are many, by behindEach for
-// each instance: the leader reads, and tells all, and they need not read as well.
+// minLagTimeout is how long an instance may know less than a peer before it reads the store: usually the update is on
+// its way to it. Where there are many instances, those that do not lead wait longer, by lagTimeoutPerInstance for
+// each: the leader reads and broadcasts the update, and the others need not read as well.
 const (
 	minLagTimeout         = 150 * time.Millisecond
 	lagTimeoutPerInstance = 4 * time.Millisecond
 )
 
-// lagDetector notices that this instance knows less of a topic than others, although news of it
-// should have come: a read that waits for news may have lost its answer, or a message was lost.
+// lagDetector detects that this instance knows less of a topic than its peers although the update should have
+// arrived: a read that waits for records may have lost its answer, or a message was lost.
 type lagDetector struct {
+	// ownEnd is the end of the topic that this instance knew when it first fell behind, since is when that was or when
+	// the lag was last reported.
 	ownEnd int64
 	since  time.Time
 }
 
-// lagTimeout returns how long this instance waits for news that others have.
+// lagTimeout returns for how long this instance may know less than a peer before it reads the store.
 func (n *Node) lagTimeout() time.Duration {
 	if n.leases.Leads() {
 		return minLagTimeout
@@ -25,22 +27,22 @@
 	return minLagTimeout + time.Duration(n.instances())*lagTimeoutPerInstance
 }
 
-// observe takes in what another instance knows, and what this one knows. It returns true when this
-// instance has been behind for longer than it is patient, and should read the topic again.
+// observe compares the ends of the topic that a peer and this instance know. It returns true when this instance has
+// been behind for longer than the timeout and should read the topic again.
 //
-// Only the instance's own progress starts the time anew. Word of others that know no more must
-// not: most do not while news is missing, and their heartbeats come between.
-func (b *lagDetector) observe(theirs, mine int64, patience time.Duration, now time.Time) bool {
-	if theirs <= mine {
+// Only progress of this instance restarts the timeout. Heartbeats of peers that know no more must not: while an
+// update is missing, most peers lack it, and their heartbeats arrive in between.
+func (d *lagDetector) observe(peerEnd, ownEnd int64, timeout time.Duration, now time.Time) bool {
+	if peerEnd <= ownEnd {
 		return false
 	}
-	if b.since.IsZero() || b.ownEnd != mine {
-		b.ownEnd, b.since = mine, now
+	if d.since.IsZero() || d.ownEnd != ownEnd {
+		d.ownEnd, d.since = ownEnd, now
 		return false
 	}
-	if now.Sub(b.since) < patience {
+	if now.Sub(d.since) < timeout {
 		return false
 	}
-	b.since = now
+	d.since = now
 	return true
 }
--- a/internal/node/lag_test.go
+++ b/internal/node/lag_test.go
@@ -7,20 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// A route that was added was refused with 404 for four seconds at eight of eleven instances.
-// The store had dropped its history; two instances read the newest configuration and said so in
-// their heartbeats. Between these came the heartbeats of the eight, which knew no more, and each
-// of them let the others forget that they were behind.
+// Guards against a lag that is never detected because most peers lag as well. Two of eleven instances read the newest
+// configuration after the store had dropped its history. The heartbeats of the others, which knew no more, came in
+// between and restarted the timeout, and eight instances rejected a new route with 404 for four seconds.
 func TestLagShownByFewPeers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	var b lagDetector
+	var d lagDetector
 	read := false
 	for range 4 {
-		read = b.observe(4, 2, minLagTimeout, now) || read // one that knows more
+		read = d.observe(4, 2, minLagTimeout, now) || read // a peer that knows more
 		for range 8 {
 			now = now.Add(28 * time.Millisecond)
-			read = b.observe(2, 2, minLagTimeout, now) || read // those that do not
+			read = d.observe(2, 2, minLagTimeout, now) || read // peers that do not
 		}
 		now = now.Add(26 * time.Millisecond)
 	}
@@ -29,24 +28,24 @@
 
 func TestLagDetector(t *testing.T) {
 	start := time.Unix(0, 0)
-	type word struct {
-		after        time.Duration
-		theirs, mine int64
-		read         bool
+	type heartbeat struct {
+		after           time.Duration
+		peerEnd, ownEnd int64
+		read            bool
 	}
-	tests := map[string][]word{
-		"not behind":             {{0, 3, 3, false}, {time.Second, 3, 3, false}},
-		"news comes in time":     {{0, 4, 3, false}, {100 * time.Millisecond, 4, 4, false}, {time.Second, 4, 4, false}},
-		"news does not come":     {{0, 4, 3, false}, {200 * time.Millisecond, 4, 3, true}},
-		"the next news is young": {{0, 4, 3, false}, {200 * time.Millisecond, 5, 4, false}, {400 * time.Millisecond, 5, 4, true}},
-		"not at each heartbeat":  {{0, 4, 3, false}, {200 * time.Millisecond, 4, 3, true}, {210 * time.Millisecond, 4, 3, false}},
+	tests := map[string][]heartbeat{
+		"not behind":                    {{0, 3, 3, false}, {time.Second, 3, 3, false}},
+		"update arrives in time":        {{0, 4, 3, false}, {100 * time.Millisecond, 4, 4, false}, {time.Second, 4, 4, false}},
+		"update does not arrive":        {{0, 4, 3, false}, {200 * time.Millisecond, 4, 3, true}},
+		"progress restarts the timeout": {{0, 4, 3, false}, {200 * time.Millisecond, 5, 4, false}, {400 * time.Millisecond, 5, 4, true}},
+		"not on every heartbeat":        {{0, 4, 3, false}, {200 * time.Millisecond, 4, 3, true}, {210 * time.Millisecond, 4, 3, false}},
 	}
-	for name, words := range tests {
+	for name, heartbeats := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var b lagDetector
-			for _, w := range words {
-				is.Equal(b.observe(w.theirs, w.mine, minLagTimeout, start.Add(w.after)), w.read)
+			var d lagDetector
+			for _, h := range heartbeats {
+				is.Equal(d.observe(h.peerEnd, h.ownEnd, minLagTimeout, start.Add(h.after)), h.read)
 			}
 		})
 	}
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -11,73 +11,79 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// The times of loads.
 const (
+	// reportInterval is the pause between two load reports to the leader.
 	reportInterval = 500 * time.Millisecond
-	// capacityHalfLife is the time after which an answer counts half for the power of a server, and
-	// powerLeast the number of answers, so counted, from which on a power is believed.
+	// capacityHalfLife is the time after which an answer counts half for the capacity of a server, and
+	// minCapacityAnswers the number of answers, so weighted, from which on a capacity is taken as known.
 	capacityHalfLife   = 3 * time.Second
 	minCapacityAnswers = 3
-	// minEstimateAnswers is the number of answers, so counted, below which a word is forgotten.
+	// minEstimateAnswers is the number of answers, so weighted, below which an estimate is dropped.
 	minEstimateAnswers = 0.1
 )
 
-// loadTracker counts the requests for keys, and at the leader adds up what all instances counted.
+// loadTracker counts the requests for keys that this instance receives. At the leader it also adds up the reports of
+// all instances.
 type loadTracker struct {
 	mu sync.Mutex
-	// counts are this instance's own, since its last report.
+	// counts holds this instance's own counts by service and key since its last report, services what all instances
+	// reported to this one as the leader.
 	counts   map[string]map[uint16]uint16
 	services map[string]*serviceLoad
 }
 
-// serviceLoad is the load of one service as the leader knows it.
+// serviceLoad is the load of one service and the capacity of its servers, by id, as the leader knows them.
 type serviceLoad struct {
 	rates      *shard.Rates
 	capacities map[string]capacityEstimates
 }
 
-// capacityEstimates is what the instances say of a server: the last word of each, weighed by the answers that
-// it has seen of late.
+// capacityEstimates holds the last estimate of the capacity of one server by each instance, weighted by the number of
+// recent answers that it rests on.
 //
-// With the last word of all counting, an instance that has seen a single answer outdoes the one in
-// charge of the server: the server seems several times as powerful to each second plan, which moves ranges
-// there that the next one moves away.
+// Unweighted, an instance that has seen a single answer could outweigh the one that controls the server: the capacity
+// would seem several times higher to every second plan, which would move ranges to the server that the next plan
+// moves away.
 type capacityEstimates map[string]*capacityEstimate
 
-// capacityEstimate is what one instance says of a server.
+// capacityEstimate is the estimate of one instance.
 type capacityEstimate struct {
-	rate    float64
+	// rate is in requests per second.
+	rate float64
+	// answers is the number of answers that the estimate rests on, decayed as of the time at.
 	answers float64
 	at      time.Time
 }
 
-func (w *capacityEstimate) decay(now time.Time) {
-	w.answers *= math.Exp2(-now.Sub(w.at).Seconds() / capacityHalfLife.Seconds())
-	w.at = now
+// decay reduces the weight of the answers by the time since the last call.
+func (e *capacityEstimate) decay(now time.Time) {
+	e.answers *= math.Exp2(-now.Sub(e.at).Seconds() / capacityHalfLife.Seconds())
+	e.at = now
 }
 
-// add takes in the word of an instance.
-func (p capacityEstimates) add(name string, rate float64, answers int, now time.Time) {
-	w := p[name]
-	if w == nil {
-		w = &capacityEstimate{at: now}
-		p[name] = w
+// add replaces the estimate of an instance.
+func (es capacityEstimates) add(name string, rate float64, answers int, now time.Time) {
+	e := es[name]
+	if e == nil {
+		e = &capacityEstimate{at: now}
+		es[name] = e
 	}
-	w.decay(now)
-	w.rate = rate
-	w.answers += float64(answers)
+	e.decay(now)
+	e.rate = rate
+	e.answers += float64(answers)
 }
 
-// rate returns the requests that the server can run in a second, and whether that is known.
-func (p capacityEstimates) rate(now time.Time) (float64, bool) {
+// rate returns the weighted mean of the estimates in requests per second, and whether enough answers are known for
+// it.
+func (es capacityEstimates) rate(now time.Time) (float64, bool) {
 	sum, answers := 0.0, 0.0
-	for name, w := range p {
-		if w.decay(now); w.answers < minEstimateAnswers {
-			delete(p, name)
+	for name, e := range es {
+		if e.decay(now); e.answers < minEstimateAnswers {
+			delete(es, name)
 			continue
 		}
-		sum += w.rate * w.answers
-		answers += w.answers
+		sum += e.rate * e.answers
+		answers += e.answers
 	}
 	return sum / max(answers, minCapacityAnswers), answers >= minCapacityAnswers
 }
@@ -86,6 +92,7 @@
 	return &loadTracker{counts: map[string]map[uint16]uint16{}, services: map[string]*serviceLoad{}}
 }
 
+// count counts a request for a key.
 func (l *loadTracker) count(service string, key uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +102,7 @@
 	l.counts[service][key]++
 }
 
-// flush returns the counts since the last call.
+// flush returns the counts since the last call by service, as reports of the named instance.
 func (l *loadTracker) flush(name string) map[string]gram.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +144,7 @@
 	}
 }
 
-// load returns the load of a service by key.
+// load returns the requests per second of a service by key, nil if nothing is known.
 func (l *loadTracker) load(service string) []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +155,7 @@
 	return s.rates.Load(time.Now())
 }
 
-// capacities returns what the servers of a service can do.
+// capacities returns the known capacities of the servers of a service in requests per second.
 func (l *loadTracker) capacities(service string) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,17 +165,18 @@
 	}
 	now := time.Now()
 	out := make(map[string]float64, len(s.capacities))
-	for id, p := range s.capacities {
-		if rate, known := p.rate(now); known {
+	for id, es := range s.capacities {
+		if rate, known := es.rate(now); known {
 			out[id] = rate
-		} else if len(p) == 0 {
+		} else if len(es) == 0 {
 			delete(s.capacities, id)
 		}
 	}
 	return out
 }
 
-// reportLoop sends what this instance counted to the leader.
+// reportLoop reports the requests that this instance counted and the capacities that it measured to the leader. It
+// also logs lost messages.
 func (n *Node) reportLoop(ctx context.Context) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -185,16 +193,17 @@
 		for _, service := range n.cluster.dividedServices() {
 			m := reports[service]
 			m.Name, m.Service = n.settings.Name, service
-			for id, power := range n.admissions.capacityReport(service) {
+			for id, capacity := range n.admissions.capacityReport(service) {
 				m.Servers = append(m.Servers, id)
-				m.Capacities = append(m.Capacities, power.Rate)
-				m.Answers = append(m.Answers, uint16(min(power.Answers, math.MaxUint16)))
+				m.Capacities = append(m.Capacities, capacity.Rate)
+				m.Answers = append(m.Answers, uint16(min(capacity.Answers, math.MaxUint16)))
 			}
 			n.sendLoadReport(m)
 		}
 	}
 }
 
+// sendLoadReport sends a report to the leader, unless it is empty or no leader is known.
 func (n *Node) sendLoadReport(m gram.LoadReport) {
 	leader, found := n.roster.Leader(time.Now())
 	if !found || len(m.Keys)+len(m.Servers) == 0 {
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -9,9 +9,9 @@
 	"example.org/mustardring/internal/gram"
 )
 
-// Two instances spoke of the same server: the one in charge of it had seen sixty answers, the other
-// a single quick one from a time when it had not heard of the first. Each second plan believed the
-// other, moved half a dozen ranges to the server, and the next plan moved them away.
+// Guards against a capacity that alternates between two estimates. The controller of a server had seen sixty answers,
+// another instance a single quick one from when it did not know of the controller yet. Every second plan used the
+// estimate of the other instance and moved half a dozen ranges to the server, and the next plan moved them away.
 func TestCapacityIsWeightedByAnswers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
@@ -23,14 +23,14 @@
 	}
 	rate, _ := l.services["books"].capacities["s"].rate(now)
 	is.True(rate > 11 && rate < 17)
-	// The server turns five times slower: that shows at once.
+	// The server becomes five times slower, which shows at once.
 	now = now.Add(reportInterval)
 	l.add(gram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{2.4}, Answers: []uint16{2}}, now)
 	rate, _ = l.services["books"].capacities["s"].rate(now)
 	is.True(rate < 9)
 }
 
-// A server that nobody hears of any more is not believed to be what it was.
+// Checks that the capacity of a server is unknown again when no more answers are reported.
 func TestCapacityIsForgotten(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// maxCompletedMoves bounds the ranges that wait to be told of, and those in one message.
+	// maxCompletedMoves is the maximum number of completed moves that wait to be broadcast, and of those in one
+	// message.
 	maxCompletedMoves = 512
-	// gatherDelayPerInstance, for each instance, is how long settled ranges are gathered: told one by one, the moves of a
-	// plan at some hundred servers are as many messages to some hundred instances.
+	// gatherDelayPerInstance, for each instance, is how long completed moves are gathered. Sent one by one, the moves
+	// of a plan for some hundred servers would be as many messages to some hundred instances.
 	gatherDelayPerInstance = 100 * time.Microsecond
 )
 
-// moveCompleted takes in that a range has come to its new owner, for all to know.
+// moveCompleted records that the move of a range to its new owner is complete, and queues it for the next broadcast.
+// If the queue is full, it broadcasts the move at once.
 func (n *Node) moveCompleted(service string, from uint16, fence uint64) {
 	r := gram.MovedRange{Service: service, From: from, Fence: fence}
 	n.cluster.markMovesComplete([]gram.MovedRange{r})
@@ -27,7 +29,7 @@
 	}
 }
 
-// broadcastMovesLoop tells all of settled ranges, those that come close together in one message.
+// broadcastMovesLoop broadcasts completed moves, in one message if they follow one another closely.
 func (n *Node) broadcastMovesLoop(ctx context.Context) error {
 	for {
 		var ranges []gram.MovedRange
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -14,8 +14,8 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// A plan moved 200 ranges, and each told 294 instances for itself that it had come to its new owner: 59,000
-// messages of one instance in half a second. Those that come close together must go in one.
+// Guards against one message per move and instance. A plan moved 200 ranges, and each completed move was sent to 294
+// instances separately: 59,000 messages from one instance within half a second.
 func TestCompletedMovesAreBatched(t *testing.T) {
 	is := is.New(t)
 	port, err := gram.Listen("127.0.0.1:0")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,5 @@
-// Package node runs an instance on the users' platform: it starts the duties and joins them.
+// Package node runs an instance: it connects the parts of the system to each other, to the other instances and to
+// the platform, and runs their goroutines.
 package node
 
 import (
@@ -30,31 +31,34 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// Platform is what the adapter brings.
+// Platform is what the adapter of a platform provides: the calls to outside systems and the decoders of their data.
 type Platform struct {
 	Store  follow.Store
 	Orders holder.Orders
 	Wire   edge.Wire
-	// ConfigTopic, Servers and Owners are topics of the store, ConfigKey is the key of the
-	// configuration.
-	ConfigTopic    string
-	ConfigKey string
-	ServersTopic   string
-	OwnersTopic    string
-	// ReadyPath is the path that the balancer asks.
+	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
+	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
+	// the configuration in its topic.
+	ConfigTopic  string
+	ConfigKey    string
+	ServersTopic string
+	OwnersTopic  string
+	// ReadyPath is the path of the readiness check of the load balancer.
 	ReadyPath    string
 	DecodeConfig func(data []byte) (*rules.Config, error)
-	// DecodeEvacuation returns the failure domain that a record of the topic of the configuration asks to evacuate, by
-	// its key, false if it is about something else.
-	DecodeEvacuation func(key string) (domain string, is bool)
-	DecodeServer     func(id string, data []byte, readAt time.Time) (rules.Server, error)
+	// DecodeEvacuation returns the failure domain that a record of ConfigTopic asks to evacuate, given the key of the
+	// record, or false if the record is about something else.
+	DecodeEvacuation func(key string) (domain string, ok bool)
+	// DecodeServer returns the server that an entry of the directory states, given the key of the entry.
+	DecodeServer func(id string, data []byte, readAt time.Time) (rules.Server, error)
 }
 
-// maxQueuedPeerUpdates is the number of messages with news that may wait. What does not fit is read from
-// the store.
+// maxQueuedPeerUpdates is the number of updates of peers that may be queued per topic. What does not fit is dropped
+// and read from the store later.
 const maxQueuedPeerUpdates = 32
 
-// Node is an instance.
+// Node is an instance: one process of the system. It also implements the interface through which the edge sees the
+// cluster.
 type Node struct {
 	settings    config.Serve
 	platform    Platform
@@ -69,73 +73,81 @@
 	suspects    *edge.Suspects
 	meters      *edge.Meters
 	inlet       *inlet.Server
-	// storeCalls counts the calls to the store by reason.
+	// storeCalls counts appends by topic and kind of record, and reads by topic and reason.
 	storeCalls *expvar.Map
-	// storeTimes holds how long calls to the store took that do not wait for news.
-	storeTimes   *edge.Times
-	incarnation  uint64
+	// storeTimes records the latencies of calls to the store, except for reads that wait for new records.
+	storeTimes *edge.Times
+	// incarnation is drawn at random at each start of the process.
+	incarnation uint64
+	// updates takes the updates of all watches. readRequests, by topic, asks a watch for a read at once;
+	// peerUpdates, by topic, passes it what peers have read.
 	updates      chan follow.Update
 	readRequests map[string]chan struct{}
 	peerUpdates  map[string]chan follow.News
-	// broadcasts holds what was read of the configuration and the directory and is to be told to the others.
-	broadcasts    map[string]chan follow.Update
-	unreachableMu sync.Mutex
-	// unreachableLoggedAt is when a keeper's silence was last logged.
+	// broadcasts holds, by topic, updates of the configuration and the directory that are to be broadcast.
+	broadcasts map[string]chan follow.Update
+	// unreachableMu guards unreachableLoggedAt, which holds, by instance, when it was last logged that this controller
+	// does not answer.
+	unreachableMu       sync.Mutex
 	unreachableLoggedAt map[string]time.Time
-	// completedMoves holds ranges that have come to their new owners and that the others are to be told of.
-	completedMoves     chan gram.MovedRange
+	// completedMoves holds ranges whose moves are complete and are to be broadcast.
+	completedMoves chan gram.MovedRange
+	// heartbeatLeaderNow and heartbeatAllNow ask for a heartbeat at once.
 	heartbeatLeaderNow chan struct{}
 	heartbeatAllNow    chan struct{}
 	watches            map[string]*follow.Topic
-	// storeAnsweredAt is when the store last answered this instance.
+	// storeAnsweredAt is when the store last answered a read of this instance, by the lease clock; zero for never.
 	storeAnsweredAt atomic.Int64
-	lag             map[string]*lagDetector
-	registered      chan struct{}
-	stopping        chan struct{}
-	// loggedReach is what was logged last; it belongs to the goroutine of updates.
+	// lag holds, by topic, what detects that peers know more.
+	lag map[string]*lagDetector
+	// registered is closed when the first record of this instance may be in the register, stopping when the
+	// instance begins to stop.
+	registered chan struct{}
+	stopping   chan struct{}
+	// loggedReach is what was logged last. Only updateLoop uses it.
 	loggedReach storeReach
 }
 
-// storeReach is which topics of the store an instance takes for reachable.
+// storeReach states for which topics the last calls to the store succeeded.
 type storeReach struct {
 	owners    bool
 	directory bool
 }
 
-// New returns an instance that is not started.
-func New(settings config.Serve, around Platform, events *event.Log) (*Node, error) {
+// New returns an instance that listens for messages of its peers but is not started yet; see Run.
+func New(settings config.Serve, platform Platform, events *event.Log) (*Node, error) {
 	port, err := gram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
 	n := &Node{
-		settings: settings, platform: around, events: events, port: port,
+		settings: settings, platform: platform, events: events, port: port,
 		roster: roster.New(settings.Name, settings.Domain),
 		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
 		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewTimes(),
 		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{}, broadcasts: map[string]chan follow.Update{},
 		lag: map[string]*lagDetector{}, completedMoves: make(chan gram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
-	n.platform.Store = &instrumentedStore{Store: around.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
+	n.platform.Store = &instrumentedStore{Store: platform.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
 	n.cluster = newClusterState(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
 		evacuationTime(settings.Bounds))
-	for _, topic := range []string{around.ConfigTopic, around.ServersTopic, around.OwnersTopic} {
+	for _, topic := range []string{platform.ConfigTopic, platform.ServersTopic, platform.OwnersTopic} {
 		n.readRequests[topic] = make(chan struct{}, 1)
 		n.lag[topic] = &lagDetector{}
 		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
 	}
-	for _, topic := range []string{around.ConfigTopic, around.ServersTopic} {
+	for _, topic := range []string{platform.ConfigTopic, platform.ServersTopic} {
 		n.broadcasts[topic] = make(chan follow.Update, maxQueuedBroadcasts)
 	}
 	n.loadTracker = newLoadTracker()
 	n.admissions = newAdmissions(n)
 	n.leases = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.platform.Store,
-		Topic: around.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
+		Name: settings.Name, Domain: settings.Domain, Orders: platform.Orders, Store: n.platform.Store,
+		Topic: platform.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
 		Servers: n.cluster.servers, Directory: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, Target: n.cluster.shortestTarget, Load: n.loadTracker.load, Powers: n.loadTracker.capacities,
-		Again:        func() { n.requestRead(around.OwnersTopic) },
-		DirectoryAge: func() time.Duration { return n.watches[around.ServersTopic].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(around.ServersTopic) },
+		Again:        func() { n.requestRead(platform.OwnersTopic) },
+		DirectoryAge: func() time.Duration { return n.watches[platform.ServersTopic].Age() },
+		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(platform.ServersTopic) },
 		Leading: n.leadershipChanged, Tell: n.broadcastOwnerChange, TellRegister: n.broadcastRegister, Settled: n.moveCompleted,
 		Changed: n.ownersChanged, Announce: n.sendHeartbeatToLeader,
 	})
@@ -145,21 +157,22 @@
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Wire: around.Wire, World: n, Permits: n.admissions, Pool: edge.NewPool(n.connections), Budget: budget,
+		Wire: platform.Wire, World: n, Permits: n.admissions, Pool: edge.NewPool(n.connections), Budget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
 	return n, nil
 }
 
-// The time after the start of a server in which its entry may be missing: a server writes it once in
-// an interval, and the first time as soon as it runs. Renewals wait for it after a connection was
-// lost, so that more than entryMost, half a lease, would cost the server its keys.
+// entryIntervalFactor and maxEntryTime determine how long after the start of a server its entry in the directory may be
+// missing. A server writes its entry as soon as it runs and then once per interval. After a lost connection, renewals
+// wait for the entry: more than maxEntryTime, half a lease, would cost the server its keys.
 const (
 	entryIntervalFactor = 1.1
 	maxEntryTime        = 1100 * time.Millisecond
 )
 
+// entryTime returns that time for an interval in seconds; zero means that the interval is not known.
 func entryTime(interval float64) time.Duration {
 	if interval <= 0 {
 		return maxEntryTime
@@ -167,12 +180,12 @@
 	return min(time.Duration(interval*entryIntervalFactor*float64(time.Second)), maxEntryTime)
 }
 
-// evacuationShare is the part of the time in which evacuated servers must get their last request that this instance uses:
-// the rest is for what it cannot know, as how long the news of it took while the store was away.
+// evacuationShare is the part of the time limit of an evacuation after which this instance sends no more requests. The
+// rest covers delays that it cannot know, such as how long the record took to arrive during an outage of the store.
 const evacuationShare = 0.5
 
-// evacuationTime returns how long after its evacuation is known a server may get requests. Without a bound of its own an
-// evacuation is as urgent as a leaving server.
+// evacuationTime returns for how long servers may get requests after their evacuation is known. If the settings have no
+// limit for evacuations, that for draining servers applies.
 func evacuationTime(b config.Bounds) time.Duration {
 	seconds := b.EvacuationSeconds * evacuationShare
 	if seconds == 0 {
@@ -181,22 +194,24 @@
 	return time.Duration(seconds*float64(time.Second)) - drainReserve
 }
 
+// instances returns the number of registered instances.
 func (n *Node) instances() int { return n.roster.Len() }
 
-// connectionShare is the part of a server's connections that all instances together use for
-// requests. The rest is for orders, and for instances that join.
+// connectionShare is the part of the connections of a server that all instances together use for requests. The rest is
+// for grants and releases of leases, and for instances that join.
 const connectionShare = 0.7
 
-// connections returns how many connections this instance may open to a server of a service.
+// connections returns how many connections this instance may open to each server of a service.
 func (n *Node) connections(service string) int {
 	c := n.cluster.config.Load()
-	most := 100
+	limit := 100
 	if c != nil && c.Services[service].MaxConns > 0 {
-		most = c.Services[service].MaxConns
+		limit = c.Services[service].MaxConns
 	}
-	return max(int(float64(most)*connectionShare)/max(n.instances(), 1), 3)
+	return max(int(float64(limit)*connectionShare)/max(n.instances(), 1), 3)
 }
 
+// limits returns the limits of the configuration on requests of callers, or the defaults before it is known.
 func (n *Node) limits() inlet.Limits {
 	c := n.cluster.config.Load()
 	if c == nil {
@@ -205,7 +220,7 @@
 	return inlet.Limits(c.Limits)
 }
 
-// signalOnce wakes the reader of a channel that holds one element, unless it is to wake already.
+// signalOnce sends on a channel of capacity one, unless a signal is already pending.
 func signalOnce(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -213,45 +228,49 @@
 	}
 }
 
+// requestRead asks the watch of a topic to read the store at once.
 func (n *Node) requestRead(topic string) { signalOnce(n.readRequests[topic]) }
 
+// sendHeartbeatToLeader asks heartbeatLoop for a heartbeat to the leader at once.
 func (n *Node) sendHeartbeatToLeader() { signalOnce(n.heartbeatLeaderNow) }
 
+// sendHeartbeatToAll asks heartbeatLoop for a heartbeat to all instances at once.
 func (n *Node) sendHeartbeatToAll() { signalOnce(n.heartbeatAllNow) }
 
-// Run serves until the context ends or a signal asks to stop.
+// Run serves until the context ends, a worker ends, or SIGTERM or SIGINT asks for a graceful stop. It returns the joined
+// errors of the workers.
 func (n *Node) Run(ctx context.Context) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	n.events.Note(event.Belief, "start", "instance", n.settings.Name, "domain", n.settings.Domain,
 		"incarnation", n.incarnation, "first-start", n.settings.FirstStart)
-	// Callers that vanish are noticed by the limits on their time. Keep-alive probes would cost four
-	// system calls for each connection.
+	// Time limits detect callers that vanish. TCP keep-alive would cost four system calls per
+	// connection.
 	listener := net.ListenConfig{KeepAlive: -1}
 	front, err := listener.Listen(ctx, "tcp4", n.settings.Front)
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
-	duties := duty.New(ctx, 24)
-	duties.Go("events", n.events.Run)
-	duties.Go("port", n.port.Run)
-	duties.Go("messages", n.receiveLoop)
-	duties.Go("register", n.registerLoop)
-	duties.Go("updates", n.updateLoop)
+	group := duty.New(ctx, 24)
+	group.Go("events", n.events.Run)
+	group.Go("port", n.port.Run)
+	group.Go("messages", n.receiveLoop)
+	group.Go("register", n.registerLoop)
+	group.Go("updates", n.updateLoop)
 	for topic := range n.broadcasts {
-		duties.Go("tell-"+topic, n.broadcastLoop(topic))
+		group.Go("tell-"+topic, n.broadcastLoop(topic))
 	}
-	duties.Go("beats", n.heartbeatLoop)
-	duties.Go("settled", n.broadcastMovesLoop)
-	duties.Go("holder", n.leases.Run)
-	duties.Go("permits", n.admissions.run)
-	duties.Go("loads", n.reportLoop)
-	duties.Go("ready", n.serveReady)
-	duties.Go("metrics", n.serveMetrics)
-	duties.Go("front", func(ctx context.Context) error { return n.inlet.Serve(ctx, front) })
-	n.startWatches(duties)
-	taken := 0
+	group.Go("beats", n.heartbeatLoop)
+	group.Go("settled", n.broadcastMovesLoop)
+	group.Go("holder", n.leases.Run)
+	group.Go("permits", n.admissions.run)
+	group.Go("loads", n.reportLoop)
+	group.Go("ready", n.serveReady)
+	group.Go("metrics", n.serveMetrics)
+	group.Go("front", func(ctx context.Context) error { return n.inlet.Serve(ctx, front) })
+	n.startWatches(group)
+	ended := 0
 	for running := true; running; {
 		select {
 		case s := <-signals:
@@ -261,31 +280,33 @@
 			}
 			n.stop(ctx, front)
 			running = false
-		case end := <-duties.Ends():
-			taken++
+		case end := <-group.Ends():
+			ended++
 			if end.Err != nil {
 				n.events.Note(event.Belief, "duty-failed", "duty", end.Name, "error", end.Err)
-				err = errors.Join(err, fmt.Errorf("node: duty %s: %w", end.Name, end.Err))
+				err = errors.Join(err, fmt.Errorf("node: worker %s: %w", end.Name, end.Err))
 			}
 			running = false
 		}
 	}
-	return errors.Join(err, duties.Wait(taken))
+	return errors.Join(err, group.Wait(ended))
 }
 
-// reload takes in that the settings may have changed. What can change while the process runs
-// is the configuration, which does not stand in the settings.
+// reload handles SIGHUP. It only logs it: the settings do not change while the process runs, and the configuration
+// comes from the store.
 func (n *Node) reload() {
 	n.events.Note(event.Belief, "reload", "instance", n.settings.Name)
 }
 
+// entry returns the record of this instance for the register.
 func (n *Node) entry(ended bool) roster.Entry {
 	return roster.Entry{
 		Address: net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.PeerPorts[0])), Domain: n.settings.Domain,
-		Incarnation: n.incarnation, Share: n.cpuShare(), Ended: ended,
+		Incarnation: n.incarnation, Share: n.workShare(), Ended: ended,
 	}
 }
 
+// appendEntry writes the record of this instance to the register. Ended says that the instance stops.
 func (n *Node) appendEntry(ctx context.Context, ended bool) error {
 	value, err := n.entry(ended).Encode()
 	if err != nil {
@@ -295,14 +316,16 @@
 	return err
 }
 
-// fullLinkMbps is the speed of a link, in Mbit/s, from which on it does not bind what an instance can do for
+// fullLinkMbps is the speed of a link, in Mbit/s, from which on it does not limit what an instance can do for
 // others.
 const fullLinkMbps = 100
 
-func (n *Node) cpuShare() float64 {
+// workShare returns what this instance can do for others: its share of a core, less on a slow link.
+func (n *Node) workShare() float64 {
 	return n.settings.CPUShare * min(1, n.settings.LinkMbps/fullLinkMbps)
 }
 
+// peerAddress returns the address that a peer receives messages on, false if its record holds no valid one.
 func peerAddress(p roster.Peer) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(p.Address)
 	return a, err == nil
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -21,7 +21,7 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// hangingStore is a store that takes calls during an outage and never answers these.
+// hangingStore is a store that, during an outage, accepts calls and never answers them.
 type hangingStore struct {
 	mu      sync.Mutex
 	hanging bool
@@ -29,10 +29,10 @@
 	calls   int
 }
 
-func (s *hangingStore) setHanging(silent bool) {
+func (s *hangingStore) setHanging(hanging bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hanging = silent
+	s.hanging = hanging
 }
 
 func (s *hangingStore) put(key, value string) {
@@ -45,7 +45,7 @@
 	return 0, hang(ctx)
 }
 
-// hang waits as long as a call that is not answered.
+// hang waits like a call that gets no answer, and returns the error of the context or its timeout.
 func hang(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, follow.SilenceMost)
 	defer cancel()
@@ -60,21 +60,21 @@
 func (s *hangingStore) Read(ctx context.Context, _ string, from int64, _ time.Duration) (follow.Batch, error) {
 	s.mu.Lock()
 	s.calls++
-	silent := s.hanging
+	hanging := s.hanging
 	all := follow.Batch{Records: s.records[min(from, int64(len(s.records))):], End: int64(len(s.records))}
 	s.mu.Unlock()
-	if !silent {
+	if !hanging {
 		return all, nil
 	}
 	return follow.Batch{}, hang(ctx)
 }
 
-// testClock is a lease clock that goes on with the time of the test.
+// testClock is a lease clock that follows the fake time of the test.
 type testClock struct{}
 
 func (testClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
 
-// newFollower returns an instance among others that follows the topics of a store.
+// newFollower returns an instance among others that watches the topics of a store. It does not lead.
 func newFollower(s follow.Store, others int) *Node {
 	n := &Node{
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
@@ -92,13 +92,14 @@
 		n.roster.Put(name, roster.Entry{Address: fmt.Sprintf("127.0.0.1:%d", 1000+i), Domain: "a", Incarnation: 1, Share: 1}, time.Now())
 	}
 	n.watches = n.newWatches()
-	for _, topic := range n.watches {
-		topic.Clock = testClock{}
+	for _, watch := range n.watches {
+		watch.Clock = testClock{}
 	}
 	return n
 }
 
-// heartbeatsFromOthers lets an instance hear all others, which know no more than it does, until the context ends.
+// heartbeatsFromOthers gives an instance heartbeats of all others, which know no more than it does, until the context
+// ends.
 func (n *Node) heartbeatsFromOthers(ctx context.Context) error {
 	for duty.Pause(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
@@ -108,7 +109,7 @@
 	return ctx.Err()
 }
 
-// Guards against a change that is not in force in time since a read outlives the outage in which it began.
+// Guards against a change that comes into force late because a read outlives the outage in which it began.
 func TestChangeAfterAnOutage(t *testing.T) {
 	const bound = 2 * time.Second
 	tests := map[string]int{"alone": 0, "one of eleven": 10}
@@ -122,15 +123,15 @@
 					n := newFollower(s, others)
 					ctx, cancel := context.WithCancel(t.Context())
 					ended := make(chan error, 2)
-					topic := n.watches["config"]
-					go func() { ended <- topic.Run(ctx) }()
+					watch := n.watches["config"]
+					go func() { ended <- watch.Run(ctx) }()
 					go func() { ended <- n.heartbeatsFromOthers(ctx) }()
 					defer func() {
 						cancel()
 						is.True(<-ended != nil)
 						is.True(<-ended != nil)
 					}()
-					topic.Applied(<-n.updates)
+					watch.Applied(<-n.updates)
 					time.Sleep(5 * time.Second)
 					s.setHanging(true)
 					time.Sleep(outage)
@@ -138,7 +139,7 @@
 					s.put("config", "2")
 					changedAt := time.Now()
 					for u := range n.updates {
-						topic.Applied(u)
+						watch.Applied(u)
 						if u.End == 2 {
 							break
 						}
@@ -150,7 +151,7 @@
 	}
 }
 
-// Guards against calls to a store that is down that grow with the number of instances.
+// Guards against calls to an unavailable store that grow with the number of instances.
 func TestRetriesDoNotGrowWithInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -168,7 +169,8 @@
 	})
 }
 
-// Guards against an instance that reaches the store for one topic and does not try the others, so that nobody leads.
+// Guards against an instance that reaches the store for one topic and does not retry the others, so that no instance
+// leads.
 func TestAnswerEndsRetryDelaysOfOtherTopics(t *testing.T) {
 	for outage := 10 * time.Second; outage <= 14*time.Second; outage += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -179,8 +181,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, len(n.watches)+1)
 			go func() { ended <- n.heartbeatsFromOthers(ctx) }()
-			for _, topic := range n.watches {
-				go func() { ended <- topic.Run(ctx) }()
+			for _, watch := range n.watches {
+				go func() { ended <- watch.Run(ctx) }()
 			}
 			defer func() {
 				cancel()
@@ -211,7 +213,7 @@
 	}
 }
 
-// Guards against a stop that outlasts its time since the store does not answer.
+// Guards against a stop that exceeds its time limit because the store does not answer.
 func TestStopDoesNotWaitForTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -7,12 +7,13 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// pools knows the pools of all services, and which of them this instance asks. It is guarded by the lock of
-// permits.
+// pools holds the pools of all services and chooses which of them requests ask. The lock of admissions guards it.
 type pools struct {
-	name    string
-	domain  string
+	name   string
+	domain string
+	// servers holds the servers by pool, or by service for services that are divided by key.
 	servers map[string][]rules.Server
+	// pickers holds, by service, what chooses the pools that a request asks.
 	pickers map[string]*permit.Picker
 }
 
@@ -23,22 +24,23 @@
 // serversOf returns the servers of a pool, or of a service that is divided by key.
 func (p *pools) serversOf(pool string) []rules.Server { return p.servers[pool] }
 
-// picker returns what chooses the pools of a service.
+// picker returns the picker of a service. A service without servers has one empty pool.
 func (p *pools) picker(service string) *permit.Picker {
-	k := p.pickers[service]
-	if k == nil {
-		k = p.newPicker([]permit.Pool{{Name: service, Service: service}})
-		p.pickers[service] = k
+	picker := p.pickers[service]
+	if picker == nil {
+		picker = p.newPicker([]permit.Pool{{Name: service, Service: service}})
+		p.pickers[service] = picker
 	}
-	return k
+	return picker
 }
 
+// newPicker returns a picker for the pools of one service.
 func (p *pools) newPicker(all []permit.Pool) *permit.Picker {
 	return permit.NewPicker(p.name, p.domain, all, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// rebuild takes in the servers and the configuration. Servers that leave get no more requests, but have
-// their keys until these are moved.
+// rebuild replaces the pools after a change of servers or configuration. Servers that leave get no new requests,
+// except for keys that they still own.
 func (p *pools) rebuild(servers map[string]rules.Server, c *rules.Config) {
 	divided := func(service string) bool { return c != nil && c.Services[service].Divided }
 	services := map[string][]rules.Server{}
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -10,29 +10,28 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// The pace of registration.
 const (
-	// registerInterval is how often an instance looks whether it still is registered, and the pause after a record that
-	// the store refused.
+	// registerInterval is the pause between two checks whether this instance is still registered, and the pause after
+	// a record that the store refused.
 	registerInterval = 400 * time.Millisecond
-	// maxAppendTime is how long a record that was sent may take until it is read: the store lets appends wait for one
-	// another for two seconds.
+	// maxAppendTime is how long it may take until a record that was sent can be read: appends wait up to two seconds
+	// for one another in the store.
 	maxAppendTime = 2500 * time.Millisecond
 )
 
-// registration decides when this instance writes itself into the register.
+// registration decides when this instance writes its record to the register.
 //
-// The answer to a record may be lost, or may come too late where all instances start while the store is slow. The
-// record is there all the same, so the register is read before it is written again: else each attempt makes all
-// others wait longer.
+// The answer to a write may be lost, or arrive too late when all instances start while the store is slow, although
+// the record was written. So the register is read before the record is written again: otherwise each attempt would
+// delay the records of all others.
 type registration struct {
 	// nextAt is when the next record may be written.
 	nextAt time.Time
-	// outcomeUnknown says that it is not known whether the last one was.
+	// outcomeUnknown says that the last record may or may not have been written.
 	outcomeUnknown bool
 }
 
-// due reports whether a record is to be written by an instance that knows itself to be registered, or not.
+// due reports whether a record is to be written, given whether this instance finds itself in the register.
 func (r *registration) due(registered bool, now time.Time) bool {
 	if registered {
 		r.outcomeUnknown = false
@@ -41,7 +40,7 @@
 	return !now.Before(r.nextAt)
 }
 
-// attempted takes in how an attempt ended. It reports whether the record may be in the register.
+// attempted records the result of a write. It reports whether the record may be in the register.
 func (r *registration) attempted(err error, now time.Time) bool {
 	if errors.Is(err, follow.ErrNotDone) {
 		r.nextAt = now.Add(registerInterval)
@@ -52,8 +51,8 @@
 	return true
 }
 
-// registerLoop writes this instance into the register, and again should its record be removed. The owners are followed
-// from the first record on: they may be acted on only once this record is among them.
+// registerLoop registers this instance, and again if its record is removed. The owners are watched from the first
+// record on: this instance may act on them only once its own record is among what it has read.
 func (n *Node) registerLoop(ctx context.Context) error {
 	var r registration
 	following := false
--- a/internal/node/register_test.go
+++ b/internal/node/register_test.go
@@ -10,12 +10,12 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// Guards against instances that write themselves down again and again since each answer comes too late.
+// Guards against instances that write their records again and again because each answer arrives too late.
 func TestRegisterIsReadBeforeAppendIsRepeated(t *testing.T) {
 	tests := map[string]struct {
-		err     error
-		maybe   bool
-		repeats time.Duration
+		err      error
+		possible bool
+		repeats  time.Duration
 	}{
 		"answered":  {nil, true, maxAppendTime},
 		"no answer": {fmt.Errorf("%w: silent", follow.ErrUnknown), true, maxAppendTime},
@@ -27,7 +27,7 @@
 			var r registration
 			now := time.Now()
 			is.True(r.due(false, now))
-			is.Equal(r.attempted(test.err, now), test.maybe)
+			is.Equal(r.attempted(test.err, now), test.possible)
 			is.True(!r.due(false, now.Add(test.repeats-time.Millisecond)))
 			is.True(r.due(false, now.Add(test.repeats)))
 			is.True(!r.due(true, now.Add(time.Hour)))
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -14,16 +14,16 @@
 	"example.org/mustardring/internal/event"
 )
 
-// The times of a stop.
 const (
-	// balancerTime is how long the balancer may take to leave this instance out: it asks once a
-	// second and twice in vain.
+	// balancerTime is how long the load balancer may take to remove this instance: it checks once a second, and
+	// removes it after two failed checks.
 	balancerTime = 2300 * time.Millisecond
-	// stopReserve is kept of the time that a stop may take.
+	// stopReserve is kept free at the end of the time that the settings allow for a stop.
 	stopReserve      = 500 * time.Millisecond
 	stopPollInterval = 20 * time.Millisecond
 )
 
+// isStopping reports whether the instance has begun to stop.
 func (n *Node) isStopping() bool {
 	select {
 	case <-n.stopping:
@@ -33,15 +33,16 @@
 	}
 }
 
-// stop ends the instance in order: it says that it is not ready, hands its duties over, takes
-// requests until the balancer has left it out, and answers what is in progress.
+// stop ends the instance gracefully: it reports that it is not ready, hands its responsibilities over, takes requests
+// until the load balancer has removed it, and answers what is in progress.
 func (n *Node) stop(ctx context.Context, front net.Listener) {
 	n.events.Note(event.Belief, "stop", "instance", n.settings.Name, "busy", n.inlet.Busy())
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
 	n.leases.Stop()
-	// The others take over its renewals only when they hear of it, within a lease.
+	// The others take over its lease renewals only once they know that it stops, which must be within
+	// the duration of a lease.
 	n.sendHeartbeatToAll()
 	n.inlet.Drain()
 	for time.Since(began) < balancerTime && ctx.Err() == nil {
@@ -49,7 +50,7 @@
 	}
 	_ = front.Close()
 	n.inlet.Finish()
-	// A connection lasts until the caller has taken the last answer from it.
+	// A connection stays open until the caller has read the last answer from it.
 	for n.inlet.Conns() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(stopPollInterval)
 		n.inlet.Finish()
@@ -58,23 +59,23 @@
 	n.events.Note(event.Belief, "stopped", "instance", n.settings.Name, "busy", n.inlet.Busy(), "took", time.Since(began))
 }
 
-// recordEnd writes down that this instance ends, unless the store takes longer than until a time: the process is killed
-// soon after it.
-func (n *Node) recordEnd(ctx context.Context, until time.Time) {
-	ctx, cancel := context.WithDeadline(ctx, until)
+// recordEnd writes to the register that this instance ends. It gives up at a deadline, soon after which the process
+// is killed.
+func (n *Node) recordEnd(ctx context.Context, deadline time.Time) {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	if err := n.appendEntry(ctx, true); err != nil {
 		n.events.Note(event.Belief, "end-not-recorded", "error", err)
 	}
 }
 
-// ready reports whether callers should come to this instance: it knows a configuration and
-// servers, and does not stop.
+// ready reports whether callers should be sent to this instance: it knows a configuration and servers, and is not
+// stopping.
 func (n *Node) ready() bool {
 	return !n.isStopping() && n.cluster.config.Load() != nil && len(n.cluster.servers()) > 0
 }
 
-// serveReady answers the balancer.
+// serveReady answers the readiness checks of the load balancer.
 func (n *Node) serveReady(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(n.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +86,7 @@
 	return serveHTTP(ctx, n.settings.Ready, mux)
 }
 
-// serveMetrics serves counters and latencies, as text and as JSON.
+// serveMetrics serves counters and latencies, as text at /metrics and as JSON at /debug/vars.
 func (n *Node) serveMetrics(ctx context.Context) error {
 	vars := new(expvar.Map).Init()
 	vars.Set("mustardring-requests", n.meters.Var())
@@ -101,6 +102,7 @@
 	return serveHTTP(ctx, address, mux)
 }
 
+// serveMetricsText writes all metrics as sorted lines of text.
 func (n *Node) serveMetricsText(w http.ResponseWriter, _ *http.Request) {
 	s := n.meters.Snapshot()
 	var lines []string
@@ -136,9 +138,10 @@
 	}
 }
 
-// shutdownTimeout bounds the end of the small servers.
+// shutdownTimeout limits the shutdown of the servers for readiness and metrics.
 const shutdownTimeout = 100 * time.Millisecond
 
+// serveHTTP serves a handler at an address until the context ends, and returns the error of the context then.
 func serveHTTP(ctx context.Context, address string, handler http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -12,7 +12,8 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// instrumentedStore counts what is written to the store by what it is about, and logs it.
+// instrumentedStore counts the appends to a store by topic and kind of record, logs them, and records the latency of
+// calls. It leaves out reads that wait for records.
 type instrumentedStore struct {
 	follow.Store
 	calls  *expvar.Map
@@ -38,10 +39,10 @@
 	return batch, err
 }
 
-// Append implements follow.Store.
+// Append implements follow.Store. The kind of a record is the part of its key before the first slash.
 func (s *instrumentedStore) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
-	about, _, _ := strings.Cut(key, "/")
-	s.calls.Add("append "+topic+" "+about, 1)
+	kind, _, _ := strings.Cut(key, "/")
+	s.calls.Add("append "+topic+" "+kind, 1)
 	begun := clock.Boot{}.Now()
 	offset, err := s.Store.Append(ctx, topic, key, value, asOf)
 	took := clock.Boot{}.Now().Sub(begun)
