--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -1,5 +1,5 @@
 // Package gram sends small messages between instances as UDP datagrams. A message may be lost,
-// duplicated or delayed; receivers must tolerate all three.
+// duplicated or delayed; the messages are designed so that none of these does harm.
 package gram
 
 import (
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -148,8 +148,8 @@
 	return !known && !s.Draining
 }
 
-// older reports whether an entry states less than the known one: it is of an earlier incarnation, or an earlier entry
-// of the same one. Where each incarnation of a server has a name of its own, its first entry is never older.
+// older reports whether an entry is outdated by the known one: it is of an earlier incarnation, or an earlier entry
+// of the same one. Where each incarnation of a server has a name of its own, its first entry is never outdated.
 func older(s, known rules.Server) bool {
 	if s.StartedAt != known.StartedAt {
 		return s.StartedAt < known.StartedAt
