--- a/internal/gram/deflate.go
+++ b/internal/gram/deflate.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// deflateFrom is the size of a datagram from which on it is compressed. Large ones name the same servers
-	// and addresses many times; uncompressed, the record of a plan that replaces some hundred servers does not
-	// fit into a datagram, and nobody hears of it.
-	deflateFrom = 2 << 10
-	// inflatedMost bounds what a compressed datagram may hold.
-	inflatedMost = 1 << 20
-	// kindDeflated marks a compressed datagram.
+	// minDeflateSize is the size in bytes from which on datagrams are compressed. Large messages repeat the same
+	// servers and addresses; uncompressed, the record of a plan that replaces some hundred servers does not
+	// fit into a datagram, and no instance receives it.
+	minDeflateSize = 2 << 10
+	// maxInflatedSize is the maximum size of a decompressed datagram in bytes.
+	maxInflatedSize = 1 << 20
+	// kindDeflated is the first byte of a compressed datagram, in place of the kind of a message.
 	kindDeflated = 16
 )
 
-// deflate compresses a datagram if it is large.
+// deflate compresses a datagram of at least minDeflateSize and returns others unchanged.
 func deflate(data []byte) ([]byte, error) {
-	if len(data) < deflateFrom {
+	if len(data) < minDeflateSize {
 		return data, nil
 	}
 	var out bytes.Buffer
@@ -38,13 +38,13 @@
 	return out.Bytes(), nil
 }
 
-// inflate returns the datagram that a compressed one holds, without its mark.
+// inflate decompresses a datagram, given without its first byte. It rejects nested compression.
 func inflate(body []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), inflatedMost+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxInflatedSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMessage, err)
 	}
-	if len(data) > inflatedMost || len(data) > 0 && data[0] == kindDeflated {
+	if len(data) > maxInflatedSize || len(data) > 0 && data[0] == kindDeflated {
 		return nil, ErrMessage
 	}
 	return data, nil
--- /dev/null
+++ b/internal/node/admissions.go
@@ -0,0 +1,349 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/netip"
+	"sync"
+	"time"
+
+	"example.org/mustardring/internal/edge"
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/permit"
+)
+
+const (
+	// tickInterval is the pause between two looks at the queues of the controllers, idleTickInterval that while
+	// nothing is queued, when only the admissions in use are checked: each wake-up costs an idle instance.
+	tickInterval     = 10 * time.Millisecond
+	idleTickInterval = 50 * time.Millisecond
+)
+
+// slowdownScale is the value of gram.Completion.Slowdown that stands for the usual speed.
+const slowdownScale = 100
+
+// admissions requests admissions for the requests of this instance, and runs the controllers of the pools and servers
+// that this instance is responsible for.
+type admissions struct {
+	node   *Node
+	client *admissionClient
+
+	mu sync.Mutex
+	// controllers holds the controllers of pools by name, and those of services divided by key by service.
+	controllers map[string]*permit.Keeper
+	pools       *pools
+	// queued signals that a request was queued while none was.
+	queued chan struct{}
+	// isolated says that this instance hears too few others to be sure that only it admits requests to its servers.
+	isolated bool
+}
+
+func newAdmissions(n *Node) *admissions {
+	return &admissions{
+		node: n, controllers: map[string]*permit.Keeper{}, pools: newPools(n.settings.Name, n.settings.Domain), queued: make(chan struct{}, 1),
+		client: newAdmissionClient(n.port.Send, n.controllerUnreachable, n.settings.CPUShare, n.settings.LinkMbps),
+	}
+}
+
+// run calls tick until the context ends, more often while requests are queued.
+func (ad *admissions) run(ctx context.Context) error {
+	timer := time.NewTimer(idleTickInterval)
+	defer timer.Stop()
+	for {
+		select {
+		case <-timer.C:
+		case <-ad.queued:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		if ad.tick() {
+			timer.Reset(tickInterval)
+		} else {
+			timer.Reset(idleTickInterval)
+		}
+	}
+}
+
+// wake makes run tick at once because a request was queued.
+func (ad *admissions) wake() { signalOnce(ad.queued) }
+
+// tick advances all controllers, rechecks admissions that are in use for long, and reports whether requests are
+// queued.
+func (ad *admissions) tick() (waiting bool) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	now := time.Now()
+	ad.isolated = !ad.node.roster.Most(now)
+	for pool, c := range ad.controllers {
+		if !c.Idle() {
+			ad.deliver(c.Tick(now))
+			waiting = true
+		}
+		for _, id := range c.Doubtful(now) {
+			ad.recheck(c, id, now)
+		}
+		if n := c.Expired(); n > 0 {
+			ad.node.events.Note(event.Belief, "permits-expired", "pool", pool, "count", n)
+		}
+	}
+	return waiting
+}
+
+// recheck asks the holder of an admission whether it is still in use, or cancels it if the holder is unreachable. The
+// lock is held.
+//
+// When a failure domain is cut off, its instances hold admissions that they cannot give up. These would occupy free
+// slots of servers, and requests would be rejected there.
+func (ad *admissions) recheck(c *permit.Keeper, id permit.Key, now time.Time) {
+	if !ad.node.roster.Reached(id.From, now) {
+		ad.node.events.Note(event.Belief, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
+		ad.deliver(c.Withdraw(now, id))
+		return
+	}
+	if to, err := netip.ParseAddrPort(id.From); err == nil {
+		ad.node.port.Send(to, gram.AdmissionCheck{Serial: id.Serial})
+	}
+}
+
+// controller returns the controller of a pool, or of a service that is divided by key. The lock is held.
+func (ad *admissions) controller(pool string) *permit.Keeper {
+	c := ad.controllers[pool]
+	if c == nil {
+		c = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		ad.controllers[pool] = c
+		ad.deliver(c.SetServers(time.Now(), ad.pools.serversOf(pool)))
+	}
+	return c
+}
+
+// setServers updates pools and controllers after a change of servers or services.
+func (ad *admissions) setServers() {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.pools.rebuild(ad.node.cluster.servers(), ad.node.cluster.config.Load())
+	for pool, c := range ad.controllers {
+		ad.deliver(c.SetServers(time.Now(), ad.pools.serversOf(pool)))
+	}
+}
+
+// capacityReport returns what the controller of a service has measured of its servers since the last call.
+func (ad *admissions) capacityReport(service string) map[string]permit.Power {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	c := ad.controllers[service]
+	if c == nil {
+		return nil
+	}
+	return c.Report()
+}
+
+// deliver sends decisions to the instances that requested them, or passes them to the own client. The lock is held.
+func (ad *admissions) deliver(decisions []permit.Verdict) {
+	for _, v := range decisions {
+		id := permit.KeyOf(v)
+		m := decisionMessage(v)
+		if id.From == "" {
+			ad.client.handleDecision(netip.AddrPort{}, m)
+			continue
+		}
+		if to, err := netip.ParseAddrPort(id.From); err == nil {
+			ad.node.port.Send(to, m)
+		}
+	}
+}
+
+// decisionMessage returns the message that states a decision.
+func decisionMessage(v permit.Verdict) gram.AdmissionDecision {
+	m := gram.AdmissionDecision{Serial: permit.KeyOf(v).Serial}
+	switch v := v.(type) {
+	case permit.Granted:
+		m.Server = v.Server
+	case permit.Refused:
+		m.Reason = string(v.Reason)
+		m.RetryInMs, m.WaitMs = int(v.RetryIn.Milliseconds()), int(v.Wait.Milliseconds())
+	case permit.Waiting:
+	}
+	return m
+}
+
+// handleRequest answers an admission request of another instance.
+func (ad *admissions) handleRequest(from netip.AddrPort, m gram.AdmissionRequest) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	now := time.Now()
+	r := permit.Ask{
+		Key: permit.Key{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
+		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, Elsewhere: m.HasFallback,
+		TargetAt: now.Add(time.Duration(m.TargetInMs) * time.Millisecond),
+		LimitAt:  now.Add(time.Duration(m.DeadlineInMs) * time.Millisecond),
+	}
+	r.Apart = ad.isolated
+	c := ad.controller(m.Pool)
+	idle := c.Idle()
+	ad.deliver([]permit.Verdict{c.Ask(now, r)})
+	if idle && !c.Idle() {
+		ad.wake()
+	}
+}
+
+// handleCompletion passes the completion of another instance's request to the controller.
+func (ad *admissions) handleCompletion(from netip.AddrPort, m gram.Completion) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.deliver(ad.controller(m.Pool).Done(time.Now(), permit.Done{
+		Key: permit.Key{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
+		Outcome: m.Outcome, Took: time.Duration(m.DurationUs) * time.Microsecond, Bytes: m.AnswerBytes,
+		Load: permit.Load{
+			Running: m.Running, Waiting: m.Waiting, Known: m.LoadKnown, Slowdown: float64(m.Slowdown) / slowdownScale,
+		},
+	}))
+}
+
+// handleCancel cancels an admission of another instance, in all pools if the message names none.
+func (ad *admissions) handleCancel(from netip.AddrPort, m gram.Cancel) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	id := permit.Key{From: from.String(), Serial: m.Serial}
+	for pool, c := range ad.controllers {
+		if m.Pool == "" || m.Pool == pool {
+			ad.deliver(c.Withdraw(time.Now(), id))
+		}
+	}
+}
+
+// admission is the right to send one request to a server. It implements edge.Admission.
+type admission struct {
+	admissions *admissions
+	serial     uint64
+	pool       string
+	route      string
+	server     string
+	// controller is the address of the instance that admitted the request; the zero value stands for this one.
+	controller netip.AddrPort
+}
+
+// Server returns the id of the server to send the request to.
+func (a *admission) Server() string { return a.server }
+
+// Done reports the completion of the request to the controller, twice if that is remote: a lost completion would
+// occupy a slot. The second message leaves out the load, which is no longer current.
+func (a *admission) Done(d permit.Done) {
+	defer a.admissions.client.close(a.serial)
+	d.Key, d.Server, d.Route = permit.Key{Serial: a.serial}, a.server, a.route
+	if !a.controller.IsValid() {
+		a.admissions.mu.Lock()
+		defer a.admissions.mu.Unlock()
+		a.admissions.deliver(a.admissions.controller(a.pool).Done(time.Now(), d))
+		return
+	}
+	m := gram.Completion{
+		Serial: a.serial, Pool: a.pool, Server: a.server, Route: a.route, Outcome: d.Outcome,
+		DurationUs: int(d.Took.Microseconds()), AnswerBytes: d.Bytes,
+		Running: d.Load.Running, Waiting: d.Load.Waiting, LoadKnown: d.Load.Known,
+		Slowdown: int(d.Load.Slowdown * slowdownScale),
+	}
+	a.admissions.node.port.Send(a.controller, m)
+	m.LoadKnown = false
+	time.AfterFunc(completionResendDelay, func() { a.admissions.node.port.Send(a.controller, m) })
+}
+
+// Acquire implements edge.Admitter. A request with an owner is decided by the controller of that server; others try
+// the pools of the service in turn until one has room.
+func (ad *admissions) Acquire(ctx context.Context, r permit.Ask, domain string) (edge.Permit, *permit.Refused) {
+	if r.Server != "" {
+		r.Pool, r.Domain = r.Service, ad.node.settings.Domain
+		return ad.requestFrom(ctx, r, r.Server, domain)
+	}
+	candidates := ad.candidates(r.Service)
+	for i, pool := range candidates {
+		r.Pool, r.Elsewhere, r.Domain = pool.Name, i < len(candidates)-1, ad.node.settings.Domain
+		if pool.Domain != "" {
+			r.Domain = pool.Domain
+		}
+		admitted, rejected := ad.requestFrom(ctx, r, pool.Name, pool.Domain)
+		if rejected == nil || !r.Elsewhere || rejected.Reason != permit.Busy {
+			return admitted, rejected
+		}
+		ad.markBusy(pool, rejected.Wait)
+	}
+	return nil, &permit.Refused{Reason: permit.NoServer}
+}
+
+// candidates returns the pools that a request should try in turn.
+func (ad *admissions) candidates(service string) []permit.Pool {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	return ad.pools.picker(service).Tries(time.Now())
+}
+
+// markBusy notes that a pool has no room for a time, so that other requests try another pool first.
+func (ad *admissions) markBusy(pool permit.Pool, wait time.Duration) {
+	ad.mu.Lock()
+	defer ad.mu.Unlock()
+	ad.pools.picker(pool.Service).Busy(pool.Name, wait, time.Now())
+}
+
+// requestFrom asks the instances that are responsible for a pool or a server in turn, and decides locally if this
+// instance is one of them or they do not answer.
+func (ad *admissions) requestFrom(ctx context.Context, r permit.Ask, name, domain string) (edge.Permit, *permit.Refused) {
+	for i, controller := range ad.node.roster.Rank(name, domain, time.Now()) {
+		if i == maxControllersTried {
+			r.Apart = true
+			break
+		}
+		if controller.Name == ad.node.settings.Name {
+			break
+		}
+		if to, ok := peerAddress(controller); ok {
+			if v, answered := ad.client.request(ctx, r, controller, to); answered {
+				return ad.result(r, v, to)
+			}
+		}
+		if ctx.Err() != nil {
+			return nil, &permit.Refused{Reason: permit.Overload}
+		}
+	}
+	return ad.result(r, ad.requestLocally(ctx, r), netip.AddrPort{})
+}
+
+// result converts a final decision to an admission or a rejection.
+func (ad *admissions) result(r permit.Ask, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Permit, *permit.Refused) {
+	if m.Server != "" {
+		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
+	}
+	reason := permit.Reason(m.Reason)
+	if reason == "" {
+		reason = permit.Overload
+	}
+	return nil, &permit.Refused{
+		Pool: r.Pool, Reason: reason, RetryIn: time.Duration(m.RetryInMs) * time.Millisecond, Wait: time.Duration(m.WaitMs) * time.Millisecond,
+	}
+}
+
+// requestLocally requests an admission from this instance's own controller and waits for the final decision.
+func (ad *admissions) requestLocally(ctx context.Context, r permit.Ask) gram.AdmissionDecision {
+	serial, decisions := ad.client.open()
+	r.Key = permit.Key{Serial: serial}
+	ad.mu.Lock()
+	r.Apart = r.Apart || ad.isolated
+	m := decisionMessage(ad.controller(r.Pool).Ask(time.Now(), r))
+	ad.mu.Unlock()
+	if !isFinal(m) {
+		ad.wake()
+	}
+	for !isFinal(m) {
+		select {
+		case m = <-decisions:
+		case <-ctx.Done():
+			ad.mu.Lock()
+			ad.deliver(ad.controller(r.Pool).Withdraw(time.Now(), r.Key))
+			ad.mu.Unlock()
+			m = gram.AdmissionDecision{Reason: string(permit.Overload)}
+		}
+	}
+	if m.Server == "" {
+		ad.client.close(serial)
+	}
+	return m
+}
--- /dev/null
+++ b/internal/node/cluster.go
@@ -0,0 +1,207 @@
+package node
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/rules"
+)
+
+// entryReturnTime is how long the entries of live servers may be missing after an outage of the store: they expired
+// meanwhile, and are written again within this time.
+const entryReturnTime = 2 * time.Second
+
+// clusterState holds the configuration, the servers and the evacuations as this instance knows them.
+type clusterState struct {
+	events *event.Log
+	// drainTime is how long a server may get requests after it has stated that it leaves.
+	drainTime time.Duration
+	// evacuationTime is the same for the servers of a failure domain that is evacuated.
+	evacuationTime time.Duration
+	config         atomic.Pointer[rules.Config]
+	// snapshot holds the servers by id as requests see them. The map is replaced, never changed.
+	snapshot atomic.Pointer[map[string]rules.Server]
+	// snapshotVersion counts how often snapshot was replaced.
+	snapshotVersion atomic.Uint64
+	owners          func() *holder.Owners
+
+	mu sync.Mutex
+	// changed is closed and replaced when the owners change.
+	changed     chan struct{}
+	directory   *directory
+	evacuations *evacuations
+	// storeDown says that the last read of the directory failed. Until missingUntil, missing entries do not mean that
+	// servers are gone.
+	storeDown    bool
+	missingUntil time.Time
+	// completedMoves holds the fencing tokens of ranges whose moves are complete, although no record says so yet, by
+	// service and first key.
+	completedMoves map[moveKey]uint64
+}
+
+// moveKey identifies a range by its service and first key.
+type moveKey struct {
+	service string
+	from    uint16
+}
+
+// maxRememberedMoves bounds the number of completedMoves. When it is reached, all of them are dropped.
+const maxRememberedMoves = 4096
+
+// drainReserve is kept free at the end of the time within which a leaving server must get its last request. It covers
+// the transfer of the request to the server: a saturated slow link delays packets behind each large answer.
+const drainReserve = 250 * time.Millisecond
+
+func newClusterState(events *event.Log, drainTime, evacuationTime time.Duration) *clusterState {
+	c := &clusterState{
+		events: events, drainTime: drainTime, evacuationTime: evacuationTime, changed: make(chan struct{}),
+		directory: newDirectory(events), evacuations: newEvacuations(events), completedMoves: map[moveKey]uint64{},
+	}
+	c.snapshot.Store(&map[string]rules.Server{})
+	return c
+}
+
+// servers returns the servers by id. Callers must not change the map.
+func (c *clusterState) servers() map[string]rules.Server { return *c.snapshot.Load() }
+
+// dividedServices returns the services that are divided by key, whose keys have owners.
+func (c *clusterState) dividedServices() []string {
+	cfg := c.config.Load()
+	if cfg == nil {
+		return nil
+	}
+	var out []string
+	for name, s := range cfg.Services {
+		if s.Divided {
+			out = append(out, name)
+		}
+	}
+	return out
+}
+
+// defaultTarget is the target latency of a service without a route.
+const defaultTarget = time.Second
+
+// shortestTarget returns the shortest target latency of the routes of a service. A configuration must be known.
+func (c *clusterState) shortestTarget(service string) time.Duration {
+	shortest := time.Duration(0)
+	for _, routes := range c.config.Load().Hosts {
+		for _, r := range routes {
+			for _, p := range r.Parts {
+				if p.Service == service && r.Target > 0 && (shortest == 0 || r.Target < shortest) {
+					shortest = r.Target
+				}
+			}
+		}
+	}
+	if shortest == 0 {
+		return defaultTarget
+	}
+	return shortest
+}
+
+// applyConfig applies a configuration unless its version is not newer than that in force.
+func (c *clusterState) applyConfig(cfg *rules.Config) {
+	if old := c.config.Load(); old != nil && old.Version >= cfg.Version {
+		return
+	}
+	c.config.Store(cfg)
+	c.events.Note(event.Belief, "configuration", "version", cfg.Version, "hosts", len(cfg.Hosts), "services", len(cfg.Services))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.publish()
+}
+
+// applyServers applies an update of the directory, whose oldest record can have been written as long ago as age. It
+// reports whether the directory was updated, false after a failed read.
+func (c *clusterState) applyServers(u follow.Update, age time.Duration, decode decodeEntry) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	if u.Err != nil {
+		if !c.storeDown {
+			c.events.Note(event.Belief, "directory-unread", "error", u.Err)
+		}
+		c.storeDown = true
+		return false
+	}
+	if c.storeDown {
+		c.storeDown = false
+		c.missingUntil = now.Add(entryReturnTime)
+		c.events.Note(event.Belief, "directory-regained", "offset", u.End)
+	}
+	leaveBy := now.Add(c.drainTime - age)
+	c.directory.apply(u, now, leaveBy, decode)
+	if !now.Before(c.missingUntil) {
+		c.directory.removeMissing()
+	}
+	c.directory.close(leaveBy)
+	c.publish()
+	return true
+}
+
+// publish replaces the snapshot by the servers of the directory, with the effects of the configuration and of
+// evacuations. The lock is held.
+func (c *clusterState) publish() {
+	services := map[string]rules.Service{}
+	if cfg := c.config.Load(); cfg != nil {
+		services = cfg.Services
+	}
+	servers := make(map[string]rules.Server, len(c.directory.servers))
+	for id, s := range c.directory.servers {
+		servers[id] = c.evacuations.apply(s, services[s.Service])
+	}
+	c.snapshot.Store(&servers)
+	c.snapshotVersion.Add(1)
+}
+
+// removeMissing removes the servers whose entries did not reappear in time. It reports whether there were any.
+func (c *clusterState) removeMissing() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.storeDown || time.Now().Before(c.missingUntil) || !c.directory.removeMissing() {
+		return false
+	}
+	c.publish()
+	return true
+}
+
+// markMovesComplete records that the moves of ranges are complete.
+func (c *clusterState) markMovesComplete(ranges []gram.MovedRange) {
+	c.mu.Lock()
+	for _, r := range ranges {
+		if len(c.completedMoves) >= maxRememberedMoves {
+			clear(c.completedMoves)
+		}
+		c.completedMoves[moveKey{r.Service, r.From}] = r.Fence
+	}
+	c.mu.Unlock()
+	c.ownersChanged()
+}
+
+// isMoveComplete reports whether the move that gave a range its fencing token is known to be complete.
+func (c *clusterState) isMoveComplete(service string, from uint16, fence uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.completedMoves[moveKey{service, from}] == fence
+}
+
+// ownersChanged wakes the requests that wait for a change of owners.
+func (c *clusterState) ownersChanged() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
+
+// ownersChange returns a channel that is closed at the next change of owners.
+func (c *clusterState) ownersChange() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
+}
--- /dev/null
+++ b/internal/node/heartbeat.go
@@ -0,0 +1,210 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/roster"
+)
+
+// scope says which instances get a heartbeat, besides the leader, which always does.
+type scope int
+
+// The scopes. Each includes those before it.
+const (
+	toLeader scope = iota
+	toDomain
+	toAll
+)
+
+// heartbeatLoop sends heartbeats to the instances of the own failure domain and, less often, to all. When what this
+// instance confirms has changed, it sends one to the leader at once, which may wait for it.
+func (n *Node) heartbeatLoop(ctx context.Context) error {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var echo echoRequest
+	var allAt time.Time
+	for {
+		to := toLeader
+		select {
+		case <-timer.C:
+			to = toDomain
+			timer.Reset(n.domainHeartbeatInterval())
+		case <-n.heartbeatAllNow:
+			to = toAll
+		case <-n.heartbeatLeaderNow:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		now := time.Now()
+		if to == toDomain && !now.Before(allAt) {
+			to = toAll
+		}
+		if to == toAll {
+			allAt = now.Add(n.allHeartbeatInterval())
+		}
+		n.sendHeartbeats(to, &echo, now)
+	}
+}
+
+// domainHeartbeatInterval returns the time to the next heartbeat to the own failure domain.
+func (n *Node) domainHeartbeatInterval() time.Duration {
+	if n.leases.Leads() {
+		return min(n.roster.EveryNear(), n.roster.LeaderEvery())
+	}
+	return n.roster.EveryNear()
+}
+
+// allHeartbeatInterval returns the minimum time to the next heartbeat to all instances. It is shortened by half a
+// domain interval, so that the heartbeat goes out with the nearest one to the own domain.
+func (n *Node) allHeartbeatInterval() time.Duration {
+	interval := n.roster.Every()
+	if n.leases.Leads() {
+		interval = n.roster.LeaderEvery()
+	}
+	return interval - n.domainHeartbeatInterval()/2
+}
+
+// sendHeartbeats sends a heartbeat to the leader and to the instances in a scope.
+//
+// The peers, whose last heartbeats are echoed, are read before the heartbeat is made. If a heartbeat that arrived in
+// between were echoed, its sender would take the content of this one for newer than it is.
+func (n *Node) sendHeartbeats(to scope, echo *echoRequest, now time.Time) {
+	others := n.roster.Others()
+	leader, found := n.roster.Leader(now)
+	b := n.newHeartbeat()
+	n.roster.Heard(b, now)
+	if found && leader.Name != n.settings.Name {
+		n.sendHeartbeat(leader, b, echo.due(leader.Name, now))
+	}
+	for _, p := range others {
+		if p.Name != leader.Name && (to == toAll || to == toDomain && p.Domain == n.settings.Domain) {
+			n.sendHeartbeat(p, b, false)
+		}
+	}
+}
+
+// echoRequestInterval is the pause between two heartbeats that ask the leader to reply at once. Without these, half a
+// second passes between a heartbeat that the leader gets and the next that it sends, and its information would seem
+// older by that.
+const echoRequestInterval = 2 * time.Second
+
+// echoRequest is the peer that was last asked to reply at once, and when to ask again.
+type echoRequest struct {
+	peer   string
+	nextAt time.Time
+}
+
+// due reports whether a peer is to be asked now, and if so records the request.
+func (e *echoRequest) due(name string, now time.Time) bool {
+	if e.peer == name && now.Before(e.nextAt) {
+		return false
+	}
+	*e = echoRequest{name, now.Add(echoRequestInterval)}
+	return true
+}
+
+// sendHeartbeat sends a heartbeat to one peer, with the echo of the peer's last one. Ask asks for a reply at once.
+func (n *Node) sendHeartbeat(p roster.Peer, b roster.Beat, ask bool) {
+	if to, ok := peerAddress(p); ok {
+		b.EchoAt, b.Ask = p.Beat.SentAt, ask
+		n.port.Send(to, gram.Heartbeat{Beat: b})
+	}
+}
+
+// maxKnowledgeAge is the age from which on a view of the owners, the configuration or the directory is of no use to
+// peers.
+const maxKnowledgeAge = 30 * time.Second
+
+// newHeartbeat returns the heartbeat of this instance, without the fields that depend on the receiver.
+func (n *Node) newHeartbeat() roster.Beat {
+	// Take the send time first. If it were taken after the ages, the view would seem younger by the time in between,
+	// which is a large part of a tenth of a second where the share of a core is a quota.
+	sentAt := clock.Boot{}.Now()
+	complete, configEnd, serversEnd := n.completeness(sentAt)
+	reached := n.currentReach()
+	age := int64(-1)
+	if a := n.leases.Age(); a < maxKnowledgeAge {
+		age = a.Milliseconds() + 1
+	}
+	answeredAt := clock.Instant(n.storeAnsweredAt.Load())
+	return roster.Beat{
+		Proven:   answeredAt != 0 && clock.Boot{}.Now().Sub(answeredAt) < n.leaderPollTimeout()+storeAnswerSlack,
+		Complete: complete,
+		SentAt:   int64(sentAt), KnownAge: age,
+		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.leases.Confirmed(),
+		Known: n.leases.Owners().End, StoreOK: reached.owners && reached.directory,
+		Stopping: n.isStopping(), Leads: n.leases.Leads(), Config: configEnd, Servers: serversEnd, Failing: n.leases.Failing(),
+	}
+}
+
+// completeness returns the end offsets of the configuration and the directory that this instance acts by, and the age
+// of its knowledge that nothing is missing before them, in milliseconds at an instant; negative if it is of no use to
+// peers.
+func (n *Node) completeness(at clock.Instant) (age, configEnd, serversEnd int64) {
+	configEnd, configUntil := n.watches[n.platform.ConfigTopic].Known()
+	serversEnd, serversUntil := n.watches[n.platform.ServersTopic].Known()
+	return ageMillis(at, min(configUntil, serversUntil)), configEnd, serversEnd
+}
+
+// ageMillis returns the age in milliseconds, at an instant, of a view that is current as of another; negative if it
+// is of no use to peers.
+func ageMillis(at, until clock.Instant) int64 {
+	age := at.Sub(until)
+	if until == 0 || age > maxKnowledgeAge {
+		return -1
+	}
+	return max(age.Milliseconds()+1, 0)
+}
+
+// confirmCurrent uses the statement of a peer that it misses nothing before the ends that it knows: a watch of this
+// instance with the same end is current as of the same time. A watch with a lower end must read the store instead.
+func (n *Node) confirmCurrent(b roster.Beat) {
+	sentAt, dated := n.roster.Date(b.Name, b.SentAt, clock.Boot{}.Now())
+	if b.Complete < 0 || !dated {
+		return
+	}
+	until := sentAt.Add(-time.Duration(b.Complete) * time.Millisecond)
+	n.watches[n.platform.ConfigTopic].Refresh(b.Config, until)
+	n.watches[n.platform.ServersTopic].Refresh(b.Servers, until)
+}
+
+// handleHeartbeat processes the heartbeat of a peer, and reads the topics of which the peer knows more.
+func (n *Node) handleHeartbeat(b roster.Beat) {
+	now := time.Now()
+	n.roster.Heard(b, now)
+	n.roster.Echoed(b, clock.Boot{}.Now())
+	if b.Ask {
+		n.replyWithHeartbeat(b.Name)
+	}
+	n.leases.Hear(b)
+	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.Owners().End, now) {
+		n.requestView(b.Name)
+	}
+	configEnd, _ := n.watches[n.platform.ConfigTopic].Known()
+	serversEnd, _ := n.watches[n.platform.ServersTopic].Known()
+	n.checkLag(n.platform.ConfigTopic, b.Config, configEnd, now)
+	n.checkLag(n.platform.ServersTopic, b.Servers, serversEnd, now)
+	n.confirmCurrent(b)
+}
+
+// replyWithHeartbeat sends a heartbeat at once to the peer that asked for it.
+func (n *Node) replyWithHeartbeat(name string) {
+	if p, known := n.roster.Peer(name); known {
+		n.sendHeartbeat(p, n.newHeartbeat(), false)
+	}
+}
+
+// checkLag requests a read of a topic, and logs and reports it, if this instance has known less of the topic than a
+// peer for too long.
+func (n *Node) checkLag(topic string, peerEnd, ownEnd int64, now time.Time) bool {
+	if !n.lag[topic].observe(peerEnd, ownEnd, n.lagTimeout(), now) {
+		return false
+	}
+	n.events.Note(event.Belief, "behind", "topic", topic, "known", ownEnd, "known-elsewhere", peerEnd)
+	n.requestRead(topic)
+	return true
+}
--- /dev/null
+++ b/internal/node/heartbeat_test.go
@@ -0,0 +1,43 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/follow"
+)
+
+// Guards against ages that look too young. A process was throttled while it made a heartbeat: the age was from
+// before, the send time from after, and its view seemed younger to its peers by the time in between. The age must be
+// as of the stated send time.
+func TestAgeRefersToSendTime(t *testing.T) {
+	const second = clock.Instant(time.Second)
+	tests := map[string]struct {
+		config, servers, at clock.Instant
+		want                int64
+	}{
+		"older one counts":         {5 * second, 6 * second, 7 * second, 2001},
+		"applied after that time":  {9 * second, 8 * second, 7 * second, 0},
+		"configuration never read": {0, 6 * second, 7 * second, -1},
+		"too old for peers":        {5 * second, 6 * second, 36 * second, -1},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			config, servers := &follow.Topic{}, &follow.Topic{}
+			n := &Node{
+				platform: Platform{ConfigTopic: "config", ServersTopic: "servers"},
+				watches:  map[string]*follow.Topic{"config": config, "servers": servers},
+			}
+			config.Applied(follow.Update{Batch: follow.Batch{End: 3}, Complete: test.config})
+			servers.Applied(follow.Update{Batch: follow.Batch{End: 9}, Complete: test.servers})
+			age, configEnd, serversEnd := n.completeness(test.at)
+			is.Equal(age, test.want)
+			is.Equal(configEnd, int64(3))
+			is.Equal(serversEnd, int64(9))
+		})
+	}
+}
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -11,82 +11,89 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// The times of loads.
 const (
-	reportEvery = 500 * time.Millisecond
-	// powerHalf is the time after which an answer counts half for the power of a server, and
-	// powerLeast the number of answers, so counted, from which on a power is believed.
-	powerHalf  = 3 * time.Second
-	powerLeast = 3
-	// wordForgotten is the number of answers, so counted, below which a word is forgotten.
-	wordForgotten = 0.1
+	// reportInterval is the pause between two load reports to the leader.
+	reportInterval = 500 * time.Millisecond
+	// capacityHalfLife is the time after which an answer counts half for the capacity of a server, and
+	// minCapacityAnswers the number of answers, so weighted, from which on a capacity is taken as known.
+	capacityHalfLife   = 3 * time.Second
+	minCapacityAnswers = 3
+	// minEstimateAnswers is the number of answers, so weighted, below which an estimate is dropped.
+	minEstimateAnswers = 0.1
 )
 
-// loads counts the requests for keys, and at the leader adds up what all instances counted.
-type loads struct {
+// loadTracker counts the requests for keys that this instance receives. At the leader it also adds up the reports of
+// all instances.
+type loadTracker struct {
 	mu sync.Mutex
-	// counts are this instance's own, since its last report.
-	counts map[string]map[uint16]uint16
-	sums   map[string]*sum
+	// counts holds this instance's own counts by service and key since its last report, services what all instances
+	// reported to this one as the leader.
+	counts   map[string]map[uint16]uint16
+	services map[string]*serviceLoad
 }
 
-// sum is the load of one service as the leader knows it.
-type sum struct {
-	rates *shard.Rates
-	power map[string]power
+// serviceLoad is the load of one service and the capacity of its servers, by id, as the leader knows them.
+type serviceLoad struct {
+	rates      *shard.Rates
+	capacities map[string]capacityEstimates
 }
 
-// power is what the instances say of a server: the last word of each, weighed by the answers that
-// it has seen of late.
+// capacityEstimates holds the last estimate of the capacity of one server by each instance, weighted by the number of
+// recent answers that it rests on.
 //
-// With the last word of all counting, an instance that has seen a single answer outdoes the one in
-// charge of the server: the server seems several times as powerful to each second plan, which moves ranges
-// there that the next one moves away.
-type power map[string]*word
-
-// word is what one instance says of a server.
-type word struct {
-	rate    float64
+// Unweighted, an instance that has seen a single answer could outweigh the one that controls the server: the capacity
+// would seem several times higher to every second plan, which would move ranges to the server that the next plan
+// moves away.
+type capacityEstimates map[string]*capacityEstimate
+
+// capacityEstimate is the estimate of one instance.
+type capacityEstimate struct {
+	// rate is in requests per second.
+	rate float64
+	// answers is the number of answers that the estimate rests on, decayed as of the time at.
 	answers float64
 	at      time.Time
 }
 
-func (w *word) decay(now time.Time) {
-	w.answers *= math.Exp2(-now.Sub(w.at).Seconds() / powerHalf.Seconds())
-	w.at = now
+// decay reduces the weight of the answers by the time since the last call.
+func (e *capacityEstimate) decay(now time.Time) {
+	e.answers *= math.Exp2(-now.Sub(e.at).Seconds() / capacityHalfLife.Seconds())
+	e.at = now
 }
 
-// add takes in the word of an instance.
-func (p power) add(name string, rate float64, answers int, now time.Time) {
-	w := p[name]
-	if w == nil {
-		w = &word{at: now}
-		p[name] = w
+// add replaces the estimate of an instance.
+func (es capacityEstimates) add(name string, rate float64, answers int, now time.Time) {
+	e := es[name]
+	if e == nil {
+		e = &capacityEstimate{at: now}
+		es[name] = e
 	}
-	w.decay(now)
-	w.rate = rate
-	w.answers += float64(answers)
+	e.decay(now)
+	e.rate = rate
+	e.answers += float64(answers)
 }
 
-// rate returns the requests that the server can run in a second, and whether that is known.
-func (p power) rate(now time.Time) (float64, bool) {
+// rate returns the weighted mean of the estimates in requests per second, and whether enough answers are known for
+// it.
+func (es capacityEstimates) rate(now time.Time) (float64, bool) {
 	sum, answers := 0.0, 0.0
-	for name, w := range p {
-		if w.decay(now); w.answers < wordForgotten {
-			delete(p, name)
+	for name, e := range es {
+		if e.decay(now); e.answers < minEstimateAnswers {
+			delete(es, name)
 			continue
 		}
-		sum += w.rate * w.answers
-		answers += w.answers
+		sum += e.rate * e.answers
+		answers += e.answers
 	}
-	return sum / max(answers, powerLeast), answers >= powerLeast
+	return sum / max(answers, minCapacityAnswers), answers >= minCapacityAnswers
 }
 
-func newLoads() *loads {
-	return &loads{counts: map[string]map[uint16]uint16{}, sums: map[string]*sum{}}
+func newLoadTracker() *loadTracker {
+	return &loadTracker{counts: map[string]map[uint16]uint16{}, services: map[string]*serviceLoad{}}
 }
 
-func (l *loads) count(service string, key uint16) {
+// count counts a request for a key.
+func (l *loadTracker) count(service string, key uint16) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.counts[service] == nil {
@@ -95,13 +102,13 @@
 	l.counts[service][key]++
 }
 
-// flush returns the counts since the last call.
-func (l *loads) flush(name string) map[string]gram.Loads {
+// flush returns the counts since the last call by service, as reports of the named instance.
+func (l *loadTracker) flush(name string) map[string]gram.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]gram.Loads, len(l.counts))
+	out := make(map[string]gram.LoadReport, len(l.counts))
 	for service, counts := range l.counts {
-		m := gram.Loads{Name: name, Service: service}
+		m := gram.LoadReport{Name: name, Service: service}
 		for key, count := range counts {
 			m.Keys = append(m.Keys, key)
 			m.Counts = append(m.Counts, count)
@@ -112,14 +119,14 @@
 	return out
 }
 
-// take adds the report of an instance.
-func (l *loads) take(m gram.Loads, now time.Time) {
+// add adds the report of an instance.
+func (l *loadTracker) add(m gram.LoadReport, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[m.Service]
+	s := l.services[m.Service]
 	if s == nil {
-		s = &sum{rates: shard.NewRates(now), power: map[string]power{}}
-		l.sums[m.Service] = s
+		s = &serviceLoad{rates: shard.NewRates(now), capacities: map[string]capacityEstimates{}}
+		l.services[m.Service] = s
 	}
 	for i, key := range m.Keys {
 		if i < len(m.Counts) {
@@ -127,50 +134,51 @@
 		}
 	}
 	for i, id := range m.Servers {
-		if i >= len(m.Powers) || i >= len(m.Answers) || m.Answers[i] == 0 {
+		if i >= len(m.Capacities) || i >= len(m.Answers) || m.Answers[i] == 0 {
 			continue
 		}
-		if s.power[id] == nil {
-			s.power[id] = power{}
+		if s.capacities[id] == nil {
+			s.capacities[id] = capacityEstimates{}
 		}
-		s.power[id].add(m.Name, m.Powers[i], int(m.Answers[i]), now)
+		s.capacities[id].add(m.Name, m.Capacities[i], int(m.Answers[i]), now)
 	}
 }
 
-// load returns the load of a service by key.
-func (l *loads) load(service string) []float64 {
+// load returns the requests per second of a service by key, nil if nothing is known.
+func (l *loadTracker) load(service string) []float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[service]
+	s := l.services[service]
 	if s == nil {
 		return nil
 	}
 	return s.rates.Load(time.Now())
 }
 
-// powers returns what the servers of a service can do.
-func (l *loads) powers(service string) map[string]float64 {
+// capacities returns the known capacities of the servers of a service in requests per second.
+func (l *loadTracker) capacities(service string) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.sums[service]
+	s := l.services[service]
 	if s == nil {
 		return nil
 	}
 	now := time.Now()
-	out := make(map[string]float64, len(s.power))
-	for id, p := range s.power {
-		if rate, known := p.rate(now); known {
+	out := make(map[string]float64, len(s.capacities))
+	for id, es := range s.capacities {
+		if rate, known := es.rate(now); known {
 			out[id] = rate
-		} else if len(p) == 0 {
-			delete(s.power, id)
+		} else if len(es) == 0 {
+			delete(s.capacities, id)
 		}
 	}
 	return out
 }
 
-// report sends what this instance counted to the leader.
-func (n *Node) report(ctx context.Context) error {
-	ticker := time.NewTicker(reportEvery)
+// reportLoop reports the requests that this instance counted and the capacities that it measured to the leader. It
+// also logs lost messages.
+func (n *Node) reportLoop(ctx context.Context) error {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -178,33 +186,34 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if lost, failed := n.port.Lost.Swap(0), n.port.Failed.Swap(0); lost+failed > 0 {
+		if lost, failed := n.port.Dropped.Swap(0), n.port.Failed.Swap(0); lost+failed > 0 {
 			n.events.Note(event.Belief, "messages-lost", "lost", lost, "failed", failed)
 		}
-		reports := n.loads.flush(n.settings.Name)
-		for _, service := range n.world.divided() {
+		reports := n.loadTracker.flush(n.settings.Name)
+		for _, service := range n.cluster.dividedServices() {
 			m := reports[service]
 			m.Name, m.Service = n.settings.Name, service
-			for id, power := range n.permits.report(service) {
+			for id, capacity := range n.admissions.capacityReport(service) {
 				m.Servers = append(m.Servers, id)
-				m.Powers = append(m.Powers, power.Rate)
-				m.Answers = append(m.Answers, uint16(min(power.Answers, math.MaxUint16)))
+				m.Capacities = append(m.Capacities, capacity.Rate)
+				m.Answers = append(m.Answers, uint16(min(capacity.Answers, math.MaxUint16)))
 			}
-			n.sendLoads(m)
+			n.sendLoadReport(m)
 		}
 	}
 }
 
-func (n *Node) sendLoads(m gram.Loads) {
+// sendLoadReport sends a report to the leader, unless it is empty or no leader is known.
+func (n *Node) sendLoadReport(m gram.LoadReport) {
 	leader, found := n.roster.Leader(time.Now())
 	if !found || len(m.Keys)+len(m.Servers) == 0 {
 		return
 	}
 	if leader.Name == n.settings.Name {
-		n.loads.take(m, time.Now())
+		n.loadTracker.add(m, time.Now())
 		return
 	}
-	if to, ok := address(leader); ok {
+	if to, ok := peerAddress(leader); ok {
 		n.port.Send(to, m)
 	}
 }
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -10,72 +10,71 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// The pace of registration.
 const (
-	// registerEvery is how often an instance looks whether it still is registered, and the pause after a record that
-	// the store refused.
-	registerEvery = 400 * time.Millisecond
-	// recordTime is how long a record that was sent may take until it is read: the store lets appends wait for one
-	// another for two seconds.
-	recordTime = 2500 * time.Millisecond
+	// registerInterval is the pause between two checks whether this instance is still registered, and the pause after
+	// a record that the store refused.
+	registerInterval = 400 * time.Millisecond
+	// maxAppendTime is how long it may take until a record that was sent can be read: appends wait up to two seconds
+	// for one another in the store.
+	maxAppendTime = 2500 * time.Millisecond
 )
 
-// registration decides when this instance writes itself into the register.
+// registration decides when this instance writes its record to the register.
 //
-// The answer to a record may be lost, or may come too late where all instances start while the store is slow. The
-// record is there all the same, so the register is read before it is written again: else each attempt makes all
-// others wait longer.
+// The answer to a write may be lost, or arrive too late when all instances start while the store is slow, although
+// the record was written. So the register is read before the record is written again: otherwise each attempt would
+// delay the records of all others.
 type registration struct {
-	// again is when the next record may be written.
-	again time.Time
-	// unknown says that it is not known whether the last one was.
-	unknown bool
+	// nextAt is when the next record may be written.
+	nextAt time.Time
+	// outcomeUnknown says that the last record may or may not have been written.
+	outcomeUnknown bool
 }
 
-// due reports whether a record is to be written by an instance that knows itself to be registered, or not.
+// due reports whether a record is to be written, given whether this instance finds itself in the register.
 func (r *registration) due(registered bool, now time.Time) bool {
 	if registered {
-		r.unknown = false
+		r.outcomeUnknown = false
 		return false
 	}
-	return !now.Before(r.again)
+	return !now.Before(r.nextAt)
 }
 
-// sent takes in how an attempt ended. It reports whether the record may be in the register.
-func (r *registration) sent(err error, now time.Time) bool {
+// attempted records the result of a write. It reports whether the record may be in the register.
+func (r *registration) attempted(err error, now time.Time) bool {
 	if errors.Is(err, follow.ErrNotDone) {
-		r.again = now.Add(registerEvery)
+		r.nextAt = now.Add(registerInterval)
 		return false
 	}
-	r.unknown = err != nil
-	r.again = now.Add(recordTime)
+	r.outcomeUnknown = err != nil
+	r.nextAt = now.Add(maxAppendTime)
 	return true
 }
 
-// register writes this instance into the register, and again should its record be removed. The owners are followed
-// from the first record on: they may be acted on only once this record is among them.
-func (n *Node) register(ctx context.Context) error {
+// registerLoop registers this instance, and again if its record is removed. The owners are watched from the first
+// record on: this instance may act on them only once its own record is among what it has read.
+func (n *Node) registerLoop(ctx context.Context) error {
 	var r registration
 	following := false
-	for ; ctx.Err() == nil; duty.Pause(ctx, registerEvery) {
+	for ; ctx.Err() == nil; duty.Pause(ctx, registerInterval) {
 		switch {
-		case following && n.stopped():
-		case r.due(n.holder.Registered(), time.Now()):
-			err := n.putRecord(ctx, false)
+		case following && n.isStopping():
+		case r.due(n.leases.Registered(), time.Now()):
+			err := n.appendEntry(ctx, false)
 			if err != nil {
 				n.events.Note(event.Belief, "not-registered", "error", err)
 			}
-			if !r.sent(err, time.Now()) {
+			if !r.attempted(err, time.Now()) {
 				continue
 			}
 			if following {
-				n.readAgain(n.around.Owners)
+				n.requestRead(n.platform.OwnersTopic)
 				continue
 			}
 			following = true
 			close(n.registered)
-		case r.unknown && !n.topics[n.around.Owners].Unanswered():
-			n.readAgain(n.around.Owners)
+		case r.outcomeUnknown && !n.watches[n.platform.OwnersTopic].Unanswered():
+			n.requestRead(n.platform.OwnersTopic)
 		}
 	}
 	return ctx.Err()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -14,17 +14,17 @@
 	"example.org/mustardring/internal/event"
 )
 
-// The times of a stop.
 const (
-	// rotationTime is how long the balancer may take to leave this instance out: it asks once a
-	// second and twice in vain.
-	rotationTime = 2300 * time.Millisecond
-	// stopReserve is kept of the time that a stop may take.
-	stopReserve = 500 * time.Millisecond
-	stopPoll    = 20 * time.Millisecond
+	// balancerTime is how long the load balancer may take to remove this instance: it checks once a second, and
+	// removes it after two failed checks.
+	balancerTime = 2300 * time.Millisecond
+	// stopReserve is kept free at the end of the time that the settings allow for a stop.
+	stopReserve      = 500 * time.Millisecond
+	stopPollInterval = 20 * time.Millisecond
 )
 
-func (n *Node) stopped() bool {
+// isStopping reports whether the instance has begun to stop.
+func (n *Node) isStopping() bool {
 	select {
 	case <-n.stopping:
 		return true
@@ -33,51 +33,52 @@
 	}
 }
 
-// stop ends the instance in order: it says that it is not ready, hands its duties over, takes
-// requests until the balancer has left it out, and answers what is in progress.
+// stop ends the instance gracefully: it reports that it is not ready, hands its responsibilities over, takes requests
+// until the load balancer has removed it, and answers what is in progress.
 func (n *Node) stop(ctx context.Context, front net.Listener) {
 	n.events.Note(event.Belief, "stop", "instance", n.settings.Name, "busy", n.inlet.Busy())
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
-	n.holder.Stop()
-	// The others take over its renewals only when they hear of it, within a lease.
-	n.announceToAll()
+	n.leases.Stop()
+	// The others take over its lease renewals only once they know that it stops, which must be within
+	// the duration of a lease.
+	n.sendHeartbeatToAll()
 	n.inlet.Drain()
-	for time.Since(began) < rotationTime && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+	for time.Since(began) < balancerTime && ctx.Err() == nil {
+		time.Sleep(stopPollInterval)
 	}
 	_ = front.Close()
 	n.inlet.Finish()
-	// A connection lasts until the caller has taken the last answer from it.
+	// A connection stays open until the caller has read the last answer from it.
 	for n.inlet.Conns() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 		n.inlet.Finish()
 	}
 	n.recordEnd(ctx, deadline.Add(stopReserve/2))
 	n.events.Note(event.Belief, "stopped", "instance", n.settings.Name, "busy", n.inlet.Busy(), "took", time.Since(began))
 }
 
-// recordEnd writes down that this instance ends, unless the store takes longer than until a time: the process is killed
-// soon after it.
-func (n *Node) recordEnd(ctx context.Context, until time.Time) {
-	ctx, cancel := context.WithDeadline(ctx, until)
+// recordEnd writes to the register that this instance ends. It gives up at a deadline, soon after which the process
+// is killed.
+func (n *Node) recordEnd(ctx context.Context, deadline time.Time) {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if err := n.putRecord(ctx, true); err != nil {
+	if err := n.appendEntry(ctx, true); err != nil {
 		n.events.Note(event.Belief, "end-not-recorded", "error", err)
 	}
 }
 
-// ready reports whether callers should come to this instance: it knows a configuration and
-// servers, and does not stop.
+// ready reports whether callers should be sent to this instance: it knows a configuration and servers, and is not
+// stopping.
 func (n *Node) ready() bool {
-	return !n.stopped() && n.world.config.Load() != nil && len(n.world.servers()) > 0
+	return !n.isStopping() && n.cluster.config.Load() != nil && len(n.cluster.servers()) > 0
 }
 
-// serveReady answers the balancer.
+// serveReady answers the readiness checks of the load balancer.
 func (n *Node) serveReady(ctx context.Context) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc(n.around.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(n.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -85,23 +86,24 @@
 	return serveHTTP(ctx, n.settings.Ready, mux)
 }
 
-// serveMetrics serves counters and latencies, as text and as JSON.
+// serveMetrics serves counters and latencies, as text at /metrics and as JSON at /debug/vars.
 func (n *Node) serveMetrics(ctx context.Context) error {
 	vars := new(expvar.Map).Init()
 	vars.Set("mustardring-requests", n.meters.Var())
 	vars.Set("mustardring-events", n.events.Counts())
-	vars.Set("mustardring-store-calls", n.calls)
+	vars.Set("mustardring-store-calls", n.storeCalls)
 	mux := http.NewServeMux()
 	mux.HandleFunc("/debug/vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
 		_, _ = w.Write([]byte(vars.String()))
 	})
-	mux.HandleFunc("/metrics", n.metrics)
+	mux.HandleFunc("/metrics", n.serveMetricsText)
 	address := net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.MetricsPort))
 	return serveHTTP(ctx, address, mux)
 }
 
-func (n *Node) metrics(w http.ResponseWriter, _ *http.Request) {
+// serveMetricsText writes all metrics as sorted lines of text.
+func (n *Node) serveMetricsText(w http.ResponseWriter, _ *http.Request) {
 	s := n.meters.Snapshot()
 	var lines []string
 	for route, counts := range s.Requests {
@@ -116,16 +118,16 @@
 	n.events.Counts().Do(func(v expvar.KeyValue) {
 		lines = append(lines, fmt.Sprintf("events{name=%q} %s\n", v.Key, v.Value))
 	})
-	n.calls.Do(func(v expvar.KeyValue) {
+	n.storeCalls.Do(func(v expvar.KeyValue) {
 		lines = append(lines, fmt.Sprintf("store_calls{what=%q} %s\n", v.Key, v.Value))
 	})
-	for call, l := range n.times.Snapshot() {
+	for call, l := range n.storeTimes.Snapshot() {
 		lines = append(lines, fmt.Sprintf("store_time_us{call=%q,quantile=\"0.5\"} %d\n", call, l.P50),
 			fmt.Sprintf("store_time_us{call=%q,quantile=\"0.99\"} %d\n", call, l.P99),
 			fmt.Sprintf("store_time_us{call=%q,quantile=\"1\"} %d\n", call, l.Most))
 	}
-	for domain, since := range n.world.evacuatedDomains() {
-		l := n.leftAt(domain)
+	for domain, since := range n.cluster.evacuatedDomains() {
+		l := n.remainingIn(domain)
 		lines = append(lines, fmt.Sprintf("evacuated_seconds{domain=%q} %.1f\n", domain, since.Seconds()),
 			fmt.Sprintf("evacuated_requests{domain=%q} %d\n", domain, l.requests),
 			fmt.Sprintf("evacuated_keys{domain=%q} %d\n", domain, l.keys))
@@ -136,9 +138,10 @@
 	}
 }
 
-// shutdownTime bounds the end of the small servers.
-const shutdownTime = 100 * time.Millisecond
+// shutdownTimeout limits the shutdown of the servers for readiness and metrics.
+const shutdownTimeout = 100 * time.Millisecond
 
+// serveHTTP serves a handler at an address until the context ends, and returns the error of the context then.
 func serveHTTP(ctx context.Context, address string, handler http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -146,7 +149,7 @@
 	}
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	stop := context.AfterFunc(ctx, func() {
-		ended, cancel := context.WithTimeout(context.Background(), shutdownTime)
+		ended, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = s.Shutdown(ended)
 		_ = s.Close()
--- /dev/null
+++ b/internal/node/watches.go
@@ -0,0 +1,154 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/duty"
+	"example.org/mustardring/internal/follow"
+)
+
+const (
+	// followerPollTimeout is how long a read of a topic waits for records while no other instance relies on it.
+	// minLeaderPollTimeout and maxLeaderPollTimeout bound that time for the leader.
+	followerPollTimeout  = 20 * time.Second
+	minLeaderPollTimeout = 400 * time.Millisecond
+	maxLeaderPollTimeout = 1500 * time.Millisecond
+	// followerOwnersReadInterval and leaderOwnersReadInterval are the pauses between reads of the owners. The leader
+	// reads often: its heartbeats keep the views of the others current, which bridges outages of the store. An
+	// instance whose view has not been confirmed for maxOwnersAge reads as well, well before the view is too old to
+	// act on.
+	followerOwnersReadInterval = 3 * time.Second
+	leaderOwnersReadInterval   = 1500 * time.Millisecond
+	maxOwnersAge               = 6 * time.Second
+	// minBatchDelay, or batchDelayPerInstance for each instance if that is more, is the pause that combines changes of
+	// servers into one read, as when 300 servers start within 8 seconds. It is part of the time, at least two seconds,
+	// within which a leaving server must be known.
+	minBatchDelay         = 200 * time.Millisecond
+	batchDelayPerInstance = 9 * time.Millisecond
+	maxBatchDelay         = 800 * time.Millisecond
+	configBatchDelay      = 10 * time.Millisecond
+)
+
+// newWatches returns the watches of the three topics, by topic.
+func (n *Node) newWatches() map[string]*follow.Topic {
+	configDelay := func() time.Duration { return configBatchDelay }
+	watches := map[string]*follow.Topic{
+		n.platform.ConfigTopic:  {Direct: n.readsStore, Wait: n.pollTimeout, Settle: configDelay, Latest: true, Overdue: n.maxStaleness},
+		n.platform.ServersTopic: {Direct: n.readsStore, Wait: n.pollTimeout, Settle: n.batchDelay, Overdue: n.maxStaleness},
+		n.platform.OwnersTopic:  {Direct: n.readsOwners, Every: n.ownersReadInterval, Settle: configDelay},
+	}
+	for topic, w := range watches {
+		w.Store, w.Name, w.Clock, w.Out = n.platform.Store, topic, clock.Boot{}, n.updates
+		w.Again, w.News, w.Retry = n.readRequests[topic], n.peerUpdates[topic], n.retryDelay
+	}
+	return watches
+}
+
+// startWatches runs the watches in a group. That of the owners starts once this instance may be registered.
+func (n *Node) startWatches(group *duty.Group) {
+	for topic, w := range n.watches {
+		group.Go("follow-"+topic, func(ctx context.Context) error {
+			if topic == n.platform.OwnersTopic && !n.awaitRegistration(ctx) {
+				return ctx.Err()
+			}
+			return w.Run(ctx)
+		})
+	}
+}
+
+// awaitRegistration waits until a record of this instance may be in the register: what is read of the owners counts
+// only from then on. It returns false if the context ends.
+func (n *Node) awaitRegistration(ctx context.Context) bool {
+	select {
+	case <-n.registered:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// Delays after which an instance reads although others should, and after failed reads.
+const (
+	// stalenessSlack is how late the leader's confirmation may arrive that no record is missing.
+	stalenessSlack = 250 * time.Millisecond
+	// stalenessReserve is kept of the time within which a change must be known everywhere. It covers the slack and the
+	// spread, the pause between two checks of the age, a read, and what follows from it.
+	stalenessReserve = time.Second
+	// maxStalenessSpread, or stalenessSpreadPerInstance for each instance if that is less, is the range over which the
+	// instances spread their reads, so that they do not read at the same moment: the first that reads tells the
+	// others, which takes a read and a message.
+	maxStalenessSpread         = 300 * time.Millisecond
+	stalenessSpreadPerInstance = 25 * time.Millisecond
+	// minRetryDelay, or retryDelayPerInstance for each live instance if that is more, is the mean pause after a failed
+	// read, maxRetryDelay the limit of that mean. So all instances that hear one another together call equally often
+	// whatever their number; the first that gets an answer tells the others.
+	minRetryDelay         = 250 * time.Millisecond
+	retryDelayPerInstance = 40 * time.Millisecond
+	maxRetryDelay         = 10 * time.Second
+	// storeAnswerSlack is how much longer than the poll timeout of the leader an answer of the store counts as proof
+	// that an instance reaches the store, so that the leader does not lose its role while it waits for the next
+	// answer.
+	storeAnswerSlack = 500 * time.Millisecond
+)
+
+// maxStaleness returns the age from which on this instance reads by itself because its view has not been confirmed.
+func (n *Node) maxStaleness() time.Duration {
+	spread := min(maxStalenessSpread, time.Duration(n.instances())*stalenessSpreadPerInstance)
+	part := float64(xxhash.Sum64String(n.settings.Name)>>11) / (1 << 53)
+	return n.leaderPollTimeout() + n.roster.LeaderEvery() + stalenessSlack + time.Duration(part*float64(spread))
+}
+
+// retryDelay returns the pause after a failed read. It varies by half the mean each way, so that instances that lost
+// the store together do not keep calling it together.
+func (n *Node) retryDelay() time.Duration {
+	alive := len(n.roster.Alive(time.Now()))
+	mean := min(max(minRetryDelay, time.Duration(alive)*retryDelayPerInstance), maxRetryDelay)
+	return mean/2 + rand.N(mean)
+}
+
+// readsStore reports whether this instance reads configuration and directory from the store: only the leader does,
+// and broadcasts them. Three more readers cost a seventh of all calls (66 of 458) and were of no more use than any
+// other instance, which reads when no confirmation arrives.
+func (n *Node) readsStore() bool { return n.leases.Leads() }
+
+// readsOwners reports whether this instance reads the owners from the store: the leader does, and an instance that
+// has not heard from others for some time that nothing has changed.
+func (n *Node) readsOwners() bool { return n.leases.Leads() || n.leases.Age() > maxOwnersAge }
+
+// batchDelay returns the pause after records of the directory before the next read.
+func (n *Node) batchDelay() time.Duration {
+	return min(max(minBatchDelay, time.Duration(n.instances())*batchDelayPerInstance), maxBatchDelay)
+}
+
+// pollTimeout returns how long a read of this instance waits for records.
+func (n *Node) pollTimeout() time.Duration {
+	if n.leases.Leads() {
+		return n.leaderPollTimeout()
+	}
+	return followerPollTimeout
+}
+
+// leaderPollTimeout returns how long a read of the leader waits for records. If the leader is lost, the others read
+// by themselves after that time and the pause between two heartbeats, and must still know of a change within the time
+// limits in the settings.
+func (n *Node) leaderPollTimeout() time.Duration {
+	bound := n.settings.Bounds.DrainSeconds
+	if c := n.settings.Bounds.ConfigSeconds; c > 0 {
+		bound = min(bound, c)
+	}
+	wait := time.Duration(bound*float64(time.Second)) - stalenessReserve - n.roster.LeaderEvery()
+	return min(max(wait, minLeaderPollTimeout), maxLeaderPollTimeout)
+}
+
+// ownersReadInterval returns the pause between two reads of the owners.
+func (n *Node) ownersReadInterval() time.Duration {
+	if n.leases.Leads() {
+		return leaderOwnersReadInterval
+	}
+	return followerOwnersReadInterval
+}
