--- a/internal/permit/demand.go
+++ b/internal/permit/demand.go
@@ -11,29 +11,29 @@
 	at   time.Time
 }
 
-// demandTime is the time over which demand is averaged: some ten requests of a busy kind.
-const demandTime = time.Second
+// demandWindow is the time over which demand is averaged: some ten requests of a busy kind.
+const demandWindow = time.Second
 
 func (d *demand) decay(now time.Time) {
-	d.rate *= math.Exp(-now.Sub(d.at).Seconds() / demandTime.Seconds())
+	d.rate *= math.Exp(-now.Sub(d.at).Seconds() / demandWindow.Seconds())
 	d.at = now
 }
 
-// note takes in the work that an admitted request asks for.
-func (k *Keeper) note(now time.Time, w *waiting) {
+// recordDemand takes in the work that an admitted request asks for.
+func (k *Keeper) recordDemand(now time.Time, w *waiter) {
 	d := k.demands[w.Priority]
 	if d == nil {
 		d = &demand{at: now}
 		k.demands[w.Priority] = d
 	}
 	d.decay(now)
-	d.rate += w.expect.Seconds() / demandTime.Seconds()
+	d.rate += w.expectedTime.Seconds() / demandWindow.Seconds()
 }
 
-// leftOver returns the share of the servers' time that more urgent requests leave. Those that
+// leftoverShare returns the share of the servers' time that more urgent requests leave. Those that
 // come while a request waits go before it: without this, requests of low priority were let wait
 // beyond their target at one and a half times the capacity (TestUrgentGoesFirst).
-func (k *Keeper) leftOver(now time.Time, priority int) float64 {
+func (k *Keeper) leftoverShare(now time.Time, priority int) float64 {
 	taken := 0.0
 	for p, d := range k.demands {
 		if p < priority {
@@ -41,8 +41,8 @@
 			taken += d.rate
 		}
 	}
-	return max(1-taken/float64(max(k.slots, 1)), leftLeast)
+	return max(1-taken/float64(max(k.slots, 1)), minLeftoverShare)
 }
 
-// leftLeast bounds the factor by which a predicted wait grows.
-const leftLeast = 0.1
+// minLeftoverShare bounds the factor by which a predicted wait grows.
+const minLeftoverShare = 0.1
--- a/internal/permit/keeper.go
+++ b/internal/permit/keeper.go
@@ -9,41 +9,41 @@
 
 // The constants of queueing and refusing.
 const (
-	// meanShare is the weight of the newest answer in the mean time of a route.
-	meanShare = 0.03
-	// firstMean is the part of the target that the work of a route is taken for before any was
+	// meanWeight is the weight of the newest answer in the mean time of a route.
+	meanWeight = 0.03
+	// initialMeanShare is the part of the target that the work of a route is taken for before any was
 	// seen.
-	firstMean = 0.33
-	// targetShare is the part of the time to the target that a predicted finish may fill. The
+	initialMeanShare = 0.33
+	// maxTargetShare is the part of the time to the target that a predicted finish may fill. The
 	// rest is for the spread of service times.
-	targetShare = 0.8
-	// limitShare is the same for the limit, where missing it loses the request.
-	limitShare = 0.8
-	// lateShare is the longest wait, in multiples of a request's own time, for which a late
+	maxTargetShare = 0.8
+	// maxDeadlineShare is the same for the limit, where missing it loses the request.
+	maxDeadlineShare = 0.8
+	// maxPredictedLateWait is the longest wait, in multiples of a request's own time, for which a late
 	// request is let wait, lateWait that after which it is refused: those that can make their
 	// target go before it, and it would be held for long and then be refused.
-	lateShare = 1
-	lateWait  = 2
-	// crossPerKB is for how long a request waits for a server of its own failure domain, for
+	maxPredictedLateWait = 1
+	maxLateWait          = 2
+	// crossDomainDelayPerKB is for how long a request waits for a server of its own failure domain, for
 	// each kilobyte of the answer: bytes between domains are dear, and large answers make up
 	// nearly all of them.
-	crossPerKB = 2 * time.Millisecond
-	// crossMost bounds that wait as a part of the time to the target.
-	crossMost = 0.35
-	// retryLeast and retryShare bound the time after which a refused caller should return: no
+	crossDomainDelayPerKB = 2 * time.Millisecond
+	// maxCrossDomainDelayShare bounds that wait as a part of the time to the target.
+	maxCrossDomainDelayShare = 0.35
+	// minRetryDelay and retryShare bound the time after which a refused caller should return: no
 	// sooner than a fraction of a service time, no later than leaves it the time to be served.
-	retryLeast = 150 * time.Millisecond
-	retryShare = 0.3
-	// retrySpread keeps callers that were refused together from returning together.
-	retrySpread = 0.4
+	minRetryDelay      = 150 * time.Millisecond
+	maxRetryDelayShare = 0.3
+	// retryJitter keeps callers that were refused together from returning together.
+	retryJitter = 0.4
 )
 
-// route is what is learnt of a kind of work.
-type route struct {
-	mean  time.Duration
-	bytes float64
-	// heard is the number of answers.
-	heard int
+// routeStats is what is learnt of a kind of work.
+type routeStats struct {
+	meanTime  time.Duration
+	meanBytes float64
+	// answers is the number of answers.
+	answers int
 }
 
 // Keeper gives the permits of one pool of servers, or of the servers of a service that is divided by key. What
@@ -51,50 +51,50 @@
 // logarithm, nor with that of requests that wait.
 type Keeper struct {
 	servers map[string]*server
-	routes  map[string]*route
-	// granted holds the servers of the permits in use, queued the requests that wait.
-	granted map[Key]*server
-	queued  map[Key]*waiting
-	// near holds the requests that wait for a server of their own domain, by domain, anywhere those that
+	routes  map[string]*routeStats
+	// admitted holds the servers of the permits in use, queued the requests that wait.
+	admitted map[Key]*server
+	queued   map[Key]*waiter
+	// domainQueues holds the requests that wait for a server of their own domain, by domain, anywhere those that
 	// any server will do for. Those for one server wait with that one.
-	near     map[string]*queue
-	anywhere queue
-	// free holds the free servers by domain, in order of their names.
-	free []*freeServers
+	domainQueues   map[string]*queue
+	anyDomainQueue queue
+	// openByDomain holds the free servers by domain, in order of their names.
+	openByDomain []*openServers
 	// recent holds the servers that each asker was sent to of late.
-	recent map[string][]recentUse
+	recent map[string][]recentServer
 	// slots and power are the sums over all servers, aside is the number of those that are set aside.
-	slots int
-	power float64
-	aside int
-	// behind is the number of requests that wait at servers.
-	behind int
+	slots    int
+	capacity float64
+	ejected  int
+	// waitingAtServers is the number of requests that wait at servers.
+	waitingAtServers int
 	// demands holds the demand by priority.
 	demands map[int]*demand
 	// timers holds what is to be looked at, doubts the permits in use by when they are doubted, returns by
 	// when they are expected back.
-	timers  timers
-	doubts  timers
-	returns timers
-	// told holds the verdicts that fell due while a request was decided about.
-	told []Verdict
-	// heard holds the servers that answered since Report was last asked.
-	heard map[string]*server
-	// turns counts the requests, in order of arrival.
-	turns  uint64
-	random *rand.Rand
+	timers           timers
+	checks           timers
+	expectedReleases timers
+	// undelivered holds the verdicts that fell due while a request was decided about.
+	undelivered []Verdict
+	// answered holds the servers that answered since Report was last asked.
+	answered map[string]*server
+	// lastSequence counts the requests, in order of arrival.
+	lastSequence uint64
+	random       *rand.Rand
 	// expired is the number of permits that were taken back since Expired was last asked.
 	expired int
-	// looked counts the servers, requests and timers that decisions looked at.
-	looked int
+	// inspected counts the servers, requests and timers that decisions looked at.
+	inspected int
 }
 
 // New returns a keeper without servers.
 func New(random *rand.Rand) *Keeper {
 	return &Keeper{
-		random: random, servers: map[string]*server{}, routes: map[string]*route{},
-		granted: map[Key]*server{}, queued: map[Key]*waiting{}, near: map[string]*queue{},
-		recent: map[string][]recentUse{}, demands: map[int]*demand{}, heard: map[string]*server{},
+		random: random, servers: map[string]*server{}, routes: map[string]*routeStats{},
+		admitted: map[Key]*server{}, queued: map[Key]*waiter{}, domainQueues: map[string]*queue{},
+		recent: map[string][]recentServer{}, demands: map[int]*demand{}, answered: map[string]*server{},
 	}
 }
 
@@ -107,24 +107,24 @@
 	}
 	for id, s := range k.servers {
 		if !there[id] {
-			out = append(out, k.drop(now, s)...)
+			out = append(out, k.removeServer(now, s)...)
 		}
 	}
 	for _, s := range servers {
-		k.put(now, s)
+		k.putServer(now, s)
 	}
 	out = append(out, k.Tick(now)...)
 	for _, s := range servers {
-		out = append(out, k.serve(now, k.servers[s.ID])...)
+		out = append(out, k.dispatch(now, k.servers[s.ID])...)
 	}
 	if len(servers) == 0 {
-		out = append(out, k.sendAway()...)
+		out = append(out, k.rejectAll()...)
 	}
 	return out
 }
 
-// sendAway refuses all that wait, as the last server is gone: they are to look for one elsewhere at once.
-func (k *Keeper) sendAway() []Verdict {
+// rejectAll refuses all that wait, as the last server is gone: they are to look for one elsewhere at once.
+func (k *Keeper) rejectAll() []Verdict {
 	var out []Verdict
 	for _, w := range k.queued {
 		k.dequeue(w)
@@ -133,8 +133,8 @@
 	return out
 }
 
-// put takes in a server, or what has changed of it.
-func (k *Keeper) put(now time.Time, s rules.Server) {
+// putServer takes in a server, or what has changed of it.
+func (k *Keeper) putServer(now time.Time, s rules.Server) {
 	known := k.servers[s.ID]
 	if known == nil {
 		known = newServer(s)
@@ -144,20 +144,20 @@
 	}
 	known.Server = s
 	k.slots += known.Slots
-	k.arrange(now, known)
+	k.refresh(now, known)
 }
 
-// drop forgets a server. Who waits for it is refused.
-func (k *Keeper) drop(now time.Time, s *server) []Verdict {
+// removeServer forgets a server. Who waits for it is refused.
+func (k *Keeper) removeServer(now time.Time, s *server) []Verdict {
 	delete(k.servers, s.ID)
-	delete(k.heard, s.ID)
+	delete(k.answered, s.ID)
 	k.slots -= s.Slots
-	if s.setAside {
-		k.aside--
+	if s.ejected {
+		k.ejected--
 	}
-	k.arrange(now, s)
-	for key := range s.uses {
-		delete(k.granted, key)
+	k.refresh(now, s)
+	for key := range s.admissions {
+		delete(k.admitted, key)
 	}
 	var out []Verdict
 	for w := s.queue.head(); w != nil; w = s.queue.head() {
@@ -171,47 +171,47 @@
 // or took long, gets the verdict that stands. Verdicts about others that have fallen due are
 // returned by the next Tick.
 func (k *Keeper) Ask(now time.Time, a Ask) Verdict {
-	k.told = append(k.told, k.pass(now)...)
-	if v := k.standing(a.Key); v != nil {
+	k.undelivered = append(k.undelivered, k.runTimers(now)...)
+	if v := k.currentDecision(a.Key); v != nil {
 		return v
 	}
 	if a.Server != "" && k.servers[a.Server] == nil {
 		return Refused{Key: a.Key, Reason: Gone}
 	}
-	w := k.enter(now, a)
+	w := k.newWaiter(now, a)
 	if len(k.servers) == 0 {
-		return k.refuse(now, a, NoServer, 0)
+		return k.reject(now, a, NoServer, 0)
 	}
-	if warmIn, barred := k.barred(now, a); barred {
-		return k.refuse(now, a, Overload, warmIn)
+	if warmIn, barred := k.allCold(now, a); barred {
+		return k.reject(now, a, Overload, warmIn)
 	}
-	s := k.choose(now, w)
-	if s != nil && s.free(now) && k.goesFirst(w, s) {
-		k.note(now, w)
-		return k.grant(now, s, w)
+	s := k.chooseServer(now, w)
+	if s != nil && s.free(now) && k.precedesQueue(w, s) {
+		k.recordDemand(now, w)
+		return k.admit(now, s, w)
 	}
-	soon := w.crossAt.Sub(now)
-	wait, fits := k.room(now, w)
+	soon := w.crossDomainAt.Sub(now)
+	wait, fits := k.checkWait(now, w)
 	if !fits || a.Elsewhere && wait > soon {
-		return k.refuse(now, a, Overload, wait)
+		return k.reject(now, a, Overload, wait)
 	}
-	k.note(now, w)
-	if s != nil && !a.Elsewhere && !now.Before(w.crossAt) && k.goesFirst(w, s) {
-		return k.grant(now, s, w)
+	k.recordDemand(now, w)
+	if s != nil && !a.Elsewhere && !now.Before(w.crossDomainAt) && k.precedesQueue(w, s) {
+		return k.admit(now, s, w)
 	}
 	k.enqueue(now, w)
 	return Waiting{Key: a.Key}
 }
 
-// goesFirst reports whether a request that has just come goes before all that wait for a server.
-func (k *Keeper) goesFirst(w *waiting, s *server) bool {
-	next := k.next(s)
-	return next == nil || w.before(next)
+// precedesQueue reports whether a request that has just come goes before all that wait for a server.
+func (k *Keeper) precedesQueue(w *waiter, s *server) bool {
+	next := k.nextWaiter(s)
+	return next == nil || w.precedes(next)
 }
 
-// barred reports whether a request can be sent to none of the servers that there are for it since all are cold, and how
+// allCold reports whether a request can be sent to none of the servers that there are for it since all are cold, and how
 // long that lasts.
-func (k *Keeper) barred(now time.Time, a Ask) (warmIn time.Duration, barred bool) {
+func (k *Keeper) allCold(now time.Time, a Ask) (warmIn time.Duration, barred bool) {
 	if !a.Apart {
 		return 0, false
 	}
@@ -229,60 +229,60 @@
 	return warmIn, barred
 }
 
-// refuse returns the refusal of a request that would wait for a time. One that can ask another pool is sent
+// reject returns the refusal of a request that would wait for a time. One that can ask another pool is sent
 // there, whatever the reason.
-func (k *Keeper) refuse(now time.Time, a Ask, reason Reason, wait time.Duration) Verdict {
+func (k *Keeper) reject(now time.Time, a Ask, reason Reason, wait time.Duration) Verdict {
 	if a.Elsewhere {
 		return Refused{Key: a.Key, Reason: Busy, Wait: wait}
 	}
-	return Refused{Key: a.Key, Reason: reason, RetryIn: k.retryIn(now, a, wait), Wait: wait}
+	return Refused{Key: a.Key, Reason: reason, RetryIn: k.retryDelay(now, a, wait), Wait: wait}
 }
 
-// standing returns the verdict that was given before, nil if there is none.
-func (k *Keeper) standing(key Key) Verdict {
+// currentDecision returns the verdict that was given before, nil if there is none.
+func (k *Keeper) currentDecision(key Key) Verdict {
 	if k.queued[key] != nil {
 		return Waiting{Key: key}
 	}
-	if s := k.granted[key]; s != nil {
+	if s := k.admitted[key]; s != nil {
 		return Granted{Key: key, Server: s.ID}
 	}
 	return nil
 }
 
-func (k *Keeper) grant(now time.Time, s *server, w *waiting) Verdict {
-	u := use{since: now, expect: s.expect(k.route(w.Route, 0), now), factor: s.factor(now), startedAt: now}
-	if len(s.uses) >= s.Slots {
+func (k *Keeper) admit(now time.Time, s *server, w *waiter) Verdict {
+	u := admission{admittedAt: now, expectedTime: s.expectedTime(k.route(w.Route, 0), now), coldFactor: s.coldFactor(now), startedAt: now}
+	if len(s.admissions) >= s.Slots {
 		u.startedAt = time.Time{}
-		u.expect += s.next(now)
+		u.expectedTime += s.timeToFreeSlot(now)
 	}
-	s.use(w.Key, u)
+	s.addAdmission(w.Key, u)
 	if s.Cold(now) {
-		s.noteCold(now)
-	}
-	k.granted[w.Key] = s
-	k.noteUse(w.From, s.ID, now)
-	held := permitEnds{w.Key, s}
-	k.timers.set(w.LimitAt.Add(overdue), held)
-	k.doubts.set(now.Add(time.Duration(doubtShare*float64(u.expect))+doubtLeast), permitDoubted(held))
-	k.firstBack() // forgets those that are back
-	k.returns.set(now.Add(u.expect), permitReturns(held))
-	k.arrange(now, s)
+		s.recordColdSend(now)
+	}
+	k.admitted[w.Key] = s
+	k.recordUse(w.From, s.ID, now)
+	held := admissionExpiry{w.Key, s}
+	k.timers.add(w.LimitAt.Add(expiryDelay), held)
+	k.checks.add(now.Add(time.Duration(checkFactor*float64(u.expectedTime))+checkMargin), admissionCheck(held))
+	k.nextRelease() // forgets those that are back
+	k.expectedReleases.add(now.Add(u.expectedTime), expectedRelease(held))
+	k.refresh(now, s)
 	return Granted{Key: w.Key, Server: s.ID}
 }
 
-// takeBack ends the use of a permit. It returns false if it was not in use.
-func (k *Keeper) takeBack(now time.Time, key Key) (*server, bool) {
-	s := k.granted[key]
+// release ends the use of a permit. It returns false if it was not in use.
+func (k *Keeper) release(now time.Time, key Key) (*server, bool) {
+	s := k.admitted[key]
 	if s == nil {
 		return nil, false
 	}
-	delete(k.granted, key)
-	started := !s.uses[key].startedAt.IsZero()
-	delete(s.uses, key)
+	delete(k.admitted, key)
+	started := !s.admissions[key].startedAt.IsZero()
+	delete(s.admissions, key)
 	if started {
 		s.startNext(now)
 	}
-	k.arrange(now, s)
+	k.refresh(now, s)
 	return s, true
 }
 
@@ -292,47 +292,47 @@
 		k.dequeue(w)
 	}
 	out := k.Tick(now)
-	if s, used := k.takeBack(now, key); used {
-		out = append(out, k.serve(now, s)...)
+	if s, used := k.release(now, key); used {
+		out = append(out, k.dispatch(now, s)...)
 	}
 	return out
 }
 
 // Done takes a permit back and learns from how the sending ended.
 func (k *Keeper) Done(now time.Time, d Done) []Verdict {
-	s := k.granted[d.Key]
+	s := k.admitted[d.Key]
 	// A permit that is given back twice counts once.
 	if s == nil || s.ID != d.Server {
 		return k.Tick(now)
 	}
-	u := s.uses[d.Key]
-	k.takeBack(now, d.Key)
+	u := s.admissions[d.Key]
+	k.release(now, d.Key)
 	r := k.route(d.Route, 0)
-	k.learn(now, s, d, u, r.mean)
+	k.learn(now, s, d, u, r.meanTime)
 	if d.Outcome == Answered {
-		mean := float64(u.work(d)) / s.speed / u.factor
-		r.mean += time.Duration((mean - float64(r.mean)) * meanShare)
-		r.bytes += (float64(d.Bytes) - r.bytes) * meanShare
-		r.heard++
+		mean := float64(u.serviceTime(d)) / s.timeRatio / u.coldFactor
+		r.meanTime += time.Duration((mean - float64(r.meanTime)) * meanWeight)
+		r.meanBytes += (float64(d.Bytes) - r.meanBytes) * meanWeight
+		r.answers++
 	}
-	return append(k.Tick(now), k.serve(now, s)...)
+	return append(k.Tick(now), k.dispatch(now, s)...)
 }
 
 // learn takes in what an ended sending says of a server.
-func (k *Keeper) learn(now time.Time, s *server, d Done, u use, mean time.Duration) {
+func (k *Keeper) learn(now time.Time, s *server, d Done, u admission, mean time.Duration) {
 	s.learn(d, u, mean, now)
 	if d.Outcome == Answered {
-		k.heard[s.ID] = s
+		k.answered[s.ID] = s
 	}
-	if s.failures > failMost && !s.setAside && k.aside < k.asideMost() {
-		s.putAside(now)
-		k.aside++
+	if s.failureRate > maxFailureRate && !s.ejected && k.ejected < k.maxEjected() {
+		s.eject(now)
+		k.ejected++
 	}
-	k.arrange(now, s)
+	k.refresh(now, s)
 }
 
-// asideMost returns how many servers may be set aside at one time: more would leave too little room for the
+// maxEjected returns how many servers may be set aside at one time: more would leave too little room for the
 // load, and one always stays.
-func (k *Keeper) asideMost() int {
-	return max(int(asideShare*float64(len(k.servers))), min(1, len(k.servers)-1))
+func (k *Keeper) maxEjected() int {
+	return max(int(maxEjectedShare*float64(len(k.servers))), min(1, len(k.servers)-1))
 }
--- a/internal/permit/line.go
+++ b/internal/permit/line.go
@@ -18,11 +18,11 @@
 }
 
 func (r rank) compare(o rank) int {
-	return cmp.Or(cmp.Compare(r.priority, o.priority), first(o.late, r.late))
+	return cmp.Or(cmp.Compare(r.priority, o.priority), trueFirst(o.late, r.late))
 }
 
-// first compares by a property whose bearers go first.
-func first(a, b bool) int {
+// trueFirst compares by a property whose bearers go first.
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -33,70 +33,70 @@
 	}
 }
 
-// waiting is a request that asked for a permit.
-type waiting struct {
+// waiter is a request that asked for a permit.
+type waiter struct {
 	Ask
-	// turn is the order of arrival.
-	turn uint64
-	// crossAt is when servers of other domains may be used.
-	crossAt time.Time
-	expect  time.Duration
+	// sequence is the order of arrival.
+	sequence uint64
+	// crossDomainAt is when servers of other domains may be used.
+	crossDomainAt time.Time
+	expectedTime  time.Duration
 	// late says that the target is out of reach. Such a request is refused at giveUpAt if it
 	// still waits then.
-	late     bool
-	giveUpAt time.Time
+	late          bool
+	queueDeadline time.Time
 
-	// line is where the request waits, nil if it does not, and index its position there.
-	line  *line
-	index int
+	// rankQueue is where the request waits, nil if it does not, and index its position there.
+	rankQueue *rankQueue
+	index     int
 }
 
-func (w *waiting) rank() rank { return rank{w.Priority, w.late} }
+func (w *waiter) rank() rank { return rank{w.Priority, w.late} }
 
-// before reports whether a request goes before another one.
-func (w *waiting) before(o *waiting) bool {
-	return cmp.Or(w.rank().compare(o.rank()), cmp.Compare(w.turn, o.turn)) < 0
+// precedes reports whether a request goes before another one.
+func (w *waiter) precedes(o *waiter) bool {
+	return cmp.Or(w.rank().compare(o.rank()), cmp.Compare(w.sequence, o.sequence)) < 0
 }
 
-// line holds the requests of one rank, the first to arrive at its head.
-type line struct {
+// rankQueue holds the requests of one rank, the first to arrive at its head.
+type rankQueue struct {
 	rank    rank
-	members members
+	waiters waiterHeap
 	// work is what the requests take together.
 	work time.Duration
 }
 
-func (l *line) push(w *waiting) {
-	w.line = l
-	l.work += w.expect
-	heap.Push(&l.members, w)
+func (l *rankQueue) push(w *waiter) {
+	w.rankQueue = l
+	l.work += w.expectedTime
+	heap.Push(&l.waiters, w)
 }
 
 // remove takes a request out of the line in which it waits.
-func (w *waiting) remove() {
-	w.line.work -= w.expect
-	heap.Remove(&w.line.members, w.index)
-	w.line = nil
+func (w *waiter) remove() {
+	w.rankQueue.work -= w.expectedTime
+	heap.Remove(&w.rankQueue.waiters, w.index)
+	w.rankQueue = nil
 }
 
-// members implements heap.Interface.
-type members []*waiting
+// waiterHeap implements heap.Interface.
+type waiterHeap []*waiter
 
-func (m members) Len() int           { return len(m) }
-func (m members) Less(i, j int) bool { return m[i].turn < m[j].turn }
+func (m waiterHeap) Len() int           { return len(m) }
+func (m waiterHeap) Less(i, j int) bool { return m[i].sequence < m[j].sequence }
 
-func (m members) Swap(i, j int) {
+func (m waiterHeap) Swap(i, j int) {
 	m[i], m[j] = m[j], m[i]
 	m[i].index, m[j].index = i, j
 }
 
-func (m *members) Push(x any) {
-	w := x.(*waiting)
+func (m *waiterHeap) Push(x any) {
+	w := x.(*waiter)
 	w.index = len(*m)
 	*m = append(*m, w)
 }
 
-func (m *members) Pop() any {
+func (m *waiterHeap) Pop() any {
 	old := *m
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -106,22 +106,22 @@
 
 // queue holds the requests that wait for the same servers, a line for each rank.
 type queue struct {
-	lines []*line
+	ranks []*rankQueue
 }
 
-func (q *queue) push(w *waiting) {
-	at, found := slices.BinarySearchFunc(q.lines, w.rank(), func(l *line, r rank) int { return l.rank.compare(r) })
+func (q *queue) push(w *waiter) {
+	at, found := slices.BinarySearchFunc(q.ranks, w.rank(), func(l *rankQueue, r rank) int { return l.rank.compare(r) })
 	if !found {
-		q.lines = slices.Insert(q.lines, at, &line{rank: w.rank()})
+		q.ranks = slices.Insert(q.ranks, at, &rankQueue{rank: w.rank()})
 	}
-	q.lines[at].push(w)
+	q.ranks[at].push(w)
 }
 
 // head returns the request that goes first, nil if none waits.
-func (q *queue) head() *waiting {
-	for _, l := range q.lines {
-		if len(l.members) > 0 {
-			return l.members[0]
+func (q *queue) head() *waiter {
+	for _, l := range q.ranks {
+		if len(l.waiters) > 0 {
+			return l.waiters[0]
 		}
 	}
 	return nil
@@ -129,12 +129,12 @@
 
 // ahead returns the work of the requests of the same or a better rank, and their number.
 func (q *queue) ahead(r rank) (work time.Duration, count int) {
-	for _, l := range q.lines {
+	for _, l := range q.ranks {
 		if l.rank.compare(r) > 0 {
 			break
 		}
 		work += l.work
-		count += len(l.members)
+		count += len(l.waiters)
 	}
 	return work, count
 }
--- a/internal/permit/load_test.go
+++ b/internal/permit/load_test.go
@@ -55,7 +55,7 @@
 	work   map[string]time.Duration // of each server
 	// slots is how many requests a server runs at a time, places what is at the servers.
 	slots  int
-	places map[string]*place
+	places map[string]*simServer
 	// way is how long a message or a request is on its way.
 	way     time.Duration
 	tallies map[string]*tally
@@ -71,8 +71,8 @@
 	pickers map[string]*permit.Picker
 }
 
-// place is what a server runs, and what waits there in order of arrival.
-type place struct {
+// listing is what a server runs, and what waits there in order of arrival.
+type simServer struct {
 	running int
 	waiting []func(now time.Time)
 }
@@ -88,7 +88,7 @@
 
 func newPlayer(seed uint64, work map[string]time.Duration, slots int) *player {
 	p := &player{
-		random: rand.New(rand.NewPCG(seed, 2)), work: work, slots: slots, places: map[string]*place{}, tallies: map[string]*tally{}, open: map[permit.Key]*attempt{},
+		random: rand.New(rand.NewPCG(seed, 2)), work: work, slots: slots, places: map[string]*simServer{}, tallies: map[string]*tally{}, open: map[permit.Key]*attempt{},
 		domain: func() string { return "north" },
 	}
 	p.keeper = permit.New(rand.New(rand.NewPCG(seed, 3)))
@@ -175,7 +175,7 @@
 	p.after(now, 2*p.way, func(now time.Time) {
 		at := p.places[server]
 		if at == nil {
-			at = &place{}
+			at = &simServer{}
 			p.places[server] = at
 		}
 		start := func(now time.Time) { p.serve(now, a, server, sentAt) }
--- a/internal/permit/pass.go
+++ b/internal/permit/pass.go
@@ -6,65 +6,65 @@
 
 // Tick gives the permits that have become free, and refuses what can no longer be served.
 func (k *Keeper) Tick(now time.Time) []Verdict {
-	out := append(k.told, k.pass(now)...)
-	k.told = nil
+	out := append(k.undelivered, k.runTimers(now)...)
+	k.undelivered = nil
 	return out
 }
 
-// pass handles the timers whose time has come.
-func (k *Keeper) pass(now time.Time) []Verdict {
+// runTimers handles the timers whose time has come.
+func (k *Keeper) runTimers(now time.Time) []Verdict {
 	var out []Verdict
 	for {
-		a, due := k.timers.due(now)
+		a, due := k.timers.popDue(now)
 		if !due {
 			return out
 		}
-		k.looked++
-		out = append(out, k.handle(now, a)...)
+		k.inspected++
+		out = append(out, k.handleTimer(now, a)...)
 	}
 }
 
-func (k *Keeper) handle(now time.Time, a timer) []Verdict {
+func (k *Keeper) handleTimer(now time.Time, a timer) []Verdict {
 	switch a := a.(type) {
-	case permitEnds:
-		if k.granted[a.key] != a.server {
+	case admissionExpiry:
+		if k.admitted[a.key] != a.server {
 			return nil
 		}
-		k.takeBack(now, a.key)
+		k.release(now, a.key)
 		k.expired++
-		return k.serve(now, a.server)
-	case serverChanges:
-		k.arrange(now, a.server)
-		return k.serve(now, a.server)
-	case requestCrosses:
-		return k.cross(now, a.request)
-	case requestGivesUp:
-		return k.giveUp(now, a.request)
+		return k.dispatch(now, a.server)
+	case serverChange:
+		k.refresh(now, a.server)
+		return k.dispatch(now, a.server)
+	case crossDomainAllowed:
+		return k.allowCrossDomain(now, a.request)
+	case queueTimeout:
+		return k.rejectTimedOut(now, a.request)
 	}
 	return nil
 }
 
-// cross lets a request that still waits use servers of all domains.
-func (k *Keeper) cross(now time.Time, w *waiting) []Verdict {
-	if w.line == nil {
+// allowCrossDomain lets a request that still waits use servers of all domains.
+func (k *Keeper) allowCrossDomain(now time.Time, w *waiter) []Verdict {
+	if w.rankQueue == nil {
 		return nil
 	}
 	w.remove()
-	k.anywhere.push(w)
-	s := k.choose(now, w)
+	k.anyDomainQueue.push(w)
+	s := k.chooseServer(now, w)
 	if s == nil {
 		return nil
 	}
-	return k.serve(now, s)
+	return k.dispatch(now, s)
 }
 
-// giveUp refuses a request that still waits.
-func (k *Keeper) giveUp(now time.Time, w *waiting) []Verdict {
-	if w.line == nil {
+// rejectTimedOut refuses a request that still waits.
+func (k *Keeper) rejectTimedOut(now time.Time, w *waiter) []Verdict {
+	if w.rankQueue == nil {
 		return nil
 	}
 	k.dequeue(w)
-	return []Verdict{Refused{Key: w.Key, Reason: Overload, RetryIn: k.retryIn(now, w.Ask, 0)}}
+	return []Verdict{Refused{Key: w.Key, Reason: Overload, RetryIn: k.retryDelay(now, w.Ask, 0)}}
 }
 
 // Doubtful returns the holders of permits that take long while others wait for a slot. Whoever
@@ -75,16 +75,16 @@
 func (k *Keeper) Doubtful(now time.Time) []Key {
 	var out []Key
 	for {
-		a, due := k.doubts.due(now)
+		a, due := k.checks.popDue(now)
 		if !due {
 			return out
 		}
-		d := a.(permitDoubted)
-		if k.granted[d.key] != d.server {
+		d := a.(admissionCheck)
+		if k.admitted[d.key] != d.server {
 			continue
 		}
-		k.doubts.set(now.Add(doubtEvery), d)
-		if d.key.From != "" && len(d.server.uses) >= d.server.Slots {
+		k.checks.add(now.Add(checkInterval), d)
+		if d.key.From != "" && len(d.server.admissions) >= d.server.Slots {
 			out = append(out, d.key)
 		}
 	}
@@ -99,4 +99,4 @@
 }
 
 // Idle reports whether nothing waits, so that no tick is needed.
-func (k *Keeper) Idle() bool { return len(k.queued) == 0 && len(k.told) == 0 }
+func (k *Keeper) Idle() bool { return len(k.queued) == 0 && len(k.undelivered) == 0 }
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -14,12 +14,12 @@
 
 // The sizes of pools.
 const (
-	// poolLeast is the number of slots from which on the servers of a failure domain are a pool of their
+	// minPoolSlots is the number of slots from which on the servers of a failure domain are a pool of their
 	// own. A queue for fewer refuses more than one for all.
-	poolLeast = 24
-	// poolSlots is the number of slots of a pool where there are many: with as many, a queue for each pool
+	minPoolSlots = 24
+	// targetPoolSlots is the number of slots of a pool where there are many: with as many, a queue for each pool
 	// refuses next to no more than one for all.
-	poolSlots = 48
+	targetPoolSlots = 48
 )
 
 // Pool is servers of one service whose permits one keeper gives.
@@ -49,11 +49,11 @@
 		for _, s := range members {
 			slots += s.Slots
 		}
-		if slots < poolLeast {
+		if slots < minPoolSlots {
 			rest.Servers = append(rest.Servers, members...)
 			continue
 		}
-		out = append(out, divideDomain(service, domain, members, max(slots/poolSlots, 1))...)
+		out = append(out, divideDomain(service, domain, members, max(slots/targetPoolSlots, 1))...)
 	}
 	if len(rest.Servers) > 0 || len(out) == 0 {
 		out = append(out, rest)
@@ -78,35 +78,35 @@
 
 // The constants of the choice of a pool.
 const (
-	// poolTries is the number of pools that a request asks at most.
-	poolTries = 3
-	// busyLeast and busyMost bound the time for which a pool that had no room is asked last.
-	busyLeast = 20 * time.Millisecond
-	busyMost  = 200 * time.Millisecond
+	// maxPoolCandidates is the number of pools that a request asks at most.
+	maxPoolCandidates = 3
+	// minBusyTime and busyMost bound the time for which a pool that had no room is asked last.
+	minBusyTime = 20 * time.Millisecond
+	maxBusyTime = 200 * time.Millisecond
 )
 
 // Picker chooses the pools that an instance asks. Its methods are not safe for use by several goroutines.
 type Picker struct {
 	// pools are in the order in which the instance asks them while none is busy: its own domain's first,
 	// and of these always the same first, so that connections are used again.
-	pools  []Pool
-	near   int
-	busy   map[string]time.Time
-	random *rand.Rand
+	pools     []Pool
+	ownCount  int
+	busyUntil map[string]time.Time
+	random    *rand.Rand
 }
 
 // NewPicker returns the picker of an instance of a failure domain.
 func NewPicker(instance, domain string, pools []Pool, random *rand.Rand) *Picker {
-	p := &Picker{pools: slices.Clone(pools), busy: map[string]time.Time{}, random: random}
+	p := &Picker{pools: slices.Clone(pools), busyUntil: map[string]time.Time{}, random: random}
 	own := func(o Pool) bool { return o.Domain == domain }
 	weight := func(o Pool) uint64 { return xxhash.Sum64String(instance + "\x00" + o.Name) }
 	slices.SortFunc(p.pools, func(a, b Pool) int {
-		return cmp.Or(first(own(a), own(b)), cmp.Compare(weight(a), weight(b)))
+		return cmp.Or(trueFirst(own(a), own(b)), cmp.Compare(weight(a), weight(b)))
 	})
-	for p.near < len(p.pools) && own(p.pools[p.near]) {
-		p.near++
+	for p.ownCount < len(p.pools) && own(p.pools[p.ownCount]) {
+		p.ownCount++
 	}
-	p.near = max(p.near, 1)
+	p.ownCount = max(p.ownCount, 1)
 	return p
 }
 
@@ -121,22 +121,22 @@
 	}
 	var out []Pool
 	for i, pool := range p.pools {
-		if i == p.near {
+		if i == p.ownCount {
 			break
 		}
-		if !now.Before(p.busy[pool.Name]) && len(out) < poolTries-1 {
+		if !now.Before(p.busyUntil[pool.Name]) && len(out) < maxPoolCandidates-1 {
 			out = append(out, pool)
 		}
 	}
-	if far := p.pools[p.near:]; len(far) > 0 && len(out) < poolTries-1 {
-		if pool := far[p.random.IntN(len(far))]; !now.Before(p.busy[pool.Name]) {
+	if far := p.pools[p.ownCount:]; len(far) > 0 && len(out) < maxPoolCandidates-1 {
+		if pool := far[p.random.IntN(len(far))]; !now.Before(p.busyUntil[pool.Name]) {
 			out = append(out, pool)
 		}
 	}
-	return append(out, p.pools[p.random.IntN(p.near)])
+	return append(out, p.pools[p.random.IntN(p.ownCount)])
 }
 
 // Busy takes in that a pool had no room for a time.
 func (p *Picker) Busy(pool string, wait time.Duration, now time.Time) {
-	p.busy[pool] = now.Add(min(max(wait, busyLeast), busyMost))
+	p.busyUntil[pool] = now.Add(min(max(wait, minBusyTime), maxBusyTime))
 }
--- a/internal/permit/power.go
+++ b/internal/permit/power.go
@@ -15,12 +15,12 @@
 	if mean <= 0 {
 		return nil
 	}
-	out := make(map[string]Power, len(k.heard))
-	for id, s := range k.heard {
-		if s.heard >= heardLeast {
-			out[id] = Power{Rate: s.slotPower() / mean.Seconds(), Answers: s.heard - s.told}
-			s.told = s.heard
-			delete(k.heard, id)
+	out := make(map[string]Power, len(k.answered))
+	for id, s := range k.answered {
+		if s.answers >= minReportAnswers {
+			out[id] = Power{Rate: s.slotCapacity() / mean.Seconds(), Answers: s.answers - s.reportedAnswers}
+			s.reportedAnswers = s.answers
+			delete(k.answered, id)
 		}
 	}
 	return out
@@ -28,14 +28,14 @@
 
 // main returns the mean time of the route that is used most.
 func (k *Keeper) main() time.Duration {
-	var most *route
+	var most *routeStats
 	for _, r := range k.routes {
-		if r.heard > 0 && (most == nil || r.heard > most.heard) {
+		if r.answers > 0 && (most == nil || r.answers > most.answers) {
 			most = r
 		}
 	}
 	if most == nil {
 		return 0
 	}
-	return most.mean
+	return most.meanTime
 }
--- a/internal/permit/predict.go
+++ b/internal/permit/predict.go
@@ -4,87 +4,87 @@
 	"time"
 )
 
-// ahead returns the work of the requests of the same or a better rank that wait for any server.
-func (k *Keeper) ahead(r rank) time.Duration {
-	work, _ := k.anywhere.ahead(r)
-	for _, q := range k.near {
+// workAhead returns the work of the requests of the same or a better rank that wait for any server.
+func (k *Keeper) workAhead(r rank) time.Duration {
+	work, _ := k.anyDomainQueue.ahead(r)
+	for _, q := range k.domainQueues {
 		near, _ := q.ahead(r)
 		work += near
 	}
 	return work
 }
 
-// predict returns how long a request would wait behind those that go before it.
-func (k *Keeper) predict(now time.Time, w *waiting) time.Duration {
+// predictWait returns how long a request would wait behind those that go before it.
+func (k *Keeper) predictWait(now time.Time, w *waiter) time.Duration {
 	if w.Server != "" {
 		s := k.servers[w.Server]
 		work, count := s.queue.ahead(w.rank())
-		work += time.Duration(s.waitsThere()) * w.expect
-		wait := time.Duration(float64(s.next(now)+work/time.Duration(max(s.Slots, 1))) / k.leftOver(now, w.Priority))
-		return max(wait, s.coldTurn(now, count).Sub(now))
+		work += time.Duration(s.waitingForSlot()) * w.expectedTime
+		wait := time.Duration(float64(s.timeToFreeSlot(now)+work/time.Duration(max(s.Slots, 1))) / k.leftoverShare(now, w.Priority))
+		return max(wait, s.coldSendTime(now, count).Sub(now))
 	}
-	work := k.ahead(w.rank()) + time.Duration(k.behind)*w.expect
-	wait := time.Duration((float64(k.nextFree(now)) + float64(work)/max(k.power, 0.1)) / k.leftOver(now, w.Priority))
-	return max(wait, w.crossAt.Sub(now))
+	work := k.workAhead(w.rank()) + time.Duration(k.waitingAtServers)*w.expectedTime
+	wait := time.Duration((float64(k.timeToFreeSlot(now)) + float64(work)/max(k.capacity, 0.1)) / k.leftoverShare(now, w.Priority))
+	return max(wait, w.crossDomainAt.Sub(now))
 }
 
-// nextFree returns the time until any server has a free slot.
-func (k *Keeper) nextFree(now time.Time) time.Duration {
-	for _, f := range k.free {
-		if len(f.places) > 0 && f.places[0].server.free(now) {
+// timeToFreeSlot returns the time until any server has a free slot.
+func (k *Keeper) timeToFreeSlot(now time.Time) time.Duration {
+	for _, f := range k.openByDomain {
+		if len(f.listings) > 0 && f.listings[0].server.free(now) {
 			return 0
 		}
 	}
-	if u, found := k.firstBack(); found {
-		return u.left(now)
+	if u, found := k.nextRelease(); found {
+		return u.remaining(now)
 	}
 	return 0
 }
 
-// firstBack returns the permit that is expected back first.
-func (k *Keeper) firstBack() (use, bool) {
+// nextRelease returns the permit that is expected back first.
+func (k *Keeper) nextRelease() (admission, bool) {
 	for {
-		next, found := k.returns.first()
+		next, found := k.expectedReleases.first()
 		if !found {
-			return use{}, false
+			return admission{}, false
 		}
-		r := next.(permitReturns)
-		if k.granted[r.key] == r.server {
-			return r.server.uses[r.key], true
+		r := next.(expectedRelease)
+		if k.admitted[r.key] == r.server {
+			return r.server.admissions[r.key], true
 		}
-		k.returns.drop()
+		k.expectedReleases.removeFirst()
 	}
 }
 
-// room returns how long a request would wait, and whether it may.
+// checkWait returns how long a request would wait, and whether it may.
 //
 // One that would miss its target by little may wait behind those that are in time, as one that is
 // late. Refused, it would come back with less time left, and few that do are served.
-func (k *Keeper) room(now time.Time, w *waiting) (time.Duration, bool) {
-	wait := k.predict(now, w)
+func (k *Keeper) checkWait(now time.Time, w *waiter) (time.Duration, bool) {
+	wait := k.predictWait(now, w)
 	fits := k.fits(now, w, wait)
 	if fits || w.late {
 		return wait, fits
 	}
-	w.setLate(now)
-	wait = k.predict(now, w)
+	w.markLate(now)
+	wait = k.predictWait(now, w)
 	return wait, k.fits(now, w, wait)
 }
 
 // fits reports whether a request that waits for the given time is served in time: within its
 // target, or, where that is out of reach, within its limit and in room that is left over.
-func (k *Keeper) fits(now time.Time, w *waiting, wait time.Duration) bool {
-	finish := wait + w.expect
-	if finish <= time.Duration(targetShare*float64(w.TargetAt.Sub(now))) {
+func (k *Keeper) fits(now time.Time, w *waiter, wait time.Duration) bool {
+	finish := wait + w.expectedTime
+	if finish <= time.Duration(maxTargetShare*float64(w.TargetAt.Sub(now))) {
 		return true
 	}
-	return w.late && wait <= lateShare*w.expect && finish <= time.Duration(limitShare*float64(w.LimitAt.Sub(now)))
+	return w.late && wait <= maxPredictedLateWait*w.expectedTime && finish <= time.Duration(maxDeadlineShare*float64(w.LimitAt.Sub(now)))
 }
 
-// retryIn returns when a refused caller should come back: when the wait that was predicted is
+// retryDelay returns when a refused caller should come back: when the wait that was predicted is
 // over, but early enough to be served.
-func (k *Keeper) retryIn(now time.Time, a Ask, wait time.Duration) time.Duration {
-	most := time.Duration(retryShare * float64(a.LimitAt.Sub(now)))
-	in := max(min(wait, most), retryLeast)
-	return time.Duration(float64(in) * (1 + retrySpread*(k.random.Float64()-0.5)))
+func (k *Keeper) retryDelay(now time.Time, a Ask, wait time.Duration) time.Duration {
+	most := time.Duration(maxRetryDelayShare * float64(a.LimitAt.Sub(now)))
+	in := max(min(wait, most), minRetryDelay)
+	return time.Duration(float64(in) * (1 + retryJitter*(k.random.Float64()-0.5)))
 }
--- a/internal/permit/size_test.go
+++ b/internal/permit/size_test.go
@@ -23,7 +23,7 @@
 	k.SetServers(sizeStart, all)
 	k.route("read", time.Second) // the work of a route is guessed from its first target
 	var granted []Granted
-	for i := range (2+waitThere)*servers + waits {
+	for i := range (2+maxWaitingAtServer)*servers + waits {
 		if g, there := k.Ask(sizeStart, sizeAsk(uint64(i), sizeStart)).(Granted); there {
 			granted = append(granted, g)
 		}
@@ -61,7 +61,7 @@
 		turns = 200
 		// looksMost is what a permit that comes back and a request that comes may look at: the servers that
 		// the asker was sent to of late, one of each domain, and the timers of a few requests.
-		looksMost = recentMost + 6 + 8
+		looksMost = maxRecentServers + 6 + 8
 	)
 	for _, servers := range []int{10, 100, 1000} {
 		for _, waits := range []int{0, 100, 1000} {
@@ -69,7 +69,7 @@
 				is := is.New(t)
 				k, granted := busyKeeper(servers, waits)
 				is.Equal(len(k.queued), waits)
-				k.looked = 0
+				k.inspected = 0
 				now := sizeStart
 				for i := range turns {
 					now = now.Add(time.Millisecond)
@@ -77,8 +77,8 @@
 					k.Doubtful(now)
 				}
 				is.Equal(len(k.queued), waits)
-				t.Logf("%.1f looks a turn", float64(k.looked)/turns)
-				is.True(k.looked <= looksMost*turns)
+				t.Logf("%.1f looks a turn", float64(k.inspected)/turns)
+				is.True(k.inspected <= looksMost*turns)
 			})
 		}
 	}
@@ -103,8 +103,8 @@
 		k.Doubtful(now)
 	}
 	is.True(len(k.timers.entries) < 1000)
-	is.True(len(k.doubts.entries) < 1000)
-	is.True(len(k.returns.entries) < 1000)
+	is.True(len(k.checks.entries) < 1000)
+	is.True(len(k.expectedReleases.entries) < 1000)
 }
 
 // A permit that comes back and a request that comes, on a busy machine: 3.4 us at 10 servers, 66 us at 279
--- a/internal/permit/timer.go
+++ b/internal/permit/timer.go
@@ -10,38 +10,38 @@
 type timer interface{ timer() }
 
 type (
-	// permitEnds is when a permit is taken back that nobody gave back, permitDoubted when its holder is
+	// admissionExpiry is when a permit is taken back that nobody gave back, permitDoubted when its holder is
 	// asked, permitReturns when it is expected back.
-	permitEnds struct {
+	admissionExpiry struct {
 		key    Key
 		server *server
 	}
-	permitDoubted permitEnds
-	permitReturns permitEnds
-	// serverChanges is when a server may take requests again.
-	serverChanges struct{ server *server }
-	// requestCrosses is when a request may use servers of other domains, requestGivesUp when it is refused.
-	requestCrosses struct{ request *waiting }
-	requestGivesUp struct{ request *waiting }
+	admissionCheck  admissionExpiry
+	expectedRelease admissionExpiry
+	// serverChange is when a server may take requests again.
+	serverChange struct{ server *server }
+	// crossDomainAllowed is when a request may use servers of other domains, requestGivesUp when it is refused.
+	crossDomainAllowed struct{ request *waiter }
+	queueTimeout       struct{ request *waiter }
 )
 
-func (permitEnds) timer()     {}
-func (permitDoubted) timer()  {}
-func (permitReturns) timer()  {}
-func (serverChanges) timer()  {}
-func (requestCrosses) timer() {}
-func (requestGivesUp) timer() {}
+func (admissionExpiry) timer()    {}
+func (admissionCheck) timer()     {}
+func (expectedRelease) timer()    {}
+func (serverChange) timer()       {}
+func (crossDomainAllowed) timer() {}
+func (queueTimeout) timer()       {}
 
 // timers holds timers, the earliest first.
-type timers struct{ entries entries }
+type timers struct{ entries timerHeap }
 
-type entry struct {
+type timerEntry struct {
 	at    time.Time
 	timer timer
 }
 
-// set adds a timer.
-func (t *timers) set(at time.Time, what timer) { heap.Push(&t.entries, entry{at, what}) }
+// add adds a timer.
+func (t *timers) add(at time.Time, what timer) { heap.Push(&t.entries, timerEntry{at, what}) }
 
 // first returns the earliest timer, false if there is none.
 func (t *timers) first() (timer, bool) {
@@ -51,31 +51,31 @@
 	return t.entries[0].timer, true
 }
 
-// drop removes the earliest timer.
-func (t *timers) drop() { heap.Pop(&t.entries) }
+// removeFirst removes the earliest timer.
+func (t *timers) removeFirst() { heap.Pop(&t.entries) }
 
-// due returns and removes the earliest timer if its time has come.
-func (t *timers) due(now time.Time) (timer, bool) {
+// popDue returns and removes the earliest timer if its time has come.
+func (t *timers) popDue(now time.Time) (timer, bool) {
 	next, found := t.first()
 	if !found || t.entries[0].at.After(now) {
 		return nil, false
 	}
-	t.drop()
+	t.removeFirst()
 	return next, true
 }
 
-// entries implements heap.Interface.
-type entries []entry
+// timerHeap implements heap.Interface.
+type timerHeap []timerEntry
 
-func (e entries) Len() int           { return len(e) }
-func (e entries) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e entries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *entries) Push(x any)        { *e = append(*e, x.(entry)) }
+func (e timerHeap) Len() int           { return len(e) }
+func (e timerHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e timerHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *timerHeap) Push(x any)        { *e = append(*e, x.(timerEntry)) }
 
-func (e *entries) Pop() any {
+func (e *timerHeap) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = entry{}
+	old[len(old)-1] = timerEntry{}
 	*e = old[:len(old)-1]
 	return last
 }
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -6,106 +6,106 @@
 	"example.org/mustardring/internal/clock"
 )
 
-func (k *Keeper) enter(now time.Time, a Ask) *waiting {
+func (k *Keeper) newWaiter(now time.Time, a Ask) *waiter {
 	r := k.route(a.Route, a.TargetAt.Sub(now))
-	k.turns++
-	w := &waiting{Ask: a, turn: k.turns, expect: r.mean}
+	k.lastSequence++
+	w := &waiter{Ask: a, sequence: k.lastSequence, expectedTime: r.meanTime}
 	if s := k.servers[a.Server]; s != nil {
-		w.expect = s.expect(r, now)
+		w.expectedTime = s.expectedTime(r, now)
 	}
-	w.giveUpAt = a.LimitAt.Add(-w.expect / 2)
-	if a.TargetAt.Sub(now) < w.expect {
-		w.setLate(now)
+	w.queueDeadline = a.LimitAt.Add(-w.expectedTime / 2)
+	if a.TargetAt.Sub(now) < w.expectedTime {
+		w.markLate(now)
 	}
 	if a.Server != "" {
-		w.crossAt = now
+		w.crossDomainAt = now
 		return w
 	}
-	patience := time.Duration(r.bytes / 1024 * float64(crossPerKB))
-	most := time.Duration(crossMost * float64(a.TargetAt.Sub(now)-w.expect))
-	w.crossAt = now.Add(max(min(patience, most), 0))
+	patience := time.Duration(r.meanBytes / 1024 * float64(crossDomainDelayPerKB))
+	most := time.Duration(maxCrossDomainDelayShare * float64(a.TargetAt.Sub(now)-w.expectedTime))
+	w.crossDomainAt = now.Add(max(min(patience, most), 0))
 	return w
 }
 
-// setLate takes in that the target is out of reach.
-func (w *waiting) setLate(now time.Time) {
+// markLate takes in that the target is out of reach.
+func (w *waiter) markLate(now time.Time) {
 	w.late = true
-	w.giveUpAt = clock.Earlier(w.giveUpAt, now.Add(lateWait*w.expect))
+	w.queueDeadline = clock.Earlier(w.queueDeadline, now.Add(maxLateWait*w.expectedTime))
 }
 
-func (k *Keeper) route(name string, target time.Duration) *route {
+func (k *Keeper) route(name string, target time.Duration) *routeStats {
 	r := k.routes[name]
 	if r == nil {
-		r = &route{mean: max(time.Duration(firstMean*float64(target)), time.Millisecond)}
+		r = &routeStats{meanTime: max(time.Duration(initialMeanShare*float64(target)), time.Millisecond)}
 		k.routes[name] = r
 	}
 	return r
 }
 
-func (s *server) expect(r *route, now time.Time) time.Duration {
-	return time.Duration(float64(r.mean) * s.speed * s.factor(now))
+func (s *server) expectedTime(r *routeStats, now time.Time) time.Duration {
+	return time.Duration(float64(r.meanTime) * s.timeRatio * s.coldFactor(now))
 }
 
 // queueOf returns where a request waits.
-func (k *Keeper) queueOf(now time.Time, w *waiting) *queue {
+func (k *Keeper) queueOf(now time.Time, w *waiter) *queue {
 	switch {
 	case w.Server != "":
 		return &k.servers[w.Server].queue
-	case !now.Before(w.crossAt):
-		return &k.anywhere
+	case !now.Before(w.crossDomainAt):
+		return &k.anyDomainQueue
 	}
-	q := k.near[w.Domain]
+	q := k.domainQueues[w.Domain]
 	if q == nil {
 		q = &queue{}
-		k.near[w.Domain] = q
+		k.domainQueues[w.Domain] = q
 	}
 	return q
 }
 
 // enqueue lets a request wait.
-func (k *Keeper) enqueue(now time.Time, w *waiting) {
+func (k *Keeper) enqueue(now time.Time, w *waiter) {
 	k.queued[w.Key] = w
 	k.queueOf(now, w).push(w)
-	k.timers.set(w.giveUpAt, requestGivesUp{w})
-	if w.Server == "" && now.Before(w.crossAt) {
-		k.timers.set(w.crossAt, requestCrosses{w})
+	k.timers.add(w.queueDeadline, queueTimeout{w})
+	if w.Server == "" && now.Before(w.crossDomainAt) {
+		k.timers.add(w.crossDomainAt, crossDomainAllowed{w})
 	}
 }
 
-func (k *Keeper) dequeue(w *waiting) {
+func (k *Keeper) dequeue(w *waiter) {
 	delete(k.queued, w.Key)
 	w.remove()
 }
 
-// next returns the request that a server with a free slot should get, nil if none waits for it. One that is
+// nextWaiter returns the request that a server with a free slot should get, nil if none waits for it. One that is
 // set aside gets only those that no other server can serve.
-func (k *Keeper) next(s *server) *waiting {
-	k.looked++
+func (k *Keeper) nextWaiter(s *server) *waiter {
+	k.inspected++
 	best := s.queue.head()
 	if !s.listed {
 		return best
 	}
-	for _, q := range []*queue{k.near[s.Domain], &k.anywhere} {
+	for _, q := range []*queue{k.domainQueues[s.Domain], &k.anyDomainQueue} {
 		if q == nil {
 			continue
 		}
-		if w := q.head(); w != nil && (best == nil || w.before(best)) {
+		if w := q.head(); w != nil && (best == nil || w.precedes(best)) {
 			best = w
 		}
 	}
 	return best
 }
 
-// serve gives the free slots of a server to requests that wait.
-func (k *Keeper) serve(now time.Time, s *server) []Verdict {
+// dispatch gives the free slots of a server to requests that wait.
+func (k *Keeper) dispatch(now time.Time, s *server) []Verdict {
 	var out []Verdict
 	for k.servers[s.ID] == s && s.open(now) {
-		w := k.next(s)
-		if w == nil || !s.takes(now, w) || !s.free(now) && now.Before(w.crossAt) {
+		w := k.nextWaiter(s)
+		if w == nil || !s.accepts(now, w) || !s.free(now) && now.Before(w.crossDomainAt) {
 			break
 		}
 		k.dequeue(w)
-		out = append(out, k.grant(now, s, w))
+		out = append(out, k.admit(now, s, w))
 	}
 	return out
 }
--- a/internal/rules/life.go
+++ b/internal/rules/life.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// lifeMark stands between the name of a server and the start of one of its lives.
-const lifeMark = "~"
+// incarnationSeparator stands between the name of a server and the start of one of its lives.
+const incarnationSeparator = "~"
 
-// lifeBase is the base in which a start is written: eight digits instead of thirteen, in each
+// startTimeBase is the base in which a start is written: eight digits instead of thirteen, in each
 // message that names a server.
-const lifeBase = 36
+const startTimeBase = 36
 
 // LifeID returns the id of one life of a server: the name under which the directory lists it, and
 // the Unix millisecond of its start. A server that starts again under its name holds and knows
 // nothing of before, so that all that is kept of a server is kept by life. Where servers do not
 // state their start it is zero, and each life has a name of its own.
 func LifeID(name string, startedAt int64) string {
-	if startedAt == 0 && !strings.Contains(name, lifeMark) {
+	if startedAt == 0 && !strings.Contains(name, incarnationSeparator) {
 		return name
 	}
-	return name + lifeMark + strconv.FormatInt(startedAt, lifeBase)
+	return name + incarnationSeparator + strconv.FormatInt(startedAt, startTimeBase)
 }
 
 // NameOf returns the name of the server that an id is a life of.
 func NameOf(id string) string {
-	if i := strings.LastIndex(id, lifeMark); i >= 0 {
+	if i := strings.LastIndex(id, incarnationSeparator); i >= 0 {
 		return id[:i]
 	}
 	return id
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -59,7 +59,7 @@
 	MaxAttempts int
 	Parts       []Part
 
-	turn atomic.Uint64
+	pickCount atomic.Uint64
 }
 
 // Service is a set of servers with the same task.
@@ -105,9 +105,9 @@
 	}
 }
 
-// golden spreads successive turns evenly: the fractional part of its multiples has low
+// goldenRatio spreads successive turns evenly: the fractional part of its multiples has low
 // discrepancy, so that shares come out right within a few requests.
-const golden = 0x9E3779B97F4A7C15
+const goldenRatio = 0x9E3779B97F4A7C15
 
 // Pick returns the service that the next request of the route goes to. Over successive
 // requests each part gets its share.
@@ -122,7 +122,7 @@
 	if total <= 0 {
 		return r.Parts[0].Service
 	}
-	point := float64((r.turn.Add(1)*golden)>>11) / (1 << 53) * float64(total)
+	point := float64((r.pickCount.Add(1)*goldenRatio)>>11) / (1 << 53) * float64(total)
 	for _, p := range r.Parts {
 		point -= float64(p.Weight)
 		if point < 0 {
@@ -133,7 +133,7 @@
 }
 
 // Seed sets the first turn, so that instances do not all begin with the same part.
-func (r *Route) Seed(turn uint64) { r.turn.Store(turn) }
+func (r *Route) Seed(turn uint64) { r.pickCount.Store(turn) }
 
 // Leaving reports whether the server is to give up what it has.
 func (s Server) Leaving() bool { return s.Draining || s.Evacuated }
