--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -68,10 +68,10 @@
 
 // accepts reports whether a request may be sent to the server at all: not to a cold one by an instance that other keepers
 // of it may not know of.
-func (s *server) accepts(now time.Time, w *waiter) bool { return !w.Apart || !s.Cold(now) }
+func (s *server) accepts(now time.Time, w *waiter) bool { return !w.NonExclusive || !s.Cold(now) }
 
 // openIn returns the free servers of a domain.
-func (k *Keeper) openIn(name string) *openServers {
+func (k *Controller) openIn(name string) *openServers {
 	at, found := slices.BinarySearchFunc(k.openByDomain, name, func(f *openServers, name string) int { return cmp.Compare(f.domain, name) })
 	if !found {
 		k.openByDomain = slices.Insert(k.openByDomain, at, &openServers{domain: name})
@@ -81,7 +81,7 @@
 
 // refresh brings up to date whether and where a server stands among the free ones, and has it looked at
 // again when that changes by itself.
-func (k *Keeper) refresh(now time.Time, s *server) {
+func (k *Controller) refresh(now time.Time, s *server) {
 	if s.listed {
 		k.openIn(s.listedDomain).remove(s.listing)
 		s.listed = false
@@ -115,7 +115,7 @@
 }
 
 // capacityOf returns what a server can do now, in slots of mean speed.
-func (k *Keeper) capacityOf(now time.Time, s *server) float64 {
+func (k *Controller) capacityOf(now time.Time, s *server) float64 {
 	power := s.slotCapacity() / s.coldFactor(now)
 	if s.Cold(now) {
 		power = min(power, s.ColdRate*k.main().Seconds())
@@ -147,7 +147,7 @@
 
 // chooseServer returns the best server that is free for a request, nil if there is none: the one that costs least
 // of its domain and of each other, or one to which its instance has a connection.
-func (k *Keeper) chooseServer(now time.Time, w *waiter) *server {
+func (k *Controller) chooseServer(now time.Time, w *waiter) *server {
 	if w.Server != "" {
 		if s := k.servers[w.Server]; s != nil && s.open(now) && s.accepts(now, w) {
 			return s
@@ -197,7 +197,7 @@
 }
 
 // recentServers returns the servers to which an instance is likely to have a connection.
-func (k *Keeper) recentServers(from string, now time.Time) []recentServer {
+func (k *Controller) recentServers(from string, now time.Time) []recentServer {
 	kept := slices.DeleteFunc(k.recent[from], func(r recentServer) bool { return now.Sub(r.at) >= connIdleTimeout })
 	if len(kept) == 0 {
 		delete(k.recent, from)
@@ -208,7 +208,7 @@
 }
 
 // recordUse takes in that an instance is sent to a server.
-func (k *Keeper) recordUse(from, server string, now time.Time) {
+func (k *Controller) recordUse(from, server string, now time.Time) {
 	kept := slices.DeleteFunc(k.recentServers(from, now), func(r recentServer) bool { return r.server == server })
 	kept = append(kept, recentServer{server, now})
 	if len(kept) > maxRecentServers {
--- a/internal/permit/line.go
+++ b/internal/permit/line.go
@@ -35,7 +35,7 @@
 
 // waiter is a request that asked for a permit.
 type waiter struct {
-	Ask
+	Request
 	// sequence is the order of arrival.
 	sequence uint64
 	// crossDomainAt is when servers of other domains may be used.
--- a/internal/permit/power.go
+++ b/internal/permit/power.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Power is how many requests a server can run in a second, and the number of answers since the
+// Capacity is how many requests a server can run in a second, and the number of answers since the
 // last report that say so.
-type Power struct {
+type Capacity struct {
 	Rate    float64
 	Answers int
 }
 
-// Report returns the power of each server with answers since the last report.
-func (k *Keeper) Report() map[string]Power {
+// ReportCapacity returns the power of each server with answers since the last report.
+func (k *Controller) ReportCapacity() map[string]Capacity {
 	mean := k.main()
 	if mean <= 0 {
 		return nil
 	}
-	out := make(map[string]Power, len(k.answered))
+	out := make(map[string]Capacity, len(k.answered))
 	for id, s := range k.answered {
 		if s.answers >= minReportAnswers {
-			out[id] = Power{Rate: s.slotCapacity() / mean.Seconds(), Answers: s.answers - s.reportedAnswers}
+			out[id] = Capacity{Rate: s.slotCapacity() / mean.Seconds(), Answers: s.answers - s.reportedAnswers}
 			s.reportedAnswers = s.answers
 			delete(k.answered, id)
 		}
@@ -27,7 +27,7 @@
 }
 
 // main returns the mean time of the route that is used most.
-func (k *Keeper) main() time.Duration {
+func (k *Controller) main() time.Duration {
 	var most *routeStats
 	for _, r := range k.routes {
 		if r.answers > 0 && (most == nil || r.answers > most.answers) {
--- a/internal/permit/predict.go
+++ b/internal/permit/predict.go
@@ -5,7 +5,7 @@
 )
 
 // workAhead returns the work of the requests of the same or a better rank that wait for any server.
-func (k *Keeper) workAhead(r rank) time.Duration {
+func (k *Controller) workAhead(r rank) time.Duration {
 	work, _ := k.anyDomainQueue.ahead(r)
 	for _, q := range k.domainQueues {
 		near, _ := q.ahead(r)
@@ -15,7 +15,7 @@
 }
 
 // predictWait returns how long a request would wait behind those that go before it.
-func (k *Keeper) predictWait(now time.Time, w *waiter) time.Duration {
+func (k *Controller) predictWait(now time.Time, w *waiter) time.Duration {
 	if w.Server != "" {
 		s := k.servers[w.Server]
 		work, count := s.queue.ahead(w.rank())
@@ -29,7 +29,7 @@
 }
 
 // timeToFreeSlot returns the time until any server has a free slot.
-func (k *Keeper) timeToFreeSlot(now time.Time) time.Duration {
+func (k *Controller) timeToFreeSlot(now time.Time) time.Duration {
 	for _, f := range k.openByDomain {
 		if len(f.listings) > 0 && f.listings[0].server.free(now) {
 			return 0
@@ -42,7 +42,7 @@
 }
 
 // nextRelease returns the permit that is expected back first.
-func (k *Keeper) nextRelease() (admission, bool) {
+func (k *Controller) nextRelease() (admission, bool) {
 	for {
 		next, found := k.expectedReleases.first()
 		if !found {
@@ -60,7 +60,7 @@
 //
 // One that would miss its target by little may wait behind those that are in time, as one that is
 // late. Refused, it would come back with less time left, and few that do are served.
-func (k *Keeper) checkWait(now time.Time, w *waiter) (time.Duration, bool) {
+func (k *Controller) checkWait(now time.Time, w *waiter) (time.Duration, bool) {
 	wait := k.predictWait(now, w)
 	fits := k.fits(now, w, wait)
 	if fits || w.late {
@@ -73,18 +73,18 @@
 
 // fits reports whether a request that waits for the given time is served in time: within its
 // target, or, where that is out of reach, within its limit and in room that is left over.
-func (k *Keeper) fits(now time.Time, w *waiter, wait time.Duration) bool {
+func (k *Controller) fits(now time.Time, w *waiter, wait time.Duration) bool {
 	finish := wait + w.expectedTime
 	if finish <= time.Duration(maxTargetShare*float64(w.TargetAt.Sub(now))) {
 		return true
 	}
-	return w.late && wait <= maxPredictedLateWait*w.expectedTime && finish <= time.Duration(maxDeadlineShare*float64(w.LimitAt.Sub(now)))
+	return w.late && wait <= maxPredictedLateWait*w.expectedTime && finish <= time.Duration(maxDeadlineShare*float64(w.Deadline.Sub(now)))
 }
 
 // retryDelay returns when a refused caller should come back: when the wait that was predicted is
 // over, but early enough to be served.
-func (k *Keeper) retryDelay(now time.Time, a Ask, wait time.Duration) time.Duration {
-	most := time.Duration(maxRetryDelayShare * float64(a.LimitAt.Sub(now)))
+func (k *Controller) retryDelay(now time.Time, a Request, wait time.Duration) time.Duration {
+	most := time.Duration(maxRetryDelayShare * float64(a.Deadline.Sub(now)))
 	in := max(min(wait, most), minRetryDelay)
 	return time.Duration(float64(in) * (1 + retryJitter*(k.random.Float64()-0.5)))
 }
--- a/internal/permit/server.go
+++ b/internal/permit/server.go
@@ -62,7 +62,7 @@
 }
 
 // serviceTime returns how long the server worked on a request that has been answered.
-func (u admission) serviceTime(d Done) time.Duration {
+func (u admission) serviceTime(d Completion) time.Duration {
 	if u.startedAt.IsZero() {
 		return d.Took
 	}
@@ -78,7 +78,7 @@
 // server is a backend server with its permits.
 type server struct {
 	rules.Server
-	admissions map[Key]admission
+	admissions map[ID]admission
 	// queue holds the requests that wait for this server.
 	queue queue
 	// timeRatio is the factor by which answers take longer than the mean of their route.
@@ -117,9 +117,9 @@
 }
 
 // addAdmission takes in a permit.
-func (s *server) addAdmission(key Key, u admission) {
+func (s *server) addAdmission(key ID, u admission) {
 	if s.admissions == nil {
-		s.admissions = map[Key]admission{}
+		s.admissions = map[ID]admission{}
 	}
 	s.admissions[key] = u
 }
@@ -157,7 +157,7 @@
 
 // startNext takes in that a slot has become free: the first request that waits at the server has begun.
 func (s *server) startNext(now time.Time) {
-	var first Key
+	var first ID
 	found := false
 	for key, u := range s.admissions {
 		if u.startedAt.IsZero() && (!found || u.admittedAt.Before(s.admissions[first].admittedAt)) {
@@ -188,7 +188,7 @@
 }
 
 // learn takes in how a sending ended, that a use of the server was for.
-func (s *server) learn(d Done, u admission, mean time.Duration, now time.Time) {
+func (s *server) learn(d Completion, u admission, mean time.Duration, now time.Time) {
 	switch d.Outcome {
 	case Answered:
 		factor := min(max(float64(u.serviceTime(d))/u.coldFactor/float64(max(mean, time.Millisecond)), minTimeRatio), maxTimeRatio)
@@ -204,7 +204,7 @@
 		if !d.Load.Known || d.Load.Running+d.Load.Waiting >= s.Slots {
 			s.fullUntil = now.Add(fullBackoff)
 		}
-	case NotHere, Unsent, Cancelled:
+	case NotOwner, Unsent, Cancelled:
 	}
 	if d.Load.Known {
 		// The report counts the request that has just ended.
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -6,14 +6,14 @@
 	"example.org/mustardring/internal/clock"
 )
 
-func (k *Keeper) newWaiter(now time.Time, a Ask) *waiter {
+func (k *Controller) newWaiter(now time.Time, a Request) *waiter {
 	r := k.route(a.Route, a.TargetAt.Sub(now))
 	k.lastSequence++
-	w := &waiter{Ask: a, sequence: k.lastSequence, expectedTime: r.meanTime}
+	w := &waiter{Request: a, sequence: k.lastSequence, expectedTime: r.meanTime}
 	if s := k.servers[a.Server]; s != nil {
 		w.expectedTime = s.expectedTime(r, now)
 	}
-	w.queueDeadline = a.LimitAt.Add(-w.expectedTime / 2)
+	w.queueDeadline = a.Deadline.Add(-w.expectedTime / 2)
 	if a.TargetAt.Sub(now) < w.expectedTime {
 		w.markLate(now)
 	}
@@ -33,7 +33,7 @@
 	w.queueDeadline = clock.Earlier(w.queueDeadline, now.Add(maxLateWait*w.expectedTime))
 }
 
-func (k *Keeper) route(name string, target time.Duration) *routeStats {
+func (k *Controller) route(name string, target time.Duration) *routeStats {
 	r := k.routes[name]
 	if r == nil {
 		r = &routeStats{meanTime: max(time.Duration(initialMeanShare*float64(target)), time.Millisecond)}
@@ -47,7 +47,7 @@
 }
 
 // queueOf returns where a request waits.
-func (k *Keeper) queueOf(now time.Time, w *waiter) *queue {
+func (k *Controller) queueOf(now time.Time, w *waiter) *queue {
 	switch {
 	case w.Server != "":
 		return &k.servers[w.Server].queue
@@ -63,8 +63,8 @@
 }
 
 // enqueue lets a request wait.
-func (k *Keeper) enqueue(now time.Time, w *waiter) {
-	k.queued[w.Key] = w
+func (k *Controller) enqueue(now time.Time, w *waiter) {
+	k.queued[w.ID] = w
 	k.queueOf(now, w).push(w)
 	k.timers.add(w.queueDeadline, queueTimeout{w})
 	if w.Server == "" && now.Before(w.crossDomainAt) {
@@ -72,14 +72,14 @@
 	}
 }
 
-func (k *Keeper) dequeue(w *waiter) {
-	delete(k.queued, w.Key)
+func (k *Controller) dequeue(w *waiter) {
+	delete(k.queued, w.ID)
 	w.remove()
 }
 
 // nextWaiter returns the request that a server with a free slot should get, nil if none waits for it. One that is
 // set aside gets only those that no other server can serve.
-func (k *Keeper) nextWaiter(s *server) *waiter {
+func (k *Controller) nextWaiter(s *server) *waiter {
 	k.inspected++
 	best := s.queue.head()
 	if !s.listed {
@@ -97,8 +97,8 @@
 }
 
 // dispatch gives the free slots of a server to requests that wait.
-func (k *Keeper) dispatch(now time.Time, s *server) []Verdict {
-	var out []Verdict
+func (k *Controller) dispatch(now time.Time, s *server) []Decision {
+	var out []Decision
 	for k.servers[s.ID] == s && s.open(now) {
 		w := k.nextWaiter(s)
 		if w == nil || !s.accepts(now, w) || !s.free(now) && now.Before(w.crossDomainAt) {
