--- /dev/null
+++ b/internal/permit/capacity.go
@@ -0,0 +1,41 @@
+package permit
+
+import "time"
+
+// Capacity is the number of requests that a server can run in a second, and the number of answers
+// since the last report that it is based on.
+type Capacity struct {
+	Rate    float64
+	Answers int
+}
+
+// ReportCapacity returns the capacity of each server with answers since the last report.
+func (c *Controller) ReportCapacity() map[string]Capacity {
+	mean := c.main()
+	if mean <= 0 {
+		return nil
+	}
+	out := make(map[string]Capacity, len(c.answered))
+	for id, s := range c.answered {
+		if s.answers >= minReportAnswers {
+			out[id] = Capacity{Rate: s.slotCapacity() / mean.Seconds(), Answers: s.answers - s.reportedAnswers}
+			s.reportedAnswers = s.answers
+			delete(c.answered, id)
+		}
+	}
+	return out
+}
+
+// main returns the mean service time of the route with the most answers.
+func (c *Controller) main() time.Duration {
+	var busiest *routeStats
+	for _, r := range c.routes {
+		if r.answers > 0 && (busiest == nil || r.answers > busiest.answers) {
+			busiest = r
+		}
+	}
+	if busiest == nil {
+		return 0
+	}
+	return busiest.meanTime
+}
--- a/internal/permit/cold.go
+++ b/internal/permit/cold.go
@@ -5,55 +5,64 @@
 	"time"
 )
 
-// A server that is cold takes few requests in a second, whoever sends them, and crashes well above that. Its slots do
-// not bound that: a fast one runs several times as many. So its keeper counts them.
+// A cold server handles only a few requests a second, from all instances together, and crashes well
+// above that rate. Its slots do not bound the rate: a fast server runs several times as many
+// requests a second. Therefore its controller counts the requests that it admits.
 //
-// The keeper stays at the rate that the server states. What is allowed above it is for what a keeper cannot know: one
-// that has just taken over from another, requests that arrive together although they were sent one after the other.
+// The controller keeps to the rate that is stated for the server. The margin between that rate and
+// the one at which the server crashes is for what a controller cannot know: the requests of a
+// controller that it has just taken over from, and requests that arrive together although they were
+// sent one after the other.
 
 const (
-	// minColdWindow is the least span over which the requests to a cold server are counted: a second, and what
-	// they may come closer to one another on their way.
+	// minColdWindow is the shortest window in which the requests to a cold server are counted: a
+	// second, and the time by which requests may come closer to one another on their way.
 	minColdWindow = 1100 * time.Millisecond
-	// coldFirstWindowShare is the part of that for a keeper that has not sent the server anything of late: another one may have.
-	// Where instances are lost and cut off together, callers turn to several keepers within a second.
+	// coldFirstWindowShare is the fraction of the limit that applies in the first window in which a
+	// controller sends to the server, as another controller may have sent to it just before. When
+	// instances are lost and cut off at the same time, callers turn to several controllers within a
+	// second.
 	coldFirstWindowShare = 0.3
-	// coldSlowdown is the factor by which work takes longer on a cold server.
+	// coldSlowdown is the factor by which requests take longer on a cold server.
 	coldSlowdown = 2
 )
 
-// coldLimit returns how many requests a cold server may get in a span.
-func (s *server) coldLimit(now time.Time) (most int, window time.Duration) {
-	most = max(int(s.ColdRate), 1)
-	window = max(time.Duration(float64(most)/s.ColdRate*float64(time.Second)), minColdWindow)
+// coldLimit returns how many requests a cold server may get in a window of time.
+func (s *server) coldLimit(now time.Time) (limit int, window time.Duration) {
+	limit = max(int(s.ColdRate), 1)
+	window = max(time.Duration(float64(limit)/s.ColdRate*float64(time.Second)), minColdWindow)
 	if now.Sub(s.coldRunStart) < window {
-		most = max(int(coldFirstWindowShare*float64(most)), 1)
+		limit = max(int(coldFirstWindowShare*float64(limit)), 1)
 	}
-	return most, window
+	return limit, window
 }
 
-// coldSendTime returns when a request may be sent that has a number of others ahead of it: now, unless the server is cold.
+// coldSendTime returns when a request may be sent that has the given number of others ahead of it:
+// now, unless the server is cold.
 func (s *server) coldSendTime(now time.Time, ahead int) time.Time {
 	if !s.Cold(now) {
 		return now
 	}
-	most, window := s.coldLimit(now)
-	turn := now
-	switch before := len(s.coldSendTimes) + ahead - most; {
-	case before < 0:
+	limit, window := s.coldLimit(now)
+	sendAt := now
+	// At most limit requests are sent in a window: this one is sent a window after the request that
+	// is limit places ahead of it.
+	switch predecessor := len(s.coldSendTimes) + ahead - limit; {
+	case predecessor < 0:
 		return now
-	case before < len(s.coldSendTimes):
-		turn = s.coldSendTimes[before].Add(window)
+	case predecessor < len(s.coldSendTimes):
+		sendAt = s.coldSendTimes[predecessor].Add(window)
 	default:
-		turn = s.coldSendTime(now, before-len(s.coldSendTimes)).Add(window)
+		sendAt = s.coldSendTime(now, predecessor-len(s.coldSendTimes)).Add(window)
 	}
-	if turn.After(s.WarmAt) {
+	if sendAt.After(s.WarmAt) {
 		return s.WarmAt
 	}
-	return turn
+	return sendAt
 }
 
-// recordColdSend takes in that a request is sent to a cold server.
+// recordColdSend records that a request is sent to a cold server. After a pause of two windows, the
+// limit of the first window applies again.
 func (s *server) recordColdSend(now time.Time) {
 	_, window := s.coldLimit(now)
 	if last := len(s.coldSendTimes) - 1; last < 0 || now.Sub(s.coldSendTimes[last]) >= 2*window {
--- /dev/null
+++ b/internal/permit/dispatch.go
@@ -0,0 +1,117 @@
+package permit
+
+import (
+	"time"
+
+	"example.org/mustardring/internal/clock"
+)
+
+// newWaiter returns the state of a new request.
+func (c *Controller) newWaiter(now time.Time, req Request) *waiter {
+	r := c.route(req.Route, req.TargetAt.Sub(now))
+	c.lastSequence++
+	w := &waiter{Request: req, sequence: c.lastSequence, expectedTime: r.meanTime}
+	if s := c.servers[req.Server]; s != nil {
+		w.expectedTime = s.expectedTime(r, now)
+	}
+	w.queueDeadline = req.Deadline.Add(-w.expectedTime / 2)
+	if req.TargetAt.Sub(now) < w.expectedTime {
+		w.markLate(now)
+	}
+	if req.Server != "" {
+		w.crossDomainAt = now
+		return w
+	}
+	delay := time.Duration(r.meanBytes / 1024 * float64(crossDomainDelayPerKB))
+	maxDelay := time.Duration(maxCrossDomainDelayShare * float64(req.TargetAt.Sub(now)-w.expectedTime))
+	w.crossDomainAt = now.Add(max(min(delay, maxDelay), 0))
+	return w
+}
+
+// markLate marks a request that cannot meet its target, and bounds its time in the queue.
+func (w *waiter) markLate(now time.Time) {
+	w.late = true
+	w.queueDeadline = clock.Earlier(w.queueDeadline, now.Add(maxLateWait*w.expectedTime))
+}
+
+// route returns the statistics of a route. For a new route, the mean service time is derived from
+// the time to the target of its first request.
+func (c *Controller) route(name string, target time.Duration) *routeStats {
+	r := c.routes[name]
+	if r == nil {
+		r = &routeStats{meanTime: max(time.Duration(initialMeanShare*float64(target)), time.Millisecond)}
+		c.routes[name] = r
+	}
+	return r
+}
+
+// expectedTime returns how long the server is expected to take for a request of a route.
+func (s *server) expectedTime(r *routeStats, now time.Time) time.Duration {
+	return time.Duration(float64(r.meanTime) * s.timeRatio * s.coldFactor(now))
+}
+
+// queueOf returns the queue of a request: that of its owner, or that of its own domain until it may
+// use others.
+func (c *Controller) queueOf(now time.Time, w *waiter) *queue {
+	switch {
+	case w.Server != "":
+		return &c.servers[w.Server].queue
+	case !now.Before(w.crossDomainAt):
+		return &c.anyDomainQueue
+	}
+	q := c.domainQueues[w.Domain]
+	if q == nil {
+		q = &queue{}
+		c.domainQueues[w.Domain] = q
+	}
+	return q
+}
+
+// enqueue adds a request to its queue and sets its timers.
+func (c *Controller) enqueue(now time.Time, w *waiter) {
+	c.queued[w.ID] = w
+	c.queueOf(now, w).push(w)
+	c.timers.add(w.queueDeadline, queueTimeout{w})
+	if w.Server == "" && now.Before(w.crossDomainAt) {
+		c.timers.add(w.crossDomainAt, crossDomainAllowed{w})
+	}
+}
+
+func (c *Controller) dequeue(w *waiter) {
+	delete(c.queued, w.ID)
+	w.remove()
+}
+
+// nextWaiter returns the waiting request that is next for a server, nil if there is none. A server
+// that is not listed as open, as when it is ejected, gets only the requests that no other server
+// can serve.
+func (c *Controller) nextWaiter(s *server) *waiter {
+	c.inspected++
+	best := s.queue.head()
+	if !s.listed {
+		return best
+	}
+	for _, q := range []*queue{c.domainQueues[s.Domain], &c.anyDomainQueue} {
+		if q == nil {
+			continue
+		}
+		if w := q.head(); w != nil && (best == nil || w.precedes(best)) {
+			best = w
+		}
+	}
+	return best
+}
+
+// dispatch admits waiting requests to a server while it is open to them.
+func (c *Controller) dispatch(now time.Time, s *server) []Decision {
+	var out []Decision
+	for c.servers[s.ID] == s && s.open(now) {
+		w := c.nextWaiter(s)
+		if w == nil || !s.accepts(now, w) || !s.free(now) && now.Before(w.crossDomainAt) {
+			break
+		}
+		c.dequeue(w)
+		out = append(out, c.admit(now, s, w))
+	}
+	return out
+}
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,137 +1,153 @@
-// Package permit decides which request may go to which backend server, and when: whether it
-// goes at once, waits, or is refused. It has no input or output.
+// Package permit implements admission control for backend servers: it decides whether a request is
+// sent to a server at once, waits in a queue, or is rejected. It performs no I/O.
 //
-// Servers run a few requests at a time and reset connections when a short queue behind them
-// is full, which loses requests that must not be repeated. Instances that each count only
-// their own requests cannot know how full a server is. So one instance, the keeper, gives the
-// permits for a server, and the others ask it with one small message a request.
+// A server runs a few requests at a time and resets connections when the short queue behind its
+// slots is full. A reset loses requests that must not be repeated. An instance that counts only its
+// own requests cannot know how full a server is. Therefore one instance, the controller of a
+// server, admits all requests to it, and the other instances ask that one with one small message
+// per request.
 //
-// The package answers these loads: servers that are full for a moment (a request waits in
-// order of rank as long as it still makes its target), more than the servers can do for long
-// (what cannot make its target is refused at once and told when to come back), servers that
-// are slow (their measured speed counts), that fail (set aside for a time, a few at most), or
-// that others use as well (the load that they report counts).
+// The package handles these situations:
+//
+//   - Servers are full for a moment: requests wait in order of rank as long as they can be answered
+//     in time.
+//   - Servers are overloaded for long: requests that cannot be answered in time are rejected at
+//     once, with a delay after which to retry.
+//   - Servers are slow: their measured service times count.
+//   - Servers fail: they are ejected for some time, a few at most at the same time.
+//   - Others use the servers as well: the load that the servers report counts.
 package permit
 
 import (
 	"time"
 )
 
-// ID identifies one asking: the instance that asked, and its serial number there.
+// ID identifies a request for admission.
 type ID struct {
+	// From is the instance that asks, empty for the instance of the controller itself. Serial is a
+	// serial number of that instance.
 	From   string
 	Serial uint64
 }
 
-// Request asks for a server to send a request to.
+// Request asks for the admission of one attempt to send a request to a server.
 type Request struct {
 	ID
 	Service string
-	// Pool names the pool that is asked, or the service if that is divided by key.
+	// Pool is the name of the pool that is asked, or of the service if that is sharded by key.
 	Pool string
-	// Server is the owner of the request's key, empty if any server of the pool will do.
+	// Server is the ID of the owner of the request's key, empty if any server of the pool will do.
 	Server string
-	// Domain is the failure domain whose servers are preferred: that of the instance that will send, or of
-	// the pool if that has servers of another one only.
+	// Domain is the failure domain whose servers are preferred: that of the instance that will send
+	// the request, or that of the pool if all servers of the pool are in one domain.
 	Domain string
-	// Route names the kind of work, whose time is learnt.
-	Route    string
+	// Route names the kind of request. Service times are learned per route.
+	Route string
+	// Priority orders waiting requests; 0 goes first.
 	Priority int
-	// Returning says that the caller was refused before and came back.
+	// Returning reports whether the caller was rejected before and has come back.
 	Returning bool
-	// TargetAt is when the answer should be there, LimitAt when it must.
+	// TargetAt is when the answer is wanted, Deadline when it is needed at the latest.
 	TargetAt time.Time
 	Deadline time.Time
-	// Avoid is a server that failed this request before.
+	// Avoid is the ID of a server that failed this request before, empty if there is none.
 	Avoid string
-	// HasFallback says that the request can ask another pool, and should be told if there is no room soon.
+	// HasFallback reports whether the sender can ask another pool. The request is then
+	// rejected with PoolBusy unless a server is free soon.
 	HasFallback bool
-	// NonExclusive says that other instances may give permits for the same servers meanwhile: the keeper is cut off, or not
-	// the one in charge. Cold servers, whose requests must be counted in one place, get none then.
+	// NonExclusive reports whether other instances may be admitting requests to the same servers at
+	// the same time, because the controller is cut off or is not the one in charge. Cold servers
+	// get no such requests, as the requests to a cold server must be counted in one place.
 	NonExclusive bool
 }
 
-// Outcome says how a sending ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
 	Answered Outcome = iota
-	// Failed is an answer that reports a failure, Lost none at all.
+	// Failed is an answer that reports a failure, Lost means that there was no answer.
 	Failed
 	Lost
-	// Full says that the server had no room; NotHere that it does not hold the key.
+	// Full means that the server had no room for the request, NotOwner that it does not hold the
+	// key.
 	Full
 	NotOwner
-	// Unsent says that nothing was sent, Cancelled that the caller left.
+	// Unsent means that nothing was sent, Cancelled that the caller left.
 	Unsent
 	Cancelled
 )
 
-// Load is what a server reports of itself.
+// Load is the load that a server reports of itself.
 type Load struct {
+	// Running and Waiting are the numbers of requests that the server runs and that wait for a slot
+	// there. Known reports whether the server reported them.
 	Running int
 	Waiting int
 	Known   bool
-	// Slowdown is the factor by which work takes longer on the server's machine at this moment than usual, zero if
-	// it is not stated. Servers share their machines with others, so it changes several times a second.
+	// Slowdown is the factor by which requests take longer than usual on the server's machine at
+	// this moment, zero if it is not reported. It changes several times a second, as servers share
+	// their machines with others.
 	Slowdown float64
 }
 
-// Completion gives a permit back.
+// Completion reports how an admitted request ended, and ends its admission.
 type Completion struct {
 	ID
 	Server  string
 	Route   string
 	Outcome Outcome
-	// Took is the time from sending to the whole answer, Bytes the size of the answer.
+	// Took is the time from sending the request to having the whole answer, Bytes the size of the
+	// answer.
 	Took  time.Duration
 	Bytes int
 	Load  Load
 }
 
-// Decision is the answer to an Ask.
-type Decision interface{ verdict() ID }
+// Decision is the answer to a Request: Admitted, Queued or Rejected.
+type Decision interface{ requestID() ID }
 
-// Admitted permits a sending to a server.
+// Admitted allows the request to be sent to a server.
 type Admitted struct {
 	ID
 	Server string
 }
 
-// Queued says that the request is in the queue.
+// Queued means that the request waits. Another decision follows that admits or rejects it.
 type Queued struct{ ID }
 
-// Rejected says that the request will get no permit.
+// Rejected means that the request is not admitted.
 type Rejected struct {
 	ID
 	Reason Reason
-	// RetryIn is when the caller should come back.
+	// RetryIn is the delay after which the caller should come back.
 	RetryIn time.Duration
-	// Wait is the wait that was predicted.
+	// Wait is the predicted time in the queue.
 	Wait time.Duration
-	// Pool is the pool that refused, if the request was asked for by pools.
+	// Pool is the name of the pool that rejected the request. The instance that asked sets it, not
+	// the controller.
 	Pool string
 }
 
-func (v Admitted) verdict() ID { return v.ID }
-func (v Queued) verdict() ID   { return v.ID }
-func (v Rejected) verdict() ID { return v.ID }
+func (a Admitted) requestID() ID { return a.ID }
+func (q Queued) requestID() ID   { return q.ID }
+func (r Rejected) requestID() ID { return r.ID }
 
-// IDOf returns what a verdict is about.
-func IDOf(v Decision) ID { return v.verdict() }
+// IDOf returns the ID of the request that a decision is about.
+func IDOf(d Decision) ID { return d.requestID() }
 
-// Reason says why a request was refused.
+// Reason says why a request is rejected.
 type Reason string
 
-// The reasons.
+// The reasons of rejections.
 const (
-	// Overload says that the request would miss its target or its limit.
+	// Overload means that the request would miss its target or its deadline.
 	Overload Reason = "overload"
-	// NoServer says that the service has no server that can be used.
+	// NoServer means that the service has no server that can be used.
 	NoServer Reason = "no-server"
-	// PoolBusy says that this pool has no room soon, and another one may have.
+	// PoolBusy means that this pool has no room soon, while another pool may have some.
 	PoolBusy Reason = "pool-busy"
-	// OwnerGone says that the owner of the key is no longer there.
+	// OwnerGone means that the owner of the key, or the last server of the pool, is gone.
 	OwnerGone Reason = "owner-gone"
 )
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -12,31 +12,32 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// The sizes of pools.
+// Sizes of pools, in slots.
 const (
-	// minPoolSlots is the number of slots from which on the servers of a failure domain are a pool of their
-	// own. A queue for fewer refuses more than one for all.
+	// minPoolSlots is the number of slots from which on the servers of a failure domain form pools
+	// of their own. A queue for fewer slots rejects more requests than one queue for all servers.
 	minPoolSlots = 24
-	// targetPoolSlots is the number of slots of a pool where there are many: with as many, a queue for each pool
-	// refuses next to no more than one for all.
+	// targetPoolSlots is the size of the pools of a domain with many slots. At this size, a queue
+	// per pool rejects hardly more requests than one queue for all servers.
 	targetPoolSlots = 48
 )
 
-// Pool is servers of one service whose permits one keeper gives.
+// Pool is a set of servers of one service, with one controller that admits requests to them.
 //
-// One keeper for all servers of a service gets each of its requests as several messages. At some hundred
-// servers that is more than an instance can do.
+// One controller for all servers of a service would get several messages for each request. With
+// some hundred servers, that is more than one instance can handle.
 type Pool struct {
-	// Name names the pool, also in messages.
+	// Name identifies the pool, also in messages.
 	Name    string
 	Service string
-	// Domain is the failure domain of the servers, empty if they are of several.
+	// Domain is the failure domain of the servers, empty if they are in several.
 	Domain  string
 	Servers []rules.Server
 }
 
-// SplitIntoPools returns the pools of a service: some for each failure domain with many servers, and one for the
-// others together. Who knows the same servers finds the same pools.
+// SplitIntoPools returns the pools of a service, sorted by name: one or more for each failure
+// domain with enough slots, and one for the servers of all other domains. Instances that know the
+// same servers get the same pools.
 func SplitIntoPools(service string, servers []rules.Server) []Pool {
 	domains := map[string][]rules.Server{}
 	for _, s := range servers {
@@ -53,7 +54,7 @@
 			rest.Servers = append(rest.Servers, members...)
 			continue
 		}
-		out = append(out, divideDomain(service, domain, members, max(slots/targetPoolSlots, 1))...)
+		out = append(out, splitDomain(service, domain, members, max(slots/targetPoolSlots, 1))...)
 	}
 	if len(rest.Servers) > 0 || len(out) == 0 {
 		out = append(out, rest)
@@ -62,9 +63,9 @@
 	return out
 }
 
-// divideDomain spreads the servers of a domain over pools by their names: one that comes or goes leaves the
-// others where they are.
-func divideDomain(service, domain string, servers []rules.Server, count int) []Pool {
+// splitDomain distributes the servers of a domain over a number of pools by a hash of their IDs, so
+// that a server that joins or leaves does not move the others.
+func splitDomain(service, domain string, servers []rules.Server, count int) []Pool {
 	out := make([]Pool, count)
 	for i := range out {
 		out[i] = Pool{Name: fmt.Sprintf("%s/%s/%d", service, domain, i), Service: service, Domain: domain}
@@ -76,26 +77,30 @@
 	return out
 }
 
-// The constants of the choice of a pool.
+// Parameters of the choice of a pool.
 const (
-	// maxPoolCandidates is the number of pools that a request asks at most.
+	// maxPoolCandidates is the largest number of pools that a request asks.
 	maxPoolCandidates = 3
-	// minBusyTime and busyMost bound the time for which a pool that had no room is asked last.
+	// minBusyTime and maxBusyTime bound the time for which a pool that had no room is left out.
 	minBusyTime = 20 * time.Millisecond
 	maxBusyTime = 200 * time.Millisecond
 )
 
-// Picker chooses the pools that an instance asks. Its methods are not safe for use by several goroutines.
+// Picker chooses the pools that an instance asks. It is not safe for concurrent use.
 type Picker struct {
-	// pools are in the order in which the instance asks them while none is busy: its own domain's first,
-	// and of these always the same first, so that connections are used again.
-	pools     []Pool
-	ownCount  int
+	// pools is sorted in the order in which the instance asks them while none is busy: the pools of
+	// its own domain first, in an order that is fixed for the instance, so that connections are
+	// reused.
+	pools []Pool
+	// ownCount is the number of pools at the front that belong to the instance's domain, at least
+	// one.
+	ownCount int
+	// busyUntil holds until when a pool is left out, by its name.
 	busyUntil map[string]time.Time
 	random    *rand.Rand
 }
 
-// NewPicker returns the picker of an instance of a failure domain.
+// NewPicker returns the Picker of an instance in a failure domain.
 func NewPicker(instance, domain string, pools []Pool, random *rand.Rand) *Picker {
 	p := &Picker{pools: slices.Clone(pools), busyUntil: map[string]time.Time{}, random: random}
 	own := func(o Pool) bool { return o.Domain == domain }
@@ -110,11 +115,12 @@
 	return p
 }
 
-// Candidates returns the pools that a request should ask in turn. The last one decides; those before it are to
-// say at once if they have no room.
+// Candidates returns the pools that a request should ask in turn. The last one decides; those
+// before it reject the request at once if they have no room.
 //
-// A pool that was busy is left out until it may have room again, and the others of other domains are asked
-// at random: in an order they would be overrun one after the other by all who look for room.
+// A pool that was busy is left out until it may have room again. At most one pool of another domain
+// is asked, chosen at random: in a fixed order, all requests that look for room would overload one
+// pool after the other.
 func (p *Picker) Candidates(now time.Time) []Pool {
 	if len(p.pools) == 1 {
 		return p.pools
@@ -128,15 +134,15 @@
 			out = append(out, pool)
 		}
 	}
-	if far := p.pools[p.ownCount:]; len(far) > 0 && len(out) < maxPoolCandidates-1 {
-		if pool := far[p.random.IntN(len(far))]; !now.Before(p.busyUntil[pool.Name]) {
+	if others := p.pools[p.ownCount:]; len(others) > 0 && len(out) < maxPoolCandidates-1 {
+		if pool := others[p.random.IntN(len(others))]; !now.Before(p.busyUntil[pool.Name]) {
 			out = append(out, pool)
 		}
 	}
 	return append(out, p.pools[p.random.IntN(p.ownCount)])
 }
 
-// MarkBusy takes in that a pool had no room for a time.
+// MarkBusy records that a pool had no room, and the predicted wait there.
 func (p *Picker) MarkBusy(pool string, wait time.Duration, now time.Time) {
 	p.busyUntil[pool] = now.Add(min(max(wait, minBusyTime), maxBusyTime))
 }
--- a/internal/permit/predict.go
+++ b/internal/permit/predict.go
@@ -4,76 +4,79 @@
 	"time"
 )
 
-// workAhead returns the work of the requests of the same or a better rank that wait for any server.
-func (k *Controller) workAhead(r rank) time.Duration {
-	work, _ := k.anyDomainQueue.ahead(r)
-	for _, q := range k.domainQueues {
-		near, _ := q.ahead(r)
-		work += near
+// workAhead returns the expected service time of the waiting requests of the same or a better rank
+// that are not bound to one server.
+func (c *Controller) workAhead(r rank) time.Duration {
+	work, _ := c.anyDomainQueue.ahead(r)
+	for _, q := range c.domainQueues {
+		domainWork, _ := q.ahead(r)
+		work += domainWork
 	}
 	return work
 }
 
 // predictWait returns how long a request would wait behind those that go before it.
-func (k *Controller) predictWait(now time.Time, w *waiter) time.Duration {
+func (c *Controller) predictWait(now time.Time, w *waiter) time.Duration {
 	if w.Server != "" {
-		s := k.servers[w.Server]
+		s := c.servers[w.Server]
 		work, count := s.queue.ahead(w.rank())
 		work += time.Duration(s.waitingForSlot()) * w.expectedTime
-		wait := time.Duration(float64(s.timeToFreeSlot(now)+work/time.Duration(max(s.Slots, 1))) / k.leftoverShare(now, w.Priority))
+		wait := time.Duration(float64(s.timeToFreeSlot(now)+work/time.Duration(max(s.Slots, 1))) / c.leftoverShare(now, w.Priority))
 		return max(wait, s.coldSendTime(now, count).Sub(now))
 	}
-	work := k.workAhead(w.rank()) + time.Duration(k.waitingAtServers)*w.expectedTime
-	wait := time.Duration((float64(k.timeToFreeSlot(now)) + float64(work)/max(k.capacity, 0.1)) / k.leftoverShare(now, w.Priority))
+	work := c.workAhead(w.rank()) + time.Duration(c.waitingAtServers)*w.expectedTime
+	wait := time.Duration((float64(c.timeToFreeSlot(now)) + float64(work)/max(c.capacity, 0.1)) / c.leftoverShare(now, w.Priority))
 	return max(wait, w.crossDomainAt.Sub(now))
 }
 
 // timeToFreeSlot returns the time until any server has a free slot.
-func (k *Controller) timeToFreeSlot(now time.Time) time.Duration {
-	for _, f := range k.openByDomain {
-		if len(f.listings) > 0 && f.listings[0].server.free(now) {
+func (c *Controller) timeToFreeSlot(now time.Time) time.Duration {
+	for _, o := range c.openByDomain {
+		if len(o.listings) > 0 && o.listings[0].server.free(now) {
 			return 0
 		}
 	}
-	if u, found := k.nextRelease(); found {
-		return u.remaining(now)
+	if a, found := c.nextRelease(); found {
+		return a.remaining(now)
 	}
 	return 0
 }
 
-// nextRelease returns the permit that is expected back first.
-func (k *Controller) nextRelease() (admission, bool) {
+// nextRelease returns the admission that is expected to end first. It drops the timers of
+// admissions that have ended.
+func (c *Controller) nextRelease() (admission, bool) {
 	for {
-		next, found := k.expectedReleases.first()
+		next, found := c.expectedReleases.first()
 		if !found {
 			return admission{}, false
 		}
 		r := next.(expectedRelease)
-		if k.admitted[r.key] == r.server {
-			return r.server.admissions[r.key], true
+		if c.admitted[r.id] == r.server {
+			return r.server.admissions[r.id], true
 		}
-		k.expectedReleases.removeFirst()
+		c.expectedReleases.removeFirst()
 	}
 }
 
-// checkWait returns how long a request would wait, and whether it may.
+// checkWait returns how long a request would wait, and whether it may be queued.
 //
-// One that would miss its target by little may wait behind those that are in time, as one that is
-// late. Refused, it would come back with less time left, and few that do are served.
-func (k *Controller) checkWait(now time.Time, w *waiter) (time.Duration, bool) {
-	wait := k.predictWait(now, w)
-	fits := k.fits(now, w, wait)
+// A request that would miss its target by little may wait as a late one, behind those that can meet
+// theirs. If it were rejected, it would come back with less time left, and few requests that come
+// back are served.
+func (c *Controller) checkWait(now time.Time, w *waiter) (time.Duration, bool) {
+	wait := c.predictWait(now, w)
+	fits := c.fits(now, w, wait)
 	if fits || w.late {
 		return wait, fits
 	}
 	w.markLate(now)
-	wait = k.predictWait(now, w)
-	return wait, k.fits(now, w, wait)
+	wait = c.predictWait(now, w)
+	return wait, c.fits(now, w, wait)
 }
 
-// fits reports whether a request that waits for the given time is served in time: within its
-// target, or, where that is out of reach, within its limit and in room that is left over.
-func (k *Controller) fits(now time.Time, w *waiter, wait time.Duration) bool {
+// fits reports whether a request that waits for the given time finishes in time: within its target
+// or, if it is late, after a short wait and within its deadline.
+func (c *Controller) fits(now time.Time, w *waiter, wait time.Duration) bool {
 	finish := wait + w.expectedTime
 	if finish <= time.Duration(maxTargetShare*float64(w.TargetAt.Sub(now))) {
 		return true
@@ -81,10 +84,10 @@
 	return w.late && wait <= maxPredictedLateWait*w.expectedTime && finish <= time.Duration(maxDeadlineShare*float64(w.Deadline.Sub(now)))
 }
 
-// retryDelay returns when a refused caller should come back: when the wait that was predicted is
-// over, but early enough to be served.
-func (k *Controller) retryDelay(now time.Time, a Request, wait time.Duration) time.Duration {
-	most := time.Duration(maxRetryDelayShare * float64(a.Deadline.Sub(now)))
-	in := max(min(wait, most), minRetryDelay)
-	return time.Duration(float64(in) * (1 + retryJitter*(k.random.Float64()-0.5)))
+// retryDelay returns the delay after which a rejected caller should come back: after the predicted
+// wait, but early enough to be served.
+func (c *Controller) retryDelay(now time.Time, req Request, wait time.Duration) time.Duration {
+	maxDelay := time.Duration(maxRetryDelayShare * float64(req.Deadline.Sub(now)))
+	delay := max(min(wait, maxDelay), minRetryDelay)
+	return time.Duration(float64(delay) * (1 + retryJitter*(c.random.Float64()-0.5)))
 }
--- a/internal/permit/server.go
+++ b/internal/permit/server.go
@@ -6,109 +6,123 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// The constants of what is learnt of a server.
+// Parameters of what is learned about a server.
 const (
-	// timeRatioWeight is the weight of the newest answer in a server's speed: some ten answers show
-	// that a server has turned slow.
+	// timeRatioWeight is the weight of the newest answer in a server's time ratio: about ten
+	// answers show that a server has become slow.
 	timeRatioWeight = 0.1
-	// minTimeRatio and speedMost bound the factor by which a server is slower than the mean.
+	// minTimeRatio and maxTimeRatio bound the time ratio of a server.
 	minTimeRatio = 0.2
 	maxTimeRatio = 20
-	// failureWeight is the weight of the newest outcome in the share of failures.
+	// failureWeight is the weight of the newest outcome in the failure rate.
 	failureWeight = 0.2
-	// maxFailureRate is the share of failures from which on a server is set aside: three failures in
-	// a row reach it, one in four over time does not.
+	// maxFailureRate is the failure rate above which a server is ejected: three failures in a row
+	// reach it, one failure in four requests over time does not.
 	maxFailureRate = 0.45
-	// minEjectionTime and asideMost bound the time for which a failing server is set aside; it
-	// doubles with each time.
+	// minEjectionTime and maxEjectionTime bound the time for which a failing server is ejected. The
+	// time doubles with each ejection, until the failure rate falls below failureWeight.
 	minEjectionTime = 500 * time.Millisecond
 	maxEjectionTime = 4 * time.Second
-	// maxEjectedShare is the part of a service's servers that may be set aside at one time: more of
-	// them would leave too little room for the load.
+	// maxEjectedShare is the fraction of the servers that may be ejected at the same time. More
+	// would leave too little capacity for the load.
 	maxEjectedShare = 0.34
-	// fullBackoff keeps requests from a server that has just said it is full. One that turns requests
-	// away while it reports free slots is not full but faulty, and goes on getting them: with the
-	// pause servers that rejected half of all requests stood idle while others waited.
+	// fullBackoff is how long a server gets no requests after it has said that it is full. A server
+	// that turns requests away while it reports free slots is faulty, not full, and still gets
+	// requests: with the backoff, servers that rejected half of all requests stood idle while
+	// requests waited.
 	fullBackoff = 60 * time.Millisecond
-	// untrackedTimeout is how long a reported load counts that this keeper does not know of.
+	// untrackedTimeout is how long the reported load of requests that this controller did not admit
+	// counts.
 	untrackedTimeout = 100 * time.Millisecond
-	// minReportAnswers is the number of answers from which on a server's speed is told to others: as
-	// many as make two thirds of it.
+	// minReportAnswers is the number of answers from which on the capacity of a server is reported
+	// to others. That many answers make up two thirds of its time ratio.
 	minReportAnswers = 10
-	// maxWaitingAtServer is how many requests may wait at a server for a slot, besides those that it runs: between the end of a
-	// request and the start of one that waits here lie several messages, and the slot would be idle meanwhile.
+	// maxWaitingAtServer is how many admitted requests may wait for a slot at a server, besides
+	// those that it runs. Several messages lie between the end of a request and the start of one
+	// that waits in the controller's queue, and the slot would be idle meanwhile.
 	maxWaitingAtServer = 2
-	// connIdleTimeout is how long an instance's connection to a server is open after its last request:
-	// below the 8 seconds for which instances keep idle ones.
+	// connIdleTimeout is how long an instance is assumed to keep a connection to a server after its
+	// last request. It is below the 8 seconds for which instances keep idle connections.
 	connIdleTimeout = 6 * time.Second
-	// checkFactor and doubtLeast, in multiples of the expected time and besides it, are when a
-	// permit is doubted, doubtEvery how often from then on.
+	// The holder of an admission is asked whether it still has it after checkFactor times the
+	// expected time plus checkMargin, and every checkInterval from then on.
 	checkFactor   = 1.5
 	checkMargin   = 50 * time.Millisecond
 	checkInterval = 100 * time.Millisecond
-	// expiryDelay is how long after its limit a permit is taken back that nobody gave back, as
-	// when the instance that had it was killed.
+	// expiryDelay is how long after the deadline of its request an admission expires that was not
+	// released, for example because the instance that held it was killed.
 	expiryDelay = 300 * time.Millisecond
 )
 
-// admission is one permit in use.
+// admission is the right of a request to be sent to a server.
 type admission struct {
-	admittedAt   time.Time
+	admittedAt time.Time
+	// expectedTime is how long the admission is expected to last.
 	expectedTime time.Duration
-	// coldFactor is that by which the server was expected to take longer than the mean, besides its speed.
+	// coldFactor is the factor by which the server was expected to take longer because it was cold.
 	coldFactor float64
-	// startedAt is when the server began with the request, as far as is known, zero while it waits there.
+	// startedAt is when the server started on the request, as far as is known, zero while the
+	// request waits there.
 	startedAt time.Time
 }
 
-// serviceTime returns how long the server worked on a request that has been answered.
-func (u admission) serviceTime(d Completion) time.Duration {
-	if u.startedAt.IsZero() {
-		return d.Took
+// serviceTime returns how long the server worked on a request that has been answered, at least a
+// millisecond if its start is known.
+func (a admission) serviceTime(done Completion) time.Duration {
+	if a.startedAt.IsZero() {
+		return done.Took
 	}
-	return max(d.Took-u.startedAt.Sub(u.admittedAt), time.Millisecond)
+	return max(done.Took-a.startedAt.Sub(a.admittedAt), time.Millisecond)
 }
 
-// remaining returns for how long the permit is likely to be in use. What takes longer than expected is expected
-// to take a quarter more.
-func (u admission) remaining(now time.Time) time.Duration {
-	return max(u.expectedTime-now.Sub(u.admittedAt), u.expectedTime/4)
+// remaining returns how long the admission is expected to last from now on. One that has lasted
+// longer than expected is expected to last for another quarter of its expected time.
+func (a admission) remaining(now time.Time) time.Duration {
+	return max(a.expectedTime-now.Sub(a.admittedAt), a.expectedTime/4)
 }
 
-// server is a backend server with its permits.
+// server is a backend server with its admissions and what has been learned about it.
 type server struct {
 	rules.Server
 	admissions map[ID]admission
-	// queue holds the requests that wait for this server.
+	// queue holds the requests that wait for this server only.
 	queue queue
-	// timeRatio is the factor by which answers take longer than the mean of their route.
-	timeRatio        float64
-	failureRate      float64
+	// timeRatio is the ratio of the server's service times to the means of their routes; above 1
+	// the server is slow.
+	timeRatio float64
+	// failureRate is the moving average of failures, from 0 to 1.
+	failureRate float64
+	// ejected reports whether the server is ejected, which lasts until ejectedUntil. The next
+	// ejection lasts for nextEjectionTime.
 	ejected          bool
 	ejectedUntil     time.Time
 	nextEjectionTime time.Duration
-	fullUntil        time.Time
-	// untracked is the number of requests of others at the server, as of its last report.
+	// fullUntil is the end of the backoff after the server has said that it is full.
+	fullUntil time.Time
+	// untracked is the number of requests at the server that this controller did not admit, as of
+	// the last report.
 	untracked      int
 	untrackedUntil time.Time
-	// coldSendTimes is when requests were sent to the server while it was cold, the earliest first, coldFrom since when they
-	// have followed one another, and coldUntil when the next one may be sent.
+	// coldSendTimes holds when requests were sent to the server while it was cold, the earliest
+	// first. coldRunStart is since when they have followed one another without a pause, and
+	// coldNextAt is when the next one may be sent.
 	coldSendTimes []time.Time
 	coldRunStart  time.Time
 	coldNextAt    time.Time
-	// countedCapacity is what of the server's power is counted in that of all, behind how many of its requests are counted
-	// among those that wait at their servers.
+	// countedCapacity and countedWaiting are the server's parts of Controller.capacity and
+	// Controller.waitingAtServers.
 	countedCapacity float64
 	countedWaiting  int
-	// answers is the number of answers that the speed was learnt from, told that of the last report.
+	// answers is the number of answers that timeRatio was learned from, reportedAnswers that number
+	// at the last report.
 	answers         int
 	reportedAnswers int
 
-	// listing is where the server stands among the free ones of listedDomain, if it is listed there.
+	// listing is the server's entry among the open servers of listedDomain, if it is listed there.
 	listing      listing
 	listed       bool
 	listedDomain string
-	// nextTimerAt is when the server is looked at next.
+	// nextTimerAt is the time of the latest serverChange timer of the server.
 	nextTimerAt time.Time
 }
 
@@ -116,18 +130,18 @@
 	return &server{Server: s, timeRatio: 1, nextEjectionTime: minEjectionTime}
 }
 
-// addAdmission takes in a permit.
-func (s *server) addAdmission(key ID, u admission) {
+func (s *server) addAdmission(id ID, a admission) {
 	if s.admissions == nil {
 		s.admissions = map[ID]admission{}
 	}
-	s.admissions[key] = u
+	s.admissions[id] = a
 }
 
-// slotCapacity is what the server can do when it is not cold, in slots of mean speed.
+// slotCapacity returns what the server can run when it is not cold, in slots of a server of mean
+// speed.
 func (s *server) slotCapacity() float64 { return float64(s.Slots) / s.timeRatio }
 
-// coldFactor is that by which work takes longer at the server now than its speed says.
+// coldFactor returns the factor by which requests take longer at the server because it is cold.
 func (s *server) coldFactor(now time.Time) float64 {
 	if s.Cold(now) {
 		return coldSlowdown
@@ -135,7 +149,7 @@
 	return 1
 }
 
-// occupancy returns how many requests are at the server.
+// occupancy returns how many requests are at the server, including those of others.
 func (s *server) occupancy(now time.Time) int {
 	n := len(s.admissions)
 	if now.Before(s.untrackedUntil) {
@@ -144,42 +158,43 @@
 	return n
 }
 
-// free reports whether the server has a slot for a request now.
+// free reports whether the server is open and has a free slot for a request.
 func (s *server) free(now time.Time) bool { return s.occupancy(now) < s.Slots && s.open(now) }
 
-// open reports whether a request may be sent now, to a slot or to wait for one at the server.
+// open reports whether a request may be sent now, to run or to wait for a slot at the server.
 func (s *server) open(now time.Time) bool {
 	return s.occupancy(now) < s.Slots+maxWaitingAtServer && !now.Before(s.fullUntil) && !now.Before(s.coldNextAt)
 }
 
-// waitingForSlot returns how many requests wait at the server for a slot.
+// waitingForSlot returns how many admitted requests wait for a slot at the server.
 func (s *server) waitingForSlot() int { return max(len(s.admissions)-s.Slots, 0) }
 
-// startNext takes in that a slot has become free: the first request that waits at the server has begun.
+// startNext records that a slot has become free, so that the first request that waits at the server
+// has started.
 func (s *server) startNext(now time.Time) {
 	var first ID
 	found := false
-	for key, u := range s.admissions {
-		if u.startedAt.IsZero() && (!found || u.admittedAt.Before(s.admissions[first].admittedAt)) {
-			first, found = key, true
+	for id, a := range s.admissions {
+		if a.startedAt.IsZero() && (!found || a.admittedAt.Before(s.admissions[first].admittedAt)) {
+			first, found = id, true
 		}
 	}
 	if found {
-		u := s.admissions[first]
-		u.startedAt = now
-		s.admissions[first] = u
+		a := s.admissions[first]
+		a.startedAt = now
+		s.admissions[first] = a
 	}
 }
 
-// ejectionActive reports whether the server is set aside for its failures.
+// ejectionActive reports whether the time of the last ejection is not over yet.
 func (s *server) ejectionActive(now time.Time) bool { return now.Before(s.ejectedUntil) }
 
 // timeToFreeSlot returns the time until a slot is free.
 func (s *server) timeToFreeSlot(now time.Time) time.Duration {
 	least, first := time.Duration(0), true
 	if len(s.admissions) >= s.Slots {
-		for _, u := range s.admissions {
-			if left := u.remaining(now); first || left < least {
+		for _, a := range s.admissions {
+			if left := a.remaining(now); first || left < least {
 				least, first = left, false
 			}
 		}
@@ -187,12 +202,12 @@
 	return max(least, s.fullUntil.Sub(now), s.coldNextAt.Sub(now))
 }
 
-// learn takes in how a sending ended, that a use of the server was for.
-func (s *server) learn(d Completion, u admission, mean time.Duration, now time.Time) {
-	switch d.Outcome {
+// learn updates what is known of the server with the outcome of a request.
+func (s *server) learn(done Completion, a admission, mean time.Duration, now time.Time) {
+	switch done.Outcome {
 	case Answered:
-		factor := min(max(float64(u.serviceTime(d))/u.coldFactor/float64(max(mean, time.Millisecond)), minTimeRatio), maxTimeRatio)
-		s.timeRatio += (factor - s.timeRatio) * timeRatioWeight
+		ratio := min(max(float64(a.serviceTime(done))/a.coldFactor/float64(max(mean, time.Millisecond)), minTimeRatio), maxTimeRatio)
+		s.timeRatio += (ratio - s.timeRatio) * timeRatioWeight
 		s.failureRate -= s.failureRate * failureWeight
 		s.answers++
 		if s.failureRate < failureWeight {
@@ -201,19 +216,19 @@
 	case Failed, Lost:
 		s.failureRate += (1 - s.failureRate) * failureWeight
 	case Full:
-		if !d.Load.Known || d.Load.Running+d.Load.Waiting >= s.Slots {
+		if !done.Load.Known || done.Load.Running+done.Load.Waiting >= s.Slots {
 			s.fullUntil = now.Add(fullBackoff)
 		}
 	case NotOwner, Unsent, Cancelled:
 	}
-	if d.Load.Known {
-		// The report counts the request that has just ended.
-		s.untracked = max(d.Load.Running+d.Load.Waiting-len(s.admissions)-1, 0)
+	if done.Load.Known {
+		// The report still counts the request that has just ended.
+		s.untracked = max(done.Load.Running+done.Load.Waiting-len(s.admissions)-1, 0)
 		s.untrackedUntil = now.Add(untrackedTimeout)
 	}
 }
 
-// eject keeps requests from the server for a time, for longer each time.
+// eject keeps requests from the server for a time that doubles with each ejection.
 func (s *server) eject(now time.Time) {
 	s.ejected = true
 	s.ejectedUntil = now.Add(s.nextEjectionTime)
--- a/internal/permit/timer.go
+++ b/internal/permit/timer.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// timer is something that is to be looked at when its time has come. What has ended until then is passed
-// over.
+// timer is an event that is due at some time. Timers are not cancelled: one whose admission, server
+// or request is gone by then is ignored.
 type timer interface{ timer() }
 
 type (
-	// admissionExpiry is when a permit is taken back that nobody gave back, permitDoubted when its holder is
-	// asked, permitReturns when it is expected back.
+	// admissionExpiry is when an admission that was not released expires, admissionCheck when its
+	// holder is asked whether it still has it, expectedRelease when it is expected to end.
 	admissionExpiry struct {
-		key    ID
+		id     ID
 		server *server
 	}
 	admissionCheck  admissionExpiry
 	expectedRelease admissionExpiry
-	// serverChange is when a server may take requests again.
+	// serverChange is when a server may become open to requests again.
 	serverChange struct{ server *server }
-	// crossDomainAllowed is when a request may use servers of other domains, requestGivesUp when it is refused.
+	// crossDomainAllowed is when a request may use servers of other domains, queueTimeout when it
+	// is rejected if it still waits.
 	crossDomainAllowed struct{ request *waiter }
 	queueTimeout       struct{ request *waiter }
 )
@@ -32,7 +33,7 @@
 func (crossDomainAllowed) timer() {}
 func (queueTimeout) timer()       {}
 
-// timers holds timers, the earliest first.
+// timers is a priority queue of timers, the earliest first.
 type timers struct{ entries timerHeap }
 
 type timerEntry struct {
@@ -40,8 +41,7 @@
 	timer timer
 }
 
-// add adds a timer.
-func (t *timers) add(at time.Time, what timer) { heap.Push(&t.entries, timerEntry{at, what}) }
+func (t *timers) add(at time.Time, event timer) { heap.Push(&t.entries, timerEntry{at, event}) }
 
 // first returns the earliest timer, false if there is none.
 func (t *timers) first() (timer, bool) {
@@ -51,10 +51,9 @@
 	return t.entries[0].timer, true
 }
 
-// removeFirst removes the earliest timer.
 func (t *timers) removeFirst() { heap.Pop(&t.entries) }
 
-// popDue returns and removes the earliest timer if its time has come.
+// popDue removes and returns the earliest timer if it is due.
 func (t *timers) popDue(now time.Time) (timer, bool) {
 	next, found := t.first()
 	if !found || t.entries[0].at.After(now) {
@@ -67,15 +66,15 @@
 // timerHeap implements heap.Interface.
 type timerHeap []timerEntry
 
-func (e timerHeap) Len() int           { return len(e) }
-func (e timerHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e timerHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *timerHeap) Push(x any)        { *e = append(*e, x.(timerEntry)) }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timerEntry)) }
 
-func (e *timerHeap) Pop() any {
-	old := *e
+func (h *timerHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = timerEntry{}
-	*e = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules holds the routing configuration in force and the servers that it routes to.
-// It has no input or output: an adapter fills its types, the request path reads them.
+// Package rules holds the routing configuration in force and the backend servers that requests are
+// routed to. It performs no I/O: an adapter fills its types, and the request path reads them.
 package rules
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind says whether the requests of a route may run more than once.
 type Kind int
 
-// The kinds.
+// The kinds of requests.
 const (
-	// NonIdempotent marks requests that are not idempotent.
+	// NonIdempotent marks requests that must not run twice.
 	NonIdempotent Kind = iota
-	// Idempotent marks idempotent requests.
+	// Idempotent marks requests that may run more than once.
 	Idempotent
 	// Bulk marks idempotent requests with large answers.
 	Bulk
@@ -25,12 +25,12 @@
 // Idempotent reports whether a request of this kind may run more than once.
 func (k Kind) Idempotent() bool { return k != NonIdempotent }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
-	// HeaderBytes is the largest head of a request, BodyBytes its largest body.
+	// HeaderBytes is the largest size of the head of a request, BodyBytes that of its body.
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the arrival of a head from its first byte on, IdleTimeout the time
+	// HeaderTimeout bounds the time from the first byte of a head to its end, IdleTimeout the time
 	// between two requests on one connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
@@ -43,37 +43,40 @@
 	Weight int
 }
 
-// Route sends the requests below one path prefix of one host to services.
+// Route maps the requests below a path prefix of a host to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Priority is the rank under load; 0 goes first.
+	// Priority orders requests under load; 0 goes first.
 	Priority int
 	// TargetLatency is the time within which an answer has its full value. Timeout is the longest
-	// time that a request may wait, zero for no bound but its own.
+	// time that a request may take, zero if only the limit of the request itself applies.
 	TargetLatency time.Duration
 	Timeout       time.Duration
-	// MaxAttempts is the number of servers to which one request may be sent.
+	// MaxAttempts is the largest number of servers that one request may be sent to.
 	MaxAttempts int
 	Services    []WeightedService
 
+	// pickCount is the position in the sequence of picks.
 	pickCount atomic.Uint64
 }
 
-// Service is a set of servers with the same task.
+// Service is a set of servers that handle the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is the number of connections that one server accepts from all instances.
+	// MaxConns is the number of connections that one server accepts from all instances together.
 	MaxConns int
-	// Divided says that each key belongs to one server of the service.
+	// Divided reports whether the service is sharded by key: each key is owned by one server of the
+	// service.
 	Divided bool
-	// KeyWarmup is how long a server is slow with keys that it got without their state.
+	// KeyWarmup is how long a server is slow with keys that it took over without their state.
 	KeyWarmup time.Duration
-	// ColdTime is how long a server is cold: slow, and at risk beyond ColdRate requests a second from all instances
-	// together. Zero if its servers are never cold, or bear any rate.
+	// ColdTime is how long a server is cold, which means slow and at risk of a crash above ColdRate
+	// requests per second from all instances together. ColdTime is zero if the servers are never
+	// cold, ColdRate is zero if they bear any rate.
 	ColdTime time.Duration
 	ColdRate float64
 }
@@ -83,12 +86,12 @@
 	Version  uint64
 	Limits   Limits
 	Services map[string]Service
-	// Hosts holds the routes by host, those with the longest prefix first.
+	// Hosts holds the routes by host name, those with the longest prefix first (see Sort).
 	Hosts map[string][]*Route
 }
 
-// Match returns the route of a request, nil if there is none. Of the routes whose prefix
-// begins the path the longest one counts.
+// Match returns the route with the longest prefix that matches the path, nil if there is none. The
+// routes must be sorted.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.Hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -98,48 +101,50 @@
 	return nil
 }
 
-// Sort brings the routes into the order that Match needs.
+// Sort sorts the routes of each host by prefix length, the longest first, as Match needs them.
 func (c *Config) Sort() {
 	for _, routes := range c.Hosts {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 }
 
-// goldenRatio spreads successive turns evenly: the fractional part of its multiples has low
-// discrepancy, so that shares come out right within a few requests.
+// goldenRatio is the fractional part of the golden ratio times 2^64. The fractional parts of its
+// multiples are spread evenly (low discrepancy), so that the shares of services come out right
+// within a few requests.
 const goldenRatio = 0x9E3779B97F4A7C15
 
-// Pick returns the service that the next request of the route goes to. Over successive
-// requests each part gets its share.
+// Pick returns the service for the next request of the route. Over successive requests each service
+// gets its share.
 func (r *Route) Pick() string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
 	total := 0
-	for _, p := range r.Services {
-		total += p.Weight
+	for _, s := range r.Services {
+		total += s.Weight
 	}
 	if total <= 0 {
 		return r.Services[0].Service
 	}
 	point := float64((r.pickCount.Add(1)*goldenRatio)>>11) / (1 << 53) * float64(total)
-	for _, p := range r.Services {
-		point -= float64(p.Weight)
+	for _, s := range r.Services {
+		point -= float64(s.Weight)
 		if point < 0 {
-			return p.Service
+			return s.Service
 		}
 	}
 	return r.Services[len(r.Services)-1].Service
 }
 
-// Seed sets the first turn, so that instances do not all begin with the same part.
-func (r *Route) Seed(turn uint64) { r.pickCount.Store(turn) }
+// Seed sets the start of the sequence of picks, so that instances do not all begin with the same
+// service.
+func (r *Route) Seed(start uint64) { r.pickCount.Store(start) }
 
-// Leaving reports whether the server is to give up what it has.
+// Leaving reports whether the server has to hand over its keys, as it is draining or evacuated.
 func (s Server) Leaving() bool { return s.Draining || s.Evacuated }
 
-// Closed reports whether the server must get no more requests. One that leaves still serves its
-// keys until they have moved, but no longer than its time to leave.
+// Closed reports whether the server must get no more requests. A leaving server of a sharded
+// service still serves its keys until they have moved, but not after LeaveBy.
 func (s Server) Closed(divided bool, now time.Time) bool {
 	if s.Leaving() && !divided {
 		return true
@@ -147,10 +152,10 @@
 	return !s.LeaveBy.IsZero() && now.After(s.LeaveBy)
 }
 
-// Cold reports whether the server may get only ColdRate requests a second.
+// Cold reports whether the server may get only ColdRate requests per second.
 func (s Server) Cold(now time.Time) bool { return s.ColdRate > 0 && now.Before(s.WarmAt) }
 
-// LeavesIn returns how long the server may still get requests, zero if there is no end to it.
+// LeavesIn returns how long the server may still get requests, zero if there is no limit.
 func (s Server) LeavesIn(now time.Time) time.Duration {
 	if s.LeaveBy.IsZero() {
 		return 0
@@ -158,30 +163,32 @@
 	return s.LeaveBy.Sub(now)
 }
 
-// Server is a backend server as the directory states it.
+// Server is a backend server as listed in the directory.
 type Server struct {
-	// ID is one life of the server (see LifeID): after a restart it has another.
+	// ID identifies one incarnation of the server (see IncarnationID). It changes with each
+	// restart.
 	ID string
-	// StartedAt is the Unix millisecond of its start, zero if it does not state it. Sequence counts
-	// what this life has said of itself.
+	// StartedAt is the start time of the server in Unix milliseconds, zero if the server does not
+	// state it. Sequence numbers the entries that this incarnation has published about itself.
 	StartedAt int64
 	Sequence  int64
 	Service   string
-	// Address is an IP address with port.
+	// Address is an IP address with a port.
 	Address string
 	Domain  string
 	Version string
 	Slots   int
-	// Draining says that the server is about to leave, Evacuated that its failure domain is to get nothing more until
-	// it is taken back.
+	// Draining reports whether the server is about to leave, Evacuated whether its failure domain
+	// gets no more requests until the evacuation ends.
 	Draining  bool
 	Evacuated bool
-	// LeaveBy is when a server that drains, is evacuated, or whose entry is missing, must get no more requests; zero for
-	// any other.
+	// LeaveBy is the time after which the server must get no more requests. It is set if the
+	// server is draining, is evacuated or is missing from the directory, and zero otherwise.
 	LeaveBy time.Time
-	// WarmAt is when the server is no longer cold.
+	// WarmAt is when the server stops being cold.
 	WarmAt time.Time
-	// ColdRate is how many requests a second the server may get from all instances together until then, zero for no
-	// bound. It comes from the configuration of its service.
+	// ColdRate is the largest number of requests per second that the server may get from all
+	// instances together until WarmAt, zero for no limit. It comes from the configuration of the
+	// service.
 	ColdRate float64
 }
