--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -119,9 +119,9 @@
 
 // request requests an admission from one controller and waits for the final decision, as long as the request is
 // queued there. It returns false if the controller does not answer or the context ends.
-func (c *admissionClient) request(ctx context.Context, r permit.Ask, controller roster.Peer, to netip.AddrPort) (gram.AdmissionDecision, bool) {
+func (c *admissionClient) request(ctx context.Context, r permit.Request, controller roster.Peer, to netip.AddrPort) (gram.AdmissionDecision, bool) {
 	serial, decisions := c.open()
-	r.Key = permit.Key{Serial: serial}
+	r.ID = permit.ID{Serial: serial}
 	m, answered := c.requestUntilFinal(ctx, r, to, decisions, c.replyTimeoutFor(controller))
 	if !answered || m.Server == "" {
 		c.close(serial)
@@ -148,7 +148,7 @@
 
 // requestUntilFinal sends the request, again if necessary, until there is a final decision. It returns false if the
 // controller stops answering or the context ends.
-func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Ask, to netip.AddrPort, decisions <-chan gram.AdmissionDecision, timeout time.Duration) (gram.AdmissionDecision, bool) {
+func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Request, to netip.AddrPort, decisions <-chan gram.AdmissionDecision, timeout time.Duration) (gram.AdmissionDecision, bool) {
 	for {
 		var m gram.AdmissionDecision
 		answered := false
@@ -202,11 +202,11 @@
 // isFinal reports whether a request is admitted or rejected, that is, not queued.
 func isFinal(m gram.AdmissionDecision) bool { return m.Server != "" || m.Reason != "" }
 
-func requestMessage(r permit.Ask) gram.AdmissionRequest {
+func requestMessage(r permit.Request) gram.AdmissionRequest {
 	return gram.AdmissionRequest{
 		Serial: r.Serial, Pool: r.Pool, Server: r.Server, Domain: r.Domain, Route: r.Route, Priority: r.Priority,
-		Returning: r.Returning, Avoid: r.Avoid, HasFallback: r.Elsewhere,
-		TargetInMs: int(time.Until(r.TargetAt).Milliseconds()), DeadlineInMs: int(time.Until(r.LimitAt).Milliseconds()),
+		Returning: r.Returning, Avoid: r.Avoid, HasFallback: r.HasFallback,
+		TargetInMs: int(time.Until(r.TargetAt).Milliseconds()), DeadlineInMs: int(time.Until(r.Deadline).Milliseconds()),
 	}
 }
 
--- a/internal/node/admission_client_test.go
+++ b/internal/node/admission_client_test.go
@@ -26,7 +26,7 @@
 	replyDelay   time.Duration
 
 	mu         sync.Mutex
-	controller *permit.Keeper
+	controller *permit.Controller
 }
 
 func newRemoteController(port uint16, requestDelay, replyDelay time.Duration, slots int) *remoteController {
@@ -40,18 +40,18 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	now := time.Now()
-	id := func(serial uint64) permit.Key { return permit.Key{From: "a", Serial: serial} }
-	var decisions []permit.Verdict
+	id := func(serial uint64) permit.ID { return permit.ID{From: "a", Serial: serial} }
+	var decisions []permit.Decision
 	switch m := m.(type) {
 	case gram.AdmissionRequest:
-		decisions = []permit.Verdict{rc.controller.Ask(now, permit.Ask{
-			Key: id(m.Serial), Service: "books", Server: m.Server, Route: "read",
-			TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
+		decisions = []permit.Decision{rc.controller.Decide(now, permit.Request{
+			ID: id(m.Serial), Service: "books", Server: m.Server, Route: "read",
+			TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
 		})}
 	case gram.Cancel:
-		decisions = rc.controller.Withdraw(now, id(m.Serial))
+		decisions = rc.controller.Cancel(now, id(m.Serial))
 	case gram.Completion:
-		decisions = rc.controller.Done(now, permit.Done{Key: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
+		decisions = rc.controller.Complete(now, permit.Completion{ID: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
 	for _, v := range decisions {
 		time.AfterFunc(rc.replyDelay, func() { rc.client.handleDecision(rc.address, decisionMessage(v)) })
@@ -74,13 +74,13 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	now := time.Now()
-	request := permit.Ask{
-		Key: permit.Key{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
-		TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
-		Elsewhere: true, // reject instead of queueing
+	request := permit.Request{
+		ID: permit.ID{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
+		TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
+		HasFallback: true, // reject instead of queueing
 	}
-	_, admitted := rc.controller.Ask(now, request).(permit.Granted)
-	rc.controller.Withdraw(now, request.Key)
+	_, admitted := rc.controller.Decide(now, request).(permit.Admitted)
+	rc.controller.Cancel(now, request.ID)
 	return admitted
 }
 
@@ -105,7 +105,7 @@
 				// The server of the second controller is busy for a moment, so that the request is queued first.
 				second.handle(gram.AdmissionRequest{Serial: 99, Server: "s"})
 				time.AfterFunc(300*time.Millisecond, func() { second.handle(gram.Completion{Serial: 99}) })
-				request := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+				request := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 				for _, rc := range []*remoteController{first, second} {
 					v, answered := client.request(t.Context(), request, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, rc.address)
 					if !answered {
@@ -136,7 +136,7 @@
 		rc.client = client
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
-		_, answered := client.request(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
+		_, answered := client.request(ctx, permit.Request{Service: "books", Server: "s", Deadline: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
 		is.True(!answered)
 		rc.handle(gram.Cancel{Serial: client.lastSerial})
 		time.Sleep(time.Second)
@@ -152,16 +152,16 @@
 		rc := newRemoteController(1, time.Millisecond, time.Millisecond, 1)
 		client := newAdmissionClient(network(rc), func(string) {}, 1, 10)
 		rc.client = client
-		request := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+		request := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 		v, answered := client.request(t.Context(), request, roster.Peer{}, rc.address)
 		is.True(answered)
 		rc.mu.Lock()
-		is.Equal(len(rc.controller.Doubtful(time.Now())), 0) // it has just been admitted
+		is.Equal(len(rc.controller.LongRunning(time.Now())), 0) // it has just been admitted
 		rc.mu.Unlock()
 		time.Sleep(9 * time.Second) // the route counts as 3.3 seconds long until a duration is known
 		rc.mu.Lock()
-		longRunning := rc.controller.Doubtful(time.Now())
-		is.Equal(len(rc.controller.Doubtful(time.Now())), 0) // not reported twice in a row
+		longRunning := rc.controller.LongRunning(time.Now())
+		is.Equal(len(rc.controller.LongRunning(time.Now())), 0) // not reported twice in a row
 		rc.mu.Unlock()
 		is.Equal(len(longRunning), 1)
 		client.handleCheck(rc.address, gram.AdmissionCheck{Serial: longRunning[0].Serial})
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -31,7 +31,7 @@
 
 	mu sync.Mutex
 	// controllers holds the controllers of pools by name, and those of services divided by key by service.
-	controllers map[string]*permit.Keeper
+	controllers map[string]*permit.Controller
 	pools       *pools
 	// queued signals that a request was queued while none was.
 	queued chan struct{}
@@ -41,7 +41,7 @@
 
 func newAdmissions(n *Node) *admissions {
 	return &admissions{
-		node: n, controllers: map[string]*permit.Keeper{}, pools: newPools(n.settings.Name, n.settings.Domain), queued: make(chan struct{}, 1),
+		node: n, controllers: map[string]*permit.Controller{}, pools: newPools(n.settings.Name, n.settings.Domain), queued: make(chan struct{}, 1),
 		client: newAdmissionClient(n.port.Send, n.controllerUnreachable, n.settings.CPUShare, n.settings.LinkMbps),
 	}
 }
@@ -80,7 +80,7 @@
 			ad.deliver(c.Tick(now))
 			waiting = true
 		}
-		for _, id := range c.Doubtful(now) {
+		for _, id := range c.LongRunning(now) {
 			ad.recheck(c, id, now)
 		}
 		if n := c.Expired(); n > 0 {
@@ -95,10 +95,10 @@
 //
 // When a failure domain is cut off, its instances hold admissions that they cannot give up. These would occupy free
 // slots of servers, and requests would be rejected there.
-func (ad *admissions) recheck(c *permit.Keeper, id permit.Key, now time.Time) {
+func (ad *admissions) recheck(c *permit.Controller, id permit.ID, now time.Time) {
 	if !ad.node.roster.Reached(id.From, now) {
 		ad.node.events.Note(event.Belief, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
-		ad.deliver(c.Withdraw(now, id))
+		ad.deliver(c.Cancel(now, id))
 		return
 	}
 	if to, err := netip.ParseAddrPort(id.From); err == nil {
@@ -107,7 +107,7 @@
 }
 
 // controller returns the controller of a pool, or of a service that is divided by key. The lock is held.
-func (ad *admissions) controller(pool string) *permit.Keeper {
+func (ad *admissions) controller(pool string) *permit.Controller {
 	c := ad.controllers[pool]
 	if c == nil {
 		c = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
@@ -128,20 +128,20 @@
 }
 
 // capacityReport returns what the controller of a service has measured of its servers since the last call.
-func (ad *admissions) capacityReport(service string) map[string]permit.Power {
+func (ad *admissions) capacityReport(service string) map[string]permit.Capacity {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	c := ad.controllers[service]
 	if c == nil {
 		return nil
 	}
-	return c.Report()
+	return c.ReportCapacity()
 }
 
 // deliver sends decisions to the instances that requested them, or passes them to the own client. The lock is held.
-func (ad *admissions) deliver(decisions []permit.Verdict) {
+func (ad *admissions) deliver(decisions []permit.Decision) {
 	for _, v := range decisions {
-		id := permit.KeyOf(v)
+		id := permit.IDOf(v)
 		m := decisionMessage(v)
 		if id.From == "" {
 			ad.client.handleDecision(netip.AddrPort{}, m)
@@ -154,15 +154,15 @@
 }
 
 // decisionMessage returns the message that states a decision.
-func decisionMessage(v permit.Verdict) gram.AdmissionDecision {
-	m := gram.AdmissionDecision{Serial: permit.KeyOf(v).Serial}
+func decisionMessage(v permit.Decision) gram.AdmissionDecision {
+	m := gram.AdmissionDecision{Serial: permit.IDOf(v).Serial}
 	switch v := v.(type) {
-	case permit.Granted:
+	case permit.Admitted:
 		m.Server = v.Server
-	case permit.Refused:
+	case permit.Rejected:
 		m.Reason = string(v.Reason)
 		m.RetryInMs, m.WaitMs = int(v.RetryIn.Milliseconds()), int(v.Wait.Milliseconds())
-	case permit.Waiting:
+	case permit.Queued:
 	}
 	return m
 }
@@ -172,16 +172,16 @@
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	now := time.Now()
-	r := permit.Ask{
-		Key: permit.Key{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
-		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, Elsewhere: m.HasFallback,
+	r := permit.Request{
+		ID: permit.ID{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
+		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, HasFallback: m.HasFallback,
 		TargetAt: now.Add(time.Duration(m.TargetInMs) * time.Millisecond),
-		LimitAt:  now.Add(time.Duration(m.DeadlineInMs) * time.Millisecond),
+		Deadline: now.Add(time.Duration(m.DeadlineInMs) * time.Millisecond),
 	}
-	r.Apart = ad.isolated
+	r.NonExclusive = ad.isolated
 	c := ad.controller(m.Pool)
 	idle := c.Idle()
-	ad.deliver([]permit.Verdict{c.Ask(now, r)})
+	ad.deliver([]permit.Decision{c.Decide(now, r)})
 	if idle && !c.Idle() {
 		ad.wake()
 	}
@@ -191,8 +191,8 @@
 func (ad *admissions) handleCompletion(from netip.AddrPort, m gram.Completion) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	ad.deliver(ad.controller(m.Pool).Done(time.Now(), permit.Done{
-		Key: permit.Key{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
+	ad.deliver(ad.controller(m.Pool).Complete(time.Now(), permit.Completion{
+		ID: permit.ID{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
 		Outcome: m.Outcome, Took: time.Duration(m.DurationUs) * time.Microsecond, Bytes: m.AnswerBytes,
 		Load: permit.Load{
 			Running: m.Running, Waiting: m.Waiting, Known: m.LoadKnown, Slowdown: float64(m.Slowdown) / slowdownScale,
@@ -204,10 +204,10 @@
 func (ad *admissions) handleCancel(from netip.AddrPort, m gram.Cancel) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	id := permit.Key{From: from.String(), Serial: m.Serial}
+	id := permit.ID{From: from.String(), Serial: m.Serial}
 	for pool, c := range ad.controllers {
 		if m.Pool == "" || m.Pool == pool {
-			ad.deliver(c.Withdraw(time.Now(), id))
+			ad.deliver(c.Cancel(time.Now(), id))
 		}
 	}
 }
@@ -228,13 +228,13 @@
 
 // Done reports the completion of the request to the controller, twice if that is remote: a lost completion would
 // occupy a slot. The second message leaves out the load, which is no longer current.
-func (a *admission) Done(d permit.Done) {
+func (a *admission) Done(d permit.Completion) {
 	defer a.admissions.client.close(a.serial)
-	d.Key, d.Server, d.Route = permit.Key{Serial: a.serial}, a.server, a.route
+	d.ID, d.Server, d.Route = permit.ID{Serial: a.serial}, a.server, a.route
 	if !a.controller.IsValid() {
 		a.admissions.mu.Lock()
 		defer a.admissions.mu.Unlock()
-		a.admissions.deliver(a.admissions.controller(a.pool).Done(time.Now(), d))
+		a.admissions.deliver(a.admissions.controller(a.pool).Complete(time.Now(), d))
 		return
 	}
 	m := gram.Completion{
@@ -250,46 +250,46 @@
 
 // Acquire implements edge.Admitter. A request with an owner is decided by the controller of that server; others try
 // the pools of the service in turn until one has room.
-func (ad *admissions) Acquire(ctx context.Context, r permit.Ask, domain string) (edge.Permit, *permit.Refused) {
+func (ad *admissions) Acquire(ctx context.Context, r permit.Request, domain string) (edge.Permit, *permit.Rejected) {
 	if r.Server != "" {
 		r.Pool, r.Domain = r.Service, ad.node.settings.Domain
 		return ad.requestFrom(ctx, r, r.Server, domain)
 	}
 	candidates := ad.candidates(r.Service)
 	for i, pool := range candidates {
-		r.Pool, r.Elsewhere, r.Domain = pool.Name, i < len(candidates)-1, ad.node.settings.Domain
+		r.Pool, r.HasFallback, r.Domain = pool.Name, i < len(candidates)-1, ad.node.settings.Domain
 		if pool.Domain != "" {
 			r.Domain = pool.Domain
 		}
 		admitted, rejected := ad.requestFrom(ctx, r, pool.Name, pool.Domain)
-		if rejected == nil || !r.Elsewhere || rejected.Reason != permit.Busy {
+		if rejected == nil || !r.HasFallback || rejected.Reason != permit.PoolBusy {
 			return admitted, rejected
 		}
 		ad.markBusy(pool, rejected.Wait)
 	}
-	return nil, &permit.Refused{Reason: permit.NoServer}
+	return nil, &permit.Rejected{Reason: permit.NoServer}
 }
 
 // candidates returns the pools that a request should try in turn.
 func (ad *admissions) candidates(service string) []permit.Pool {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	return ad.pools.picker(service).Tries(time.Now())
+	return ad.pools.picker(service).Candidates(time.Now())
 }
 
 // markBusy notes that a pool has no room for a time, so that other requests try another pool first.
 func (ad *admissions) markBusy(pool permit.Pool, wait time.Duration) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	ad.pools.picker(pool.Service).Busy(pool.Name, wait, time.Now())
+	ad.pools.picker(pool.Service).MarkBusy(pool.Name, wait, time.Now())
 }
 
 // requestFrom asks the instances that are responsible for a pool or a server in turn, and decides locally if this
 // instance is one of them or they do not answer.
-func (ad *admissions) requestFrom(ctx context.Context, r permit.Ask, name, domain string) (edge.Permit, *permit.Refused) {
+func (ad *admissions) requestFrom(ctx context.Context, r permit.Request, name, domain string) (edge.Permit, *permit.Rejected) {
 	for i, controller := range ad.node.roster.Rank(name, domain, time.Now()) {
 		if i == maxControllersTried {
-			r.Apart = true
+			r.NonExclusive = true
 			break
 		}
 		if controller.Name == ad.node.settings.Name {
@@ -301,14 +301,14 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return nil, &permit.Refused{Reason: permit.Overload}
+			return nil, &permit.Rejected{Reason: permit.Overload}
 		}
 	}
 	return ad.result(r, ad.requestLocally(ctx, r), netip.AddrPort{})
 }
 
 // result converts a final decision to an admission or a rejection.
-func (ad *admissions) result(r permit.Ask, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Permit, *permit.Refused) {
+func (ad *admissions) result(r permit.Request, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Permit, *permit.Rejected) {
 	if m.Server != "" {
 		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
 	}
@@ -316,18 +316,18 @@
 	if reason == "" {
 		reason = permit.Overload
 	}
-	return nil, &permit.Refused{
+	return nil, &permit.Rejected{
 		Pool: r.Pool, Reason: reason, RetryIn: time.Duration(m.RetryInMs) * time.Millisecond, Wait: time.Duration(m.WaitMs) * time.Millisecond,
 	}
 }
 
 // requestLocally requests an admission from this instance's own controller and waits for the final decision.
-func (ad *admissions) requestLocally(ctx context.Context, r permit.Ask) gram.AdmissionDecision {
+func (ad *admissions) requestLocally(ctx context.Context, r permit.Request) gram.AdmissionDecision {
 	serial, decisions := ad.client.open()
-	r.Key = permit.Key{Serial: serial}
+	r.ID = permit.ID{Serial: serial}
 	ad.mu.Lock()
-	r.Apart = r.Apart || ad.isolated
-	m := decisionMessage(ad.controller(r.Pool).Ask(time.Now(), r))
+	r.NonExclusive = r.NonExclusive || ad.isolated
+	m := decisionMessage(ad.controller(r.Pool).Decide(time.Now(), r))
 	ad.mu.Unlock()
 	if !isFinal(m) {
 		ad.wake()
@@ -337,7 +337,7 @@
 		case m = <-decisions:
 		case <-ctx.Done():
 			ad.mu.Lock()
-			ad.deliver(ad.controller(r.Pool).Withdraw(time.Now(), r.Key))
+			ad.deliver(ad.controller(r.Pool).Cancel(time.Now(), r.ID))
 			ad.mu.Unlock()
 			m = gram.AdmissionDecision{Reason: string(permit.Overload)}
 		}
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -92,9 +92,9 @@
 	shortest := time.Duration(0)
 	for _, routes := range c.config.Load().Hosts {
 		for _, r := range routes {
-			for _, p := range r.Parts {
-				if p.Service == service && r.Target > 0 && (shortest == 0 || r.Target < shortest) {
-					shortest = r.Target
+			for _, p := range r.Services {
+				if p.Service == service && r.TargetLatency > 0 && (shortest == 0 || r.TargetLatency < shortest) {
+					shortest = r.TargetLatency
 				}
 			}
 		}
--- a/internal/permit/timer.go
+++ b/internal/permit/timer.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// timer is something that is to be looked at when its time has come. What has ended until then is passed
-// over.
+// timer is an event that is due at some time. Timers are not cancelled: one whose admission, server
+// or request is gone by then is ignored.
 type timer interface{ timer() }
 
 type (
-	// permitEnds is when a permit is taken back that nobody gave back, permitDoubted when its holder is
-	// asked, permitReturns when it is expected back.
-	permitEnds struct {
-		key    Key
+	// admissionExpiry is when an admission that was not released expires, admissionCheck when its
+	// holder is asked whether it still has it, expectedRelease when it is expected to end.
+	admissionExpiry struct {
+		id     ID
 		server *server
 	}
-	permitDoubted permitEnds
-	permitReturns permitEnds
-	// serverChanges is when a server may take requests again.
-	serverChanges struct{ server *server }
-	// requestCrosses is when a request may use servers of other domains, requestGivesUp when it is refused.
-	requestCrosses struct{ request *waiting }
-	requestGivesUp struct{ request *waiting }
+	admissionCheck  admissionExpiry
+	expectedRelease admissionExpiry
+	// serverChange is when a server may become open to requests again.
+	serverChange struct{ server *server }
+	// crossDomainAllowed is when a request may use servers of other domains, queueTimeout when it
+	// is rejected if it still waits.
+	crossDomainAllowed struct{ request *waiter }
+	queueTimeout       struct{ request *waiter }
 )
 
-func (permitEnds) timer()     {}
-func (permitDoubted) timer()  {}
-func (permitReturns) timer()  {}
-func (serverChanges) timer()  {}
-func (requestCrosses) timer() {}
-func (requestGivesUp) timer() {}
+func (admissionExpiry) timer()    {}
+func (admissionCheck) timer()     {}
+func (expectedRelease) timer()    {}
+func (serverChange) timer()       {}
+func (crossDomainAllowed) timer() {}
+func (queueTimeout) timer()       {}
 
-// timers holds timers, the earliest first.
-type timers struct{ entries entries }
+// timers is a priority queue of timers, the earliest first.
+type timers struct{ entries timerHeap }
 
-type entry struct {
+type timerEntry struct {
 	at    time.Time
 	timer timer
 }
 
-// set adds a timer.
-func (t *timers) set(at time.Time, what timer) { heap.Push(&t.entries, entry{at, what}) }
+func (t *timers) add(at time.Time, event timer) { heap.Push(&t.entries, timerEntry{at, event}) }
 
 // first returns the earliest timer, false if there is none.
 func (t *timers) first() (timer, bool) {
@@ -51,31 +51,30 @@
 	return t.entries[0].timer, true
 }
 
-// drop removes the earliest timer.
-func (t *timers) drop() { heap.Pop(&t.entries) }
+func (t *timers) removeFirst() { heap.Pop(&t.entries) }
 
-// due returns and removes the earliest timer if its time has come.
-func (t *timers) due(now time.Time) (timer, bool) {
+// popDue removes and returns the earliest timer if it is due.
+func (t *timers) popDue(now time.Time) (timer, bool) {
 	next, found := t.first()
 	if !found || t.entries[0].at.After(now) {
 		return nil, false
 	}
-	t.drop()
+	t.removeFirst()
 	return next, true
 }
 
-// entries implements heap.Interface.
-type entries []entry
+// timerHeap implements heap.Interface.
+type timerHeap []timerEntry
 
-func (e entries) Len() int           { return len(e) }
-func (e entries) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e entries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *entries) Push(x any)        { *e = append(*e, x.(entry)) }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timerEntry)) }
 
-func (e *entries) Pop() any {
-	old := *e
+func (h *timerHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = entry{}
-	*e = old[:len(old)-1]
+	old[len(old)-1] = timerEntry{}
+	*h = old[:len(old)-1]
 	return last
 }
