--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -279,10 +279,10 @@
 	is := is.New(t)
 	f := newFixture(rules.Once, newBackend(t, answerOK))
 	f.world.config.Services["books"] = rules.Service{Name: "books", Divided: true}
-	f.world.owner = shard.Range{To: 100, Server: "s0", Before: []shard.Holder{{Server: "old"}}}
+	f.world.owner = shard.Range{To: 100, Server: "s0", FormerOwners: []shard.Owner{{Server: "old"}}}
 	reply := f.send(t.Context(), "Key", "5")
 	is.Equal(reply.Status, 503) // in vain: told to come back
-	f.world.owner.Before = nil
+	f.world.owner.FormerOwners = nil
 	is.Equal(f.send(t.Context(), "Key", "5").Status, 200)
 }
 
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -139,7 +139,7 @@
 func (q *request) owner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
 		r, found, changed := q.edge.World.Owner(q.service, q.call.Key)
-		if found && len(r.Before) == 0 {
+		if found && len(r.FormerOwners) == 0 {
 			return r, nil
 		}
 		// A key that has no owner yet gets one within a few tenths of a second, or after a
--- a/internal/node/asker.go
+++ b/internal/node/asker.go
@@ -210,7 +210,7 @@
 // keeperSilent takes in that a keeper did not answer.
 func (n *Node) keeperSilent(keeper string) {
 	now := time.Now()
-	n.roster.Silent(keeper, now)
+	n.roster.Suspect(keeper, now)
 	n.silentMu.Lock()
 	defer n.silentMu.Unlock()
 	if now.Sub(n.silentAt[keeper]) < silentEvery {
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -142,7 +142,7 @@
 // hearNews takes in what another instance has read.
 func (n *Node) hearNews(m gram.News) {
 	news := m.News
-	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
+	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		news.SentAt = sentAt
 	}
 	select {
@@ -199,7 +199,7 @@
 	case gram.Relay:
 		n.passOn(r.From, m)
 	case gram.Heartbeat:
-		n.hearBeat(m.Beat)
+		n.hearBeat(m.Heartbeat)
 	case gram.Ask:
 		n.permits.asked(r.From, m)
 	case gram.Verdict:
@@ -274,8 +274,8 @@
 		return shard.Range{}, false, changed
 	}
 	r := m.Ranges[i]
-	if len(r.Before) > 0 && n.world.isSettled(service, r.From, r.Fence) {
-		r.Before = nil
+	if len(r.FormerOwners) > 0 && n.world.isSettled(service, r.From, r.Fence) {
+		r.FormerOwners = nil
 	}
 	return r, true, changed
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -102,7 +102,7 @@
 func (n *Node) hearOthers(ctx context.Context) error {
 	for duty.Pause(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 	}
 	return ctx.Err()
@@ -157,7 +157,7 @@
 		const others, draws = 299, 1000
 		n := newFollower(&silentStore{}, others)
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 		sum := time.Duration(0)
 		for range draws {
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -73,7 +73,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.apart = !p.node.roster.Most(now)
+	p.apart = !p.node.roster.MajorityAlive(now)
 	for pool, k := range p.keepers {
 		if !k.Idle() {
 			p.deliver(k.Tick(now))
@@ -95,7 +95,7 @@
 // When a failure domain is cut off, its instances keep permits that they cannot give back. They would hold
 // slots of servers that are free, and requests would be refused there.
 func (p *permits) doubt(k *permit.Keeper, key permit.Key, now time.Time) {
-	if !p.node.roster.Reached(key.From, now) {
+	if !p.node.roster.Reachable(key.From, now) {
 		p.node.events.Note(event.Belief, "permit-taken-back", "from", key.From, "serial", key.Serial, "reason", "instance-silent")
 		p.deliver(k.Withdraw(now, key))
 		return
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -98,7 +98,7 @@
 func (n *Node) overdue() time.Duration {
 	spread := min(overdueSpread, time.Duration(n.instances())*overdueEach)
 	part := float64(xxhash.Sum64String(n.settings.Name)>>11) / (1 << 53)
-	return n.pollLeader() + n.roster.LeaderEvery() + overdueSlack + time.Duration(part*float64(spread))
+	return n.pollLeader() + n.roster.LeaderHeartbeatInterval() + overdueSlack + time.Duration(part*float64(spread))
 }
 
 // retryPause returns the pause after a read that failed. It varies by a half each way, so that instances that lost the
@@ -137,7 +137,7 @@
 	if c := n.settings.Bounds.ConfigSeconds; c > 0 {
 		bound = min(bound, c)
 	}
-	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderEvery()
+	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderHeartbeatInterval()
 	return min(max(wait, pollLeast), pollMost)
 }
 
--- a/internal/permit/keepers_test.go
+++ b/internal/permit/keepers_test.go
@@ -54,7 +54,7 @@
 	for i := range c.rosters {
 		for j := range c.rosters {
 			if !c.dead[i] && c.reaches(i, j) {
-				c.rosters[j].Heard(roster.Beat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
+				c.rosters[j].RecordHeartbeat(roster.Heartbeat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
 			}
 		}
 	}
@@ -77,9 +77,9 @@
 			keeper = j
 			break
 		}
-		c.rosters[i].Silent(p.Name, now)
+		c.rosters[i].Suspect(p.Name, now)
 	}
-	a.Apart = a.Apart || !c.rosters[keeper].Most(now)
+	a.Apart = a.Apart || !c.rosters[keeper].MajorityAlive(now)
 	if _, granted := c.keepers[keeper].Ask(now, a).(permit.Granted); !granted {
 		c.keepers[keeper].Withdraw(now, a.Key)
 		return -1
--- a/internal/roster/heartbeat.go
+++ b/internal/roster/heartbeat.go
@@ -16,23 +16,23 @@
 	maxLeaderInterval = 500 * time.Millisecond
 )
 
-// Every returns the time between two heartbeats to those of other failure domains.
-func (r *Roster) Every() time.Duration {
+// HeartbeatInterval returns the time between two heartbeats to those of other failure domains.
+func (r *Roster) HeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return interval(len(r.peers))
 }
 
-// EveryNear returns the time between two heartbeats to those of the own failure domain, and to the leader.
-func (r *Roster) EveryNear() time.Duration {
+// DomainHeartbeatInterval returns the time between two heartbeats to those of the own failure domain, and to the leader.
+func (r *Roster) DomainHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return interval(r.domainSizes[r.domain])
 }
 
-// LeaderEvery returns the time between two heartbeats of the leader: they carry the word that
+// LeaderHeartbeatInterval returns the time between two heartbeats of the leader: they carry the word that
 // nothing has changed, which the others must not miss for long.
-func (r *Roster) LeaderEvery() time.Duration {
+func (r *Roster) LeaderHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leaderInterval()
@@ -47,7 +47,7 @@
 // intervalOf returns the time between two heartbeats of an instance to this one.
 func (r *Roster) intervalOf(p *Peer) time.Duration {
 	switch {
-	case p.Beat.Leads:
+	case p.Heartbeat.Leads:
 		return r.leaderInterval()
 	case p.Domain == r.domain, !r.leadingSince.IsZero():
 		return interval(r.domainSizes[p.Domain])
@@ -61,9 +61,9 @@
 	return time.Duration(maxMissedHeartbeats * float64(r.intervalOf(p)))
 }
 
-// Lead takes in whether this instance leads: all others then send it heartbeats as often as to their own
+// SetLeading takes in whether this instance leads: all others then send it heartbeats as often as to their own
 // domain.
-func (r *Roster) Lead(leads bool, now time.Time) {
+func (r *Roster) SetLeading(leads bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshAt = time.Time{}
--- a/internal/roster/rank_test.go
+++ b/internal/roster/rank_test.go
@@ -19,7 +19,7 @@
 }
 
 func sendHeartbeat(r *Roster, i int, now time.Time) {
-	r.Heard(Beat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, StoreOK: true}, now)
+	r.RecordHeartbeat(Heartbeat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, StoreOK: true}, now)
 }
 
 // rankByScan returns who is in charge of a thing, by looking at every instance.
@@ -27,7 +27,7 @@
 	hash := xxhash.Sum64String(thing)
 	var able []*Peer
 	for _, p := range r.peers {
-		if r.alive(p, now) && !p.Beat.Stopping {
+		if r.alive(p, now) && !p.Heartbeat.Stopping {
 			able = append(able, p)
 		}
 	}
@@ -62,7 +62,7 @@
 			}
 			ask := func(now time.Time) {
 				for i := range things {
-					r.Charged(fmt.Sprintf("s%d", i), fmt.Sprintf("d%d", i%6), now)
+					r.Responsible(fmt.Sprintf("s%d", i), fmt.Sprintf("d%d", i%6), now)
 				}
 			}
 			ask(start)
@@ -110,9 +110,9 @@
 		case 3:
 			r.Remove(fmt.Sprintf("i%d", i), now)
 		case 4:
-			r.Heard(Beat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, Stopping: true}, now)
+			r.RecordHeartbeat(Heartbeat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, Stopping: true}, now)
 		case 5:
-			r.Silent(fmt.Sprintf("i%d", i), now)
+			r.Suspect(fmt.Sprintf("i%d", i), now)
 		default:
 			sendHeartbeat(r, i, now)
 		}
@@ -161,11 +161,11 @@
 			thing = s
 		}
 	}
-	is.True(!r.Charged(thing, "d0", start))
-	version := r.ChargeVersion(start)
-	is.Equal(r.ChargeVersion(start), version)
+	is.True(!r.Responsible(thing, "d0", start))
+	version := r.RankVersion(start)
+	is.Equal(r.RankVersion(start), version)
 	first := r.Rank(thing, "d0", start)[0].Name
-	r.Heard(Beat{Name: first, Incarnation: 1, Failing: []string{thing}}, start)
-	is.True(r.ChargeVersion(start) != version)
-	is.True(r.Charged(thing, "d0", start))
+	r.RecordHeartbeat(Heartbeat{Name: first, Incarnation: 1, Failing: []string{thing}}, start)
+	is.True(r.RankVersion(start) != version)
+	is.True(r.Responsible(thing, "d0", start))
 }
--- a/internal/shard/rates.go
+++ b/internal/shard/rates.go
@@ -46,8 +46,8 @@
 // NewRates returns rates of which nothing is known.
 func NewRates(now time.Time) *Rates {
 	return &Rates{
-		steady: window{steadyHalfLife, make([]float64, Keys)}, recent: window{recentHalfLife, make([]float64, Keys)},
-		baseline: window{baselineHalfLife, make([]float64, Keys)}, weightsSince: now,
+		steady: window{steadyHalfLife, make([]float64, NumKeys)}, recent: window{recentHalfLife, make([]float64, NumKeys)},
+		baseline: window{baselineHalfLife, make([]float64, NumKeys)}, weightsSince: now,
 	}
 }
 
@@ -90,7 +90,7 @@
 func (r *Rates) Load(now time.Time) []float64 {
 	since := now.Sub(r.weightsSince)
 	steady, recent, usual := r.steady.scale(since), r.recent.scale(since), r.baseline.scale(since)
-	out := make([]float64, Keys)
+	out := make([]float64, NumKeys)
 	for key, sum := range r.steady.sums {
 		if sum == 0 {
 			continue
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -12,7 +12,7 @@
 func (p *planner) lossRate(load float64, s *server) float64 {
 	slots := max(s.Slots, 1)
 	work := float64(slots) / s.capacity
-	places := max(0, (p.in.Target-serviceTimeFactor*work)/work*float64(slots))
+	places := max(0, (p.in.TargetLatency-serviceTimeFactor*work)/work*float64(slots))
 	whole := min(math.Floor(places), maxPlaces)
 	low, high := blockingProbability(load/s.capacity, slots, int(whole))
 	part := min(places-whole, 1)
@@ -133,7 +133,7 @@
 	fine := p.rangeCount < maxMeanRanges*len(p.usable)
 	room := headroomShare * p.mostHeadroom.servers[0].headroom()
 	for i, r := range s.owned {
-		if len(r.Before) > 0 {
+		if len(r.FormerOwners) > 0 {
 			continue
 		}
 		add := func(from, to uint16) {
@@ -171,7 +171,7 @@
 // bestTarget returns the server at which a piece is best, and what the move gains.
 func (p *planner) bestTarget(source *server, c piece, targets []*server) move {
 	best := move{piece: c, source: source, sourceVersion: source.version}
-	keys := (float64(c.to) - float64(c.from) + 1) / Keys
+	keys := (float64(c.to) - float64(c.from) + 1) / NumKeys
 	cost := moveCostSeconds*c.load + churnCost*keys
 	saved := source.lossRate - p.lossRate(source.load-c.load, source)
 	if gainSeconds*saved <= cost {
