--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -1,5 +1,5 @@
-// Package pack encodes values in MessagePack, without field names, and decodes them from bytes that
-// may come from anyone.
+// Package pack encodes values as MessagePack, with structs as arrays without field names, and decodes
+// them from untrusted input.
 package pack
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrMalformed says that the bytes are not what they must be.
-var ErrMalformed = errors.New("pack: malformed")
+// ErrMalformed is returned for data that is not valid MessagePack of the expected type.
+var ErrMalformed = errors.New("pack: malformed MessagePack")
 
-// Encode appends a value to a buffer. Without field names a message is a third of the size, and
-// bytes between domains are dear.
+// Encode appends the encoding of a value to a buffer. Structs are encoded by position: without field
+// names a message is a third of the size, and traffic between failure domains is expensive.
 func Encode(out *bytes.Buffer, value any) error {
 	e := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(e)
@@ -25,9 +25,9 @@
 	return e.Encode(value)
 }
 
-// Decode reads a value. Bytes that state more elements than they hold are an error: the decoder
-// would take memory for all of them first, and seventeen bytes ended the process with "out of
-// memory".
+// Decode decodes a value. It first checks that the data is as long as its length fields say: the
+// msgpack decoder allocates memory for the stated number of elements before it reads them, so that
+// 17 bytes from the network could end the process with "out of memory".
 func Decode[V any](data []byte) (V, error) {
 	var value V
 	if _, err := skip(data, maxDepth); err != nil {
@@ -39,10 +39,11 @@
 	return value, nil
 }
 
-// maxDepth is how deep lists and maps may lie in one another. What is sent here is four deep.
+// maxDepth limits how deep arrays and maps may be nested. The encoded types are nested four
+// deep.
 const maxDepth = 16
 
-// The first bytes of values, as the format's specification lists them.
+// Bounds of the ranges of first bytes that the MessagePack specification defines.
 const (
 	fixMapMax         = 0x8f
 	fixArrayMax       = 0x9f
@@ -51,24 +52,24 @@
 	negativeFixIntMin = 0xe0
 )
 
-// scalarSizes holds, by first byte, how many bytes of length follow, and how many bytes besides what the
-// length states.
+// scalarSizes maps the first byte of a value without elements to the size of its length field and the
+// number of bytes that follow in addition to that length.
 var scalarSizes = map[byte]struct{ length, fixed int }{
 	0xc0: {0, 0}, 0xc2: {0, 0}, 0xc3: {0, 0},
-	0xc4: {1, 0}, 0xc5: {2, 0}, 0xc6: {4, 0}, // bytes
-	0xc7: {1, 1}, 0xc8: {2, 1}, 0xc9: {4, 1}, // extensions, with their type
+	0xc4: {1, 0}, 0xc5: {2, 0}, 0xc6: {4, 0}, // binary
+	0xc7: {1, 1}, 0xc8: {2, 1}, 0xc9: {4, 1}, // extensions, with a type byte
 	0xca: {0, 4}, 0xcb: {0, 8}, // floating point
-	0xcc: {0, 1}, 0xcd: {0, 2}, 0xce: {0, 4}, 0xcf: {0, 8}, // whole numbers
-	0xd0: {0, 1}, 0xd1: {0, 2}, 0xd2: {0, 4}, 0xd3: {0, 8},
-	0xd4: {0, 2}, 0xd5: {0, 3}, 0xd6: {0, 5}, 0xd7: {0, 9}, 0xd8: {0, 17},
-	0xd9: {1, 0}, 0xda: {2, 0}, 0xdb: {4, 0}, // text
+	0xcc: {0, 1}, 0xcd: {0, 2}, 0xce: {0, 4}, 0xcf: {0, 8}, // unsigned integers
+	0xd0: {0, 1}, 0xd1: {0, 2}, 0xd2: {0, 4}, 0xd3: {0, 8}, // signed integers
+	0xd4: {0, 2}, 0xd5: {0, 3}, 0xd6: {0, 5}, 0xd7: {0, 9}, 0xd8: {0, 17}, // extensions of fixed size
+	0xd9: {1, 0}, 0xda: {2, 0}, 0xdb: {4, 0}, // strings
 }
 
-// containers holds, by first byte, how many bytes of length follow, and how many values an element
-// has.
+// containers maps the first byte of an array or a map to the size of its length field and the number
+// of values per element: one in an array, two in a map.
 var containers = map[byte]struct{ length, values int }{0xdc: {2, 1}, 0xdd: {4, 1}, 0xde: {2, 2}, 0xdf: {4, 2}}
 
-// skip returns what follows the first value of data.
+// skip returns the data after its first value, which may contain values nested up to the given depth.
 func skip(data []byte, depth int) ([]byte, error) {
 	if len(data) == 0 || depth == 0 {
 		return nil, ErrMalformed
@@ -102,11 +103,11 @@
 	return dropBytes(rest, n+s.fixed)
 }
 
-// skipAll returns what follows a number of values.
+// skipAll returns the data after its first n values, which lie inside a value at the given depth.
 func skipAll(data []byte, n, depth int) ([]byte, error) {
-	// A value has one byte at least.
+	// A value takes at least one byte.
 	if n > len(data) {
-		return nil, fmt.Errorf("%w: %d values in %d bytes", ErrMalformed, n, len(data))
+		return nil, fmt.Errorf("%w: %d values stated, but only %d bytes left", ErrMalformed, n, len(data))
 	}
 	var err error
 	for ; n > 0 && err == nil; n-- {
@@ -115,15 +116,16 @@
 	return data, err
 }
 
-// dropBytes returns what follows a number of bytes.
+// dropBytes returns the data after its first n bytes.
 func dropBytes(data []byte, n int) ([]byte, error) {
 	if n > len(data) {
-		return nil, fmt.Errorf("%w: %d of %d bytes", ErrMalformed, len(data), n)
+		return nil, fmt.Errorf("%w: %d bytes left, %d stated", ErrMalformed, len(data), n)
 	}
 	return data[n:], nil
 }
 
-// readLength reads a length of a number of bytes.
+// readLength reads a length field of 0, 1, 2 or 4 bytes and returns the length and the rest of the
+// data. A field of 0 bytes is a length of 0.
 func readLength(data []byte, bytes int) (int, []byte, error) {
 	if bytes > len(data) {
 		return 0, nil, ErrMalformed
