--- a/internal/shard/fuzz_test.go
+++ b/internal/shard/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Whatever bytes stand in a record of owners, they are a map of all keys or an error, and what
-// another instance tells of changes leaves it one.
+// Decode returns a map that covers all keys, or an error, for any input, and so does WithChanges for any
+// change that another instance sends.
 func FuzzDecode(f *testing.F) {
 	m := &Map{Fence: 3, Ranges: []Range{{From: 0, To: 99, Server: "a", Fence: 2}, {From: 100, To: NumKeys - 1, Server: "b", Fence: 3, FormerOwners: []Owner{{Server: "a"}}}}}
 	data, err := m.Encode()
@@ -20,7 +20,7 @@
 		}
 		for _, key := range []uint16{0, from, to, NumKeys - 1} {
 			if i := m.Find(key); len(m.Ranges) > 0 && (i < 0 || m.Ranges[i].From > key || m.Ranges[i].To < key) {
-				t.Errorf("key %d is in range %d of %+v", key, i, m.Ranges)
+				t.Errorf("key %d: got range %d of %+v", key, i, m.Ranges)
 			}
 		}
 		changed, err := m.WithChanges(m.Fence+1, []Range{{From: from, To: to, Server: "c", Fence: m.Fence + 1}})
@@ -28,7 +28,7 @@
 			return
 		}
 		if i := changed.Find(from); i < 0 || changed.Ranges[i].Server != "c" {
-			t.Errorf("key %d did not change: %+v", from, changed.Ranges)
+			t.Errorf("key %d did not get its new owner: %+v", from, changed.Ranges)
 		}
 	})
 }
--- a/internal/shard/map.go
+++ b/internal/shard/map.go
@@ -1,9 +1,10 @@
-// Package shard decides which server owns which keys of a divided service. It has no input
-// or output.
+// Package shard decides which server owns which keys of a divided service, one whose keys are divided
+// among its servers. It does no I/O.
 //
-// The owners of a service are one record of the shared store, written only if nothing was
-// written since it was read. Two writers cannot both win, so the order of the records is the
-// order of owners, and fences, which come from the record, only rise.
+// The owners of all keys of a service are one record in the shared store. A new record is written only
+// if no other was written since the previous one was read, so of two concurrent writers at most one
+// succeeds. The records of a service therefore have one order, and fencing tokens, which are taken from
+// the record, only increase.
 package shard
 
 import (
@@ -14,38 +15,39 @@
 // NumKeys is the number of keys of a divided service.
 const NumKeys = 1 << 16
 
-// Range is a run of keys with one owner.
+// Range is a run of consecutive keys with one owner.
 type Range struct {
-	// From and To are the first and the last key.
+	// From and To are the first and the last key, both included.
 	From uint16
 	To   uint16
-	// Server is the life of the server that owns the keys. Fence is higher than that of every
-	// earlier owner of any of the keys.
+	// Server is the id of the incarnation of the server that owns the keys. Fence is the fencing
+	// token of its lease, higher than that of every earlier owner of any of the keys.
 	Server string
 	Fence  uint64
-	// FormerOwners holds the owners whose rights must have ended before Server gets the keys; it is
-	// empty when they have.
+	// FormerOwners holds the owners whose leases must end before Server gets the keys. It is empty
+	// once they have ended.
 	FormerOwners []Owner
 }
 
-// Owner is an owner of old.
+// Owner identifies a server that owns keys or did so, and the address that takes its leases and
+// releases.
 type Owner struct {
 	Server  string
 	Address string
 }
 
-// Len returns the number of keys.
+// Len returns the number of keys in the range.
 func (r Range) Len() int { return int(r.To) - int(r.From) + 1 }
 
-// Map is the owners of all keys of a service. Its ranges are sorted and cover all keys; an
-// empty map has none.
+// Map holds the owners of all keys of a service. Its ranges are sorted and cover all keys without
+// gaps; the map of a service whose keys have no owners yet has no ranges.
 type Map struct {
-	// Fence is the highest fence ever used.
+	// Fence is the highest fencing token that any range has ever had.
 	Fence  uint64
 	Ranges []Range
 }
 
-// Find returns the index of the range of a key, -1 if there is none.
+// Find returns the index of the range that contains a key, or -1 if there is none.
 func (m *Map) Find(key uint16) int {
 	i := sort.Search(len(m.Ranges), func(i int) bool { return m.Ranges[i].To >= key })
 	if i == len(m.Ranges) || m.Ranges[i].From > key {
@@ -54,10 +56,11 @@
 	return i
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy of the map. Both share the FormerOwners slices, which are replaced but never
+// modified.
 func (m *Map) Clone() *Map { return &Map{Fence: m.Fence, Ranges: slices.Clone(m.Ranges)} }
 
-// RangesOf returns the ranges of a server.
+// RangesOf returns the ranges that a server owns.
 func (m *Map) RangesOf(server string) []Range {
 	var out []Range
 	for _, r := range m.Ranges {
@@ -68,14 +71,15 @@
 	return out
 }
 
-// Reassign gives the keys of a range to another server. Before holds the owners of old that may
-// still act.
-func (m *Map) Reassign(i int, to string, before []Owner) {
+// Reassign gives the range with index i to another server, with a new fencing token. The former owners
+// are those whose leases may still be valid.
+func (m *Map) Reassign(i int, to string, former []Owner) {
 	m.Fence++
-	m.Ranges[i].Server, m.Ranges[i].Fence, m.Ranges[i].FormerOwners = to, m.Fence, before
+	m.Ranges[i].Server, m.Ranges[i].Fence, m.Ranges[i].FormerOwners = to, m.Fence, former
 }
 
-// Split cuts a range in two: the second begins with key.
+// Split splits the range with index i in two, the second of which begins with key. It does nothing if
+// key is not in the range or is its first key.
 func (m *Map) Split(i int, key uint16) {
 	r := m.Ranges[i]
 	if key <= r.From || key > r.To {
@@ -87,7 +91,8 @@
 	m.Ranges = slices.Insert(m.Ranges, i+1, second)
 }
 
-// MergeAdjacent makes one range of neighbours with the same owner and fence.
+// MergeAdjacent merges adjacent ranges with the same owner and fencing token, unless they are being
+// moved.
 func (m *Map) MergeAdjacent() {
 	out := m.Ranges[:0]
 	for _, r := range m.Ranges {
--- a/internal/shard/plan.go
+++ b/internal/shard/plan.go
@@ -1,75 +1,83 @@
 package shard
 
-// ServerState is a server as the planner sees it.
+// ServerState describes a server to the planner.
 type ServerState struct {
+	// ID identifies an incarnation of the server.
 	ID      string
 	Address string
-	// Capacity is how many requests the server can run in a second, Slots how many at a time.
+	// Capacity is the number of requests that the server can complete per second, Slots the number
+	// that it processes at the same time.
 	Capacity float64
 	Slots    int
-	// Usable says that the server may get keys; Lost that it must give up those it has.
+	// Usable says that the server may get keys, Lost that it must give up the keys that it has.
 	Usable bool
 	Lost   bool
-	// Capped says that requests beyond Power do not wait but are refused, so that the server gets no key beyond it.
+	// Capped says that the server rejects requests beyond Capacity instead of queueing them. If it
+	// has been restarted, it therefore gets its former keys back only up to Capacity.
 	Capped bool
 }
 
-// Input is what a plan is made from.
+// Input is the state of a service from which a plan is made.
 type Input struct {
 	Map     *Map
 	Servers []ServerState
-	// Load is the number of requests in a second for each key.
+	// Load holds the requests per second for each key. If it does not have NumKeys elements, no load
+	// is known.
 	Load []float64
 	// TargetLatency is the time within which requests should be answered, in seconds.
 	TargetLatency float64
-	// Addresses holds the address of each server that owns keys, also of those that left.
+	// Addresses holds the address of each server that owns keys, by id, including servers that left.
 	Addresses map[string]string
-	// Restarted holds, for each life of a server that has ended because the server started again, the
-	// life that it has now.
+	// Restarted maps the id of each incarnation that ended with a restart of its server to the id of
+	// the current incarnation.
 	Restarted map[string]string
 }
 
-// The thresholds of a plan.
+// Limits and weights of the planner.
 const (
-	// initialRangesPerServer is the number of ranges a server begins with. Several short ones spread a
-	// busy run of keys over servers before any load is known; each costs one renewal more.
+	// initialRangesPerServer is the number of ranges that a server gets in the first division. With
+	// several short ranges, neighbouring busy keys are spread over servers before any load is known;
+	// each range costs one more lease renewal.
 	initialRangesPerServer = 4
-	// minMoveLimit and movesShare, of the servers, bound the moves of one plan: each leaves its
-	// keys without an owner for as long as the old owner needs to end the work in progress, some
-	// 0.2 to 0.5 s.
+	// A plan makes at most moveLimitShare times the number of usable servers moves, or minMoveLimit if
+	// that is more. During a move the keys have no owner until the old one has completed its requests
+	// in progress, which takes some 0.2 to 0.5 s.
 	minMoveLimit   = 6
 	moveLimitShare = 0.34
-	// minSources is the number of servers, those that lose most, whose keys are considered.
-	minSources = 4
-	// sourcesShare is the same as a share of all servers, where there are many.
+	// A plan considers moves from the servers with the highest loss rate: sourcesShare of the usable
+	// servers, or minSources if that is more.
+	minSources   = 4
 	sourcesShare = 0.06
-	// gainSeconds is for how long a gain is counted, in seconds. Single keys stay busy for some 5;
-	// differences in speed, and most of the load, stay for minutes.
+	// gainSeconds is the period over which the gain of a move is counted. Single keys stay busy for
+	// some 5 seconds; differences in speed, and most of the load, last for minutes.
 	gainSeconds = 15
-	// moveCostSeconds is what a move costs, in seconds of the load that moves: its requests wait for as
-	// long as the work in progress takes, and about half of them are late for it.
+	// moveCostSeconds is the cost of a move in seconds of the moved load. The requests for the moved
+	// keys wait until the requests in progress are completed, which makes about half of them late.
 	moveCostSeconds = 0.15
-	// churnCost is what it costs to move all keys of a service once, in requests. Operators
-	// weigh churn; at this weight a move of a sixtieth of the keys must gain a quarter of a
-	// request.
+	// churnCost is the cost of moving all keys of a service once, as a number of requests. It makes
+	// moves that gain little not worthwhile, because operators want little churn: a move of a sixtieth
+	// of the keys must gain a quarter of a request.
 	churnCost = 15
-	// maxMeanRanges is the number of ranges a server has on average before ranges are cut no
-	// further: each is renewed twice a second.
+	// maxMeanRanges is the mean number of ranges per usable server from which on ranges are not split
+	// further to balance the load: the lease of each range is renewed up to twice a second.
 	maxMeanRanges = 8
-	// baseLoadShare is the load that is assumed of all keys together, as a share of all power, so
-	// that keys are spread also where none is asked for.
+	// baseLoadShare is the load that is assumed for all keys together in addition to the known load, as
+	// a share of the capacity of all servers. It spreads keys that get no requests, too.
 	baseLoadShare = 0.02
-	// maxTargets is the number of servers, of those with the most room and of those that are used least,
-	// that are compared for each move. Comparing all makes the time of a plan grow with the square of their
-	// number: seconds at some hundred, in which busy keys stay where they are refused.
+	// maxTargets is the number of servers with the most headroom, and of those with the lowest
+	// utilization, that are compared as targets of a move. Comparing all servers makes the time of a
+	// plan grow with the square of their number: it takes seconds for some hundred servers, during
+	// which busy keys stay on servers that reject their requests.
 	maxTargets = 8
-	// headroomShare is the part of the room of a server that a run of keys may fill: requests come unevenly.
+	// headroomShare is the share of a server's headroom that a moved run of keys may use. The rest is
+	// left for bursts.
 	headroomShare = 0.8
-	// busyKeyShare is the part of a server's power from which on a single key is a piece of its own.
+	// busyKeyShare is the load, as a share of a server's capacity, from which on the busiest key of a
+	// range is considered for a move of its own.
 	busyKeyShare = 0.1
 )
 
-// Plan returns the map that should follow, nil if the present one stays.
+// Plan returns the map that should replace the current one, or nil if that should stay.
 func Plan(in Input) *Map {
 	p := newPlanner(in)
 	if len(p.usable) == 0 {
@@ -89,14 +97,15 @@
 	return p.result()
 }
 
-// ServerLoad is how much a server is asked for, and how much it can do, in requests a second.
+// ServerLoad is the load and the capacity of a server, both in requests per second.
 type ServerLoad struct {
 	Server   string
 	Load     float64
 	Capacity float64
 }
 
-// ServerLoads returns what the servers of a map are asked for, the one first that loses most.
+// ServerLoads returns the load and the capacity of each usable server, in descending order of the loss
+// rate.
 func ServerLoads(in Input) []ServerLoad {
 	var out []ServerLoad
 	for _, s := range newPlanner(in).byLoss() {
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -7,40 +7,47 @@
 	"sort"
 )
 
-// server is a server with its keys while a plan is made.
+// server is the state of a server while a plan is made.
 type server struct {
 	ServerState
-	// capacity is at least a little, use the load of the server's keys, lost what of it finds no room.
+	// capacity is ServerState.Capacity, but at least 0.01 for a usable server and 0 for any other.
+	// load is the load of the server's keys, lossRate the part of it that is lost or late. All are in
+	// requests per second.
 	capacity float64
 	load     float64
 	lossRate float64
-	owned    []Range
+	// owned holds the ranges of the server, in no particular order.
+	owned []Range
 	// version counts the moves to and from the server.
 	version int
 }
 
-// headroom is what is left of the power of a server.
+// headroom returns the capacity that is left, in requests per second. It is negative if the server is
+// overloaded.
 func (s *server) headroom() float64 { return s.capacity - s.load }
 
 // planner holds the working state of one plan.
 type planner struct {
-	in    Input
+	in Input
+	// fence is the highest fencing token in use.
 	fence uint64
-	// loadBelow holds the load of all keys below each key.
+	// loadBelow holds, for each key from 0 to NumKeys, the load of all lower keys.
 	loadBelow []float64
-	// servers holds all owners and all that may own, usable those that may get keys, by id.
+	// servers holds, by id, the servers that own keys and those that may get any. usable holds only
+	// the latter, sorted by id.
 	servers map[string]*server
 	usable  []*server
-	// leastUtilized and roomiest hold the usable servers in these orders.
+	// leastUtilized and mostHeadroom hold the usable servers, sorted by utilization and by headroom.
 	leastUtilized sortedServers
 	mostHeadroom  sortedServers
-	rangeCount    int
-	meanCapacity  float64
-	// comparisons counts the servers that were compared for a move.
+	// rangeCount is the number of ranges of all servers, meanCapacity the mean of the usable ones.
+	rangeCount   int
+	meanCapacity float64
+	// comparisons counts the targets that were compared for moves. Tests check it.
 	comparisons int
 }
 
-// newPlanner returns a planner for the present map.
+// newPlanner returns a planner that starts from the map of the input.
 func newPlanner(in Input) *planner {
 	p := &planner{in: in, fence: in.Map.Fence, servers: map[string]*server{}}
 	p.leastUtilized.key = func(s *server) float64 { return s.load / s.capacity }
@@ -80,7 +87,7 @@
 	return p
 }
 
-// serverByID returns a server that owns keys, whether or not it may get any.
+// serverByID returns the server with an id. It adds one that is not eligible if there is none.
 func (p *planner) serverByID(id string) *server {
 	s := p.servers[id]
 	if s == nil {
@@ -90,10 +97,10 @@
 	return s
 }
 
-// eligible reports whether a server may get keys.
+// eligible reports whether the server may get keys.
 func (s *server) eligible() bool { return s.capacity > 0 }
 
-// result returns the map that was planned.
+// result returns the planned map.
 func (p *planner) result() *Map {
 	out := &Map{Fence: p.fence, Ranges: make([]Range, 0, p.rangeCount)}
 	for _, s := range p.servers {
@@ -104,19 +111,19 @@
 	return out
 }
 
-// loadOf returns the load of a range.
+// loadOf returns the load of a range, in requests per second.
 func (p *planner) loadOf(r Range) float64 { return p.loadBelow[int(r.To)+1] - p.loadBelow[r.From] }
 
-// divide divides all keys for the first time, in proportion to the servers' power.
+// divide makes the first division of all keys, in proportion to the servers' capacities.
 func (p *planner) divide() {
-	pieces := len(p.usable) * initialRangesPerServer
+	ranges := len(p.usable) * initialRangesPerServer
 	total := p.meanCapacity * float64(len(p.usable))
 	from, share := 0, 0.0
-	for i := range pieces {
+	for i := range ranges {
 		s := p.usable[i%len(p.usable)]
 		share += s.capacity / total / initialRangesPerServer
 		end := int(math.Round(share * NumKeys))
-		if i == pieces-1 {
+		if i == ranges-1 {
 			end = NumKeys
 		}
 		if end <= from {
@@ -128,8 +135,8 @@
 	}
 }
 
-// candidateTargets returns the servers with the most room and those that are used least: one of them is the best,
-// or nearly so, for whatever load.
+// candidateTargets returns the servers with the lowest utilization and those with the most headroom. One
+// of them is the best target, or close to it, for a load of any size.
 func (p *planner) candidateTargets() []*server {
 	if len(p.usable) <= 2*maxTargets {
 		return p.usable
@@ -137,32 +144,33 @@
 	return append(slices.Clone(p.leastUtilized.servers[:maxTargets]), p.mostHeadroom.servers[:maxTargets]...)
 }
 
-// leastUtilizedAfter returns the server that is used least after taking a load.
+// leastUtilizedAfter returns the candidate target with the lowest utilization after taking a load.
 func (p *planner) leastUtilizedAfter(load float64) *server {
 	return slices.MinFunc(p.candidateTargets(), func(a, b *server) int {
 		return cmp.Compare((a.load+load)/a.capacity, (b.load+load)/b.capacity)
 	})
 }
 
-// reassignLost gives the keys of servers that are gone to others. A server that started again gets
-// back what it had, by a higher fence: callers are spared a second move, and it is as fast as it was.
+// reassignLost gives the keys of lost servers to others, and reports whether there were any. A server
+// that was restarted gets its former keys back with a higher fencing token: callers are spared a second
+// move, and the server is as fast as before. A capped one gets them only up to its capacity.
 func (p *planner) reassignLost() bool {
-	stays := map[string]bool{}
-	for _, m := range p.in.Servers {
-		stays[m.ID] = !m.Lost
+	keeps := map[string]bool{}
+	for _, s := range p.in.Servers {
+		keeps[s.ID] = !s.Lost
 	}
-	var gone []string
+	var lost []string
 	for id, s := range p.servers {
-		if !stays[id] && len(s.owned) > 0 {
-			gone = append(gone, id)
+		if !keeps[id] && len(s.owned) > 0 {
+			lost = append(lost, id)
 		}
 	}
-	slices.Sort(gone)
-	for _, id := range gone {
+	slices.Sort(lost)
+	for _, id := range lost {
 		from := p.servers[id]
-		to, reborn := p.servers[p.in.Restarted[id]]
+		to, restarted := p.servers[p.in.Restarted[id]]
 		for len(from.owned) > 0 {
-			if reborn && to.eligible() && (!to.Capped || to.load+p.loadOf(from.owned[0]) <= to.capacity) {
+			if restarted && to.eligible() && (!to.Capped || to.load+p.loadOf(from.owned[0]) <= to.capacity) {
 				p.moveRange(from, 0, to)
 				continue
 			}
@@ -170,10 +178,11 @@
 			p.moveRange(from, 0, p.leastUtilizedAfter(p.loadOf(from.owned[0])))
 		}
 	}
-	return len(gone) > 0
+	return len(lost) > 0
 }
 
-// splitLarge splits a range whose load is more than a quarter of what one server can do.
+// splitLarge splits the range with index i of a server if its load is more than a quarter of the mean
+// capacity: the first part has about that quarter.
 func (p *planner) splitLarge(s *server, i int) {
 	r := s.owned[i]
 	if p.loadOf(r) <= p.meanCapacity/4 {
@@ -184,7 +193,8 @@
 	}
 }
 
-// splitPoint returns the first key behind the shortest part of a range that holds at least the given load.
+// splitPoint returns the key at which to split a range so that its first part is the shortest one with at
+// least the given load. It returns false if only the whole range has that load.
 func (p *planner) splitPoint(r Range, load float64) (uint16, bool) {
 	first, last := int(r.From), int(r.To)
 	n := sort.Search(last-first, func(i int) bool { return p.loadBelow[first+i+1]-p.loadBelow[first] >= load })
@@ -194,7 +204,8 @@
 	return uint16(first + n + 1), true
 }
 
-// split cuts a range of a server in two: the second begins with key.
+// split splits the range with index i of a server in two, the second of which begins with key and gets
+// the index i+1.
 func (p *planner) split(s *server, i int, key uint16) {
 	second := s.owned[i]
 	second.From = key
@@ -203,7 +214,7 @@
 	p.rangeCount++
 }
 
-// moveRange moves a range from one server to another.
+// moveRange moves the range with index i from one server to another, with a new fencing token.
 func (p *planner) moveRange(from *server, i int, to *server) {
 	r := from.owned[i]
 	load := p.loadOf(r)
@@ -216,7 +227,7 @@
 	p.addLoad(to, load)
 }
 
-// addLoad takes in that the load of a server is another one.
+// addLoad adds a load, which may be negative, to that of a server whose ranges have changed.
 func (p *planner) addLoad(s *server, load float64) {
 	s.version++
 	if !s.eligible() {
@@ -231,34 +242,35 @@
 	p.mostHeadroom.add(s)
 }
 
-// byLoss returns the usable servers, the one first at which most is lost.
+// byLoss returns the usable servers in descending order of the loss rate.
 func (p *planner) byLoss() []*server {
 	servers := slices.Clone(p.usable)
 	slices.SortStableFunc(servers, func(a, b *server) int { return cmp.Compare(b.lossRate, a.lossRate) })
 	return servers
 }
 
-// sortedServers holds servers sorted by a key. A server is taken out before its key changes.
+// sortedServers holds servers in ascending order of a key. A server must be removed before its key
+// changes and added again afterwards.
 type sortedServers struct {
 	key     func(s *server) float64
 	servers []*server
 }
 
-func (o *sortedServers) compare(a, b *server) int {
-	return cmp.Or(cmp.Compare(o.key(a), o.key(b)), cmp.Compare(a.ID, b.ID))
+func (l *sortedServers) compare(a, b *server) int {
+	return cmp.Or(cmp.Compare(l.key(a), l.key(b)), cmp.Compare(a.ID, b.ID))
 }
 
-func (o *sortedServers) fill(servers []*server) {
-	o.servers = slices.Clone(servers)
-	slices.SortFunc(o.servers, o.compare)
+func (l *sortedServers) fill(servers []*server) {
+	l.servers = slices.Clone(servers)
+	slices.SortFunc(l.servers, l.compare)
 }
 
-func (o *sortedServers) remove(s *server) {
-	at, _ := slices.BinarySearchFunc(o.servers, s, o.compare)
-	o.servers = slices.Delete(o.servers, at, at+1)
+func (l *sortedServers) remove(s *server) {
+	at, _ := slices.BinarySearchFunc(l.servers, s, l.compare)
+	l.servers = slices.Delete(l.servers, at, at+1)
 }
 
-func (o *sortedServers) add(s *server) {
-	at, _ := slices.BinarySearchFunc(o.servers, s, o.compare)
-	o.servers = slices.Insert(o.servers, at, s)
+func (l *sortedServers) add(s *server) {
+	at, _ := slices.BinarySearchFunc(l.servers, s, l.compare)
+	l.servers = slices.Insert(l.servers, at, s)
 }
--- a/internal/shard/rates.go
+++ b/internal/shard/rates.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// The windows of rates: the time after which a request counts half.
+// The half-lives of the rates: the time after which a request counts half.
 const (
-	// steadyHalfLife is long enough that chance does not move keys.
+	// steadyHalfLife is long enough that random variation does not move keys.
 	steadyHalfLife = 3 * time.Second
-	// recentHalfLife is short enough that a key which turns busy is seen within a second or two. It counts only
-	// where it differs beyond chance from what was usual.
+	// recentHalfLife is short enough that a key which becomes busy is detected within a second or two.
+	// The recent rate is used only where it differs significantly from the baseline or the steady rate.
 	recentHalfLife   = time.Second
 	baselineHalfLife = 8 * time.Second
-	// rescaleInterval is how long weights grow before all are brought down again.
+	// rescaleInterval is the time for which the weights of requests grow before all sums are scaled
+	// down again.
 	rescaleInterval = 20 * time.Second
 )
 
-// What differs by chance: a number of standard deviations of the recent rate, and some requests a second
-// besides, below which no key is worth a move.
+// A change of the recent rate is significant if it is greater than a number of standard deviations plus a
+// number of requests per second, below which moving a key is not worthwhile.
 const (
 	riseDeviations = 3
 	minRise        = 1.5
@@ -26,24 +27,25 @@
 	minFall        = 1
 )
 
-// Rates estimates the requests in a second for each key.
+// Rates estimates the rate of requests for each key by exponentially weighted averages over three periods.
 //
-// Requests that come later weigh more, in place of earlier ones that decay: a request costs the same however
-// many keys there are.
+// Instead of decaying the sums of all keys, it gives later requests a higher weight. The cost of counting
+// a request therefore does not depend on the number of keys.
 type Rates struct {
-	steady       window
-	recent       window
-	baseline     window
+	steady   window
+	recent   window
+	baseline window
+	// weightsSince is the time from which on weights grow.
 	weightsSince time.Time
 }
 
-// window is sums over keys whose weights grow with time.
+// window holds, for each key, the sum of the weights of its requests. Weights double in each half-life.
 type window struct {
 	halfLife time.Duration
 	sums     []float64
 }
 
-// NewRates returns rates of which nothing is known.
+// NewRates returns rates that are zero for all keys.
 func NewRates(now time.Time) *Rates {
 	return &Rates{
 		steady: window{steadyHalfLife, make([]float64, NumKeys)}, recent: window{recentHalfLife, make([]float64, NumKeys)},
@@ -51,18 +53,19 @@
 	}
 }
 
-// weight returns what a request counts that comes some time after the beginning, so that a steady rate adds
-// up to itself.
+// weight returns the weight of a request that arrives the given time after Rates.weightsSince. With the
+// factor ln 2 / halfLife, the scaled sum of requests at a constant rate converges to that rate.
 func (w *window) weight(since time.Duration) float64 {
 	return math.Ln2 / w.halfLife.Seconds() * math.Exp2(since.Seconds()/w.halfLife.Seconds())
 }
 
-// scale returns the factor that turns sums into rates.
+// scale returns the factor that converts sums to requests per second, the given time after
+// Rates.weightsSince.
 func (w *window) scale(since time.Duration) float64 {
 	return math.Exp2(-since.Seconds() / w.halfLife.Seconds())
 }
 
-// Add takes in that requests for a key came.
+// Add counts requests for a key that arrived at the given time.
 func (r *Rates) Add(key uint16, count int, now time.Time) {
 	if now.Sub(r.weightsSince) > rescaleInterval {
 		r.rescale(now)
@@ -75,6 +78,8 @@
 
 func (r *Rates) windows() [3]*window { return [...]*window{&r.steady, &r.recent, &r.baseline} }
 
+// rescale converts all sums to rates and lets weights grow from the given time on, so that neither
+// overflows.
 func (r *Rates) rescale(now time.Time) {
 	since := now.Sub(r.weightsSince)
 	for _, w := range r.windows() {
@@ -86,25 +91,25 @@
 	r.weightsSince = now
 }
 
-// Load returns the requests in a second for each key.
+// Load returns the estimated requests per second for each key.
 func (r *Rates) Load(now time.Time) []float64 {
 	since := now.Sub(r.weightsSince)
-	steady, recent, usual := r.steady.scale(since), r.recent.scale(since), r.baseline.scale(since)
+	steady, recent, baseline := r.steady.scale(since), r.recent.scale(since), r.baseline.scale(since)
 	out := make([]float64, NumKeys)
 	for key, sum := range r.steady.sums {
 		if sum == 0 {
 			continue
 		}
-		out[key] = chooseRate(sum*steady, r.recent.sums[key]*recent, r.baseline.sums[key]*usual)
+		out[key] = chooseRate(sum*steady, r.recent.sums[key]*recent, r.baseline.sums[key]*baseline)
 	}
 	return out
 }
 
-// chooseRate returns the recent rate if it has risen above the usual or fallen below the steady one beyond
-// chance, else the steady one.
-func chooseRate(steady, recent, usual float64) float64 {
+// chooseRate returns the recent rate if it is significantly above the baseline rate or significantly below
+// the steady rate, and else the steady rate.
+func chooseRate(steady, recent, baseline float64) float64 {
 	switch {
-	case recent-usual > riseDeviations*deviation(usual)+minRise && recent > steady,
+	case recent-baseline > riseDeviations*deviation(baseline)+minRise && recent > steady,
 		steady-recent > fallDeviations*deviation(steady)+minFall:
 		return recent
 	default:
@@ -112,7 +117,8 @@
 	}
 }
 
-// deviation returns the standard deviation of the recent rate if requests come at random at a rate.
+// deviation returns the standard deviation of the recent rate for requests that arrive at random (a
+// Poisson process) with the given mean rate per second.
 func deviation(rate float64) float64 {
 	return math.Sqrt(rate * math.Ln2 / recentHalfLife.Seconds() / 2)
 }
--- a/internal/shard/rebalance.go
+++ b/internal/shard/rebalance.go
@@ -5,32 +5,34 @@
 	"math"
 )
 
-// lossRate returns how many requests in a second are lost or late at a server that is asked for a
-// load. The server is taken for a queue with as many places behind its slots as can be waited
-// for within the target; what finds no place is lost. So a slow server, at which nothing can
-// wait, loses much at a utilisation that costs a fast one nothing.
+// lossRate returns the requests per second that are lost or late at a server under a load, both in
+// requests per second. The server is modelled as a queue (M/M/c/K) with as many waiting places as
+// requests can wait in and still be answered within the target latency; requests that find no place are
+// lost. A slow server, where no request can wait, therefore loses many requests at a utilization at
+// which a fast one loses none.
 func (p *planner) lossRate(load float64, s *server) float64 {
 	slots := max(s.Slots, 1)
-	work := float64(slots) / s.capacity
-	places := max(0, (p.in.TargetLatency-serviceTimeFactor*work)/work*float64(slots))
+	serviceTime := float64(slots) / s.capacity
+	places := max(0, (p.in.TargetLatency-serviceTimeFactor*serviceTime)/serviceTime*float64(slots))
 	whole := min(math.Floor(places), maxPlaces)
 	low, high := blockingProbability(load/s.capacity, slots, int(whole))
-	part := min(places-whole, 1)
-	return load * (low*(1-part) + high*part)
+	fraction := min(places-whole, 1)
+	return load * (low*(1-fraction) + high*fraction)
 }
 
 const (
-	// serviceTimeFactor is the time that is kept for a request's own work, as a multiple of its mean:
-	// with a spread of 0.3, nine in ten take less than 1.4 times the mean.
+	// serviceTimeFactor is the part of the target latency that is reserved for processing the request
+	// itself, as a multiple of the mean service time: with a spread of 0.3, nine in ten requests take
+	// less than 1.4 times the mean.
 	serviceTimeFactor = 1.4
-	// maxPlaces bounds the places that are reckoned with: more change nothing.
+	// maxPlaces limits the waiting places of the model; more do not change the result.
 	maxPlaces = 24
 )
 
-// blockingProbability returns the share of requests that find no place, at a utilisation, with the given
-// number of places behind the slots and with one more (the queue M/M/c/K).
-func blockingProbability(use float64, slots, places int) (float64, float64) {
-	offered := use * float64(slots)
+// blockingProbability returns the share of requests that find no place in a queue M/M/c/K at a
+// utilization, first with the given number of waiting places behind the slots and then with one more.
+func blockingProbability(utilization float64, slots, places int) (float64, float64) {
+	offered := utilization * float64(slots)
 	term, sum := 1.0, 1.0
 	for n := 1; n <= slots+places; n++ {
 		term *= offered / float64(min(n, slots))
@@ -41,16 +43,17 @@
 	return low, term / (sum + term)
 }
 
-// piece is a run of keys that may be moved.
+// piece is a run of keys that may be moved: a range of a server or a part of one.
 type piece struct {
-	rangeIndex int // of its range among those of the server
+	rangeIndex int // index of the range in server.owned
 	from, to   uint16
 	load       float64
-	// divisible says that a part of the run could be moved instead.
+	// divisible says that a part of the piece may be moved instead.
 	divisible bool
 }
 
-// move is the best move from a server, as of the changes to the two servers.
+// move is a move of a piece from one server to another. Its gain, in requests, was computed for the
+// given versions of the two servers.
 type move struct {
 	piece
 	source, target               *server
@@ -58,95 +61,98 @@
 	sourceVersion, targetVersion int
 }
 
-func (c move) current() bool {
-	return c.sourceVersion == c.source.version && c.targetVersion == c.target.version
+// current reports whether neither server has changed since the move was computed.
+func (m move) current() bool {
+	return m.sourceVersion == m.source.version && m.targetVersion == m.target.version
 }
 
-// rebalance makes the moves that gain most, and reports whether there were any.
+// rebalance makes the moves with the highest gains, and reports whether it made any.
 //
-// The best move of each server stands until that server, or the one that was to get the keys, has changed:
-// only then is it looked for anew.
+// The heap holds the best move from each source server. It is computed again only when that server or
+// the target of the move has changed.
 func (p *planner) rebalance() bool {
-	var open moveHeap
+	var candidates moveHeap
 	for _, s := range p.sourceServers() {
-		open.pushIfGain(p.bestMove(s))
+		candidates.pushIfGain(p.bestMove(s))
 	}
-	most := max(minMoveLimit, int(moveLimitShare*float64(len(p.usable))))
+	limit := max(minMoveLimit, int(moveLimitShare*float64(len(p.usable))))
 	moves := 0
-	for moves < most && len(open) > 0 {
-		c := heap.Pop(&open).(move)
-		if c.current() {
-			p.moveRange(c.source, p.splitOff(c), c.target)
+	for moves < limit && len(candidates) > 0 {
+		m := heap.Pop(&candidates).(move)
+		if m.current() {
+			p.moveRange(m.source, p.splitOff(m), m.target)
 			moves++
 		}
-		open.pushIfGain(p.bestMove(c.source))
+		candidates.pushIfGain(p.bestMove(m.source))
 	}
 	return moves > 0
 }
 
-// moveHeap implements heap.Interface: the one that gains most is first.
+// moveHeap implements heap.Interface. The move with the highest gain is first.
 type moveHeap []move
 
-func (c moveHeap) Len() int           { return len(c) }
-func (c moveHeap) Less(i, j int) bool { return c[i].gain > c[j].gain }
-func (c moveHeap) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *moveHeap) Push(x any)        { *c = append(*c, x.(move)) }
+func (h moveHeap) Len() int           { return len(h) }
+func (h moveHeap) Less(i, j int) bool { return h[i].gain > h[j].gain }
+func (h moveHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *moveHeap) Push(x any)        { *h = append(*h, x.(move)) }
 
-func (c *moveHeap) Pop() any {
-	old := *c
+func (h *moveHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*c = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// pushIfGain adds a move if it pays.
-func (c *moveHeap) pushIfGain(next move) {
-	if next.gain > 0 {
-		heap.Push(c, next)
+// pushIfGain adds a move to the heap if its gain is positive.
+func (h *moveHeap) pushIfGain(m move) {
+	if m.gain > 0 {
+		heap.Push(h, m)
 	}
 }
 
-// sourceServers returns the servers at which most is lost.
+// sourceServers returns the servers with the highest loss rates, from which moves are considered.
 func (p *planner) sourceServers() []*server {
 	servers := p.byLoss()
-	most := max(minSources, int(sourcesShare*float64(len(servers))))
-	return servers[:min(len(servers), most)]
+	limit := max(minSources, int(sourcesShare*float64(len(servers))))
+	return servers[:min(len(servers), limit)]
 }
 
-// bestMove returns the move from a server that gains most.
+// bestMove returns the move from a server with the highest gain. The gain is 0 if no move has a positive
+// one.
 func (p *planner) bestMove(s *server) move {
-	out := move{source: s}
+	best := move{source: s}
 	targets := p.candidateTargets()
 	for _, c := range p.pieces(s) {
-		if t := p.bestTarget(s, c, targets); t.gain > out.gain {
-			out = t
+		if m := p.bestTarget(s, c, targets); m.gain > best.gain {
+			best = m
 		}
 	}
-	return out
+	return best
 }
 
-// pieces returns what may be moved from a server: whole ranges, their busiest key, the halves of their
-// load, and as many keys as the server with the most room has room for. With halves alone a run of busy keys
-// comes apart in as many plans as it can be halved.
+// pieces returns the pieces that may be moved from a server: each range as a whole, its busiest key, its
+// halves by load, and as many of its first keys as fit into the headroom of the server with the most of
+// it. With halves alone, splitting a run of busy keys into single ones would take a plan for each
+// halving. Ranges that are being moved are left out.
 func (p *planner) pieces(s *server) []piece {
 	var out []piece
-	fine := p.rangeCount < maxMeanRanges*len(p.usable)
-	room := headroomShare * p.mostHeadroom.servers[0].headroom()
+	canSplit := p.rangeCount < maxMeanRanges*len(p.usable)
+	headroom := headroomShare * p.mostHeadroom.servers[0].headroom()
 	for i, r := range s.owned {
 		if len(r.FormerOwners) > 0 {
 			continue
 		}
 		add := func(from, to uint16) {
-			out = append(out, piece{i, from, to, p.loadOf(Range{From: from, To: to}), fine && from < to})
+			out = append(out, piece{i, from, to, p.loadOf(Range{From: from, To: to}), canSplit && from < to})
 		}
 		add(r.From, r.To)
-		if !fine || r.Len() == 1 {
+		if !canSplit || r.Len() == 1 {
 			continue
 		}
 		if key, load := p.busiestKey(r); load >= busyKeyShare*s.capacity {
 			add(key, key)
 		}
-		if at, ok := p.splitPoint(r, room); ok && at > r.From+1 {
+		if at, ok := p.splitPoint(r, headroom); ok && at > r.From+1 {
 			add(r.From, at-2)
 		}
 		if at, ok := p.splitPoint(r, p.loadOf(r)/2); ok {
@@ -157,18 +163,19 @@
 	return out
 }
 
-// busiestKey returns the key of a range with the highest load.
+// busiestKey returns the key of a range with the highest load, and its load.
 func (p *planner) busiestKey(r Range) (uint16, float64) {
-	best, most := r.From, 0.0
+	busiest, highest := r.From, 0.0
 	for key := int(r.From); key <= int(r.To); key++ {
-		if load := p.loadBelow[key+1] - p.loadBelow[key]; load > most {
-			best, most = uint16(key), load
+		if load := p.loadBelow[key+1] - p.loadBelow[key]; load > highest {
+			busiest, highest = uint16(key), load
 		}
 	}
-	return best, most
+	return busiest, highest
 }
 
-// bestTarget returns the server at which a piece is best, and what the move gains.
+// bestTarget returns the move of a piece to the target with the highest gain. The gain is 0 if no target
+// has a positive one.
 func (p *planner) bestTarget(source *server, c piece, targets []*server) move {
 	best := move{piece: c, source: source, sourceVersion: source.version}
 	keys := (float64(c.to) - float64(c.from) + 1) / NumKeys
@@ -178,7 +185,8 @@
 		return best
 	}
 	for _, t := range targets {
-		// A part of a run that is too much for a server leaves the rest to others, in the same plan.
+		// If the piece exceeds the capacity of the target, a part of it may be moved instead, and the
+		// rest to other servers in the same plan.
 		if t == source || c.divisible && t.load+c.load > t.capacity {
 			continue
 		}
@@ -191,15 +199,16 @@
 	return best
 }
 
-// splitOff makes a piece a range of its own and returns its index.
-func (p *planner) splitOff(c move) int {
-	i := c.rangeIndex
-	if c.from > c.source.owned[i].From {
-		p.split(c.source, i, c.from)
+// splitOff splits the range of a move so that the piece is a range of its own, and returns its index in
+// source.owned.
+func (p *planner) splitOff(m move) int {
+	i := m.rangeIndex
+	if m.from > m.source.owned[i].From {
+		p.split(m.source, i, m.from)
 		i++
 	}
-	if c.to < c.source.owned[i].To {
-		p.split(c.source, i, c.to+1)
+	if m.to < m.source.owned[i].To {
+		p.split(m.source, i, m.to+1)
 	}
 	return i
 }
--- a/internal/shard/rebalance_test.go
+++ b/internal/shard/rebalance_test.go
@@ -7,11 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// A plan compared each piece of each busy server with every other server. At 604 servers it took seconds,
-// while 200 keys were busy for five. What a move costs must not grow with the number of servers.
+// Guards against a plan that compares each piece of each busy server with every other server: at 604
+// servers that takes seconds, while 200 keys are busy for only five. The cost of a move must not grow with
+// the number of servers.
 func TestComparisonsPerMoveAreBounded(t *testing.T) {
-	// comparedMost is what one move may compare: the pieces of some servers with the candidates.
-	const comparedMost = 6 * 4 * initialRangesPerServer * 2 * maxTargets
+	// maxComparisons bounds the comparisons per move: the pieces of a few servers with all candidate
+	// targets.
+	const maxComparisons = 6 * 4 * initialRangesPerServer * 2 * maxTargets
 	for name, servers := range map[string]int{"10": 10, "100": 100, "1000": 1000} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -27,8 +29,8 @@
 			before := p.fence
 			is.True(p.rebalance())
 			moves := int(p.fence - before)
-			t.Logf("%d moves, %.1f servers compared for each", moves, float64(p.comparisons)/float64(moves))
-			is.True(p.comparisons <= comparedMost*moves)
+			t.Logf("%d moves, %.1f comparisons per move", moves, float64(p.comparisons)/float64(moves))
+			is.True(p.comparisons <= maxComparisons*moves)
 		})
 	}
 }
--- a/internal/shard/record.go
+++ b/internal/shard/record.go
@@ -9,25 +9,27 @@
 	"example.org/mustardring/internal/pack"
 )
 
-// ErrMalformed says that a record does not hold the owners of all keys.
+// ErrMalformed is returned for a record that does not hold the owners of all keys.
 var ErrMalformed = errors.New("shard: malformed record of owners")
 
-// record is a map as it is stored. Servers are named once, which makes the record of 60 ranges
-// some 700 bytes instead of 5,000.
+// record is the stored form of a Map. It contains the id of each server once, to which the ranges refer
+// by index: a record of 60 ranges takes some 700 bytes instead of 5,000. Fields are encoded by position.
 type record struct {
 	Fence   uint64
 	Servers []string
 	Ranges  []recordRange
 }
 
+// recordRange is the stored form of a Range. It ends before the first key of the next one. Server is an
+// index in record.Servers.
 type recordRange struct {
-	From   uint16
-	Server int
-	Fence  uint64
-	Before []Owner
+	From         uint16
+	Server       int
+	Fence        uint64
+	FormerOwners []Owner
 }
 
-// Encode returns the record of a map.
+// Encode returns the map as a record of the store.
 func (m *Map) Encode() ([]byte, error) {
 	r := record{Fence: m.Fence}
 	index := map[string]int{}
@@ -38,7 +40,7 @@
 			index[g.Server] = i
 			r.Servers = append(r.Servers, g.Server)
 		}
-		r.Ranges = append(r.Ranges, recordRange{From: g.From, Server: i, Fence: g.Fence, Before: g.FormerOwners})
+		r.Ranges = append(r.Ranges, recordRange{From: g.From, Server: i, Fence: g.Fence, FormerOwners: g.FormerOwners})
 	}
 	var out bytes.Buffer
 	if err := pack.Encode(&out, r); err != nil {
@@ -47,7 +49,7 @@
 	return out.Bytes(), nil
 }
 
-// Decode reads the record of a map.
+// Decode decodes a record that Encode returned. It returns ErrMalformed for any other data.
 func Decode(data []byte) (*Map, error) {
 	r, err := pack.Decode[record](data)
 	if err != nil {
@@ -60,34 +62,36 @@
 			to = r.Ranges[i+1].From - 1
 		}
 		if g.Server < 0 || g.Server >= len(r.Servers) {
-			return nil, fmt.Errorf("%w: server %d of %d", ErrMalformed, g.Server, len(r.Servers))
+			return nil, fmt.Errorf("%w: index %d of a server, record has %d servers", ErrMalformed, g.Server, len(r.Servers))
 		}
-		m.Ranges = append(m.Ranges, Range{From: g.From, To: to, Server: r.Servers[g.Server], Fence: g.Fence, FormerOwners: g.Before})
+		m.Ranges = append(m.Ranges, Range{From: g.From, To: to, Server: r.Servers[g.Server], Fence: g.Fence, FormerOwners: g.FormerOwners})
 	}
 	return m, m.validate()
 }
 
-// validate returns an error unless the ranges cover all keys, or there are none.
+// validate returns an error unless the ranges cover all keys in order, or there are none, and no fencing
+// token exceeds that of the map.
 func (m *Map) validate() error {
 	next := 0
 	for _, r := range m.Ranges {
 		if int(r.From) != next || r.To < r.From || r.Fence > m.Fence {
-			return fmt.Errorf("%w: range %d to %d", ErrMalformed, r.From, r.To)
+			return fmt.Errorf("%w: range of keys %d to %d is out of order or its fence is too high", ErrMalformed, r.From, r.To)
 		}
 		next = int(r.To) + 1
 	}
 	if next != 0 && next != NumKeys {
-		return fmt.Errorf("%w: ends at key %d", ErrMalformed, next)
+		return fmt.Errorf("%w: no owner from key %d on", ErrMalformed, next)
 	}
 	return nil
 }
 
-// Changes returns the ranges of a map that another does not have.
+// Changes returns the ranges of the map that differ from those of an earlier one in owner, fencing token
+// or former owners.
 func (m *Map) Changes(from *Map) []Range {
 	var out []Range
 	for _, r := range m.Ranges {
 		i := from.Find(r.From)
-		if i >= 0 && from.Ranges[i].sameOwner(r) && from.Ranges[i].To >= r.To {
+		if i >= 0 && from.Ranges[i].sameOwnership(r) && from.Ranges[i].To >= r.To {
 			continue
 		}
 		out = append(out, r)
@@ -95,11 +99,14 @@
 	return out
 }
 
-func (r Range) sameOwner(o Range) bool {
+// sameOwnership reports whether two ranges have the same owner, fencing token and former owners.
+func (r Range) sameOwnership(o Range) bool {
 	return r.Server == o.Server && r.Fence == o.Fence && slices.Equal(r.FormerOwners, o.FormerOwners)
 }
 
-// WithChanges returns a map with changed ranges, which are sorted, in place of those that it has for their keys.
+// WithChanges returns a copy of the map in which the changed ranges replace what it has for their keys.
+// The changes must be sorted. The fence is that of the new map. It returns ErrMalformed if the result is
+// not a valid map.
 func (m *Map) WithChanges(fence uint64, changes []Range) (*Map, error) {
 	out := &Map{Fence: fence, Ranges: make([]Range, 0, len(m.Ranges)+2*len(changes))}
 	next := 0
@@ -119,7 +126,8 @@
 	return out, out.validate()
 }
 
-// appendPart adds what a range has of the keys from one to another.
+// appendPart appends the part of a range that lies between two keys, both included. It appends nothing
+// if there is none.
 func (m *Map) appendPart(r Range, from, to int) {
 	from, to = max(from, int(r.From)), min(to, int(r.To))
 	if from > to {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -10,10 +10,11 @@
 	"example.org/mustardring/internal/shard"
 )
 
-func testServers(powers ...float64) []shard.ServerState {
+// testServers returns usable servers with the given capacities, named s00, s01 and so on.
+func testServers(capacities ...float64) []shard.ServerState {
 	var out []shard.ServerState
-	for i, p := range powers {
-		out = append(out, shard.ServerState{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Capacity: p, Slots: 2, Usable: true})
+	for i, c := range capacities {
+		out = append(out, shard.ServerState{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Capacity: c, Slots: 2, Usable: true})
 	}
 	return out
 }
@@ -26,7 +27,7 @@
 	return shard.Input{Map: m, Servers: all, Load: load, TargetLatency: 0.6, Addresses: addresses}
 }
 
-// utilization returns the utilisation of each server.
+// utilization returns the utilization of each server by id.
 func utilization(in shard.Input) map[string]float64 {
 	out := map[string]float64{}
 	for _, u := range shard.ServerLoads(in) {
@@ -35,7 +36,7 @@
 	return out
 }
 
-// completeMoves completes all moves.
+// completeMoves returns a copy of the map in which all moves are complete.
 func completeMoves(m *shard.Map) *shard.Map {
 	out := m.Clone()
 	for i := range out.Ranges {
@@ -44,7 +45,7 @@
 	return out
 }
 
-// planUntilStable plans until nothing changes, and returns the map and the number of plans.
+// planUntilStable makes plans until the map stays, at most 100, and returns the map and their number.
 func planUntilStable(in shard.Input) (*shard.Map, int) {
 	for n := range 100 {
 		next := shard.Plan(in)
@@ -94,7 +95,7 @@
 	gap, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 5, To: shard.NumKeys - 1, Server: "s", Fence: 1}}}).Encode()
 	fence, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 2}}}).Encode()
 	for name, data := range map[string][]byte{
-		"nothing": nil, "cut": good[:len(good)-2], "a gap": gap, "a fence above the highest": fence, "other": []byte("{}"),
+		"empty": nil, "cut": good[:len(good)-2], "a gap": gap, "a fence above the highest": fence, "other": []byte("{}"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := shard.Decode(data)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Changes and With together must give every key the owner that the new map gives it.
+// Applying the result of Changes with WithChanges must give every key the owner that it has in the new map.
 func TestChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawMap(t, "from")
@@ -130,8 +131,8 @@
 	})
 }
 
-// The keys of the first division went to servers in equal parts, whatever they can do, and a
-// slow server lost a third of its requests until the load was known.
+// Guards against a first division into equal parts regardless of capacity: a slow server would lose a
+// third of its requests until the load is known.
 func TestInitialDivision(t *testing.T) {
 	is := is.New(t)
 	m := shard.Plan(input(&shard.Map{}, nil, testServers(5, 10, 15)))
@@ -139,19 +140,19 @@
 	for _, r := range m.Ranges {
 		keys[r.Server] += r.Len()
 	}
-	is.Equal(len(m.Ranges), 12) // four ranges a server
+	is.Equal(len(m.Ranges), 12) // four ranges per server
 	is.True(keys["s00"] < keys["s01"] && keys["s01"] < keys["s02"])
 }
 
-// Readers of one busy volume were refused for 20 seconds while fourteen servers idled: its keys
-// lay in one range, of which only the whole could be moved.
+// Guards against moving ranges only as a whole: if neighbouring busy keys lie in one range, its server
+// rejects requests for 20 seconds while 14 other servers are idle.
 func TestBusyKeysAreSpread(t *testing.T) {
 	is := is.New(t)
 	all := testServers(9, 9, 9, 9, 9, 9)
 	m := shard.Plan(input(&shard.Map{}, nil, all))
 	load := make([]float64, shard.NumKeys)
 	for i := range 8 {
-		load[100+i] = 3 // 24 requests a second for neighbouring keys
+		load[100+i] = 3 // 24 requests per second for neighbouring keys
 	}
 	in := input(m, load, all)
 	is.True(utilization(in)["s00"] > 1 || utilization(in)["s01"] > 1) // before
@@ -159,14 +160,14 @@
 	in.Map = after
 	for server, u := range utilization(in) {
 		if u > 0.8 {
-			t.Errorf("%s is used to %.2f", server, u)
+			t.Errorf("utilization of %s is %.2f", server, u)
 		}
 	}
 	is.True(plans < 4)
 }
 
-// One key is asked for more than any server can do: it must have the fastest one, and nothing
-// else may share its server.
+// A key whose load exceeds the capacity of every server must get the fastest server, which may own hardly
+// any other keys.
 func TestKeyExceedsEveryServer(t *testing.T) {
 	is := is.New(t)
 	all := testServers(6, 9, 9, 15)
@@ -185,7 +186,8 @@
 	is.True(others < shard.NumKeys/16)
 }
 
-// Moves that gain nothing cost readers the state of their keys: a calm service must not churn.
+// A service with a low load must not move keys: moves that gain nothing make callers lose the state that
+// servers hold for their keys.
 func TestLowLoadMovesNothing(t *testing.T) {
 	is := is.New(t)
 	all := testServers(9, 9, 9, 9)
@@ -221,8 +223,8 @@
 	}
 }
 
-// The new owner of a range is lost before the old one has given it up. Both may still act, and
-// the third one must wait for both.
+// If the new owner of a range is lost before the old one has released it, both may still act on it, and
+// the third owner must wait for both.
 func TestNewOwnerLostDuringMove(t *testing.T) {
 	is := is.New(t)
 	m := shard.Plan(input(&shard.Map{}, nil, testServers(9, 9, 9)))
@@ -235,11 +237,11 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	powers := make([]float64, 200)
-	for i := range powers {
-		powers[i] = 6 + float64(i%9)
+	capacities := make([]float64, 200)
+	for i := range capacities {
+		capacities[i] = 6 + float64(i%9)
 	}
-	all := testServers(powers...)
+	all := testServers(capacities...)
 	load := make([]float64, shard.NumKeys)
 	for i := range load {
 		load[i] = float64(i%37) * 0.03
@@ -251,9 +253,9 @@
 	}
 }
 
-// 604 servers, each with a few dozen neighbouring keys, and 200 neighbouring keys that get two fifths of the
-// requests for five seconds. Load was counted for 32 keys together, each of which were more than 20 servers
-// could do, and the plan took longer than the keys were busy: a fifth of all requests was refused.
+// 200 neighbouring keys of 604 servers get two fifths of the requests for five seconds. Guards against
+// counting the load of groups of 32 keys only, where one group is more than 20 servers can handle, and
+// against plans that take longer than the keys are busy: a fifth of all requests would be rejected.
 func TestHotRunIsSpread(t *testing.T) {
 	tests := map[string]struct{ servers, hot int }{
 		"a run of 200 at 604 servers":  {604, 200},
@@ -265,21 +267,21 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			in := hotKeys(test.servers, test.hot)
-			t.Logf("too much at first: %.3f", excess(in))
+			t.Logf("excess before: %.3f", excess(in))
 			for range 3 {
 				next := shard.Plan(in)
 				if next == nil {
 					break
 				}
 				in.Map = completeMoves(next)
-				t.Logf("then %.3f with %d ranges", excess(in), len(in.Map.Ranges))
+				t.Logf("excess after a plan: %.3f with %d ranges", excess(in), len(in.Map.Ranges))
 			}
 			is.True(excess(in) < maxExcess(test.servers, test.hot))
 		})
 	}
 }
 
-// excess returns the share of the requests that are more than their servers can do.
+// excess returns the share of the requests that exceeds the capacities of their servers.
 func excess(in shard.Input) float64 {
 	over, all := 0.0, 0.0
 	for _, u := range shard.ServerLoads(in) {
@@ -289,7 +291,8 @@
 	return over / all
 }
 
-// maxExcess returns a tenth more than what must be refused whatever the plan, as each key has one server.
+// maxExcess returns the excess that no plan can avoid, because a key has only one server, plus a margin of
+// 0.02.
 func maxExcess(servers, hot int) float64 {
 	const all, hotShare, strongest = 0.5, 0.4, 18.0
 	total := float64(servers) * 10.5
@@ -305,14 +308,14 @@
 	}
 }
 
-// hotKeys returns the state of a service at half of its power in which a run of neighbouring keys gets two
-// fifths of the requests, all of a sudden.
+// hotKeys returns the state of a service at half of its capacity in which neighbouring keys suddenly get
+// two fifths of the requests.
 func hotKeys(servers, hot int) shard.Input {
-	powers := make([]float64, servers)
+	capacities := make([]float64, servers)
 	total := 0.0
-	for i := range powers {
-		powers[i] = []float64{18, 9, 9, 6}[i%4]
-		total += powers[i]
+	for i := range capacities {
+		capacities[i] = []float64{18, 9, 9, 6}[i%4]
+		total += capacities[i]
 	}
 	load := make([]float64, shard.NumKeys)
 	for key := range load {
@@ -321,13 +324,14 @@
 	for i := range hot {
 		load[20000+i] += 0.2 * total / float64(hot)
 	}
-	all := testServers(powers...)
+	all := testServers(capacities...)
 	in := input(shard.Plan(input(&shard.Map{}, nil, all)), load, all)
 	in.TargetLatency = 1
 	return in
 }
 
-// Guards against a server that started again and gets all keys back, more than a cold one bears.
+// Guards against giving a restarted server all of its former keys back when their load exceeds the capacity
+// of a cold server.
 func TestColdServerStaysWithinCapacity(t *testing.T) {
 	is := is.New(t)
 	load := make([]float64, shard.NumKeys)
