--- a/internal/roster/clockoffset.go
+++ b/internal/roster/clockoffset.go
@@ -6,62 +6,68 @@
 	"example.org/mustardring/internal/clock"
 )
 
-// offsetWindow is how long a bound of the difference of two clocks is used: two to three of these. Clocks
-// of sound machines drift by some 50 microseconds a second, a millisecond in that time.
+// offsetWindow is the period over which the best bound of a clock offset is determined. A bound is used for
+// at most two to three such periods. Clocks of sound machines drift by some 50 microseconds per second, a
+// millisecond in that time.
 const offsetWindow = 6 * time.Second
 
-// clockOffset bounds from below how far this instance's lease clock is ahead of a peer's, so that what the peer
-// sent can be dated by this instance's own clock, whatever time it was on its way.
+// clockOffset holds a lower bound of the offset between this instance's lease clock and a peer's, local time
+// minus peer time. It converts the time at which the peer sent a message to local time, however long the
+// message was in transit.
 //
-// A heartbeat that the peer sent at s by its clock, after it had one that this instance sent at e by its
-// own, was sent at e here or later: the difference is e - s or more. The greatest of late is the closest.
-// What it lacks is the time from e to s: short when the peer answers at once.
+// Suppose this instance sends a heartbeat at local time e, and the peer, having received it, sends one at
+// peer time s. At that moment the local time is e or later, so the offset is at least e - s. The greatest
+// recent bound is the closest. It is too low by the time between the two heartbeats, which is short if the
+// peer replies at once.
 //
-// It guards against dating by receipt: messages are long on their way where a link is full, and what they tell
-// would seem that much younger.
+// Dating messages by their time of receipt instead would be wrong: on a congested link they are in transit
+// for long, and their content would seem younger than it is by that time.
 type clockOffset struct {
+	// current and previous are the best bounds of the current and of the previous period.
 	current  lowerBound
 	previous lowerBound
-	// rotateAt is when current becomes before.
+	// rotateAt is the local time at which current becomes previous.
 	rotateAt clock.Instant
 }
 
-// lowerBound is a lower bound of a difference of clocks, if it is set.
+// lowerBound is a lower bound of a clock offset. It is not known unless set is true.
 type lowerBound struct {
 	offset clock.Instant
 	set    bool
 }
 
-func (b *lowerBound) raise(least clock.Instant) {
-	if !b.set || least > b.offset {
-		*b = lowerBound{least, true}
+// raise replaces the bound by an offset that is greater.
+func (b *lowerBound) raise(offset clock.Instant) {
+	if !b.set || offset > b.offset {
+		*b = lowerBound{offset, true}
 	}
 }
 
-// record takes in when a heartbeat was sent by the peer's clock, and when the one was that it answers by
-// this instance's.
-func (a *clockOffset) record(sentAt, echoAt, now clock.Instant) {
-	if now >= a.rotateAt {
-		a.previous, a.current = a.current, lowerBound{}
-		a.rotateAt = now.Add(offsetWindow)
+// record adds a heartbeat that the peer sent at the peer time sentAt, after it received one that this
+// instance sent at the local time echoAt.
+func (o *clockOffset) record(sentAt, echoAt, now clock.Instant) {
+	if now >= o.rotateAt {
+		o.previous, o.current = o.current, lowerBound{}
+		o.rotateAt = now.Add(offsetWindow)
 	}
-	a.current.raise(echoAt - sentAt)
+	o.current.raise(echoAt - sentAt)
 }
 
-// earliestSendTime returns the earliest time here at which the peer can have sent something, false if there is no
-// bound.
-func (a *clockOffset) earliestSendTime(sentAt, now clock.Instant) (clock.Instant, bool) {
-	if now.Sub(a.rotateAt) > offsetWindow {
+// earliestSendTime returns the earliest local time at which the peer can have sent a message whose peer
+// time of sending is sentAt. It returns false if no recent bound is known.
+func (o *clockOffset) earliestSendTime(sentAt, now clock.Instant) (clock.Instant, bool) {
+	if now.Sub(o.rotateAt) > offsetWindow {
 		return 0, false
 	}
-	best := a.previous
-	if a.current.set {
-		best.raise(a.current.offset)
+	best := o.previous
+	if o.current.set {
+		best.raise(o.current.offset)
 	}
 	return min(sentAt+best.offset, now), best.set
 }
 
-// RecordEcho takes in what a heartbeat tells of its sender's clock, at a time of this instance's lease clock.
+// RecordEcho updates the clock offset of the sender of a heartbeat that was received at the given time of
+// this instance's lease clock.
 func (r *Roster) RecordEcho(b Heartbeat, now clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,8 +77,9 @@
 	}
 }
 
-// EarliestSendTime returns the earliest time by this instance's lease clock at which another can have sent something,
-// given when it did by its own. It returns false if that has no bound yet.
+// EarliestSendTime returns the earliest time of this instance's lease clock at which another instance can
+// have sent a message that it sent at sentAt by its own lease clock. It returns false if no recent bound
+// of the offset between the two clocks is known.
 func (r *Roster) EarliestSendTime(name string, sentAt int64, now clock.Instant) (clock.Instant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/roster/fuzz_test.go
+++ b/internal/roster/fuzz_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Whatever bytes stand in the record of an instance, they are an entry that can be stored again or
-// an error.
+// Decode returns an error or an entry that stays the same when it is encoded and decoded again, for any input.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"address":"10.0.0.1:7","domain":"d","incarnation":7,"share":0.3}`))
 	f.Add([]byte(`{"share":-1}`))
--- a/internal/roster/heartbeat.go
+++ b/internal/roster/heartbeat.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// The pace of heartbeats. Each instance tells all others, so that the pace falls with their number. It tells
-// those of its failure domain more often than the others: they take its place when it is lost, and should do
-// so before the leases run out that it renewed. Those of other domains notice by themselves when it does not
-// answer.
+// Each instance sends heartbeats to all others, so the interval grows with their number to limit the load.
+// Instances of the same failure domain get heartbeats more often than others: they take over when the
+// sender is lost, and should do so before the leases that it renewed expire. Instances of other domains
+// notice the loss when their requests are not answered.
 const (
 	minInterval     = 250 * time.Millisecond
 	intervalPerPeer = 12 * time.Millisecond
-	// maxMissedHeartbeats is the number of heartbeats that may be missing before others do the work of
-	// an instance: two in a row may be lost, and the third may be late.
+	// maxMissedHeartbeats is the number of intervals without a heartbeat after which others take over the
+	// work of an instance: two heartbeats in a row may be lost, and the third may be late.
 	maxMissedHeartbeats = 3.2
-	// maxLeaderInterval bounds the time between two heartbeats of the leader to all.
+	// maxLeaderInterval limits the interval of the leader's heartbeats to all instances.
 	maxLeaderInterval = 500 * time.Millisecond
 )
 
-// HeartbeatInterval returns the time between two heartbeats to those of other failure domains.
+// HeartbeatInterval returns the interval of heartbeats to instances of other failure domains.
 func (r *Roster) HeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return interval(len(r.peers))
 }
 
-// DomainHeartbeatInterval returns the time between two heartbeats to those of the own failure domain, and to the leader.
+// DomainHeartbeatInterval returns the interval of heartbeats to the leader and to instances of this
+// instance's failure domain.
 func (r *Roster) DomainHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return interval(r.domainSizes[r.domain])
 }
 
-// LeaderHeartbeatInterval returns the time between two heartbeats of the leader: they carry the word that
-// nothing has changed, which the others must not miss for long.
+// LeaderHeartbeatInterval returns the interval of the leader's heartbeats to all instances. They confirm that
+// nothing has changed; without them the views of the others grow too old to act on.
 func (r *Roster) LeaderHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,9 +43,10 @@
 	return min(interval(len(r.peers)), maxLeaderInterval)
 }
 
+// interval returns the interval of heartbeats to a number of instances.
 func interval(peers int) time.Duration { return max(minInterval, time.Duration(peers)*intervalPerPeer) }
 
-// intervalOf returns the time between two heartbeats of an instance to this one.
+// intervalOf returns the interval of the heartbeats that an instance sends to this one.
 func (r *Roster) intervalOf(p *Peer) time.Duration {
 	switch {
 	case p.Heartbeat.Leads:
@@ -56,13 +58,13 @@
 	}
 }
 
-// heartbeatTimeout returns for how long an instance may not be heard before it counts as silent.
+// heartbeatTimeout returns the time after its last heartbeat at which an instance no longer counts as alive.
 func (r *Roster) heartbeatTimeout(p *Peer) time.Duration {
 	return time.Duration(maxMissedHeartbeats * float64(r.intervalOf(p)))
 }
 
-// SetLeading takes in whether this instance leads: all others then send it heartbeats as often as to their own
-// domain.
+// SetLeading sets whether this instance is the leader. All others send heartbeats to the leader as often as
+// to their own failure domain, so the leader can expect them at shorter intervals.
 func (r *Roster) SetLeading(leads bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/roster/liveness.go
+++ b/internal/roster/liveness.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Suspect drops an instance from those alive before its silence shows by time, as when it did
-// not answer a question.
+// Suspect marks an instance as suspected, so that it does not count as alive until its next heartbeat.
+// Callers use it when a request to the instance got no answer. It has no effect if the last heartbeat is
+// at most half the timeout old.
 func (r *Roster) Suspect(name string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -16,7 +17,8 @@
 	}
 }
 
-// SinceHeartbeat returns for how long nothing was heard of the instance.
+// SinceHeartbeat returns the time since the last heartbeat of the instance, or since its registration was
+// read if that is later.
 func (p *Peer) SinceHeartbeat(now time.Time) time.Duration {
 	if p.HeartbeatAt.After(p.IncarnationSince) {
 		return now.Sub(p.HeartbeatAt)
@@ -24,38 +26,40 @@
 	return now.Sub(p.IncarnationSince)
 }
 
-// CutOff reports whether a failure domain seems to be cut off: all of its instances fell silent,
-// the last of them no longer ago than the given time. It still does for backTime after they were
-// heard again.
-func (r *Roster) CutOff(domain string, most time.Duration, now time.Time) bool {
+// CutOff reports whether a failure domain seems to be cut off: none of its instances is alive, and the most
+// recent heartbeat of any is at most maxSilence old. It still reports true for directoryLag after heartbeats
+// have resumed. Instances that are stopping are ignored.
+func (r *Roster) CutOff(domain string, maxSilence time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	least := time.Duration(-1)
+	shortest := time.Duration(-1)
 	for _, p := range r.sorted {
 		if p.Domain != domain || p.Heartbeat.Stopping {
 			continue
 		}
-		silent := p.SinceHeartbeat(now)
+		silence := p.SinceHeartbeat(now)
 		if r.alive(p, now) {
 			if now.Sub(p.ResumedAt) > directoryLag {
 				return false
 			}
-			silent = 0
+			silence = 0
 		}
-		if least < 0 || silent < least {
-			least = silent
+		if shortest < 0 || silence < shortest {
+			shortest = silence
 		}
 	}
-	return least >= 0 && least <= most
+	return shortest >= 0 && shortest <= maxSilence
 }
 
-// directoryLag is how long after the end of a cut the entries of servers behind it may be missing.
+// directoryLag is the time after the end of a network partition for which the directory entries of the
+// servers behind it may still be missing.
 const directoryLag = 2500 * time.Millisecond
 
-// Leader returns the instance that decides about owners: of those that reach the store, the
-// one with the most processor time. Those that have had an answer of the store lately go first: others
-// may have lost it with the leader without knowing, and each would lead in vain for a while. Who it is
-// matters for cost only, as the store's order decides between two that both think they lead.
+// Leader returns the instance that decides about owners: of the instances that are alive and can reach the
+// store, the one with the largest share. Instances that recently had an answer from the store are preferred:
+// others may have lost the store together with the previous leader without having noticed, and each would
+// lead for a while without effect. The choice affects only cost, not safety: if two instances both act as
+// leader, the order of records in the store decides between them.
 func (r *Roster) Leader(now time.Time) (Peer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,12 +78,12 @@
 	return *best, true
 }
 
-// Relays returns who is told of news first: the others of this instance's failure domain, and of each other
-// domain the strongest that can be given work, which tells the rest of it. Of a domain with few instances
-// these are all.
+// Relays returns the instances to which this one sends a broadcast. The direct ones are the others of its
+// own failure domain and all instances of domains with few of them. The relays are, of each other domain,
+// the instance with the largest share that is alive, which forwards the message within its domain.
 //
-// One that told hundreds of others by itself filled its link for a quarter of a second with each plan, and most
-// of the bytes went between domains.
+// Sending a plan to hundreds of instances directly fills the link of the sender for a quarter of a second,
+// and most of the traffic is between domains.
 func (r *Roster) Relays(now time.Time) (direct, relays []Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,12 +107,12 @@
 	return direct, relays
 }
 
-// maxDirectSize is the number of instances of a domain up to which each is told directly: a relay that has just
-// been lost would cost more than it saves.
+// maxDirectSize is the size of a failure domain up to which broadcasts go directly to each of its
+// instances: a relay that has just failed would cost more than relaying saves.
 const maxDirectSize = 8
 
-// Reachable reports whether the instance at an address is heard, as far as is known: one that is not
-// registered may have just started.
+// Reachable reports whether the instance at an address is alive. It also returns true if none is registered
+// at the address, because the instance may have just started.
 func (r *Roster) Reachable(address string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,9 +120,9 @@
 	return p == nil || r.alive(p, now)
 }
 
-// Unconfirmed returns the instances that may still act on records before an offset: the
-// registered ones that have not confirmed it, and those that were removed, as far as this
-// instance knows, after the given time.
+// Unconfirmed returns the names of the instances that may still act on a view without the record at an
+// offset: the registered ones that have not confirmed it, and those whose removal this instance learned of
+// after the given time.
 func (r *Roster) Unconfirmed(offset int64, removedAfter time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,8 +132,8 @@
 			out = append(out, p.Name)
 		}
 	}
-	for name, l := range r.removed {
-		if l.since.After(removedAfter) {
+	for name, m := range r.removed {
+		if m.since.After(removedAfter) {
 			out = append(out, name)
 		}
 	}
--- a/internal/roster/quorum.go
+++ b/internal/roster/quorum.go
@@ -5,107 +5,119 @@
 	"time"
 )
 
-// How old knowledge may be acted on depends on whom an instance hears. One that hears neither a
-// majority of its failure domain nor one of all may act on what it knows for a short time only, any
-// other for longer: whoever knows more would be among those it hears, and say so. In return a decision
-// that half of all and half of each domain have confirmed waits that short time for the rest, not the
-// longer one. A domain that is cut off as a whole keeps the longer time, and the decision waits for it.
+// The maximum age of a view on which an instance may act depends on whether a majority agrees with it, that
+// is, knows of no newer record. Without the agreement of a majority of all instances, or of those of its
+// failure domain, the maximum is ContactTimeout, else a longer time that the caller sets. In return, the
+// leader may assume that nobody acts on an older view any more once half of all instances and half of those
+// of each domain have confirmed a decision and ContactTimeout has passed. Without these confirmations it has
+// to wait for the longer time: the instances of a domain that is cut off as a whole agree with one another.
 //
-// Why that is safe: an instance that acts after the short time has heard a majority, itself among them,
-// since before the decision was confirmed, and none of these knew of it then. It has not confirmed the
-// decision itself. Half of a set, without that instance, and a majority of the set, less that instance,
-// have a member in common, which would have known. The register changes, so Confirmed counts those
-// only that were in it all the time, out of all that were in it at any time.
+// This is safe: suppose an instance acts on a view without the decision, more than ContactTimeout after the
+// decision was confirmed by half. A majority, including that instance, agreed with its view after the
+// confirmation, and the instance itself has not confirmed. Half of a set, not including the instance, and
+// a majority of the set without the instance have a member in common. That member knew the decision and
+// cannot have agreed. Because registrations change, HalfConfirmed counts as confirming only instances that
+// were registered throughout, out of all that were registered at any time.
 
-// contactLeast and contactBeats, in heartbeats, bound the time for which an instance that hears no
-// majority may act on what it knows. One heartbeat brings its word to the others, the next theirs
-// back, and one of the two may be lost. The least is above a lease of 2.2 seconds and three heartbeats:
-// an instance that stood still for so long that it has lost contact has lost its leases anyway. With two
-// seconds instances that stood still together withheld renewals of leases that had not run out.
+// The timeout is contactIntervals heartbeat intervals, or minContactTimeout if that is more. One heartbeat
+// carries the view of the instance to the others, the next one carries theirs back, and one of the two may
+// be lost.
 //
-// Without this a server that is lost within a second of an instance, which nobody can tell from one that is cut
-// off with it, is without an owner until knowledge is too old for all (TestServerAndInstanceLost).
+// The minimum exceeds the lease time of 2.2 seconds plus three heartbeat intervals, so that an instance that
+// was suspended for long enough to lose contact has lost its leases anyway. With two seconds, instances that
+// were suspended together withheld renewals of leases that had not expired.
+//
+// Without a timeout of its own for instances that lack a majority, the keys of a server that is lost within a
+// second of an instance have no owner until all views are too old, because nobody can tell whether the two
+// have failed or are cut off together.
 const (
 	minContactTimeout = 3 * time.Second
 	contactIntervals  = 3
 )
 
-// ContactTimeout returns that time, by the size of the largest failure domain: its majority is enough. All that
-// were registered of late count: whoever knows of fewer acts for a shorter time.
+// ContactTimeout returns the maximum age of a view on which an instance may act if no majority agrees with
+// it. It depends on the size of the largest failure domain, because the agreement of a majority of one
+// domain is sufficient. Instances that were recently registered count, too: an instance that does not know
+// of them uses a shorter timeout, which is safe.
 func (r *Roster) ContactTimeout() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sizes := maps.Clone(r.domainSizes)
-	for _, l := range r.removed {
-		sizes[l.entry.Domain]++
+	for _, m := range r.removed {
+		sizes[m.entry.Domain]++
 	}
 	for _, d := range r.departed {
 		sizes[d.domain]++
 	}
-	most := 0
+	largest := 0
 	for _, n := range sizes {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return max(minContactTimeout, contactIntervals*interval(most))
+	return max(minContactTimeout, contactIntervals*interval(largest))
 }
 
-// MajorityAgrees reports whether this instance and others that have heard from it since a time of its lease
-// clock, and know of no record behind an offset, are more than half of those registered, or of those
-// of its failure domain.
+// MajorityAgrees reports whether more than half of all registered instances, or of those of this instance's
+// failure domain, agree that there is no record of owners at offset end or later. Another instance agrees if
+// it has said so after it received a heartbeat that this one sent at the time since or later. The time is
+// one of this instance's lease clock, in nanoseconds.
 func (r *Roster) MajorityAgrees(since, end int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all, near := r.countWhere(func(p *Peer) bool {
+	all, domain := r.countWhere(func(p *Peer) bool {
 		return p.Name == r.self || p.Heartbeat.EchoAt >= since && p.Heartbeat.Known <= end
 	})
-	return all.majority() || near.majority()
+	return all.majority() || domain.majority()
 }
 
-// MajorityAlive reports whether this instance hears more than half of the instances of its failure domain, or, where the domain has
-// too few to tell, of all. Those of other domains send too seldom for their silence to show in time.
+// MajorityAlive reports whether more than half of the instances of this instance's failure domain are alive,
+// including itself, or more than half of all instances if the domain has less than minMajorityDomain.
+// Instances of other domains send heartbeats too rarely for their loss to be detected in time.
 func (r *Roster) MajorityAlive(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all, near := r.countWhere(func(p *Peer) bool { return r.alive(p, now) })
-	if near.all < minMajorityDomain {
+	all, domain := r.countWhere(func(p *Peer) bool { return r.alive(p, now) })
+	if domain.total < minMajorityDomain {
 		return all.majority()
 	}
-	return near.majority()
+	return domain.majority()
 }
 
-// minMajorityDomain is the number of instances of a failure domain from which on a majority of them can be told.
+// minMajorityDomain is the size from which on the majority of a failure domain says something: with fewer
+// instances, the loss of a single one leaves no majority.
 const minMajorityDomain = 3
 
-// countWhere returns how many instances there are that count, of all and of those of the own failure domain; the lock is held.
-func (r *Roster) countWhere(counts func(p *Peer) bool) (all, near votes) {
+// countWhere counts the instances that satisfy a condition, among all and among those of this instance's
+// failure domain. The lock is held.
+func (r *Roster) countWhere(satisfies func(p *Peer) bool) (all, domain tally) {
 	for _, p := range r.peers {
-		v := votes{all: 1}
-		if counts(p) {
-			v.confirmed = 1
+		v := tally{total: 1}
+		if satisfies(p) {
+			v.matching = 1
 		}
 		all = all.plus(v)
 		if p.Domain == r.domain {
-			near = near.plus(v)
+			domain = domain.plus(v)
 		}
 	}
-	return all, near
+	return all, domain
 }
 
-// HalfOfDomainAlive reports whether half or more of the other instances of the own failure domain have been heard.
+// HalfOfDomainAlive reports whether this instance has ever received a heartbeat from at least half of the
+// other instances of its failure domain.
 func (r *Roster) HalfOfDomainAlive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	near, heard := 0, 0
+	total, heard := 0, 0
 	for _, p := range r.sorted {
 		if p.Domain != r.domain || p.Name == r.self {
 			continue
 		}
-		near++
+		total++
 		if !p.HeartbeatAt.IsZero() {
 			heard++
 		}
 	}
-	return 2*heard >= near
+	return 2*heard >= total
 }
 
 // departure is an instance that is no longer registered.
@@ -114,27 +126,27 @@
 	at     time.Time
 }
 
-// votes counts the instances of a part of the register.
-type votes struct {
-	all       int
-	confirmed int
+// tally counts the instances of a set, and those of them that satisfy a condition.
+type tally struct {
+	total    int
+	matching int
 }
 
-func (v votes) atLeastHalf() bool { return 2*v.confirmed >= v.all }
+func (v tally) atLeastHalf() bool { return 2*v.matching >= v.total }
 
-func (v votes) majority() bool { return 2*v.confirmed > v.all }
+func (v tally) majority() bool { return 2*v.matching > v.total }
 
-func (v votes) plus(o votes) votes { return votes{v.all + o.all, v.confirmed + o.confirmed} }
+func (v tally) plus(o tally) tally { return tally{v.total + o.total, v.matching + o.matching} }
 
-// HalfConfirmed reports whether, of those that were registered at some time since the given one, half or
-// more have been so all the time and act by the records up to an offset, in all and in each failure
-// domain.
+// HalfConfirmed reports whether the record at an offset is confirmed by at least half of all instances and
+// at least half of those of each failure domain. Instances that were registered at any time since the given
+// one count; only those that have been registered ever since count as confirming.
 func (r *Roster) HalfConfirmed(offset int64, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	total, domains := votes{}, map[string]votes{}
+	total, domains := tally{}, map[string]tally{}
 	count := func(domain string, confirmed int) {
-		v := votes{1, confirmed}
+		v := tally{1, confirmed}
 		total, domains[domain] = total.plus(v), domains[domain].plus(v)
 	}
 	for _, p := range r.peers {
@@ -144,13 +156,13 @@
 		}
 		count(p.Domain, confirmed)
 	}
-	for _, l := range r.removed {
-		count(l.entry.Domain, 0)
+	for _, m := range r.removed {
+		count(m.entry.Domain, 0)
 	}
 	maps.DeleteFunc(r.departed, func(_ string, d departure) bool { return d.at.Before(since) })
 	for name, d := range r.departed {
-		_, back := r.peers[name]
-		if _, lingers := r.removed[name]; !back && !lingers {
+		_, registered := r.peers[name]
+		if _, removed := r.removed[name]; !registered && !removed {
 			count(d.domain, 0)
 		}
 	}
--- a/internal/roster/rank.go
+++ b/internal/roster/rank.go
@@ -10,49 +10,53 @@
 	"example.org/mustardring/internal/clock"
 )
 
-// MaxRanked is the number of instances that are in charge of a thing in turn.
+// MaxRanked is the maximum number of instances that Rank returns.
 const MaxRanked = 3
 
-// maxSubjects bounds the memory of things that were asked about; what was forgotten is ranked anew.
+// maxSubjects limits the number of subjects whose ranked instances are cached. When it is reached, the cache
+// is cleared.
 const maxSubjects = 1 << 15
 
-// ranking keeps who is in charge of each thing that was asked about. A ranking is brought up to date when an
-// instance joins or leaves those that can be given work, for that instance alone, so that a question costs
-// the same however many instances and things there are.
+// ranking caches, for each subject that was looked up, the instances with the highest ranks. When an instance
+// becomes eligible or ceases to be, only its own rank is updated, so the cost of a lookup does not depend on
+// the number of instances or subjects.
 //
-// Ranked anew for each question, some hundred servers take a small instance among hundreds most of its processor
-// time.
+// Without the cache, ranking some hundred servers takes most of the processor time of a small instance in a
+// system of hundreds of instances.
 type ranking struct {
-	// eligible holds the instances that can be given work, by domain and name.
+	// eligible holds the instances that are alive and not stopping, by domain and name.
 	eligible map[string]map[string]*Peer
 	subjects map[subject]*ranked
-	// version changes with each join and leave.
+	// version changes whenever a rank or the responsibility for a server may have changed.
 	version uint64
-	// scored counts how often an instance was weighed for a thing.
-	scored int
+	// scoreCount counts the scores that were computed. Tests check it.
+	scoreCount int
 }
 
-// subject is a thing, and the failure domain whose instances are preferred for it.
+// subject identifies what instances are ranked for, such as a server or a pool, and the failure domain whose
+// instances are preferred.
 type subject struct {
 	name   string
 	domain string
 }
 
-// ranked holds the first in rank. If not complete, one of them has left and its successor is not known.
+// ranked holds the highest ranks for a subject. If it is not complete, one of the instances is no longer
+// eligible and its successor is not known.
 type ranked struct {
+	// hash is the hash of the subject's name.
 	hash     uint64
 	top      []candidate
 	complete bool
 }
 
-// candidate is an instance as it is ranked for a subject.
+// candidate is an instance with its score for a subject.
 type candidate struct {
 	peer      *Peer
 	preferred bool
 	score     float64
 }
 
-// before reports whether one instance is in charge before another.
+// before reports whether one instance ranks before another.
 func (c candidate) before(o candidate) bool {
 	if c.preferred != o.preferred {
 		return c.preferred
@@ -64,24 +68,24 @@
 	return ranking{eligible: map[string]map[string]*Peer{}, subjects: map[subject]*ranked{}}
 }
 
-// contains reports whether a life of an instance is among those that can be given work.
+// contains reports whether an instance is eligible. Another incarnation of it does not count.
 func (k *ranking) contains(p *Peer) bool { return k.eligible[p.Domain][p.Name] == p }
 
-// add adds an instance to those that can be given work.
+// add makes an instance eligible.
 func (k *ranking) add(p *Peer) {
 	if k.eligible[p.Domain] == nil {
 		k.eligible[p.Domain] = map[string]*Peer{}
 	}
 	k.eligible[p.Domain][p.Name] = p
 	k.version++
-	for at, s := range k.subjects {
+	for key, s := range k.subjects {
 		if s.complete {
-			s.insert(k.newCandidate(p, at, s.hash))
+			s.insert(k.newCandidate(p, key, s.hash))
 		}
 	}
 }
 
-// remove takes an instance from those that can be given work.
+// remove makes an instance ineligible.
 func (k *ranking) remove(p *Peer) {
 	delete(k.eligible[p.Domain], p.Name)
 	if len(k.eligible[p.Domain]) == 0 {
@@ -89,83 +93,85 @@
 	}
 	k.version++
 	for _, s := range k.subjects {
-		if slices.ContainsFunc(s.top, func(o candidate) bool { return o.peer == p }) {
+		if slices.ContainsFunc(s.top, func(c candidate) bool { return c.peer == p }) {
 			s.complete = false
 		}
 	}
 }
 
-func (k *ranking) newCandidate(p *Peer, at subject, hash uint64) candidate {
-	k.scored++
-	return candidate{peer: p, preferred: p.Domain == at.domain, score: p.score(hash)}
+// newCandidate scores an instance for a subject with the given hash.
+func (k *ranking) newCandidate(p *Peer, key subject, hash uint64) candidate {
+	k.scoreCount++
+	return candidate{peer: p, preferred: p.Domain == key.domain, score: p.score(hash)}
 }
 
-// insert takes an instance in if it is among the first.
-func (s *ranked) insert(next candidate) {
+// insert adds an instance if it is among the first MaxRanked.
+func (s *ranked) insert(c candidate) {
 	i := len(s.top)
-	for i > 0 && next.before(s.top[i-1]) {
+	for i > 0 && c.before(s.top[i-1]) {
 		i--
 	}
 	if i == MaxRanked {
 		return
 	}
-	s.top = slices.Insert(s.top, i, next)
+	s.top = slices.Insert(s.top, i, c)
 	s.top = s.top[:min(len(s.top), MaxRanked)]
 }
 
-// topFor returns the first in rank for a thing.
-func (k *ranking) topFor(thing, domain string) []candidate {
-	at := subject{thing, domain}
-	s := k.subjects[at]
+// topFor returns the highest ranks for a subject.
+func (k *ranking) topFor(name, domain string) []candidate {
+	key := subject{name, domain}
+	s := k.subjects[key]
 	if s == nil {
 		if len(k.subjects) >= maxSubjects {
 			clear(k.subjects)
 		}
-		s = &ranked{hash: xxhash.Sum64String(thing)}
-		k.subjects[at] = s
+		s = &ranked{hash: xxhash.Sum64String(name)}
+		k.subjects[key] = s
 	}
 	if !s.complete {
-		k.rebuild(at, s)
+		k.rebuild(key, s)
 	}
 	return s.top
 }
 
-// rebuild ranks the instances for a subject anew: those of the preferred domain, and, if they are too few, the
-// others.
-func (k *ranking) rebuild(at subject, s *ranked) {
+// rebuild computes the highest ranks for a subject from the instances of the preferred domain and, if they
+// are less than MaxRanked, all others.
+func (k *ranking) rebuild(key subject, s *ranked) {
 	s.top, s.complete = s.top[:0], true
-	for _, p := range k.eligible[at.domain] {
-		s.insert(k.newCandidate(p, at, s.hash))
+	for _, p := range k.eligible[key.domain] {
+		s.insert(k.newCandidate(p, key, s.hash))
 	}
 	if len(s.top) == MaxRanked {
 		return
 	}
 	for domain, peers := range k.eligible {
-		if domain == at.domain {
+		if domain == key.domain {
 			continue
 		}
 		for _, p := range peers {
-			s.insert(k.newCandidate(p, at, s.hash))
+			s.insert(k.newCandidate(p, key, s.hash))
 		}
 	}
 }
 
-// refreshPeer brings the ranking up to date with one instance; the lock is held.
+// refreshPeer updates the ranking with the current state of one instance. The lock is held.
 func (r *Roster) refreshPeer(p *Peer, now time.Time) {
-	able := r.peers[p.Name] == p && r.alive(p, now) && !p.Heartbeat.Stopping
-	switch held := r.ranking.contains(p); {
-	case able && !held:
+	eligible := r.peers[p.Name] == p && r.alive(p, now) && !p.Heartbeat.Stopping
+	switch contained := r.ranking.contains(p); {
+	case eligible && !contained:
 		r.ranking.add(p)
 		r.refreshAt = clock.Earlier(r.refreshAt, r.aliveUntil(p))
-	case held && !able:
+	case contained && !eligible:
 		r.ranking.remove(p)
 	}
 }
 
-// maxRefreshInterval bounds the time between two looks at who fell silent.
+// maxRefreshInterval limits the time between two checks of all instances for missing heartbeats.
 const maxRefreshInterval = time.Second
 
-// refreshAll brings the ranking up to date with the instances that fell silent; the lock is held.
+// refreshAll updates the ranking with the current state of all instances if one of them may have reached its
+// timeout since the last time. The lock is held.
 func (r *Roster) refreshAll(now time.Time) {
 	if now.Before(r.refreshAt) {
 		return
@@ -179,38 +185,39 @@
 	}
 }
 
-// Rank returns the first instances, of those that can be given work, in the order in which
-// they are in charge of a thing: those of the preferred domain first, then by a hash that
-// spreads things over instances and changes little when one comes or goes.
-func (r *Roster) Rank(thing, domain string, now time.Time) []Peer {
+// Rank returns up to MaxRanked instances that are alive and not stopping, in the order in which they are
+// responsible for a subject, such as a server or a pool. Instances of the preferred domain come first, then
+// the order follows weighted rendezvous hashing, which distributes subjects over instances by their shares
+// and changes little when an instance joins or leaves.
+func (r *Roster) Rank(name, domain string, now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshAll(now)
 	out := make([]Peer, 0, MaxRanked)
-	for _, s := range r.ranking.topFor(thing, domain) {
-		out = append(out, *s.peer)
+	for _, c := range r.ranking.topFor(name, domain) {
+		out = append(out, *c.peer)
 	}
 	return out
 }
 
-// Responsible reports whether a server is this instance's to look after: the first in rank does, and each
-// further one if all before it say that they do not reach it.
+// Responsible reports whether this instance is to renew the leases of a server: the first instance in rank
+// is, and each further one if all before it report that the server does not answer them.
 func (r *Roster) Responsible(server, domain string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshAll(now)
-	for _, s := range r.ranking.topFor(server, domain) {
-		if s.peer.Name == r.self {
+	for _, c := range r.ranking.topFor(server, domain) {
+		if c.peer.Name == r.self {
 			return true
 		}
-		if !slices.Contains(s.peer.Heartbeat.Failing, server) {
+		if !slices.Contains(c.peer.Heartbeat.Failing, server) {
 			return false
 		}
 	}
 	return false
 }
 
-// RankVersion returns a number that changes whenever what Rank and Charged say may have changed.
+// RankVersion returns a number that changes whenever the results of Rank and Responsible may have changed.
 func (r *Roster) RankVersion(now time.Time) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,14 +225,15 @@
 	return r.ranking.version
 }
 
-// score returns a number that is smallest at the instance in charge: an exponential variate
-// whose rate is the instance's processor time, so that each gets things in proportion to it.
-func (p *Peer) score(thing uint64) float64 {
-	uniform := (float64(mix(p.hash^thing)>>11) + 1) / (1 << 53)
+// score returns the score of the instance for the hash of a subject. The instance with the lowest score is
+// responsible. The score is an exponential variate whose rate is the instance's share, so that the number of
+// subjects of an instance is proportional to its share.
+func (p *Peer) score(subject uint64) float64 {
+	uniform := (float64(mix(p.hash^subject)>>11) + 1) / (1 << 53)
 	return -math.Log(uniform) / max(p.Share, 0.01)
 }
 
-// mix spreads the bits of a hash (the last steps of splitmix64).
+// mix mixes the bits of a hash (the finalizer of splitmix64).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xBF58476D1CE4E5B9
 	x = (x ^ x>>27) * 0x94D049BB133111EB
--- a/internal/roster/rank_test.go
+++ b/internal/roster/rank_test.go
@@ -22,9 +22,9 @@
 	r.RecordHeartbeat(Heartbeat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, StoreOK: true}, now)
 }
 
-// rankByScan returns who is in charge of a thing, by looking at every instance.
-func rankByScan(r *Roster, thing, domain string, now time.Time) []string {
-	hash := xxhash.Sum64String(thing)
+// rankByScan returns the result of Rank, computed from all instances without the cache.
+func rankByScan(r *Roster, name, domain string, now time.Time) []string {
+	hash := xxhash.Sum64String(name)
 	var able []*Peer
 	for _, p := range r.peers {
 		if r.alive(p, now) && !p.Heartbeat.Stopping {
@@ -47,11 +47,12 @@
 	return out
 }
 
-// A day of 295 instances and 604 servers was given up: each instance ranked all instances for all servers
-// five times a second, which took more than the rest of its work. What a calm roster is asked must weigh
-// nobody, and what one loss costs must not grow with the number of servers or of instances.
+// Guards against ranking all instances for all servers on each lookup: with 295 instances and 604 servers,
+// five times a second, that takes more time than all other work of an instance. Lookups must not compute
+// scores while no instance joins or leaves, and the cost of a loss must not grow with the number of servers
+// or instances.
 func TestRankingIsIncremental(t *testing.T) {
-	const things = 600
+	const subjects = 600
 	for name, instances := range map[string]int{"10": 10, "100": 100, "1000": 1000} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -61,12 +62,12 @@
 				sendHeartbeat(r, i, start)
 			}
 			ask := func(now time.Time) {
-				for i := range things {
+				for i := range subjects {
 					r.Responsible(fmt.Sprintf("s%d", i), fmt.Sprintf("d%d", i%6), now)
 				}
 			}
 			ask(start)
-			r.ranking.scored = 0
+			r.ranking.scoreCount = 0
 			now := start
 			for range 10 {
 				now = now.Add(200 * time.Millisecond)
@@ -75,23 +76,24 @@
 				}
 				ask(now)
 			}
-			is.Equal(r.ranking.scored, 0)
+			is.Equal(r.ranking.scoreCount, 0)
 			r.Put("i7", Entry{Ended: true}, now)
 			ask(now)
-			// It was ranked for some 3 x things / instances, and each is filled from its domain, a sixth of all.
-			t.Logf("%d weighed after a loss", r.ranking.scored)
-			is.True(r.ranking.scored <= 3*things)
-			r.ranking.scored = 0
+			// The instance was ranked for some 3 x subjects / instances. Each is rebuilt from its domain, a
+			// sixth of all instances.
+			t.Logf("%d scores computed after a loss", r.ranking.scoreCount)
+			is.True(r.ranking.scoreCount <= 3*subjects)
+			r.ranking.scoreCount = 0
 			register(r, 7, now)
 			sendHeartbeat(r, 7, now)
 			ask(now)
-			is.True(r.ranking.scored <= things)
+			is.True(r.ranking.scoreCount <= subjects)
 		})
 	}
 }
 
-// Whatever comes, goes, stops, falls silent and is heard again: the ranks that are kept say what a look
-// at every instance says.
+// The cached ranking must match one computed from all instances, whichever instances join, leave, stop, time
+// out or send heartbeats again.
 func TestRankingMatchesScan(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -116,17 +118,17 @@
 		default:
 			sendHeartbeat(r, i, now)
 		}
-		thing, domain := fmt.Sprintf("s%d", random.IntN(40)), fmt.Sprintf("d%d", random.IntN(7))
+		name, domain := fmt.Sprintf("s%d", random.IntN(40)), fmt.Sprintf("d%d", random.IntN(7))
 		var got []string
-		for _, p := range r.Rank(thing, domain, now) {
+		for _, p := range r.Rank(name, domain, now) {
 			got = append(got, p.Name)
 		}
-		is.Equal(got, rankByScan(r, thing, domain, now))
+		is.Equal(got, rankByScan(r, name, domain, now))
 		checkIndexes(is, r)
 	}
 }
 
-// checkIndexes compares what is kept beside the peers with what they say.
+// checkIndexes compares the fields of the roster that are derived from its peers with the peers.
 func checkIndexes(is *is.I, r *Roster) {
 	is.Helper()
 	sizes, last := map[string]int{}, map[string]*Peer{}
@@ -142,12 +144,12 @@
 	}
 	is.Equal(len(r.byAddress), len(last))
 	for address, p := range last {
-		is.True(r.byAddress[address] == p) // of several at one address, the last by name
+		is.True(r.byAddress[address] == p) // of several with the same address, the last by name
 	}
 }
 
-// The first in rank of a server has lost its way to it. Until it says so, nobody else may renew; from then
-// on the second does, without another look at the register.
+// The first instance in rank of a server cannot reach it. Until it reports so, no other may renew the leases of
+// the server; from then on the second one does, without a change of the registrations.
 func TestResponsibilityPassesOn(t *testing.T) {
 	is := is.New(t)
 	r := New("i0", "d0")
@@ -155,17 +157,17 @@
 		r.Put(fmt.Sprintf("i%d", i), Entry{Incarnation: 1, Share: 1, Domain: "d0"}, start)
 		sendHeartbeat(r, i, start)
 	}
-	thing := ""
-	for i := 0; thing == ""; i++ {
+	name := ""
+	for i := 0; name == ""; i++ {
 		if s := fmt.Sprint(i); r.Rank(s, "d0", start)[1].Name == "i0" {
-			thing = s
+			name = s
 		}
 	}
-	is.True(!r.Responsible(thing, "d0", start))
+	is.True(!r.Responsible(name, "d0", start))
 	version := r.RankVersion(start)
 	is.Equal(r.RankVersion(start), version)
-	first := r.Rank(thing, "d0", start)[0].Name
-	r.RecordHeartbeat(Heartbeat{Name: first, Incarnation: 1, Failing: []string{thing}}, start)
+	first := r.Rank(name, "d0", start)[0].Name
+	r.RecordHeartbeat(Heartbeat{Name: first, Incarnation: 1, Failing: []string{name}}, start)
 	is.True(r.RankVersion(start) != version)
-	is.True(r.Responsible(thing, "d0", start))
+	is.True(r.Responsible(name, "d0", start))
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster knows the instances of the system: which are registered in the shared store,
-// which were heard of lately, and which of them does what. It has no input or output.
+// Package roster tracks the membership of the system: which instances are registered in the shared store,
+// which are alive according to their heartbeats, and which is responsible for what. It does no I/O.
 package roster
 
 import (
@@ -14,125 +14,137 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is the record of an instance in the shared store; its key is the instance's name.
+// Entry is the registration of an instance. It is stored in the shared store under the instance's name.
 type Entry struct {
 	Address string `json:"address"`
 	Domain  string `json:"domain"`
-	// Incarnation is drawn anew at each start of the process.
+	// Incarnation is drawn at random at each start of the process.
 	Incarnation uint64 `json:"incarnation"`
-	// Share is what the instance can do for others, relative to the rest: its part of a core,
-	// and less than that on a thin link.
+	// Share is the capacity of the instance for work on behalf of others, relative to the other
+	// instances: its share of a core, or less if its link is slow.
 	Share float64 `json:"share"`
-	// Ended says that the process stopped in order, and does nothing any more.
+	// Ended says that the process has shut down in an orderly way and no longer acts.
 	Ended bool `json:"ended,omitempty"`
-	// Removed says that the others take the instance for lost. It may still act on what it knew
-	// before, until that is too old.
+	// Removed says that the others consider the instance failed. It may still act on its view until
+	// that is too old.
 	Removed bool `json:"removed,omitempty"`
 }
 
-// Decode reads the record of an instance.
+// Decode decodes a registration from its JSON form.
 func Decode(data []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(data, &e); err != nil {
-		return e, fmt.Errorf("roster: record of an instance: %w", err)
+		return e, fmt.Errorf("roster: malformed registration of an instance: %w", err)
 	}
 	return e, nil
 }
 
-// Encode returns the record.
+// Encode returns the JSON form of a registration.
 func (e Entry) Encode() ([]byte, error) { return json.Marshal(e) }
 
-// Heartbeat is the heartbeat of an instance.
+// Heartbeat is a message that an instance sends to others at regular intervals. It is encoded by position:
+// its fields keep their order.
 type Heartbeat struct {
+	// Name and Incarnation identify the sender.
 	Name        string
 	Incarnation uint64
-	// Confirmed is the offset behind the newest record of owners that the instance acts by:
-	// no order that an older record gave rise to is on its way any more.
+	// Confirmed is the offset after the newest record of owners that the instance acts on: no grant that
+	// it sent because of an older record is in transit any more.
 	Confirmed int64
-	// Known is the offset behind the newest record of owners that the instance knows.
+	// Known is the offset after the newest record of owners that the instance knows.
 	Known int64
-	// StoreOK says that the shared store did not fail the instance at its last call, Proven that
-	// it answered a call of the instance lately.
+	// StoreOK says that the last call of the instance to the shared store did not fail, StoreAnswered
+	// that the store answered one of its recent calls.
 	StoreOK       bool
 	StoreAnswered bool
-	Stopping      bool
-	// Leads says that the sender decides about owners, and sends heartbeats to all as often as to its domain.
+	// Stopping says that the instance is shutting down and takes no more work.
+	Stopping bool
+	// Leads says that the sender is the leader, which decides about owners and sends heartbeats to all
+	// instances at LeaderHeartbeatInterval.
 	Leads bool
-	// SentAt is when the heartbeat was sent, by the lease clock of its sender. EchoAt is that of
-	// the last heartbeat that the sender had from the receiver: what the sender knew when it
-	// sent this one, it knew after the receiver's EchoAt.
+	// SentAt is the time of sending by the lease clock of the sender, in nanoseconds. EchoAt is the
+	// SentAt of the last heartbeat that the sender received from the receiver, so the content of this
+	// one is current as of EchoAt by the clock of the receiver, or later.
 	SentAt int64
 	EchoAt int64
-	// KnownAge is how old the knowledge is that nothing follows Known, in milliseconds; negative
-	// for none.
+	// KnownAge is the time in milliseconds since the instance knew that there is no record of owners
+	// after Known. It is negative if the instance does not know.
 	KnownAge int64
-	// CompleteAge is how old the knowledge is that nothing of configuration and directory is missing
-	// before the ends below, in milliseconds; negative for none.
+	// CompleteAge is the time in milliseconds since the instance knew that it misses no record of the
+	// configuration and the directory before ConfigEnd and ServersEnd. It is negative if the instance
+	// does not know.
 	CompleteAge int64
-	// ConfigEnd and Servers are the ends of what the instance acts by of the two.
+	// ConfigEnd and ServersEnd are the offsets after the last records of the configuration and the
+	// directory that the instance acts on.
 	ConfigEnd  int64
 	ServersEnd int64
-	// ReplyNow asks the receiver for a heartbeat at once: its echo dates what the receiver sends.
+	// ReplyNow asks the receiver to send a heartbeat at once. The shorter the time to the echo, the more
+	// closely the age of what the receiver sends can be determined.
 	ReplyNow bool
-	// Failing lists the servers that do not answer the instance's renewals.
+	// Failing lists the ids of the servers that do not answer the instance's lease renewals.
 	Failing []string
 }
 
-// Peer is an instance.
+// Peer is a registered instance, which may be this one.
 type Peer struct {
 	Entry
 	Name string
-	// IncarnationSince is when the registration was read, SinceAt when the first of those registrations of this
-	// name that followed one another was, HeardAt when the last heartbeat came.
+	// IncarnationSince is the time at which the registration of this incarnation was first read,
+	// RegisteredSince the time since which the name has been registered without interruption, and
+	// HeartbeatAt the time at which the last heartbeat was received.
 	IncarnationSince time.Time
 	RegisteredSince  time.Time
 	HeartbeatAt      time.Time
-	// ResumedAt is when the instance was heard again after a silence.
+	// ResumedAt is the time at which heartbeats last resumed after the instance had reached its timeout.
 	ResumedAt time.Time
+	// Heartbeat is the last heartbeat received.
 	Heartbeat Heartbeat
 
-	// clockOffset dates what the instance sends.
+	// clockOffset converts times of the instance's lease clock to those of the local one.
 	clockOffset clockOffset
-	// suspected says that the instance did not answer a question since its last heartbeat.
+	// suspected says that the instance has not answered a request since its last heartbeat.
 	suspected bool
-	// hash is that of the name.
+	// hash is the hash of the name.
 	hash uint64
 }
 
-// Roster is the instances. Its methods may be called from any goroutine.
+// Roster holds the instances of the system as one of them, self, sees them. Its methods are safe for
+// concurrent use.
 type Roster struct {
 	self   string
 	domain string
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// peers holds the registered instances by name, sorted holds them in the order of their names.
 	peers  map[string]*Peer
 	sorted []*Peer
-	// byAddress holds the instances by address.
+	// byAddress holds the registered instances by address. Of several with the same address it holds the
+	// last by name.
 	byAddress map[string]*Peer
 	ranking   ranking
-	// refreshAt is when an instance of the ranking may next have fallen silent.
+	// refreshAt is the earliest time at which an instance of the ranking may reach its timeout.
 	refreshAt time.Time
-	// removed holds the instances that were removed and may still act.
+	// removed holds, by name, the instances that were removed and may still act.
 	removed map[string]removal
-	// unregistered holds when instances were last heard that are not known to be registered: they may
-	// know what this instance does not.
+	// unregistered holds, by name, the time of the last heartbeat of each sender that is not registered as
+	// far as this instance knows. Such senders may know records that this instance does not.
 	unregistered map[string]time.Time
-	// departed holds the instances that ceased to be registered.
+	// departed holds, by name, the instances that are no longer registered.
 	departed map[string]departure
-	// domainSizes holds the number of instances by domain.
+	// domainSizes holds the number of registered instances of each failure domain.
 	domainSizes map[string]int
-	// leadingSince is when this instance began to lead, zero if it does not.
+	// leadingSince is the time since which this instance has been the leader, zero if it is not.
 	leadingSince time.Time
 }
 
 // removal is an instance that was removed while it may still act.
 type removal struct {
 	entry Entry
-	// since is when this instance heard of the removal.
+	// since is the time at which this instance learned of the removal.
 	since time.Time
 }
 
-// New returns the roster of an instance.
+// New returns the roster of the instance self in a failure domain. It holds no instances, not even that one.
 func New(self, domain string) *Roster {
 	return &Roster{
 		self: self, domain: domain, domainSizes: make(map[string]int), byAddress: make(map[string]*Peer), ranking: newRanking(),
@@ -140,7 +152,7 @@
 	}
 }
 
-// add takes a registered instance in; the lock is held.
+// add adds a registered instance. The lock is held.
 func (r *Roster) add(p *Peer) {
 	at, _ := slices.BinarySearchFunc(r.sorted, p, byName)
 	r.sorted = slices.Insert(r.sorted, at, p)
@@ -149,11 +161,12 @@
 	if other := r.byAddress[p.Address]; other == nil || other.Name < p.Name {
 		r.byAddress[p.Address] = p
 	}
-	// With the number of instances the time changes after which one is silent.
+	// Heartbeat timeouts depend on the number of instances.
 	r.refreshAt = time.Time{}
 }
 
-// drop takes a registered instance out, before what its record says of it changes; the lock is held.
+// drop removes a registered instance, before its Entry changes or because it is no longer registered. The
+// lock is held.
 func (r *Roster) drop(p *Peer) {
 	at, _ := slices.BinarySearchFunc(r.sorted, p, byName)
 	r.sorted = slices.Delete(r.sorted, at, at+1)
@@ -175,7 +188,7 @@
 
 func byName(a, b *Peer) int { return cmp.Compare(a.Name, b.Name) }
 
-// Put takes in the record of an instance at a time.
+// Put adds or updates an instance with its registration, which was read at the given time.
 func (r *Roster) Put(name string, e Entry, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,7 +200,7 @@
 		if known != nil {
 			r.departed[name] = departure{known.Domain, now}
 		}
-		if _, there := r.removed[name]; !there && e.Removed {
+		if _, found := r.removed[name]; !found && e.Removed {
 			r.removed[name] = removal{entry: e, since: now}
 		}
 		return
@@ -205,11 +218,11 @@
 	r.add(known)
 }
 
-// Remove takes in that the record of an instance was deleted: it cannot act any more.
+// Remove removes an instance whose registration was deleted from the store. It can no longer act.
 func (r *Roster) Remove(name string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p, there := r.peers[name]; there {
+	if p, found := r.peers[name]; found {
 		r.departed[name] = departure{p.Domain, now}
 		r.drop(p)
 	}
@@ -217,13 +230,13 @@
 	delete(r.unregistered, name)
 }
 
-// RemovedBefore returns the instances that have been known to be removed since before a time.
+// RemovedBefore returns the names of the instances whose removal this instance learned of before a time.
 func (r *Roster) RemovedBefore(before time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for name, l := range r.removed {
-		if l.since.Before(before) {
+	for name, m := range r.removed {
+		if m.since.Before(before) {
 			out = append(out, name)
 		}
 	}
@@ -238,8 +251,8 @@
 	return len(r.peers)
 }
 
-// RecordHeartbeat takes in a heartbeat. It reports whether it is news: the instance was silent before,
-// or confirms more than before.
+// RecordHeartbeat updates the sender of a heartbeat. It reports whether there is a relevant change: the sender
+// had reached its timeout, or its Confirmed or the number of servers in Failing has changed.
 func (r *Roster) RecordHeartbeat(b Heartbeat, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -248,9 +261,9 @@
 		r.unregistered[b.Name] = now
 		return false
 	}
-	quiet := r.heartbeatTimeout(p)
-	news := now.Sub(p.HeartbeatAt) > quiet || b.Confirmed != p.Heartbeat.Confirmed || len(b.Failing) != len(p.Heartbeat.Failing)
-	if !p.HeartbeatAt.IsZero() && now.Sub(p.HeartbeatAt) > quiet {
+	timeout := r.heartbeatTimeout(p)
+	changed := now.Sub(p.HeartbeatAt) > timeout || b.Confirmed != p.Heartbeat.Confirmed || len(b.Failing) != len(p.Heartbeat.Failing)
+	if !p.HeartbeatAt.IsZero() && now.Sub(p.HeartbeatAt) > timeout {
 		p.ResumedAt = now
 	}
 	if !slices.Equal(b.Failing, p.Heartbeat.Failing) {
@@ -258,12 +271,12 @@
 	}
 	p.HeartbeatAt, p.Heartbeat, p.suspected = now, b, false
 	r.refreshPeer(p, now)
-	return news
+	return changed
 }
 
-// alive reports whether an instance can be given work. One that was never heard is given the time
-// for a first heartbeat: instances that start together would each take themselves for the only one, and
-// renew the grants of all servers.
+// alive reports whether an instance counts as alive. One that has not sent a heartbeat yet does so for the
+// time that the first one takes: otherwise instances that start together would each consider themselves the
+// only one and renew the leases of all servers. The lock is held.
 func (r *Roster) alive(p *Peer, now time.Time) bool {
 	switch {
 	case p.Name == r.self:
@@ -275,24 +288,25 @@
 	}
 }
 
-// aliveUntil returns until when an instance can be given work if it is not heard again.
+// aliveUntil returns the time until which an instance counts as alive if it sends no further heartbeat. The
+// lock is held.
 func (r *Roster) aliveUntil(p *Peer) time.Time {
 	if p.HeartbeatAt.IsZero() {
 		return p.IncarnationSince.Add(r.intervalOf(p) + startTime)
 	}
-	heardAt := p.HeartbeatAt
-	if heardAt.Before(r.leadingSince) {
-		// It sends more often only since this instance leads.
-		heardAt = r.leadingSince
+	since := p.HeartbeatAt
+	if since.Before(r.leadingSince) {
+		// The interval of a leader applies only from the time at which this instance became one.
+		since = r.leadingSince
 	}
-	return heardAt.Add(r.heartbeatTimeout(p))
+	return since.Add(r.heartbeatTimeout(p))
 }
 
-// startTime is what an instance needs to start and to read the register, besides the pause between
-// two heartbeats, also with a small part of a core.
+// startTime is the time that an instance needs to start and to read the registrations, before the interval
+// to its first heartbeat, even with a small share of a core.
 const startTime = 300 * time.Millisecond
 
-// Others returns the registered instances but this one.
+// Others returns the registered instances except this one, sorted by name.
 func (r *Roster) Others() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -305,7 +319,7 @@
 	return out
 }
 
-// Peer returns a registered instance.
+// Peer returns the registered instance with a name, and whether there is one.
 func (r *Roster) Peer(name string) (Peer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,17 +330,18 @@
 	return *p, true
 }
 
-// unregisteredTimeout is how long an instance that is not known to be registered counts after it was heard:
-// longer than it may act on what it knows.
+// unregisteredTimeout is the time after its last heartbeat for which an unregistered sender prevents AllAgree
+// from reporting agreement. It is longer than an instance may act on its view.
 const unregisteredTimeout = 15 * time.Second
 
-// AllAgree reports whether every other instance that may decide about owners has said, after it had
-// a heartbeat that this one sent at or after a time of its lease clock, that it knows of no record
-// behind an offset.
+// AllAgree reports whether all other instances that may decide about owners agree that there is no record of
+// owners at offset end or later. An instance agrees if it has said so after it received a heartbeat that this
+// one sent at the time since or later, by its lease clock, in nanoseconds. Instances that were removed but
+// may still act, and senders that are not registered, cannot agree.
 func (r *Roster) AllAgree(since, end int64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.unregistered, func(_ string, heardAt time.Time) bool { return now.Sub(heardAt) > unregisteredTimeout })
+	maps.DeleteFunc(r.unregistered, func(_ string, last time.Time) bool { return now.Sub(last) > unregisteredTimeout })
 	for _, p := range r.peers {
 		if p.Name != r.self && (p.Heartbeat.EchoAt < since || p.Heartbeat.Known > end) {
 			return false
@@ -335,7 +350,8 @@
 	return len(r.peers) > 0 && len(r.removed) == 0 && len(r.unregistered) == 0
 }
 
-// Alive returns the instances that can be given work, this one among them unless it stops.
+// Alive returns the instances that are alive and not stopping, sorted by name. This instance always counts as
+// alive.
 func (r *Roster) Alive(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -27,7 +27,7 @@
 	first := r.Rank("server", "d1", start)
 	is.Equal(len(first), roster.MaxRanked)
 	for _, p := range first {
-		is.Equal(p.Domain, "d1") // the preferred domain goes first
+		is.Equal(p.Domain, "d1") // instances of the preferred domain come first
 	}
 	later := start.Add(10 * time.Second)
 	for i := range 8 {
@@ -36,7 +36,7 @@
 		}
 	}
 	next := r.Rank("server", "d1", later)
-	is.Equal(next[0].Name, first[1].Name) // who was second is in charge now
+	is.Equal(next[0].Name, first[1].Name) // the second one is responsible now
 	is.Equal(next[1].Name, first[2].Name)
 }
 
@@ -54,9 +54,9 @@
 	is.True(counts["i1"] > 180 && counts["i1"] < 320)
 }
 
-// A key got a second owner: its server was silent, and an instance that was cut off from all
-// others went on renewing it. That instance had been taken out of the register, and the leader
-// that moved the key had started later and did not wait for it.
+// Guards against a second owner of a key: an instance that is cut off from all others and was removed from the
+// registrations goes on renewing the lease of a server that does not answer the others, and a leader that
+// started after the removal moves the key without waiting for that instance.
 func TestUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -67,7 +67,7 @@
 	is.Equal(r.Unconfirmed(5, start), []string{"i1"})
 	r.Put("i1", roster.Entry{Incarnation: 1, Removed: true}, start)
 	is.Equal(r.Unconfirmed(5, start.Add(-15*time.Second)), []string{"i1"}) // it may still act
-	is.Equal(len(r.Unconfirmed(5, start.Add(time.Second))), 0)             // what it knows is too old
+	is.Equal(len(r.Unconfirmed(5, start.Add(time.Second))), 0)             // its view is too old
 	r.Put("i2", roster.Entry{Incarnation: 1, Removed: true}, start)        // known only as removed
 	is.Equal(r.Unconfirmed(5, start.Add(-time.Second)), []string{"i1", "i2"})
 	r.Remove("i1", start)
@@ -81,7 +81,7 @@
 	registerAll(r, 2)
 	r.Put("i1", roster.Entry{Incarnation: 2}, start)
 	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1, Confirmed: 9}, start)
-	is.Equal(r.Unconfirmed(5, start), []string{"i0", "i1"}) // a late message of the life before proves nothing
+	is.Equal(r.Unconfirmed(5, start), []string{"i0", "i1"}) // a late message of an earlier incarnation does not count
 }
 
 func TestLeader(t *testing.T) {
@@ -92,14 +92,14 @@
 	registerAll(r, 3)
 	p, _ := r.Leader(start)
 	is.Equal(p.Name, "i0")
-	r.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1}, start) // it has lost the store
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1}, start) // cannot reach the store
 	p, _ = r.Leader(start)
 	is.Equal(p.Name, "i1")
 }
 
-// With the leader three others were cut off from the store, and had not noticed: they had not
-// asked it for anything. Each led for 0.8 seconds in vain while keys of leaving servers waited.
-// Those that have had an answer lately lead first.
+// Guards against new leaders that are cut off from the store together with the previous one without having
+// noticed, because they had no reason to call it: each would lead for 0.8 seconds without effect while keys of
+// leaving servers wait. Instances that recently had an answer from the store come first.
 func TestLeaderPrefersRecentStoreAnswer(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -113,19 +113,21 @@
 	is.Equal(p.Name, "i1")
 }
 
-// On 72 instances four heartbeats a second to all took a tenth of a small instance's time.
+// Guards against a constant heartbeat interval: with 72 instances, four heartbeats per second to each of them
+// take a tenth of the processor time of a small instance.
 func TestHeartbeatIntervalGrowsWithInstances(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
 	registerAll(r, 8)
 	is.Equal(r.HeartbeatInterval(), 250*time.Millisecond)
 	registerAll(r, 80)
-	is.True(80/r.HeartbeatInterval().Seconds() < 100) // messages a second
+	is.True(80/r.HeartbeatInterval().Seconds() < 100) // messages per second
 }
 
-// Of 295 instances 50 were killed. The others took them for there for eleven seconds, as each hears each only
-// every three and a half, and the keys whose grants they renewed were without an owner from the third second
-// on. The instances of a domain, which take over from one another, must know within a lease.
+// Guards against detecting failures later than leases expire. If 50 of 295 instances fail and each instance
+// sends a heartbeat to each other one only every 3.5 seconds, the others consider them alive for 11 seconds, and
+// the keys whose leases they renewed have no owner from the third second on. The instances of a failure domain,
+// which take over from one another, must detect the failure within a lease.
 func TestDomainDetectsFailureWithinLease(t *testing.T) {
 	is := is.New(t)
 	const lease = 2200 * time.Millisecond
@@ -135,7 +137,7 @@
 		r.Put(name, roster.Entry{Incarnation: 1, Share: 1, Domain: fmt.Sprintf("d%d", i%6)}, start)
 		r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1, StoreOK: true, Leads: i == 7}, start)
 	}
-	is.True(295/6/r.DomainHeartbeatInterval().Seconds()+295/r.HeartbeatInterval().Seconds() < 180) // messages a second
+	is.True(295/6/r.DomainHeartbeatInterval().Seconds()+295/r.HeartbeatInterval().Seconds() < 180) // messages per second
 	alive := func(at time.Time) map[string]int {
 		out := map[string]int{}
 		for _, p := range r.Alive(at) {
@@ -146,15 +148,15 @@
 	later := start.Add(lease)
 	is.Equal(alive(later)["d0"], 1) // itself
 	is.Equal(alive(later)["d2"], 49)
-	is.Equal(alive(later)["d1"], 48) // of 49: the leader is heard twice a second
-	r.SetLeading(true, later)        // from now on all others send to it more often
+	is.Equal(alive(later)["d1"], 48) // of 49: the leader sends heartbeats twice a second
+	r.SetLeading(true, later)        // from now on all others send heartbeats to it more often
 	is.Equal(alive(later.Add(time.Second))["d2"], 49)
 	is.Equal(alive(later.Add(lease))["d2"], 0)
 }
 
-// Keys of a crashed server were dark for 15 seconds. An instance had not answered one question
-// in time; that wiped out when it was last heard, so it was taken for lost since its start and
-// removed from the register, and the takeover waited for it as for one that may still act.
+// Guards against a suspicion that erases the time of the last heartbeat. An instance that does not answer one
+// request in time would then be considered failed since its start and be removed, and a takeover would wait for
+// it as for one that may still act: the keys of a crashed server would have no owner for 15 seconds.
 func TestSuspectKeepsHeartbeatTime(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -162,16 +164,15 @@
 	later := start.Add(20 * time.Second)
 	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1}, later)
 	r.Suspect("i1", later.Add(time.Second/2))
-	is.Equal(len(r.Alive(later.Add(time.Second/2))), 1) // others do its work
+	is.Equal(len(r.Alive(later.Add(time.Second/2))), 1) // others take over its work
 	p := r.Others()[0]
-	is.Equal(p.SinceHeartbeat(later.Add(time.Second)), time.Second) // but it was heard a second ago
+	is.Equal(p.SinceHeartbeat(later.Add(time.Second)), time.Second) // but its heartbeat is a second old
 	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1}, later.Add(time.Second))
 	is.Equal(len(r.Alive(later.Add(time.Second))), 2)
 }
 
-// An instance on a thin link read the store for all and told 80 others of each configuration;
-// its link was full for seconds, and it kept the oldest configuration of all. The strongest leads,
-// and only the leader reads for others.
+// Guards against a leader on a slow link. The leader reads the store for all others: sending each configuration
+// to 80 instances would fill its link for seconds, and it would have the oldest configuration of all.
 func TestLeaderHasLargestShare(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -187,20 +188,20 @@
 func TestCutOff(t *testing.T) {
 	const long = time.Minute
 	tests := map[string]struct {
-		// one and three are for how long i1 and i3, the instances of d1, have been silent, or, if
-		// negative, there again after a silence.
+		// one and three are the times since the last heartbeats of i1 and i3, the instances of d1. If
+		// negative, they are the times since heartbeats have resumed, with the sign reversed.
 		one, three time.Duration
 		want       bool
 	}{
-		"all there":              {-long, -long, false},
-		"one is silent":          {5 * time.Second, -long, false},
-		"both are silent":        {5 * time.Second, 6 * time.Second, true},
-		"for too long":           {9 * time.Second, 10 * time.Second, false},
-		"the one for long":       {5 * time.Second, long, true},
-		"both are just back":     {-time.Second, -time.Second, true},
-		"one is back":            {-time.Second, 6 * time.Second, true},
-		"back for some time":     {-3 * time.Second, -time.Second, false},
-		"one was there all time": {-long, -time.Second, false},
+		"all alive":                 {-long, -long, false},
+		"one is not alive":          {5 * time.Second, -long, false},
+		"both are not alive":        {5 * time.Second, 6 * time.Second, true},
+		"both for too long":         {9 * time.Second, 10 * time.Second, false},
+		"one of them for long":      {5 * time.Second, long, true},
+		"both have just resumed":    {-time.Second, -time.Second, true},
+		"one has just resumed":      {-time.Second, 6 * time.Second, true},
+		"one resumed some time ago": {-3 * time.Second, -time.Second, false},
+		"one was always alive":      {-long, -time.Second, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -208,10 +209,10 @@
 			r := roster.New("i0", "d0")
 			registerAll(r, 4)
 			now := start.Add(time.Hour)
-			for name, silent := range map[string]time.Duration{"i0": -long, "i2": -long, "i1": test.one, "i3": test.three} {
-				from, to := now.Add(-silent-10*time.Second), now.Add(-silent)
-				if silent < 0 {
-					from, to = now.Add(silent), now
+			for name, silence := range map[string]time.Duration{"i0": -long, "i2": -long, "i1": test.one, "i3": test.three} {
+				from, to := now.Add(-silence-10*time.Second), now.Add(-silence)
+				if silence < 0 {
+					from, to = now.Add(silence), now
 				}
 				for at := from; !at.After(to); at = at.Add(200 * time.Millisecond) {
 					r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1}, at)
@@ -223,12 +224,12 @@
 	}
 }
 
-// After a loss of power all instances started at the same time, with the register of before in the
-// store. None had heard of another yet, so that each renewed all grants and kept the permits of all
-// servers by itself. The service was back after five seconds.
+// Guards against instances that each consider themselves the only one when all start at the same time, as after
+// a power failure, with the earlier registrations in the store: each would renew the leases and control the
+// admissions of all servers, and the service would recover only after five seconds.
 func TestSimultaneousStart(t *testing.T) {
 	is := is.New(t)
-	charges := map[string]int{}
+	responsible := map[string]int{}
 	for i := range 20 {
 		self := fmt.Sprintf("i%d", i)
 		r := roster.New(self, "d0")
@@ -236,22 +237,22 @@
 			r.Put(fmt.Sprintf("i%d", j), roster.Entry{Incarnation: 1, Share: 1, Domain: "d0"}, start)
 		}
 		for j := range 100 {
-			if thing := fmt.Sprintf("server-%d", j); r.Rank(thing, "d0", start.Add(100*time.Millisecond))[0].Name == self {
-				charges[thing]++
+			if name := fmt.Sprintf("server-%d", j); r.Rank(name, "d0", start.Add(100*time.Millisecond))[0].Name == self {
+				responsible[name]++
 			}
 		}
-		is.Equal(len(r.Alive(start.Add(2*time.Second))), 1) // those that stay silent are not there
+		is.Equal(len(r.Alive(start.Add(2*time.Second))), 1) // instances without a heartbeat are not alive
 		_, found := r.Leader(start)
-		is.True(!found) // nobody leads whom nobody has heard
+		is.True(!found) // an instance without a heartbeat cannot lead
 	}
-	is.Equal(len(charges), 100)
-	for _, n := range charges {
+	is.Equal(len(responsible), 100)
+	for _, n := range responsible {
 		is.Equal(n, 1)
 	}
 }
 
-// Instances that were cut off kept permits that they could not give back. Whoever gives permits must
-// know that they are not heard, and must not take one that has just started for silent.
+// Instances that are cut off keep admissions that they cannot complete. The controller must detect that they are
+// not reachable, and must not take an instance that has just started for unreachable.
 func TestReachable(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -259,14 +260,14 @@
 	r.Put("i0", roster.Entry{Address: "a0", Domain: "d0", Incarnation: 1}, now)
 	r.Put("i1", roster.Entry{Address: "a1", Domain: "d1", Incarnation: 1}, now)
 	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1, Stopping: true}, now)
-	is.True(r.Reachable("a1", now.Add(500*time.Millisecond))) // it stops, and has its permits still
+	is.True(r.Reachable("a1", now.Add(500*time.Millisecond))) // it is stopping and still has its admissions
 	is.True(!r.Reachable("a1", now.Add(2*time.Second)))
 	is.True(r.Reachable("a0", now.Add(time.Hour)))
 	is.True(r.Reachable("a7", now))
 }
 
-// The leader of 295 instances sent each record of 20 KB to all others by itself: a quarter of a second on its
-// link for each plan.
+// Guards against a leader that sends each record to all others directly: with 295 instances and records of
+// 20 KB, that takes a quarter of a second on its link for each plan.
 func TestRelays(t *testing.T) {
 	is := is.New(t)
 	r := roster.New("i0", "d0")
@@ -277,7 +278,7 @@
 	}
 	r.Put("far", roster.Entry{Incarnation: 1, Share: 1, Domain: "small"}, start)
 	direct, relays := r.Relays(start)
-	is.Equal(len(direct), 20) // nineteen of the own domain, and one of a small one
+	is.Equal(len(direct), 20) // 19 of its own domain, and one of a small domain
 	is.Equal(len(relays), 2)
 	for _, p := range relays {
 		is.Equal(p.Share, 7.0)
@@ -291,6 +292,6 @@
 	_, next := r.Relays(later)
 	is.Equal(len(next), 2)
 	for _, p := range next {
-		is.True(p.Name != relays[0].Name) // one that is silent passes nothing on
+		is.True(p.Name != relays[0].Name) // an instance that is not alive cannot relay
 	}
 }
