--- a/internal/roster/clockoffset_test.go
+++ b/internal/roster/clockoffset_test.go
@@ -66,6 +66,6 @@
 	r.RecordEcho(roster.Heartbeat{Name: "i1", Incarnation: 1, SentAt: 120, EchoAt: 115}, 130) // was in transit
 	_, dated := r.EarliestSendTime("i1", 140, 150)
 	is.True(!dated)
-	_, dated = r.EarliestSendTime("unregistered", 140, 150)
+	_, dated = r.EarliestSendTime("stranger", 140, 150)
 	is.True(!dated)
 }
--- a/internal/roster/quorum.go
+++ b/internal/roster/quorum.go
@@ -132,11 +132,11 @@
 	matching int
 }
 
-func (v tally) atLeastHalf() bool { return 2*v.matching >= v.total }
+func (t tally) atLeastHalf() bool { return 2*t.matching >= t.total }
 
-func (v tally) majority() bool { return 2*v.matching > v.total }
+func (t tally) majority() bool { return 2*t.matching > t.total }
 
-func (v tally) plus(o tally) tally { return tally{v.total + o.total, v.matching + o.matching} }
+func (t tally) plus(o tally) tally { return tally{t.total + o.total, t.matching + o.matching} }
 
 // HalfConfirmed reports whether the record at an offset is confirmed by at least half of all instances and
 // at least half of those of each failure domain. Instances that were registered at any time since the given
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -53,12 +53,12 @@
 	p.leastUtilized.key = func(s *server) float64 { return s.load / s.capacity }
 	p.mostHeadroom.key = func(s *server) float64 { return -s.headroom() }
 	total := 0.0
-	for _, m := range in.Servers {
-		if !m.Usable || m.Lost {
+	for _, st := range in.Servers {
+		if !st.Usable || st.Lost {
 			continue
 		}
-		s := &server{ServerState: m, capacity: max(m.Capacity, 0.01)}
-		p.servers[m.ID] = s
+		s := &server{ServerState: st, capacity: max(st.Capacity, 0.01)}
+		p.servers[st.ID] = s
 		p.usable = append(p.usable, s)
 		total += s.capacity
 	}
--- a/internal/shard/rates.go
+++ b/internal/shard/rates.go
@@ -11,7 +11,8 @@
 	steadyHalfLife = 3 * time.Second
 	// recentHalfLife is short enough that a key which becomes busy is detected within a second or two.
 	// The recent rate is used only where it differs significantly from the baseline or the steady rate.
-	recentHalfLife   = time.Second
+	recentHalfLife = time.Second
+	// baselineHalfLife is that of the usual rate of a key, with which the recent rate is compared.
 	baselineHalfLife = 8 * time.Second
 	// rescaleInterval is the time for which the weights of requests grow before all sums are scaled
 	// down again.
