--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -141,7 +141,7 @@
 	var before time.Duration
 	q.returning, before = p.returning(q.route.Name, patient, q.arrivedAt)
 	// A request that was tried before has used a part of the time to its target.
-	target := q.route.Target
+	target := q.route.TargetLatency
 	if target == 0 {
 		target = patient / 2
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -56,13 +56,13 @@
 type Permits interface {
 	// Acquire waits for a permit. The granted one must be given back. A nil refusal means that
 	// it was granted.
-	Acquire(ctx context.Context, a permit.Ask, domain string) (Permit, *permit.Refused)
+	Acquire(ctx context.Context, a permit.Request, domain string) (Permit, *permit.Rejected)
 }
 
 // Permit is the right to send one request to a server.
 type Permit interface {
 	Server() string
-	Done(d permit.Done)
+	Done(d permit.Completion)
 }
 
 // World is what the edge knows of its surroundings at a moment.
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -86,9 +86,9 @@
 func (q *request) permit(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
 	began := time.Now()
 	defer func() { q.waited += time.Since(began) }()
-	ask := permit.Ask{
+	ask := permit.Request{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
-		TargetAt: q.targetAt, LimitAt: q.limitAt, Avoid: q.avoid,
+		TargetAt: q.targetAt, Deadline: q.limitAt, Avoid: q.avoid,
 	}
 	domain := ""
 	if q.divided {
@@ -109,16 +109,16 @@
 	}
 	s, found := q.edge.World.Server(p.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		p.Done(permit.Done{Outcome: permit.Unsent})
+		p.Done(permit.Completion{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
 	return p, s, nil
 }
 
 // refuse turns a refusal of the keeper into an answer.
-func (q *request) refuse(ctx context.Context, refused *permit.Refused) *inlet.Reply {
+func (q *request) refuse(ctx context.Context, refused *permit.Rejected) *inlet.Reply {
 	switch {
-	case refused.Reason == permit.Gone:
+	case refused.Reason == permit.OwnerGone:
 		if !duty.Pause(ctx, movedPause) {
 			q.why = whyNoOwner
 			return refusal(http.StatusServiceUnavailable, ownerRetry)
@@ -172,7 +172,7 @@
 	defer q.edge.running.add(s.Domain, -1)
 	began := time.Now()
 	response, err := q.send(ctx, s)
-	done := permit.Done{}
+	done := permit.Completion{}
 	defer func() {
 		done.Took = time.Since(began)
 		p.Done(done)
@@ -199,10 +199,10 @@
 }
 
 // answered decides about a whole answer.
-func (q *request) answered(ctx context.Context, done *permit.Done, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
+func (q *request) answered(ctx context.Context, done *permit.Completion, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
 	case a.NotRun && a.Moved:
-		done.Outcome = permit.NotHere
+		done.Outcome = permit.NotOwner
 		q.why = whyNoOwner
 		duty.Pause(ctx, movedPause)
 		return refusal(http.StatusServiceUnavailable, ownerRetry), true
@@ -222,7 +222,7 @@
 }
 
 // unanswered decides about a sending that led to no whole answer.
-func (q *request) unanswered(ctx context.Context, done *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
+func (q *request) unanswered(ctx context.Context, done *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
 	done.Outcome = permit.Lost
--- a/internal/node/beats.go
+++ b/internal/node/beats.go
@@ -142,8 +142,8 @@
 // old the knowledge is at an instant that nothing is missing before them, in milliseconds, negative if
 // it is of no use to others.
 func (n *Node) complete(at clock.Instant) (age, config, servers int64) {
-	config, configUntil := n.topics[n.around.Config].Known()
-	servers, serversUntil := n.topics[n.around.Servers].Known()
+	config, configUntil := n.topics[n.around.ConfigTopic].Known()
+	servers, serversUntil := n.topics[n.around.ServersTopic].Known()
 	return millis(at, min(configUntil, serversUntil)), config, servers
 }
 
@@ -164,8 +164,8 @@
 		return
 	}
 	until := sentAt.Add(-time.Duration(b.CompleteAge) * time.Millisecond)
-	n.topics[n.around.Config].Refresh(b.ConfigEnd, until)
-	n.topics[n.around.Servers].Refresh(b.ServersEnd, until)
+	n.topics[n.around.ConfigTopic].Refresh(b.ConfigEnd, until)
+	n.topics[n.around.ServersTopic].Refresh(b.ServersEnd, until)
 }
 
 // hearBeat takes in the heartbeat of another instance, and reads again what that one knows more
@@ -178,13 +178,13 @@
 		n.answerBeat(b.Name)
 	}
 	n.holder.Hear(b)
-	if n.compare(n.around.Owners, b.Known, n.holder.Owners().End, now) {
+	if n.compare(n.around.OwnersTopic, b.Known, n.holder.Owners().End, now) {
 		n.askForOwners(b.Name)
 	}
-	config, _ := n.topics[n.around.Config].Known()
-	servers, _ := n.topics[n.around.Servers].Known()
-	n.compare(n.around.Config, b.ConfigEnd, config, now)
-	n.compare(n.around.Servers, b.ServersEnd, servers, now)
+	config, _ := n.topics[n.around.ConfigTopic].Known()
+	servers, _ := n.topics[n.around.ServersTopic].Known()
+	n.compare(n.around.ConfigTopic, b.ConfigEnd, config, now)
+	n.compare(n.around.ServersTopic, b.ServersEnd, servers, now)
 	n.hearComplete(b)
 }
 
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -78,7 +78,7 @@
 func newFollower(s follow.Store, others int) *Node {
 	n := &Node{
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
-		around:   Surroundings{Store: s, Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners"},
+		around:   Platform{Store: s, ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners"},
 		roster:   roster.New("i0", "a"), updates: make(chan follow.Update, 64),
 		again: map[string]chan struct{}{}, news: map[string]chan follow.News{},
 	}
