--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -24,7 +24,7 @@
 // The messages, encoded by position: fields may be renamed but keep their order and types.
 type (
 	// Heartbeat shows that an instance is alive and states what it knows and confirms.
-	Heartbeat struct{ roster.Beat }
+	Heartbeat struct{ roster.Heartbeat }
 	// AdmissionRequest asks the controller of a pool or a server to admit a request. Times are in
 	// milliseconds from now, since clocks differ between machines.
 	AdmissionRequest struct {
--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -213,7 +213,7 @@
 // controllerUnreachable marks an instance that did not answer as a controller as suspected.
 func (n *Node) controllerUnreachable(controller string) {
 	now := time.Now()
-	n.roster.Silent(controller, now)
+	n.roster.Suspect(controller, now)
 	n.unreachableMu.Lock()
 	defer n.unreachableMu.Unlock()
 	if now.Sub(n.unreachableLoggedAt[controller]) < unreachableLogInterval {
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -74,7 +74,7 @@
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	now := time.Now()
-	ad.isolated = !ad.node.roster.Most(now)
+	ad.isolated = !ad.node.roster.MajorityAlive(now)
 	for pool, c := range ad.controllers {
 		if !c.Idle() {
 			ad.deliver(c.Tick(now))
@@ -96,7 +96,7 @@
 // When a failure domain is cut off, its instances hold admissions that they cannot give up. These would occupy free
 // slots of servers, and requests would be rejected there.
 func (ad *admissions) recheck(c *permit.Controller, id permit.ID, now time.Time) {
-	if !ad.node.roster.Reached(id.From, now) {
+	if !ad.node.roster.Reachable(id.From, now) {
 		ad.node.events.Note(event.Belief, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
 		ad.deliver(c.Cancel(now, id))
 		return
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -145,7 +145,7 @@
 // dropped, and heartbeats show later that this instance is behind.
 func (n *Node) handleTopicUpdate(m gram.TopicUpdate) {
 	update := m.News
-	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
+	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		update.SentAt = sentAt
 	}
 	select {
@@ -207,7 +207,7 @@
 	case gram.Relay:
 		n.forward(r.From, m)
 	case gram.Heartbeat:
-		n.handleHeartbeat(m.Beat)
+		n.handleHeartbeat(m.Heartbeat)
 	case gram.AdmissionRequest:
 		n.admissions.handleRequest(r.From, m)
 	case gram.AdmissionDecision:
@@ -285,8 +285,8 @@
 		return shard.Range{}, false, changed
 	}
 	r := m.Ranges[i]
-	if len(r.Before) > 0 && n.cluster.isMoveComplete(service, r.From, r.Fence) {
-		r.Before = nil
+	if len(r.FormerOwners) > 0 && n.cluster.isMoveComplete(service, r.From, r.Fence) {
+		r.FormerOwners = nil
 	}
 	return r, true, changed
 }
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -53,17 +53,17 @@
 // domainHeartbeatInterval returns the time to the next heartbeat to the own failure domain.
 func (n *Node) domainHeartbeatInterval() time.Duration {
 	if n.leases.Leads() {
-		return min(n.roster.EveryNear(), n.roster.LeaderEvery())
+		return min(n.roster.DomainHeartbeatInterval(), n.roster.LeaderHeartbeatInterval())
 	}
-	return n.roster.EveryNear()
+	return n.roster.DomainHeartbeatInterval()
 }
 
 // allHeartbeatInterval returns the minimum time to the next heartbeat to all instances. It is shortened by half a
 // domain interval, so that the heartbeat goes out with the nearest one to the own domain.
 func (n *Node) allHeartbeatInterval() time.Duration {
-	interval := n.roster.Every()
+	interval := n.roster.HeartbeatInterval()
 	if n.leases.Leads() {
-		interval = n.roster.LeaderEvery()
+		interval = n.roster.LeaderHeartbeatInterval()
 	}
 	return interval - n.domainHeartbeatInterval()/2
 }
@@ -76,7 +76,7 @@
 	others := n.roster.Others()
 	leader, found := n.roster.Leader(now)
 	b := n.newHeartbeat()
-	n.roster.Heard(b, now)
+	n.roster.RecordHeartbeat(b, now)
 	if found && leader.Name != n.settings.Name {
 		n.sendHeartbeat(leader, b, echo.due(leader.Name, now))
 	}
@@ -108,10 +108,10 @@
 }
 
 // sendHeartbeat sends a heartbeat to one peer, with the echo of the peer's last one. Ask asks for a reply at once.
-func (n *Node) sendHeartbeat(p roster.Peer, b roster.Beat, ask bool) {
+func (n *Node) sendHeartbeat(p roster.Peer, b roster.Heartbeat, ask bool) {
 	if to, ok := peerAddress(p); ok {
-		b.EchoAt, b.Ask = p.Beat.SentAt, ask
-		n.port.Send(to, gram.Heartbeat{Beat: b})
+		b.EchoAt, b.ReplyNow = p.Heartbeat.SentAt, ask
+		n.port.Send(to, gram.Heartbeat{Heartbeat: b})
 	}
 }
 
@@ -120,7 +120,7 @@
 const maxKnowledgeAge = 30 * time.Second
 
 // newHeartbeat returns the heartbeat of this instance, without the fields that depend on the receiver.
-func (n *Node) newHeartbeat() roster.Beat {
+func (n *Node) newHeartbeat() roster.Heartbeat {
 	// Take the send time first. If it were taken after the ages, the view would seem younger by the time in between,
 	// which is a large part of a tenth of a second where the share of a core is a quota.
 	sentAt := clock.Boot{}.Now()
@@ -131,13 +131,13 @@
 		age = a.Milliseconds() + 1
 	}
 	answeredAt := clock.Instant(n.storeAnsweredAt.Load())
-	return roster.Beat{
-		Proven:   answeredAt != 0 && clock.Boot{}.Now().Sub(answeredAt) < n.leaderPollTimeout()+storeAnswerSlack,
-		Complete: complete,
-		SentAt:   int64(sentAt), KnownAge: age,
+	return roster.Heartbeat{
+		StoreAnswered: answeredAt != 0 && clock.Boot{}.Now().Sub(answeredAt) < n.leaderPollTimeout()+storeAnswerSlack,
+		CompleteAge:   complete,
+		SentAt:        int64(sentAt), KnownAge: age,
 		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.leases.Confirmed(),
 		Known: n.leases.Owners().End, StoreOK: reached.owners && reached.directory,
-		Stopping: n.isStopping(), Leads: n.leases.Leads(), Config: configEnd, Servers: serversEnd, Failing: n.leases.Failing(),
+		Stopping: n.isStopping(), Leads: n.leases.Leads(), ConfigEnd: configEnd, ServersEnd: serversEnd, Failing: n.leases.Failing(),
 	}
 }
 
@@ -162,22 +162,22 @@
 
 // confirmCurrent uses the statement of a peer that it misses nothing before the ends that it knows: a watch of this
 // instance with the same end is current as of the same time. A watch with a lower end must read the store instead.
-func (n *Node) confirmCurrent(b roster.Beat) {
-	sentAt, dated := n.roster.Date(b.Name, b.SentAt, clock.Boot{}.Now())
-	if b.Complete < 0 || !dated {
+func (n *Node) confirmCurrent(b roster.Heartbeat) {
+	sentAt, dated := n.roster.EarliestSendTime(b.Name, b.SentAt, clock.Boot{}.Now())
+	if b.CompleteAge < 0 || !dated {
 		return
 	}
-	until := sentAt.Add(-time.Duration(b.Complete) * time.Millisecond)
-	n.watches[n.platform.ConfigTopic].Refresh(b.Config, until)
-	n.watches[n.platform.ServersTopic].Refresh(b.Servers, until)
+	until := sentAt.Add(-time.Duration(b.CompleteAge) * time.Millisecond)
+	n.watches[n.platform.ConfigTopic].Refresh(b.ConfigEnd, until)
+	n.watches[n.platform.ServersTopic].Refresh(b.ServersEnd, until)
 }
 
 // handleHeartbeat processes the heartbeat of a peer, and reads the topics of which the peer knows more.
-func (n *Node) handleHeartbeat(b roster.Beat) {
+func (n *Node) handleHeartbeat(b roster.Heartbeat) {
 	now := time.Now()
-	n.roster.Heard(b, now)
-	n.roster.Echoed(b, clock.Boot{}.Now())
-	if b.Ask {
+	n.roster.RecordHeartbeat(b, now)
+	n.roster.RecordEcho(b, clock.Boot{}.Now())
+	if b.ReplyNow {
 		n.replyWithHeartbeat(b.Name)
 	}
 	n.leases.Hear(b)
@@ -186,8 +186,8 @@
 	}
 	configEnd, _ := n.watches[n.platform.ConfigTopic].Known()
 	serversEnd, _ := n.watches[n.platform.ServersTopic].Known()
-	n.checkLag(n.platform.ConfigTopic, b.Config, configEnd, now)
-	n.checkLag(n.platform.ServersTopic, b.Servers, serversEnd, now)
+	n.checkLag(n.platform.ConfigTopic, b.ConfigEnd, configEnd, now)
+	n.checkLag(n.platform.ServersTopic, b.ServersEnd, serversEnd, now)
 	n.confirmCurrent(b)
 }
 
--- a/internal/node/watches.go
+++ b/internal/node/watches.go
@@ -100,7 +100,7 @@
 func (n *Node) maxStaleness() time.Duration {
 	spread := min(maxStalenessSpread, time.Duration(n.instances())*stalenessSpreadPerInstance)
 	part := float64(xxhash.Sum64String(n.settings.Name)>>11) / (1 << 53)
-	return n.leaderPollTimeout() + n.roster.LeaderEvery() + stalenessSlack + time.Duration(part*float64(spread))
+	return n.leaderPollTimeout() + n.roster.LeaderHeartbeatInterval() + stalenessSlack + time.Duration(part*float64(spread))
 }
 
 // retryDelay returns the pause after a failed read. It varies by half the mean each way, so that instances that lost
@@ -141,7 +141,7 @@
 	if c := n.settings.Bounds.ConfigSeconds; c > 0 {
 		bound = min(bound, c)
 	}
-	wait := time.Duration(bound*float64(time.Second)) - stalenessReserve - n.roster.LeaderEvery()
+	wait := time.Duration(bound*float64(time.Second)) - stalenessReserve - n.roster.LeaderHeartbeatInterval()
 	return min(max(wait, minLeaderPollTimeout), maxLeaderPollTimeout)
 }
 
--- a/internal/permit/cluster_test.go
+++ b/internal/permit/cluster_test.go
@@ -56,7 +56,7 @@
 	for i := range c.rosters {
 		for j := range c.rosters {
 			if !c.dead[i] && c.reaches(i, j) {
-				c.rosters[j].Heard(roster.Beat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
+				c.rosters[j].RecordHeartbeat(roster.Heartbeat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
 			}
 		}
 	}
@@ -80,9 +80,9 @@
 			controller = j
 			break
 		}
-		c.rosters[i].Silent(p.Name, now)
+		c.rosters[i].Suspect(p.Name, now)
 	}
-	req.NonExclusive = req.NonExclusive || !c.rosters[controller].Most(now)
+	req.NonExclusive = req.NonExclusive || !c.rosters[controller].MajorityAlive(now)
 	if _, admitted := c.controllers[controller].Decide(now, req).(permit.Admitted); !admitted {
 		c.controllers[controller].Cancel(now, req.ID)
 		return -1
--- a/internal/shard/fuzz_test.go
+++ b/internal/shard/fuzz_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Whatever bytes stand in a record of owners, they are a map of all keys or an error, and what
-// another instance tells of changes leaves it one.
+// Decode returns a map that covers all keys, or an error, for any input, and so does WithChanges for any
+// change that another instance sends.
 func FuzzDecode(f *testing.F) {
-	m := &Map{Fence: 3, Ranges: []Range{{From: 0, To: 99, Server: "a", Fence: 2}, {From: 100, To: Keys - 1, Server: "b", Fence: 3, Before: []Holder{{Server: "a"}}}}}
+	m := &Map{Fence: 3, Ranges: []Range{{From: 0, To: 99, Server: "a", Fence: 2}, {From: 100, To: NumKeys - 1, Server: "b", Fence: 3, FormerOwners: []Owner{{Server: "a"}}}}}
 	data, err := m.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -18,17 +18,17 @@
 		if err != nil {
 			return
 		}
-		for _, key := range []uint16{0, from, to, Keys - 1} {
+		for _, key := range []uint16{0, from, to, NumKeys - 1} {
 			if i := m.Find(key); len(m.Ranges) > 0 && (i < 0 || m.Ranges[i].From > key || m.Ranges[i].To < key) {
-				t.Errorf("key %d is in range %d of %+v", key, i, m.Ranges)
+				t.Errorf("key %d: got range %d of %+v", key, i, m.Ranges)
 			}
 		}
-		changed, err := m.With(m.Fence+1, []Range{{From: from, To: to, Server: "c", Fence: m.Fence + 1}})
+		changed, err := m.WithChanges(m.Fence+1, []Range{{From: from, To: to, Server: "c", Fence: m.Fence + 1}})
 		if err != nil {
 			return
 		}
 		if i := changed.Find(from); i < 0 || changed.Ranges[i].Server != "c" {
-			t.Errorf("key %d did not change: %+v", from, changed.Ranges)
+			t.Errorf("key %d did not get its new owner: %+v", from, changed.Ranges)
 		}
 	})
 }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -10,53 +10,54 @@
 	"example.org/mustardring/internal/shard"
 )
 
-func members(powers ...float64) []shard.Member {
-	var out []shard.Member
-	for i, p := range powers {
-		out = append(out, shard.Member{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Power: p, Slots: 2, Usable: true})
+// testServers returns usable servers with the given capacities, named s00, s01 and so on.
+func testServers(capacities ...float64) []shard.ServerState {
+	var out []shard.ServerState
+	for i, c := range capacities {
+		out = append(out, shard.ServerState{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Capacity: c, Slots: 2, Usable: true})
 	}
 	return out
 }
 
-func input(m *shard.Map, load []float64, all []shard.Member) shard.Input {
+func input(m *shard.Map, load []float64, all []shard.ServerState) shard.Input {
 	addresses := map[string]string{}
 	for _, s := range all {
 		addresses[s.ID] = s.Address
 	}
-	return shard.Input{Map: m, Members: all, Load: load, Target: 0.6, Addresses: addresses}
+	return shard.Input{Map: m, Servers: all, Load: load, TargetLatency: 0.6, Addresses: addresses}
 }
 
-// use returns the utilisation of each server.
-func use(in shard.Input) map[string]float64 {
+// utilization returns the utilization of each server by id.
+func utilization(in shard.Input) map[string]float64 {
 	out := map[string]float64{}
-	for _, u := range shard.Uses(in) {
-		out[u.Server] = u.Load / u.Power
+	for _, u := range shard.ServerLoads(in) {
+		out[u.Server] = u.Load / u.Capacity
 	}
 	return out
 }
 
-// settle completes all moves.
-func settle(m *shard.Map) *shard.Map {
+// completeMoves returns a copy of the map in which all moves are complete.
+func completeMoves(m *shard.Map) *shard.Map {
 	out := m.Clone()
 	for i := range out.Ranges {
-		out.Ranges[i].Before = nil
+		out.Ranges[i].FormerOwners = nil
 	}
 	return out
 }
 
-// plan plans until nothing changes, and returns the map and the number of plans.
-func plan(in shard.Input) (*shard.Map, int) {
+// planUntilStable makes plans until the map stays, at most 100, and returns the map and their number.
+func planUntilStable(in shard.Input) (*shard.Map, int) {
 	for n := range 100 {
 		next := shard.Plan(in)
 		if next == nil {
 			return in.Map, n
 		}
-		in.Map = settle(next)
+		in.Map = completeMoves(next)
 	}
 	return in.Map, 100
 }
 
-func TestRecord(t *testing.T) {
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t, "m")
 		data, err := m.Encode()
@@ -74,27 +75,27 @@
 }
 
 func drawMap(t *rapid.T, label string) *shard.Map {
-	m := shard.Plan(input(&shard.Map{}, nil, members(9, 9, 5, 14)))
+	m := shard.Plan(input(&shard.Map{}, nil, testServers(9, 9, 5, 14)))
 	for i := range rapid.IntRange(0, 12).Draw(t, label+" changes") {
 		r := rapid.IntRange(0, len(m.Ranges)-1).Draw(t, "range")
 		if rapid.Bool().Draw(t, "split") {
 			m.Split(r, rapid.Uint16().Draw(t, "key"))
 			continue
 		}
-		m.Move(r, fmt.Sprintf("new%d", i), []shard.Holder{{Server: m.Ranges[r].Server, Address: "a"}})
+		m.Reassign(r, fmt.Sprintf("new%d", i), []shard.Owner{{Server: m.Ranges[r].Server, Address: "a"}})
 	}
 	return m
 }
 
-func TestDecodeRefuses(t *testing.T) {
-	good, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}}).Encode()
+func TestDecodeRejects(t *testing.T) {
+	good, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1}}}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	gap, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 5, To: shard.Keys - 1, Server: "s", Fence: 1}}}).Encode()
-	fence, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 2}}}).Encode()
+	gap, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 5, To: shard.NumKeys - 1, Server: "s", Fence: 1}}}).Encode()
+	fence, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 2}}}).Encode()
 	for name, data := range map[string][]byte{
-		"nothing": nil, "cut": good[:len(good)-2], "a gap": gap, "a fence above the highest": fence, "other": []byte("{}"),
+		"empty": nil, "cut": good[:len(good)-2], "a gap": gap, "a fence above the highest": fence, "other": []byte("{}"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := shard.Decode(data)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Changes and With together must give every key the owner that the new map gives it.
+// Applying the result of Changes with WithChanges must give every key the owner that it has in the new map.
 func TestChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawMap(t, "from")
@@ -111,136 +112,137 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "moves") {
 			r := rapid.IntRange(0, len(to.Ranges)-1).Draw(t, "range")
 			to.Split(r, rapid.Uint16().Draw(t, "key"))
-			to.Move(r, fmt.Sprintf("later%d", i), []shard.Holder{{Server: "x", Address: "y"}})
+			to.Reassign(r, fmt.Sprintf("later%d", i), []shard.Owner{{Server: "x", Address: "y"}})
 		}
 		if rapid.Bool().Draw(t, "settled") {
-			to = settle(to)
-			to.Join()
+			to = completeMoves(to)
+			to.MergeAdjacent()
 		}
-		got, err := from.With(to.Fence, to.Changes(from))
+		got, err := from.WithChanges(to.Fence, to.Changes(from))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for key := 0; key < shard.Keys; key += 61 {
+		for key := 0; key < shard.NumKeys; key += 61 {
 			a, b := got.Ranges[got.Find(uint16(key))], to.Ranges[to.Find(uint16(key))]
-			if a.Server != b.Server || a.Fence != b.Fence || len(a.Before) != len(b.Before) {
+			if a.Server != b.Server || a.Fence != b.Fence || len(a.FormerOwners) != len(b.FormerOwners) {
 				t.Fatalf("key %d: got %v, want %v", key, a, b)
 			}
 		}
 	})
 }
 
-// The keys of the first division went to servers in equal parts, whatever they can do, and a
-// slow server lost a third of its requests until the load was known.
-func TestFirstDivision(t *testing.T) {
+// Guards against a first division into equal parts regardless of capacity: a slow server would lose a
+// third of its requests until the load is known.
+func TestInitialDivision(t *testing.T) {
 	is := is.New(t)
-	m := shard.Plan(input(&shard.Map{}, nil, members(5, 10, 15)))
+	m := shard.Plan(input(&shard.Map{}, nil, testServers(5, 10, 15)))
 	keys := map[string]int{}
 	for _, r := range m.Ranges {
 		keys[r.Server] += r.Len()
 	}
-	is.Equal(len(m.Ranges), 12) // four ranges a server
+	is.Equal(len(m.Ranges), 12) // four ranges per server
 	is.True(keys["s00"] < keys["s01"] && keys["s01"] < keys["s02"])
 }
 
-// Readers of one busy volume were refused for 20 seconds while fourteen servers idled: its keys
-// lay in one range, of which only the whole could be moved.
+// Guards against moving ranges only as a whole: if neighbouring busy keys lie in one range, its server
+// rejects requests for 20 seconds while 14 other servers are idle.
 func TestBusyKeysAreSpread(t *testing.T) {
 	is := is.New(t)
-	all := members(9, 9, 9, 9, 9, 9)
+	all := testServers(9, 9, 9, 9, 9, 9)
 	m := shard.Plan(input(&shard.Map{}, nil, all))
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for i := range 8 {
-		load[100+i] = 3 // 24 requests a second for neighbouring keys
+		load[100+i] = 3 // 24 requests per second for neighbouring keys
 	}
 	in := input(m, load, all)
-	is.True(use(in)["s00"] > 1 || use(in)["s01"] > 1) // before
-	after, plans := plan(in)
+	is.True(utilization(in)["s00"] > 1 || utilization(in)["s01"] > 1) // before
+	after, plans := planUntilStable(in)
 	in.Map = after
-	for server, u := range use(in) {
+	for server, u := range utilization(in) {
 		if u > 0.8 {
-			t.Errorf("%s is used to %.2f", server, u)
+			t.Errorf("utilization of %s is %.2f", server, u)
 		}
 	}
 	is.True(plans < 4)
 }
 
-// One key is asked for more than any server can do: it must have the fastest one, and nothing
-// else may share its server.
-func TestOneKeyTooBusy(t *testing.T) {
+// A key whose load exceeds the capacity of every server must get the fastest server, which may own hardly
+// any other keys.
+func TestKeyExceedsEveryServer(t *testing.T) {
 	is := is.New(t)
-	all := members(6, 9, 9, 15)
-	load := make([]float64, shard.Keys)
+	all := testServers(6, 9, 9, 15)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
-		load[i] = 10.0 / shard.Keys
+		load[i] = 10.0 / shard.NumKeys
 	}
 	load[7] = 25
-	m, _ := plan(input(shard.Plan(input(&shard.Map{}, nil, all)), load, all))
+	m, _ := planUntilStable(input(shard.Plan(input(&shard.Map{}, nil, all)), load, all))
 	owner := m.Ranges[m.Find(7)].Server
 	is.Equal(owner, "s03")
 	others := 0.0
-	for _, r := range m.Of(owner) {
+	for _, r := range m.RangesOf(owner) {
 		others += float64(r.Len())
 	}
-	is.True(others < shard.Keys/16)
+	is.True(others < shard.NumKeys/16)
 }
 
-// Moves that gain nothing cost readers the state of their keys: a calm service must not churn.
-func TestCalmLoadMovesNothing(t *testing.T) {
+// A service with a low load must not move keys: moves that gain nothing make callers lose the state that
+// servers hold for their keys.
+func TestLowLoadMovesNothing(t *testing.T) {
 	is := is.New(t)
-	all := members(9, 9, 9, 9)
-	load := make([]float64, shard.Keys)
+	all := testServers(9, 9, 9, 9)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
-		load[i] = 6.0 / shard.Keys
+		load[i] = 6.0 / shard.NumKeys
 	}
 	m := shard.Plan(input(&shard.Map{}, nil, all))
-	_, plans := plan(input(m, load, all))
+	_, plans := planUntilStable(input(m, load, all))
 	is.Equal(plans, 0)
 }
 
 func TestLostServer(t *testing.T) {
-	tests := map[string]func(all []shard.Member) []shard.Member{
-		"drains": func(all []shard.Member) []shard.Member { all[1].Lost, all[1].Usable = true, false; return all },
-		"gone":   func(all []shard.Member) []shard.Member { return append(all[:1:1], all[2:]...) },
+	tests := map[string]func(all []shard.ServerState) []shard.ServerState{
+		"drains": func(s []shard.ServerState) []shard.ServerState { s[1].Lost, s[1].Usable = true, false; return s },
+		"gone":   func(s []shard.ServerState) []shard.ServerState { return append(s[:1:1], s[2:]...) },
 	}
 	for name, lose := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := shard.Plan(input(&shard.Map{}, nil, members(9, 9, 9)))
+			m := shard.Plan(input(&shard.Map{}, nil, testServers(9, 9, 9)))
 			before := m.Fence
-			in := input(m, nil, lose(members(9, 9, 9)))
+			in := input(m, nil, lose(testServers(9, 9, 9)))
 			in.Addresses["s01"] = "10.0.0.1:1"
 			next := shard.Plan(in)
-			is.Equal(len(next.Of("s01")), 0)
+			is.Equal(len(next.RangesOf("s01")), 0)
 			for _, r := range next.Ranges {
 				if r.Fence > before {
-					is.Equal(r.Before, []shard.Holder{{Server: "s01", Address: "10.0.0.1:1"}})
+					is.Equal(r.FormerOwners, []shard.Owner{{Server: "s01", Address: "10.0.0.1:1"}})
 				}
 			}
 		})
 	}
 }
 
-// The new owner of a range is lost before the old one has given it up. Both may still act, and
-// the third one must wait for both.
-func TestMoveOvertaken(t *testing.T) {
+// If the new owner of a range is lost before the old one has released it, both may still act on it, and
+// the third owner must wait for both.
+func TestNewOwnerLostDuringMove(t *testing.T) {
 	is := is.New(t)
-	m := shard.Plan(input(&shard.Map{}, nil, members(9, 9, 9)))
+	m := shard.Plan(input(&shard.Map{}, nil, testServers(9, 9, 9)))
 	first := m.Ranges[0].Server
-	m.Move(0, "s02", []shard.Holder{{Server: first, Address: "10.0.0.0:1"}})
-	in := input(m, nil, members(9, 9))
+	m.Reassign(0, "s02", []shard.Owner{{Server: first, Address: "10.0.0.0:1"}})
+	in := input(m, nil, testServers(9, 9))
 	in.Addresses["s02"] = "10.0.0.2:1"
 	next := shard.Plan(in)
-	is.Equal(len(next.Ranges[0].Before), 2)
+	is.Equal(len(next.Ranges[0].FormerOwners), 2)
 }
 
 func BenchmarkPlan(b *testing.B) {
-	powers := make([]float64, 200)
-	for i := range powers {
-		powers[i] = 6 + float64(i%9)
+	capacities := make([]float64, 200)
+	for i := range capacities {
+		capacities[i] = 6 + float64(i%9)
 	}
-	all := members(powers...)
-	load := make([]float64, shard.Keys)
+	all := testServers(capacities...)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
 		load[i] = float64(i%37) * 0.03
 	}
@@ -251,9 +253,9 @@
 	}
 }
 
-// 604 servers, each with a few dozen neighbouring keys, and 200 neighbouring keys that get two fifths of the
-// requests for five seconds. Load was counted for 32 keys together, each of which were more than 20 servers
-// could do, and the plan took longer than the keys were busy: a fifth of all requests was refused.
+// 200 neighbouring keys of 604 servers get two fifths of the requests for five seconds. Guards against
+// counting the load of groups of 32 keys only, where one group is more than 20 servers can handle, and
+// against plans that take longer than the keys are busy: a fifth of all requests would be rejected.
 func TestHotRunIsSpread(t *testing.T) {
 	tests := map[string]struct{ servers, hot int }{
 		"a run of 200 at 604 servers":  {604, 200},
@@ -265,32 +267,33 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			in := hotKeys(test.servers, test.hot)
-			t.Logf("too much at first: %.3f", excess(in))
+			t.Logf("excess before: %.3f", excess(in))
 			for range 3 {
 				next := shard.Plan(in)
 				if next == nil {
 					break
 				}
-				in.Map = settle(next)
-				t.Logf("then %.3f with %d ranges", excess(in), len(in.Map.Ranges))
+				in.Map = completeMoves(next)
+				t.Logf("excess after a plan: %.3f with %d ranges", excess(in), len(in.Map.Ranges))
 			}
-			is.True(excess(in) < excessMost(test.servers, test.hot))
+			is.True(excess(in) < maxExcess(test.servers, test.hot))
 		})
 	}
 }
 
-// excess returns the share of the requests that are more than their servers can do.
+// excess returns the share of the requests that exceeds the capacities of their servers.
 func excess(in shard.Input) float64 {
 	over, all := 0.0, 0.0
-	for _, u := range shard.Uses(in) {
-		over += max(0, u.Load-u.Power)
+	for _, u := range shard.ServerLoads(in) {
+		over += max(0, u.Load-u.Capacity)
 		all += u.Load
 	}
 	return over / all
 }
 
-// excessMost returns a tenth more than what must be refused whatever the plan, as each key has one server.
-func excessMost(servers, hot int) float64 {
+// maxExcess returns the excess that no plan can avoid, because a key has only one server, plus a margin of
+// 0.02.
+func maxExcess(servers, hot int) float64 {
 	const all, hotShare, strongest = 0.5, 0.4, 18.0
 	total := float64(servers) * 10.5
 	each := hotShare * all * total / float64(hot)
@@ -305,44 +308,45 @@
 	}
 }
 
-// hotKeys returns the state of a service at half of its power in which a run of neighbouring keys gets two
-// fifths of the requests, all of a sudden.
+// hotKeys returns the state of a service at half of its capacity in which neighbouring keys suddenly get
+// two fifths of the requests.
 func hotKeys(servers, hot int) shard.Input {
-	powers := make([]float64, servers)
+	capacities := make([]float64, servers)
 	total := 0.0
-	for i := range powers {
-		powers[i] = []float64{18, 9, 9, 6}[i%4]
-		total += powers[i]
+	for i := range capacities {
+		capacities[i] = []float64{18, 9, 9, 6}[i%4]
+		total += capacities[i]
 	}
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for key := range load {
-		load[key] = 0.3 * total / shard.Keys
+		load[key] = 0.3 * total / shard.NumKeys
 	}
 	for i := range hot {
 		load[20000+i] += 0.2 * total / float64(hot)
 	}
-	all := members(powers...)
+	all := testServers(capacities...)
 	in := input(shard.Plan(input(&shard.Map{}, nil, all)), load, all)
-	in.Target = 1
+	in.TargetLatency = 1
 	return in
 }
 
-// Guards against a server that started again and gets all keys back, more than a cold one bears.
-func TestColdServerGetsBackWhatItBears(t *testing.T) {
+// Guards against giving a restarted server all of its former keys back when their load exceeds the capacity
+// of a cold server.
+func TestColdServerStaysWithinCapacity(t *testing.T) {
 	is := is.New(t)
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for key := range load {
-		load[key] = 40.0 / shard.Keys
+		load[key] = 40.0 / shard.NumKeys
 	}
 	m := &shard.Map{Fence: 2, Ranges: []shard.Range{
 		{From: 0, To: 1<<14 - 1, Server: "a~1", Fence: 1}, {From: 1 << 14, To: 1<<15 - 1, Server: "a~1", Fence: 1},
 		{From: 1 << 15, To: 1<<16 - 1, Server: "b", Fence: 2},
 	}}
 	next := shard.Plan(shard.Input{
-		Map: m, Load: load, Target: 0.6, Reborn: map[string]string{"a~1": "a~2"},
-		Members: []shard.Member{
-			{ID: "a~2", Power: 6, Slots: 2, Usable: true, Capped: true}, {ID: "b", Power: 40, Slots: 2, Usable: true},
-			{ID: "c", Power: 40, Slots: 2, Usable: true},
+		Map: m, Load: load, TargetLatency: 0.6, Restarted: map[string]string{"a~1": "a~2"},
+		Servers: []shard.ServerState{
+			{ID: "a~2", Capacity: 6, Slots: 2, Usable: true, Capped: true}, {ID: "b", Capacity: 40, Slots: 2, Usable: true},
+			{ID: "c", Capacity: 40, Slots: 2, Usable: true},
 		},
 	})
 	is.True(next != nil)
@@ -352,5 +356,5 @@
 			got += r.Len()
 		}
 	}
-	is.True(float64(got)/shard.Keys*40 <= 6)
+	is.True(float64(got)/shard.NumKeys*40 <= 6)
 }
