--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -18,33 +18,33 @@
 
 // The constants of admission.
 const (
-	// defaultPatience is assumed of a caller that does not state how long it waits.
-	defaultPatience = 10 * time.Second
-	// startRetry is when a caller should come back while the instance knows no configuration:
+	// defaultCallerTimeout is assumed of a caller that does not state how long it waits.
+	defaultCallerTimeout = 10 * time.Second
+	// retryAfterStart is when a caller should come back while the instance knows no configuration:
 	// it takes some 20 milliseconds to read one.
-	startRetry = 300 * time.Millisecond
-	// answerTime is kept of the caller's time for the way of the answer.
-	answerTime = 15 * time.Millisecond
+	retryAfterStart = 300 * time.Millisecond
+	// replyReserve is kept of the caller's time for the way of the answer.
+	replyReserve = 15 * time.Millisecond
 )
 
-// why says what decided a request's end.
-type why string
+// endReason says what decided a request's end.
+type endReason string
 
 // The ends of requests.
 const (
-	whyAnswered  why = "answered"
-	whyNoConfig  why = "no-configuration"
-	whyNoRoute   why = "no-route"
-	whyOverload  why = "overload"
-	whyNoServer  why = "no-server"
-	whyNoOwner   why = "no-owner"
-	whyFull      why = "server-full"
-	whyUnsent    why = "unsent"
-	whyInDoubt   why = "in-doubt"
-	whyTimeout   why = "timeout"
-	whyLeft      why = "caller-left"
-	whyCrashes   why = "crashes-servers"
-	whyNoService why = "no-service"
+	endAnswered       endReason = "answered"
+	endNoConfig       endReason = "no-configuration"
+	endNoRoute        endReason = "no-route"
+	endOverload       endReason = "overload"
+	endNoServer       endReason = "no-server"
+	endNoOwner        endReason = "no-owner"
+	endServerFull     endReason = "server-full"
+	endUnsent         endReason = "unsent"
+	endInDoubt        endReason = "in-doubt"
+	endTimeout        endReason = "timeout"
+	endCallerLeft     endReason = "caller-left"
+	endCrashesServers endReason = "crashes-servers"
+	endNoService      endReason = "no-service"
 )
 
 // request is a request in progress.
@@ -61,29 +61,29 @@
 
 	arrivedAt time.Time
 	targetAt  time.Time
-	limitAt   time.Time
+	deadline  time.Time
 	returning bool
 
 	// What follows is for the log.
 	attempts int
 	server   string
 	fence    uint64
-	// predicted is the wait that led to a refusal, pool who predicted it.
-	predicted time.Duration
-	pool      string
-	waited    time.Duration
-	// dispatched is the time from the permit to the first byte to a server, at the last attempt, and
+	// predictedWait is the wait that led to a refusal, pool who predicted it.
+	predictedWait time.Duration
+	pool          string
+	waited        time.Duration
+	// dispatchDelay is the time from the permit to the first byte to a server, at the last attempt, and
 	// leaving what the server then had left in which it takes requests, zero if it does not leave.
-	dispatched time.Duration
-	leaving    time.Duration
-	why        why
-	err        error
-	// sent says that a server may have run the request.
-	sent bool
+	dispatchDelay time.Duration
+	leavesIn      time.Duration
+	reason        endReason
+	err           error
+	// mayHaveRun says that a server may have run the request.
+	mayHaveRun bool
 	// avoid is a server that failed the request.
 	avoid string
-	// last is the answer of a server that reported a failure, for want of a better one.
-	last *inlet.Reply
+	// fallback is the answer of a server that reported a failure, for want of a better one.
+	fallback *inlet.Reply
 }
 
 // admit finds the route of a request.
@@ -91,7 +91,7 @@
 	q := &request{Request: r, edge: e, call: e.Wire.Call(r.Header), arrivedAt: arrivedAt}
 	c := e.World.Config()
 	if c == nil {
-		return nil, e.turnAway(q, whyNoConfig, refusal(http.StatusServiceUnavailable, startRetry))
+		return nil, e.reject(q, endNoConfig, errorReply(http.StatusServiceUnavailable, retryAfterStart))
 	}
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -101,62 +101,62 @@
 	q.version = c.Version
 	q.route = c.Match(strings.ToLower(host), path)
 	if q.route == nil {
-		return nil, e.turnAway(q, whyNoRoute, refusal(http.StatusNotFound, 0))
+		return nil, e.reject(q, endNoRoute, errorReply(http.StatusNotFound, 0))
 	}
 	q.service = q.route.Pick()
 	service, found := c.Services[q.service]
 	if !found {
-		return nil, e.turnAway(q, whyNoService, refusal(http.StatusServiceUnavailable, startRetry))
+		return nil, e.reject(q, endNoService, errorReply(http.StatusServiceUnavailable, retryAfterStart))
 	}
 	q.divided = service.Divided && q.call.Keyed
-	q.times(&e.patience)
+	q.setDeadlines(&e.returns)
 	if r.Body != nil && r.Body != http.NoBody {
 		data, err := io.ReadAll(r.Body)
 		if err != nil {
-			return nil, e.turnAway(q, whyLeft, &inlet.Reply{Abort: true})
+			return nil, e.reject(q, endCallerLeft, &inlet.Reply{Abort: true})
 		}
 		q.body = data
 	}
-	q.print = printOf(r, q.body)
+	q.print = fingerprintOf(r, q.body)
 	if e.World.Suspicious(q.print) {
-		return nil, e.turnAway(q, whyCrashes, refusal(http.StatusBadGateway, 0))
+		return nil, e.reject(q, endCrashesServers, errorReply(http.StatusBadGateway, 0))
 	}
 	return q, nil
 }
 
-// turnAway logs a request that got no further.
-func (e *Edge) turnAway(q *request, reason why, reply *inlet.Reply) *inlet.Reply {
+// reject logs a request that got no further.
+func (e *Edge) reject(q *request, reason endReason, reply *inlet.Reply) *inlet.Reply {
 	e.Meters.Request("", reason, time.Since(q.arrivedAt))
 	e.Events.Note(event.Failure, "request", "id", q.call.ID, "status", reply.Status, "why", reason,
 		"config", q.version, "host", q.Host, "path", q.URL.Path)
 	return reply
 }
 
-// times sets the times of a request.
-func (q *request) times(p *patience) {
-	patient := defaultPatience
+// setDeadlines sets the times of a request.
+func (q *request) setDeadlines(p *returnDetector) {
+	patient := defaultCallerTimeout
 	if q.call.Patient {
 		patient = q.call.Patience
 	}
 	var before time.Duration
-	q.returning, before = p.returning(q.route.Name, patient, q.arrivedAt)
+	q.returning, before = p.observe(q.route.Name, patient, q.arrivedAt)
 	// A request that was tried before has used a part of the time to its target.
 	target := q.route.Target
 	if target == 0 {
 		target = patient / 2
 	}
 	target -= before
-	q.targetAt = q.arrivedAt.Add(target - answerTime)
-	limit := patient - answerTime
+	q.targetAt = q.arrivedAt.Add(target - replyReserve)
+	limit := patient - replyReserve
 	if q.route.Timeout > 0 {
 		limit = min(limit, q.route.Timeout)
 	}
-	q.limitAt = q.arrivedAt.Add(limit)
+	q.deadline = q.arrivedAt.Add(limit)
 }
 
-// printOf identifies a request by what it asks for, so that it is known when it comes again
+// fingerprintOf identifies a request by what it asks for, so that it is known when it comes again
 // under another id.
-func printOf(r *http.Request, body []byte) uint64 {
+func fingerprintOf(r *http.Request, body []byte) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.RequestURI} {
 		_, _ = d.WriteString(part)
@@ -166,8 +166,8 @@
 	return d.Sum64()
 }
 
-// refusal returns an answer of the edge's own.
-func refusal(status int, retryIn time.Duration) *inlet.Reply {
+// errorReply returns an answer of the edge's own.
+func errorReply(status int, retryIn time.Duration) *inlet.Reply {
 	h := http.Header{}
 	if retryIn > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -15,8 +15,8 @@
 	slack  func() float64
 	now    func() time.Time
 
-	mu       sync.Mutex
-	services map[string]*allowance
+	mu      sync.Mutex
+	buckets map[string]*tokenBucket
 }
 
 // ratioShare is the part of the allowed ratio that is used: the window of the allowance slides,
@@ -28,24 +28,24 @@
 // window, and begin with a full allowance.
 const slackShare = 0.5
 
-// allowance is what is left for one service.
-type allowance struct {
+// tokenBucket is what is left for one service.
+type tokenBucket struct {
 	tokens   float64
 	filledAt time.Time
 }
 
 // NewBudget returns a budget. Slack returns this instance's part of the fixed number.
 func NewBudget(ratio float64, window time.Duration, slack func() float64, now func() time.Time) *Budget {
-	return &Budget{ratio: ratio * ratioShare, window: window, slack: slack, now: now, services: map[string]*allowance{}}
+	return &Budget{ratio: ratio * ratioShare, window: window, slack: slack, now: now, buckets: map[string]*tokenBucket{}}
 }
 
-func (b *Budget) get(service string) *allowance {
-	a := b.services[service]
+func (b *Budget) refilled(service string) *tokenBucket {
+	a := b.buckets[service]
 	now := b.now()
 	most := b.slack() * slackShare
 	if a == nil {
-		a = &allowance{tokens: most, filledAt: now}
-		b.services[service] = a
+		a = &tokenBucket{tokens: most, filledAt: now}
+		b.buckets[service] = a
 	}
 	// The fixed number comes back over one window.
 	a.tokens += most * now.Sub(a.filledAt).Seconds() / b.window.Seconds() / 2
@@ -58,14 +58,14 @@
 func (b *Budget) Earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.get(service).tokens += b.ratio
+	b.refilled(service).tokens += b.ratio
 }
 
 // Spend reports whether a request may be sent once more, and if so counts it.
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.get(service)
+	a := b.refilled(service)
 	if a.tokens < 1 {
 		return false
 	}
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -7,60 +7,60 @@
 
 // The bounds of what is kept of requests that crash servers.
 const (
-	// crashesMost is the number of servers that a request may take down before it is blocked.
+	// maxCrashedServers is the number of servers that a request may take down before it is blocked.
 	// One that merely ran beside the cause is cleared by its next answer.
-	crashesMost = 2
-	// crashTime is how long a request is remembered.
-	crashTime = 2 * time.Minute
-	// suspectsMost bounds the memory; the oldest give way.
-	suspectsMost = 1024
+	maxCrashedServers = 2
+	// crashRetention is how long a request is remembered.
+	crashRetention = 2 * time.Minute
+	// maxTrackedRequests bounds the memory; the oldest give way.
+	maxTrackedRequests = 1024
 )
 
-// suspect is a request at whose run servers were lost.
-type suspect struct {
-	servers map[string]struct{}
-	until   time.Time
+// trackedRequest is a request at whose run servers were lost.
+type trackedRequest struct {
+	servers   map[string]struct{}
+	expiresAt time.Time
 }
 
 // Suspects finds requests that crash the servers which run them. Such a request comes again,
 // under another id and at any instance, so all instances tell one another of losses.
 type Suspects struct {
-	mu    sync.Mutex
-	known map[uint64]*suspect
+	mu       sync.Mutex
+	requests map[uint64]*trackedRequest
 }
 
 // NewSuspects returns an empty memory.
-func NewSuspects() *Suspects { return &Suspects{known: map[uint64]*suspect{}} }
+func NewSuspects() *Suspects { return &Suspects{requests: map[uint64]*trackedRequest{}} }
 
 // Lost takes in that a server was lost while a request ran there.
 func (s *Suspects) Lost(print uint64, server string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.known[print]
+	k := s.requests[print]
 	if k == nil {
-		s.makeRoom(now)
-		k = &suspect{servers: map[string]struct{}{}}
-		s.known[print] = k
+		s.evict(now)
+		k = &trackedRequest{servers: map[string]struct{}{}}
+		s.requests[print] = k
 	}
 	k.servers[server] = struct{}{}
-	k.until = now.Add(crashTime)
+	k.expiresAt = now.Add(crashRetention)
 }
 
-// makeRoom forgets what is old, and the one that ends first if that is not enough.
-func (s *Suspects) makeRoom(now time.Time) {
+// evict forgets what is old, and the one that ends first if that is not enough.
+func (s *Suspects) evict(now time.Time) {
 	var oldest uint64
 	var until time.Time
-	for print, k := range s.known {
-		if now.After(k.until) {
-			delete(s.known, print)
+	for print, k := range s.requests {
+		if now.After(k.expiresAt) {
+			delete(s.requests, print)
 			continue
 		}
-		if until.IsZero() || k.until.Before(until) {
-			oldest, until = print, k.until
+		if until.IsZero() || k.expiresAt.Before(until) {
+			oldest, until = print, k.expiresAt
 		}
 	}
-	if len(s.known) >= suspectsMost {
-		delete(s.known, oldest)
+	if len(s.requests) >= maxTrackedRequests {
+		delete(s.requests, oldest)
 	}
 }
 
@@ -68,8 +68,8 @@
 func (s *Suspects) Clear(print uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, known := s.known[print]
-	delete(s.known, print)
+	_, known := s.requests[print]
+	delete(s.requests, print)
 	return known
 }
 
@@ -77,6 +77,6 @@
 func (s *Suspects) Blocked(print uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.known[print]
-	return k != nil && len(k.servers) >= crashesMost && now.Before(k.until)
+	k := s.requests[print]
+	return k != nil && len(k.servers) >= maxCrashedServers && now.Before(k.expiresAt)
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -94,10 +94,10 @@
 // Edge answers requests.
 type Edge struct {
 	Deps
-	patience patience
-	// oddLoads holds the servers whose load could not be read, as far as a line was written.
-	oddLoads oddLoads
-	running  running
+	returns returnDetector
+	// malformedLoads holds the servers whose load could not be read, as far as a line was written.
+	malformedLoads malformedLoads
+	inFlight       inFlightCounter
 }
 
 // New returns an edge.
@@ -111,15 +111,15 @@
 		return refused
 	}
 	e.Budget.Earn(q.service)
-	ctx, cancel := context.WithDeadline(ctx, q.limitAt)
+	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
 	reply := q.serve(ctx)
-	e.note(q, reply)
+	e.recordEnd(q, reply)
 	return reply
 }
 
-// note logs and counts how a request ended.
-func (e *Edge) note(q *request, reply *inlet.Reply) {
+// recordEnd logs and counts how a request ended.
+func (e *Edge) recordEnd(q *request, reply *inlet.Reply) {
 	class := event.Success
 	status := 0
 	if reply != nil {
@@ -127,12 +127,12 @@
 	}
 	if status < 200 || status > 299 {
 		class = event.Failure
-		e.patience.refuse(q.route.Name, time.Now())
+		e.returns.recordRejection(q.route.Name, time.Now())
 	}
 	took := time.Since(q.arrivedAt)
-	e.Meters.Request(q.route.Name, q.why, took)
+	e.Meters.Request(q.route.Name, q.reason, took)
 	e.Events.Note(class, "request", "id", q.call.ID, "route", q.route.Name, "config", q.version, "service", q.service,
-		"status", status, "why", q.why, "server", q.server, "attempts", q.attempts, "took", took,
-		"waited", q.waited, "dispatched", q.dispatched, "leaving-in", q.leaving, "predicted", q.predicted, "pool", q.pool, "left", time.Until(q.limitAt), "returning", q.returning, "patience", q.call.Patience, "key", q.call.Key, "fence", q.fence,
+		"status", status, "why", q.reason, "server", q.server, "attempts", q.attempts, "took", took,
+		"waited", q.waited, "dispatched", q.dispatchDelay, "leaving-in", q.leavesIn, "predicted", q.predictedWait, "pool", q.pool, "left", time.Until(q.deadline), "returning", q.returning, "patience", q.call.Patience, "key", q.call.Key, "fence", q.fence,
 		"error", q.err)
 }
--- a/internal/edge/running.go
+++ b/internal/edge/inflight.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// running counts the requests that are at servers, by failure domain.
-type running struct {
+// inFlightCounter counts the requests that are at servers, by failure domain.
+type inFlightCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (r *running) add(domain string, n int) {
+func (r *inFlightCounter) add(domain string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
@@ -21,7 +21,7 @@
 
 // Running returns how many requests of this instance are at the servers of a failure domain.
 func (e *Edge) Running(domain string) int {
-	e.running.mu.Lock()
-	defer e.running.mu.Unlock()
-	return e.running.counts[domain]
+	e.inFlight.mu.Lock()
+	defer e.inFlight.mu.Unlock()
+	return e.inFlight.counts[domain]
 }
--- a/internal/edge/meters.go
+++ b/internal/edge/meters.go
@@ -10,40 +10,40 @@
 
 // The range of latencies that are told apart, in microseconds, and their significant figures.
 const (
-	latencyLeast   = 100
-	latencyMost    = 60_000_000
-	latencyFigures = 2
-	// labelsMost bounds the number of routes that are counted apart.
-	labelsMost = 256
+	minLatencyMicros          = 100
+	maxLatencyMicros          = 60_000_000
+	latencySignificantFigures = 2
+	// maxRouteLabels bounds the number of routes that are counted apart.
+	maxRouteLabels = 256
 )
 
 // Times holds how long things took, by what they were.
 type Times struct {
-	mu sync.Mutex
-	by map[string]*hdrhistogram.Histogram
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
 }
 
 // NewTimes returns times of nothing yet.
-func NewTimes() *Times { return &Times{by: map[string]*hdrhistogram.Histogram{}} }
+func NewTimes() *Times { return &Times{histograms: map[string]*hdrhistogram.Histogram{}} }
 
 // Record takes in how long something took.
 func (t *Times) Record(what string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.by[what]
+	h := t.histograms[what]
 	if h == nil {
-		h = hdrhistogram.New(latencyLeast, latencyMost, latencyFigures)
-		t.by[what] = h
+		h = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantFigures)
+		t.histograms[what] = h
 	}
-	_ = h.RecordValue(min(max(took.Microseconds(), latencyLeast), latencyMost))
+	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 // Snapshot returns the quantiles.
 func (t *Times) Snapshot() map[string]Latencies {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Latencies, len(t.by))
-	for what, h := range t.by {
+	out := make(map[string]Latencies, len(t.histograms))
+	for what, h := range t.histograms {
 		out[what] = Latencies{
 			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max(),
 		}
@@ -54,25 +54,25 @@
 // Meters counts requests and their latencies.
 type Meters struct {
 	mu      sync.Mutex
-	counts  map[string]map[why]int64
+	counts  map[string]map[endReason]int64
 	latency *Times
 }
 
 // NewMeters returns meters.
 func NewMeters() *Meters {
-	return &Meters{counts: map[string]map[why]int64{}, latency: NewTimes()}
+	return &Meters{counts: map[string]map[endReason]int64{}, latency: NewTimes()}
 }
 
 // Request takes in how a request ended.
-func (m *Meters) Request(route string, reason why, took time.Duration) {
+func (m *Meters) Request(route string, reason endReason, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.counts[route] == nil {
-		if len(m.counts) >= labelsMost {
+		if len(m.counts) >= maxRouteLabels {
 			route = "other"
 		}
 		if m.counts[route] == nil {
-			m.counts[route] = map[why]int64{}
+			m.counts[route] = map[endReason]int64{}
 		}
 	}
 	m.counts[route][reason]++
@@ -89,17 +89,17 @@
 
 // Snapshot is the state of the meters.
 type Snapshot struct {
-	Requests map[string]map[why]int64 `json:"requests"`
-	Latency  map[string]Latencies     `json:"latency"`
+	Requests map[string]map[endReason]int64 `json:"requests"`
+	Latency  map[string]Latencies           `json:"latency"`
 }
 
 // Snapshot returns the state of the meters.
 func (m *Meters) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := Snapshot{Requests: map[string]map[why]int64{}, Latency: m.latency.Snapshot()}
+	s := Snapshot{Requests: map[string]map[endReason]int64{}, Latency: m.latency.Snapshot()}
 	for route, counts := range m.counts {
-		s.Requests[route] = map[why]int64{}
+		s.Requests[route] = map[endReason]int64{}
 		for reason, n := range counts {
 			s.Requests[route][reason] = n
 		}
--- a/internal/edge/patience_test.go
+++ b/internal/edge/returns_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(1, 2))
-			var p patience
+			var p returnDetector
 			now := time.Unix(1000, 0)
 			first, mistaken, returned, found := 0.0, 0.0, 0.0, 0.0
 			for i := range 4000 {
@@ -42,7 +42,7 @@
 					stated *= 3
 				}
 				late := i >= 2000
-				returning, _ := p.returning("read", time.Duration(stated)*time.Millisecond, now)
+				returning, _ := p.observe("read", time.Duration(stated)*time.Millisecond, now)
 				if late {
 					first++
 				}
@@ -52,9 +52,9 @@
 				if !late || random.Float64() >= test.refused {
 					continue
 				}
-				p.refuse("read", now)
+				p.recordRejection("read", now)
 				wait := 350 + 900*random.Float64()
-				again, elapsed := p.returning("read", time.Duration(stated-wait)*time.Millisecond, now)
+				again, elapsed := p.observe("read", time.Duration(stated-wait)*time.Millisecond, now)
 				returned++
 				if again {
 					found++
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -15,19 +15,19 @@
 )
 
 var (
-	// errOtherAnswer says that a server sent the answer to another request.
-	errOtherAnswer = errors.New("edge: answer to another request")
-	// errClosed says that the server takes no more requests, or not this one now.
-	errClosed = errors.New("edge: the server takes the request no more")
+	// errMismatchedResponse says that a server sent the answer to another request.
+	errMismatchedResponse = errors.New("edge: answer to another request")
+	// errServerClosed says that the server takes no more requests, or not this one now.
+	errServerClosed = errors.New("edge: the server takes the request no more")
 )
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Content-Length",
 }
 
-// noAgent keeps net/http from adding a User-Agent of its own.
-var noAgent = []string{""}
+// noUserAgent keeps net/http from adding a User-Agent of its own.
+var noUserAgent = []string{""}
 
 // send sends the request to a server and returns the head of its answer.
 func (q *request) send(ctx context.Context, s rules.Server) (*http.Response, error) {
@@ -38,50 +38,50 @@
 	if len(q.body) > 0 {
 		out.Body = io.NopCloser(bytes.NewReader(q.body))
 	}
-	copyHeader(out.Header, q.Header)
+	copyEndToEndHeaders(out.Header, q.Header)
 	if _, found := out.Header["User-Agent"]; !found {
-		out.Header["User-Agent"] = noAgent
+		out.Header["User-Agent"] = noUserAgent
 	}
-	q.edge.Wire.Address(out.Header, s.ID, time.Until(q.limitAt))
-	pool := q.edge.Pool.server(s)
+	q.edge.Wire.Address(out.Header, s.ID, time.Until(q.deadline))
+	pool := q.edge.Pool.clientFor(s)
 	began := time.Now()
 	return pool.Send(out, upstr.Order{
-		Deadline: q.limitAt, InMemory: true, Done: func(bool) {},
-		Permit: func() error { return q.dispatch(s.ID, time.Since(began)) },
+		Deadline: q.deadline, InMemory: true, Done: func(bool) {},
+		Permit: func() error { return q.checkServer(s.ID, time.Since(began)) },
 	})
 }
 
-// dispatch decides, immediately before the first byte, whether the server still takes the request.
+// checkServer decides, immediately before the first byte, whether the server still takes the request.
 //
 // It guards against the time until a connection is there, which is long on a busy instance: a request whose
 // permit came in time would reach a server beyond its own. After this look only the way to the server is left.
-func (q *request) dispatch(server string, took time.Duration) error {
+func (q *request) checkServer(server string, took time.Duration) error {
 	now := time.Now()
 	s, found := q.edge.World.Server(server)
-	q.dispatched, q.leaving = took, s.LeavesIn(now)
-	if !found || s.Closed(q.divided, now) || s.Cold(now) && took > coldSendMost {
-		return errClosed
+	q.dispatchDelay, q.leavesIn = took, s.LeavesIn(now)
+	if !found || s.Closed(q.divided, now) || s.Cold(now) && took > maxColdDispatchDelay {
+		return errServerClosed
 	}
 	return nil
 }
 
-// coldSendMost is how long after its permit a request may be sent to a cold server: one that waited longer for its
+// maxColdDispatchDelay is how long after its permit a request may be sent to a cold server: one that waited longer for its
 // connection would arrive among those of another span.
-const coldSendMost = 300 * time.Millisecond
+const maxColdDispatchDelay = 300 * time.Millisecond
 
-// copyHeader copies the headers that concern more than one connection.
-func copyHeader(to, from http.Header) {
+// copyEndToEndHeaders copies the headers that concern more than one connection.
+func copyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(to, name)
 	}
 }
 
-// whole reads an answer to its end. Only then is it known to be whole: a part must not reach
+// readWhole reads an answer to its end. Only then is it known to be whole: a part must not reach
 // the caller as if it were all.
-func whole(r *http.Response) (*inlet.Reply, error) {
+func readWhole(r *http.Response) (*inlet.Reply, error) {
 	defer r.Body.Close()
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
@@ -91,19 +91,19 @@
 		return nil, err
 	}
 	h := make(http.Header, len(r.Header))
-	copyHeader(h, r.Header)
+	copyEndToEndHeaders(h, r.Header)
 	return &inlet.Reply{Status: r.StatusCode, Header: h, Body: body.Bytes()}, nil
 }
 
 // The settings of connections to servers.
 const (
-	// idleTime is below the ten seconds after which servers close idle connections.
-	idleTime = 8 * time.Second
-	// unacknowledged ends a connection to a machine that has gone dark. Three packets in a row
+	// serverIdleTimeout is below the ten seconds after which servers close idle connections.
+	serverIdleTimeout = 8 * time.Second
+	// serverUserTimeout ends a connection to a machine that has gone dark. Three packets in a row
 	// that get lost on a bad link take longer only once in some ten thousand.
-	unacknowledged = 1200 * time.Millisecond
-	// quietMost is beyond all deadlines: a server is not asked in between whether it lives.
-	quietMost = time.Minute
+	serverUserTimeout = 1200 * time.Millisecond
+	// serverSilenceTimeout is beyond all deadlines: a server is not asked in between whether it lives.
+	serverSilenceTimeout = time.Minute
 )
 
 // Pool holds the connections to servers.
@@ -112,24 +112,24 @@
 	Connections func(service string) int
 
 	mu      sync.Mutex
-	servers map[string]*upstr.Server
+	clients map[string]*upstr.Server
 }
 
 // NewPool returns a pool.
 func NewPool(connections func(service string) int) *Pool {
-	return &Pool{Connections: connections, servers: map[string]*upstr.Server{}}
+	return &Pool{Connections: connections, clients: map[string]*upstr.Server{}}
 }
 
-func (p *Pool) server(s rules.Server) *upstr.Server {
+func (p *Pool) clientFor(s rules.Server) *upstr.Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.servers[s.ID]
+	known := p.clients[s.ID]
 	if known == nil {
 		known = upstr.NewServer(upstr.Settings{
 			Name: s.ID, Address: s.Address, Connections: p.Connections(s.Service), Slots: s.Slots,
-			Idle: idleTime, Patience: quietMost, Unwatched: true, Abrupt: true, Unacknowledged: unacknowledged,
+			Idle: serverIdleTimeout, Patience: serverSilenceTimeout, Unwatched: true, Abrupt: true, Unacknowledged: serverUserTimeout,
 		})
-		p.servers[s.ID] = known
+		p.clients[s.ID] = known
 	}
 	return known
 }
@@ -138,10 +138,10 @@
 func (p *Pool) Keep(there func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, s := range p.servers {
+	for id, s := range p.clients {
 		if !there(id) {
 			s.Close()
-			delete(p.servers, id)
+			delete(p.clients, id)
 		}
 	}
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -17,19 +17,19 @@
 
 // The times of attempts.
 const (
-	// ownerRetry is when a caller should come back whose key has no owner: moves take some 0.3
+	// retryAfterNoOwner is when a caller should come back whose key has no owner: moves take some 0.3
 	// seconds, lapses of a lease 2.3.
-	ownerRetry = 400 * time.Millisecond
-	// fullRetry is when a caller should come back whose server rejected it: the queue of a full one
+	retryAfterNoOwner = 400 * time.Millisecond
+	// retryAfterServerFull is when a caller should come back whose server rejected it: the queue of a full one
 	// is shorter by a request or two by then, and one that rejects at random does not do so twice.
-	fullRetry = 120 * time.Millisecond
-	// attemptLeast is the least time that must be left for another attempt.
-	attemptLeast = 60 * time.Millisecond
-	// movedPause is the pause before a server is asked again that said it does not hold the
+	retryAfterServerFull = 120 * time.Millisecond
+	// minAttemptTime is the least time that must be left for another attempt.
+	minAttemptTime = 60 * time.Millisecond
+	// misdirectedDelay is the pause before a server is asked again that said it does not hold the
 	// key: its grant is renewed, or the new owner is known by then.
-	movedPause = 120 * time.Millisecond
-	// askMost bounds how often a request asks for a permit.
-	askMost = 6
+	misdirectedDelay = 120 * time.Millisecond
+	// maxAdmissionRequests bounds how often a request asks for a permit.
+	maxAdmissionRequests = 6
 )
 
 // serve sends a request until it has an answer, or until another attempt is no use.
@@ -38,10 +38,10 @@
 		// Refused requests count too: they show where there is too little room.
 		q.edge.World.Count(q.service, q.call.Key)
 	}
-	for range askMost {
-		p, s, refused := q.permit(ctx)
+	for range maxAdmissionRequests {
+		p, s, refused := q.acquire(ctx)
 		if refused != nil {
-			return q.giveUp(ctx, refused)
+			return q.finalReply(ctx, refused)
 		}
 		if p == nil {
 			continue
@@ -53,59 +53,59 @@
 		if reply == nil {
 			continue
 		}
-		q.last = reply
-		if q.attempts >= q.route.MaxAttempts || time.Until(q.limitAt) < attemptLeast || !q.edge.Budget.Spend(q.service) {
-			return q.giveUp(ctx, reply)
+		q.fallback = reply
+		if q.attempts >= q.route.MaxAttempts || time.Until(q.deadline) < minAttemptTime || !q.edge.Budget.Spend(q.service) {
+			return q.finalReply(ctx, reply)
 		}
 	}
-	return q.giveUp(ctx, q.last)
+	return q.finalReply(ctx, q.fallback)
 }
 
-// giveUp returns the final answer of a request whose last attempt led to the given one.
-func (q *request) giveUp(ctx context.Context, reply *inlet.Reply) *inlet.Reply {
-	if q.last != nil && (reply == nil || q.sent) {
-		reply = q.last
+// finalReply returns the final answer of a request whose last attempt led to the given one.
+func (q *request) finalReply(ctx context.Context, reply *inlet.Reply) *inlet.Reply {
+	if q.fallback != nil && (reply == nil || q.mayHaveRun) {
+		reply = q.fallback
 	}
 	switch {
-	case reply != nil && (!q.sent || reply.Status != http.StatusServiceUnavailable):
+	case reply != nil && (!q.mayHaveRun || reply.Status != http.StatusServiceUnavailable):
 		return reply
-	case ctx.Err() != nil && q.sent:
-		q.why = whyTimeout
-		return refusal(http.StatusGatewayTimeout, 0)
-	case q.sent:
-		q.why = whyInDoubt
-		return refusal(http.StatusBadGateway, 0)
-	case q.why == whyFull:
-		return refusal(http.StatusServiceUnavailable, fullRetry)
+	case ctx.Err() != nil && q.mayHaveRun:
+		q.reason = endTimeout
+		return errorReply(http.StatusGatewayTimeout, 0)
+	case q.mayHaveRun:
+		q.reason = endInDoubt
+		return errorReply(http.StatusBadGateway, 0)
+	case q.reason == endServerFull:
+		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull)
 	default:
-		return refusal(http.StatusServiceUnavailable, ownerRetry)
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 	}
 }
 
-// permit waits for a permit. If all three results are nil it should be asked for again.
-func (q *request) permit(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
+// acquire waits for a permit. If all three results are nil it should be asked for again.
+func (q *request) acquire(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
 	began := time.Now()
 	defer func() { q.waited += time.Since(began) }()
 	ask := permit.Ask{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
-		TargetAt: q.targetAt, LimitAt: q.limitAt, Avoid: q.avoid,
+		TargetAt: q.targetAt, LimitAt: q.deadline, Avoid: q.avoid,
 	}
 	domain := ""
 	if q.divided {
-		r, reply := q.owner(ctx)
+		r, reply := q.awaitOwner(ctx)
 		if reply != nil {
 			return nil, rules.Server{}, reply
 		}
 		owner, found := q.edge.World.Server(r.Server)
 		if !found || owner.Closed(true, time.Now()) {
-			q.why = whyNoOwner
-			return nil, rules.Server{}, refusal(http.StatusServiceUnavailable, ownerRetry)
+			q.reason = endNoOwner
+			return nil, rules.Server{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		ask.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
 	}
 	p, refused := q.edge.Permits.Acquire(ctx, ask, domain)
 	if refused != nil {
-		return nil, rules.Server{}, q.refuse(ctx, refused)
+		return nil, rules.Server{}, q.handleRejection(ctx, refused)
 	}
 	s, found := q.edge.World.Server(p.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
@@ -115,28 +115,28 @@
 	return p, s, nil
 }
 
-// refuse turns a refusal of the keeper into an answer.
-func (q *request) refuse(ctx context.Context, refused *permit.Refused) *inlet.Reply {
+// handleRejection turns a refusal of the keeper into an answer.
+func (q *request) handleRejection(ctx context.Context, refused *permit.Refused) *inlet.Reply {
 	switch {
 	case refused.Reason == permit.Gone:
-		if !duty.Pause(ctx, movedPause) {
-			q.why = whyNoOwner
-			return refusal(http.StatusServiceUnavailable, ownerRetry)
+		if !duty.Pause(ctx, misdirectedDelay) {
+			q.reason = endNoOwner
+			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		return nil
 	case refused.Reason == permit.NoServer:
-		q.why = whyNoServer
+		q.reason = endNoServer
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		q.why = whyLeft
+		q.reason = endCallerLeft
 	default:
-		q.why = whyOverload
+		q.reason = endOverload
 	}
-	q.predicted, q.pool = refused.Wait, refused.Pool
-	return refusal(http.StatusServiceUnavailable, refused.RetryIn)
+	q.predictedWait, q.pool = refused.Wait, refused.Pool
+	return errorReply(http.StatusServiceUnavailable, refused.RetryIn)
 }
 
-// owner returns the owner of the request's key. While the key changes hands it waits.
-func (q *request) owner(ctx context.Context) (shard.Range, *inlet.Reply) {
+// awaitOwner returns the owner of the request's key. While the key changes hands it waits.
+func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
 		r, found, changed := q.edge.World.Owner(q.service, q.call.Key)
 		if found && len(r.Before) == 0 {
@@ -144,32 +144,32 @@
 		}
 		// A key that has no owner yet gets one within a few tenths of a second, or after a
 		// lease: what cannot wait for the former is told to come back.
-		timer := time.NewTimer(min(ownerWait, time.Until(q.targetAt)/2))
+		timer := time.NewTimer(min(maxOwnerWait, time.Until(q.targetAt)/2))
 		select {
 		case <-changed:
 			timer.Stop()
-			if time.Since(q.arrivedAt) < ownerWait {
+			if time.Since(q.arrivedAt) < maxOwnerWait {
 				continue
 			}
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 		}
-		q.why = whyNoOwner
-		return shard.Range{}, refusal(http.StatusServiceUnavailable, ownerRetry)
+		q.reason = endNoOwner
+		return shard.Range{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 	}
 }
 
-// ownerWait is how long a request waits for a key that changes hands.
-const ownerWait = 400 * time.Millisecond
+// maxOwnerWait is how long a request waits for a key that changes hands.
+const maxOwnerWait = 400 * time.Millisecond
 
 // attempt sends the request to one server. It returns true if the request may be sent again;
 // the answer is then the one for the caller if it is not, and nil if this was no attempt.
 func (q *request) attempt(ctx context.Context, p Permit, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
-	q.edge.running.add(s.Domain, 1)
-	defer q.edge.running.add(s.Domain, -1)
+	q.edge.inFlight.add(s.Domain, 1)
+	defer q.edge.inFlight.add(s.Domain, -1)
 	began := time.Now()
 	response, err := q.send(ctx, s)
 	done := permit.Done{}
@@ -178,80 +178,80 @@
 		p.Done(done)
 	}()
 	if err != nil {
-		return q.unanswered(ctx, &done, s, err)
+		return q.handleSendError(ctx, &done, s, err)
 	}
 	answer := q.edge.Wire.Answer(response)
 	done.Load = answer.Load
 	if answer.LoadErr != nil {
-		q.edge.noteOddLoad(s.ID, answer.LoadErr)
+		q.edge.logMalformedLoad(s.ID, answer.LoadErr)
 	}
-	reply, err := whole(response)
+	reply, err := readWhole(response)
 	if err == nil && answer.ID != q.call.ID && answer.ID != "" {
-		err = errOtherAnswer
+		err = errMismatchedResponse
 	}
 	if err != nil {
-		q.sent = true
-		return q.unanswered(ctx, &done, s, err)
+		q.mayHaveRun = true
+		return q.handleSendError(ctx, &done, s, err)
 	}
 	done.Bytes = len(reply.Body)
 	q.edge.World.Cleared(q.print)
-	return q.answered(ctx, &done, s, answer, reply)
+	return q.handleResponse(ctx, &done, s, answer, reply)
 }
 
-// answered decides about a whole answer.
-func (q *request) answered(ctx context.Context, done *permit.Done, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
+// handleResponse decides about a whole answer.
+func (q *request) handleResponse(ctx context.Context, done *permit.Done, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
 	case a.NotRun && a.Moved:
 		done.Outcome = permit.NotHere
-		q.why = whyNoOwner
-		duty.Pause(ctx, movedPause)
-		return refusal(http.StatusServiceUnavailable, ownerRetry), true
+		q.reason = endNoOwner
+		duty.Pause(ctx, misdirectedDelay)
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
 	case a.NotRun:
 		done.Outcome = permit.Full
-		q.why, q.avoid = whyFull, s.ID
-		return refusal(http.StatusServiceUnavailable, fullRetry), true
+		q.reason, q.avoid = endServerFull, s.ID
+		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull), true
 	case reply.Status >= http.StatusInternalServerError:
 		done.Outcome = permit.Failed
-		q.why, q.avoid, q.sent = whyAnswered, s.ID, true
+		q.reason, q.avoid, q.mayHaveRun = endAnswered, s.ID, true
 		return reply, q.route.Kind.Idempotent()
 	default:
 		done.Outcome = permit.Answered
-		q.why = whyAnswered
+		q.reason = endAnswered
 		return reply, false
 	}
 }
 
-// unanswered decides about a sending that led to no whole answer.
-func (q *request) unanswered(ctx context.Context, done *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
+// handleSendError decides about a sending that led to no whole answer.
+func (q *request) handleSendError(ctx context.Context, done *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
 	done.Outcome = permit.Lost
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		done.Outcome = permit.Cancelled
-		q.sent = q.sent || !unsent
-		q.why = whyLeft
+		q.mayHaveRun = q.mayHaveRun || !unsent
+		q.reason = endCallerLeft
 		return &inlet.Reply{Abort: true}, false
-	case errors.Is(err, errClosed):
+	case errors.Is(err, errServerClosed):
 		done.Outcome = permit.Unsent
 		q.attempts--
-		q.why = whyNoOwner
+		q.reason = endNoOwner
 		return nil, true
 	case unsent:
 		if errors.Is(err, upstr.ErrBudget) {
 			done.Outcome = permit.Unsent
 		}
-		q.why, q.avoid = whyUnsent, s.ID
-		return refusal(http.StatusServiceUnavailable, ownerRetry), true
+		q.reason, q.avoid = endUnsent, s.ID
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
 	}
-	q.sent = true
+	q.mayHaveRun = true
 	if ctx.Err() != nil || errors.Is(err, upstr.ErrDeadline) {
-		q.why = whyTimeout
-		return refusal(http.StatusGatewayTimeout, 0), false
+		q.reason = endTimeout
+		return errorReply(http.StatusGatewayTimeout, 0), false
 	}
-	q.why, q.avoid = whyInDoubt, s.ID
+	q.reason, q.avoid = endInDoubt, s.ID
 	if errors.Is(err, upstr.ErrLost) {
 		q.edge.World.Crashed(q.print, s)
 	}
-	return refusal(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
+	return errorReply(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
 }
--- a/internal/inlet/conn.go
+++ b/internal/inlet/conn.go
@@ -17,36 +17,36 @@
 
 // The sizes of a connection.
 const (
-	// pipelineMost is the number of requests of one connection that run at the same time. What
+	// maxPipelined is the number of requests of one connection that run at the same time. What
 	// else the caller sends waits in the connection.
-	pipelineMost = 16
-	readSize     = 4 << 10
-	writeSize    = 8 << 10
-	// bodyPause is how long the body of a request may make no progress.
-	bodyPause = 10 * time.Second
+	maxPipelined    = 16
+	readBufferSize  = 4 << 10
+	writeBufferSize = 8 << 10
+	// bodyReadTimeout is how long the body of a request may make no progress.
+	bodyReadTimeout = 10 * time.Second
 	// writeTimeout is how long a caller may take for one write of an answer.
 	writeTimeout = 10 * time.Second
-	// lingerTime is how long a closed connection is read, so that unread bytes do not reset it
+	// lingerTimeout is how long a closed connection is read, so that unread bytes do not reset it
 	// before the caller has the last answer.
-	lingerTime = 300 * time.Millisecond
+	lingerTimeout = 300 * time.Millisecond
 )
 
-// slot is the place of a request in the order of answers.
-type slot struct {
+// pipelineEntry is the place of a request in the order of answers.
+type pipelineEntry struct {
 	request *http.Request
 	reply   chan *Reply
 }
 
 // conn is a connection of a caller.
 type conn struct {
-	server *Server
-	raw    net.Conn
-	in     *bufio.Reader
-	out    *bufio.Writer
-	head   *headLimit
-	slots  chan slot
-	ctx    context.Context
-	leave  context.CancelFunc
+	server   *Server
+	raw      net.Conn
+	in       *bufio.Reader
+	out      *bufio.Writer
+	head     *headLimiter
+	pipeline chan pipelineEntry
+	ctx      context.Context
+	cancel   context.CancelFunc
 
 	mu sync.Mutex
 	// pending is the number of requests that were read and not answered. Closing says that no
@@ -55,56 +55,56 @@
 	closing bool
 }
 
-// headLimit bounds the bytes of a head.
-type headLimit struct {
+// headLimiter bounds the bytes of a head.
+type headLimiter struct {
 	net.Conn
-	left int
+	remaining int
 }
 
 var errHeadTooLarge = errors.New("inlet: head too large")
 
 // Read implements io.Reader.
-func (h *headLimit) Read(p []byte) (int, error) {
-	if h.left <= 0 {
+func (h *headLimiter) Read(p []byte) (int, error) {
+	if h.remaining <= 0 {
 		return 0, errHeadTooLarge
 	}
-	n, err := h.Conn.Read(p[:min(len(p), h.left)])
-	h.left -= n
+	n, err := h.Conn.Read(p[:min(len(p), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
-	c := &conn{server: s, raw: raw, slots: make(chan slot, pipelineMost), head: &headLimit{Conn: raw}}
-	c.in = bufio.NewReaderSize(c.head, readSize)
-	c.out = bufio.NewWriterSize(raw, writeSize)
-	c.ctx, c.leave = context.WithCancel(context.Background())
+	c := &conn{server: s, raw: raw, pipeline: make(chan pipelineEntry, maxPipelined), head: &headLimiter{Conn: raw}}
+	c.in = bufio.NewReaderSize(c.head, readBufferSize)
+	c.out = bufio.NewWriterSize(raw, writeBufferSize)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
 // run serves the connection to its end.
 func (c *conn) run() {
 	defer c.raw.Close()
-	defer c.leave()
+	defer c.cancel()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		c.write()
+		c.writeReplies()
 	}()
-	c.read()
-	close(c.slots)
+	c.readRequests()
+	close(c.pipeline)
 	<-written
 }
 
-// read reads requests and starts their handling, until the caller leaves or the connection
+// readRequests reads requests and starts their handling, until the caller leaves or the connection
 // closes.
-func (c *conn) read() {
+func (c *conn) readRequests() {
 	for {
 		l := c.server.limits()
-		c.head.left = 1 << 30
-		if !c.await(l.IdleTimeout) {
+		c.head.remaining = 1 << 30
+		if !c.awaitRequest(l.IdleTimeout) {
 			return
 		}
-		c.head.left = l.HeaderBytes + readSize
+		c.head.remaining = l.HeaderBytes + readBufferSize
 		deadline := time.Now().Add(l.HeaderTimeout)
 		_ = c.raw.SetReadDeadline(deadline)
 		r, err := http.ReadRequest(c.in)
@@ -119,11 +119,11 @@
 			c.reject(err)
 			return
 		}
-		if status := c.body(r, l); status != 0 {
-			c.enqueueRefusal(status)
+		if status := c.readBody(r, l); status != 0 {
+			c.enqueueError(status)
 			return
 		}
-		if !c.start(r) {
+		if !c.startHandler(r) {
 			return
 		}
 	}
@@ -140,16 +140,16 @@
 	return n
 }
 
-// await waits for the first byte of a request. While requests are in progress it waits as long
+// awaitRequest waits for the first byte of a request. While requests are in progress it waits as long
 // as they take: its end then says that the caller left.
-func (c *conn) await(idle time.Duration) bool {
+func (c *conn) awaitRequest(idle time.Duration) bool {
 	for {
 		_ = c.raw.SetReadDeadline(time.Now().Add(idle))
 		_, err := c.in.Peek(1)
 		switch {
 		case err == nil:
 			return true
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.busy():
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.hasPending():
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return false
@@ -158,14 +158,14 @@
 			closing := c.closing
 			c.mu.Unlock()
 			if !closing {
-				c.leave()
+				c.cancel()
 			}
 			return false
 		}
 	}
 }
 
-func (c *conn) busy() bool {
+func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending > 0
@@ -175,20 +175,20 @@
 func (c *conn) reject(err error) {
 	switch {
 	case errors.Is(err, errHeadTooLarge):
-		c.enqueueRefusal(http.StatusRequestHeaderFieldsTooLarge)
+		c.enqueueError(http.StatusRequestHeaderFieldsTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.enqueueRefusal(http.StatusRequestTimeout)
+		c.enqueueError(http.StatusRequestTimeout)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
-		c.leave()
+		c.cancel()
 	default:
-		c.enqueueRefusal(http.StatusBadRequest)
+		c.enqueueError(http.StatusBadRequest)
 	}
 }
 
-// body reads the body of a request into memory. It returns the status of a refusal, zero for
+// readBody reads the body of a request into memory. It returns the status of a refusal, zero for
 // none.
-func (c *conn) body(r *http.Request, l Limits) int {
-	c.head.left = 1 << 30
+func (c *conn) readBody(r *http.Request, l Limits) int {
+	c.head.remaining = 1 << 30
 	if r.ContentLength == 0 {
 		r.Body = http.NoBody
 		return 0
@@ -199,7 +199,7 @@
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		r.Header.Del("Expect")
 		_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if c.busy() {
+		if c.hasPending() {
 			return http.StatusExpectationFailed
 		}
 		if _, err := io.WriteString(c.raw, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -208,11 +208,11 @@
 	}
 	var whole bytes.Buffer
 	if r.ContentLength > 0 {
-		whole.Grow(int(min(r.ContentLength, writeSize)))
+		whole.Grow(int(min(r.ContentLength, writeBufferSize)))
 	}
-	chunk := make([]byte, min(readSize, max(r.ContentLength, 512)))
+	chunk := make([]byte, min(readBufferSize, max(r.ContentLength, 512)))
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(bodyPause))
+		_ = c.raw.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		n, err := r.Body.Read(chunk)
 		whole.Write(chunk[:n])
 		if int64(whole.Len()) > l.BodyBytes {
@@ -236,8 +236,8 @@
 	return 0
 }
 
-// start begins the handling of a request. It returns false if the connection takes no more.
-func (c *conn) start(r *http.Request) bool {
+// startHandler begins the handling of a request. It returns false if the connection takes no more.
+func (c *conn) startHandler(r *http.Request) bool {
 	c.mu.Lock()
 	if c.closing {
 		c.mu.Unlock()
@@ -249,23 +249,23 @@
 		c.closing = true
 	}
 	c.mu.Unlock()
-	s := slot{request: r, reply: make(chan *Reply, 1)}
-	c.server.open.Add(1)
+	s := pipelineEntry{request: r, reply: make(chan *Reply, 1)}
+	c.server.inFlight.Add(1)
 	go func() { s.reply <- c.server.handler(c.ctx, r) }()
-	c.slots <- s
+	c.pipeline <- s
 	if last {
-		c.watch()
+		c.watchForClose()
 	}
 	return !last
 }
 
-// watch reads on behind the last request only to see whether the caller leaves.
-func (c *conn) watch() {
-	for c.busy() {
+// watchForClose reads on behind the last request only to see whether the caller leaves.
+func (c *conn) watchForClose() {
+	for c.hasPending() {
 		_ = c.raw.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.in.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			if c.busy() {
-				c.leave()
+			if c.hasPending() {
+				c.cancel()
 			}
 			return
 		} else if err == nil {
@@ -274,19 +274,19 @@
 	}
 }
 
-func (c *conn) enqueueRefusal(status int) {
+func (c *conn) enqueueError(status int) {
 	c.mu.Lock()
 	c.pending++
 	c.closing = true
 	c.mu.Unlock()
-	c.server.open.Add(1)
-	s := slot{reply: make(chan *Reply, 1)}
+	c.server.inFlight.Add(1)
+	s := pipelineEntry{reply: make(chan *Reply, 1)}
 	s.reply <- &Reply{Status: status, Header: http.Header{}}
-	c.slots <- s
+	c.pipeline <- s
 }
 
-// finish takes no more requests, and closes the connection if none is in progress.
-func (c *conn) finish() {
+// stopReading takes no more requests, and closes the connection if none is in progress.
+func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
@@ -295,41 +295,41 @@
 	}
 }
 
-// write writes the answers in the order of their requests.
-func (c *conn) write() {
+// writeReplies writes the answers in the order of their requests.
+func (c *conn) writeReplies() {
 	broken := false
-	for s := range c.slots {
+	for s := range c.pipeline {
 		reply := <-s.reply
 		if broken {
-			c.done()
+			c.replyDone()
 			continue
 		}
-		last := c.last()
+		last := c.isLastReply()
 		if reply == nil || reply.Abort {
 			broken = true
-		} else if err := c.send(s.request, reply, last); err != nil {
+		} else if err := c.writeReply(s.request, reply, last); err != nil {
 			broken = true
 		}
-		c.done()
+		c.replyDone()
 		if broken || last {
-			c.shut(broken)
+			c.shutdown(broken)
 			broken = true
 		}
 	}
 }
 
-// done counts a request as answered. Only then it is no longer in progress: a process that
+// replyDone counts a request as answered. Only then it is no longer in progress: a process that
 // ended between the handler and the last byte would cut the answer.
-func (c *conn) done() {
+func (c *conn) replyDone() {
 	c.mu.Lock()
 	c.pending--
 	c.mu.Unlock()
-	c.server.open.Add(-1)
+	c.server.inFlight.Add(-1)
 }
 
-// last reports whether the next answer is the last one of the connection. While the server
+// isLastReply reports whether the next answer is the last one of the connection. While the server
 // drains, that is the first behind which no other request waits.
-func (c *conn) last() bool {
+func (c *conn) isLastReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == 1 && c.server.draining.Load() {
@@ -338,20 +338,20 @@
 	return c.closing && c.pending == 1
 }
 
-// shut ends the connection: at once if an answer was cut, else so that the caller gets the
+// shutdown ends the connection: at once if an answer was cut, else so that the caller gets the
 // last answer whole.
-func (c *conn) shut(broken bool) {
+func (c *conn) shutdown(broken bool) {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && !broken {
 		_ = tcp.CloseWrite()
-		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime))
+		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
-	c.leave()
+	c.cancel()
 	_ = c.raw.Close()
 }
 
-// send writes one answer.
-func (c *conn) send(r *http.Request, a *Reply, last bool) error {
+// writeReply writes one answer.
+func (c *conn) writeReply(r *http.Request, a *Reply, last bool) error {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w := c.out
 	_, _ = w.WriteString("HTTP/1.1 ")
@@ -362,7 +362,7 @@
 	if err := a.Header.Write(w); err != nil {
 		return err
 	}
-	if bodied(a.Status) {
+	if hasBody(a.Status) {
 		_, _ = w.WriteString("Content-Length: ")
 		_, _ = w.WriteString(strconv.Itoa(len(a.Body)))
 		_, _ = w.WriteString("\r\n")
@@ -379,7 +379,7 @@
 	return w.Flush()
 }
 
-// bodied reports whether answers with a status have a body.
-func bodied(status int) bool {
+// hasBody reports whether answers with a status have a body.
+func hasBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/inlet/inlet.go
+++ b/internal/inlet/inlet.go
@@ -48,11 +48,11 @@
 	limits  func() Limits
 	// draining says that each answer is the last of its connection.
 	draining atomic.Bool
-	open     atomic.Int64
+	inFlight atomic.Int64
 
-	mu    sync.Mutex
-	conns map[*conn]struct{}
-	ended sync.WaitGroup
+	mu        sync.Mutex
+	conns     map[*conn]struct{}
+	connsDone sync.WaitGroup
 }
 
 // New returns a server. Limits is asked for each request.
@@ -60,8 +60,8 @@
 	return &Server{handler: handler, limits: limits, conns: map[*conn]struct{}{}}
 }
 
-// acceptPause follows a failure to accept, as when descriptors run out.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay follows a failure to accept, as when descriptors run out.
+const acceptRetryDelay = 20 * time.Millisecond
 
 // Serve takes connections until the listener is closed or the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
@@ -73,21 +73,21 @@
 		case errors.Is(err, net.ErrClosed):
 			return ctx.Err()
 		case err != nil:
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.start(raw)
+		s.startConn(raw)
 	}
 }
 
-func (s *Server) start(raw net.Conn) {
+func (s *Server) startConn(raw net.Conn) {
 	c := newConn(s, raw)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
-	s.ended.Add(1)
+	s.connsDone.Add(1)
 	go func() {
-		defer s.ended.Done()
+		defer s.connsDone.Done()
 		c.run()
 		s.mu.Lock()
 		delete(s.conns, c)
@@ -108,12 +108,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.finish()
+		c.stopReading()
 	}
 }
 
 // Busy returns the number of requests in progress.
-func (s *Server) Busy() int64 { return s.open.Load() }
+func (s *Server) Busy() int64 { return s.inFlight.Load() }
 
 // Conns returns the number of connections.
 func (s *Server) Conns() int {
@@ -129,5 +129,5 @@
 		_ = c.raw.Close()
 	}
 	s.mu.Unlock()
-	s.ended.Wait()
+	s.connsDone.Wait()
 }
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -14,21 +14,21 @@
 // The sizes of a connection's buffers. A request whose head and body fit goes out in one
 // write.
 const (
-	readBuffer  = 8 << 10
-	writeBuffer = 8 << 10
+	readBufferSize  = 8 << 10
+	writeBufferSize = 8 << 10
 )
 
-// errHead is returned when the head of an answer is larger than headBytes.
-var errHead = errors.New("upstr: head of the answer too large")
+// errHeadTooLarge is returned when the head of an answer is larger than headBytes.
+var errHeadTooLarge = errors.New("upstr: head of the answer too large")
 
-// past is a deadline that ends all reading and writing.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends all reading and writing.
+var pastDeadline = time.Unix(1, 0)
 
 // conn is a connection to a backend server. It carries one request at a time, and belongs to
 // the goroutine that carries it.
 type conn struct {
 	net.Conn
-	server *Server
+	client *Server
 	peeker *peeker
 	in     *bufio.Reader
 	out    *bufio.Writer
@@ -36,13 +36,13 @@
 	idleSince time.Time
 	// reused says that the connection carried a request before the present one.
 	reused bool
-	// wrote says that bytes of the present request may have left.
-	wrote bool
+	// mayHaveWritten says that bytes of the present request may have left.
+	mayHaveWritten bool
 	// writeDeadline is the deadline of writing, zero for none.
 	writeDeadline time.Time
-	// headLeft is the number of bytes that the head of the answer may still have; negative
+	// headRemaining is the number of bytes that the head of the answer may still have; negative
 	// while the body is read.
-	headLeft int
+	headRemaining int
 
 	// mu guards what follows. Serial is that of the present request, zero from when its fate
 	// is known: from then on it cannot be interrupted. Interrupted says that it was.
@@ -52,42 +52,42 @@
 }
 
 func newConn(raw net.Conn, s *Server) *conn {
-	c := &conn{Conn: raw, server: s, peeker: newPeeker(raw)}
-	c.in = bufio.NewReaderSize(c, readBuffer)
-	c.out = bufio.NewWriterSize(c, writeBuffer)
+	c := &conn{Conn: raw, client: s, peeker: newPeeker(raw)}
+	c.in = bufio.NewReaderSize(c, readBufferSize)
+	c.out = bufio.NewWriterSize(c, writeBufferSize)
 	return c
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.headLeft == 0 {
-		return 0, errHead
+	if c.headRemaining == 0 {
+		return 0, errHeadTooLarge
 	}
-	if c.headLeft > 0 && len(p) > c.headLeft {
-		p = p[:c.headLeft]
+	if c.headRemaining > 0 && len(p) > c.headRemaining {
+		p = p[:c.headRemaining]
 	}
 	n, err := c.Conn.Read(p)
-	if c.headLeft > 0 {
-		c.headLeft -= n
+	if c.headRemaining > 0 {
+		c.headRemaining -= n
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	before := c.wrote
-	c.wrote = true
+	before := c.mayHaveWritten
+	c.mayHaveWritten = true
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
-		c.wrote = before
+		c.mayHaveWritten = before
 	}
 	return n, err
 }
 
 // begin prepares the connection for a request.
 func (c *conn) begin(serial uint64, deadline time.Time) {
-	c.wrote = false
-	c.headLeft = headBytes
+	c.mayHaveWritten = false
+	c.headRemaining = maxHeadBytes
 	if deadline != c.writeDeadline {
 		c.writeDeadline = deadline
 		_ = c.SetWriteDeadline(deadline)
@@ -97,8 +97,8 @@
 	c.mu.Unlock()
 }
 
-// settle says that the request's fate is known.
-func (c *conn) settle() {
+// ignoreInterrupts says that the request's fate is known.
+func (c *conn) ignoreInterrupts() {
 	c.mu.Lock()
 	c.serial = 0
 	c.mu.Unlock()
@@ -111,13 +111,13 @@
 	defer c.mu.Unlock()
 	if c.serial == serial {
 		c.interrupted = true
-		c.writeDeadline = past
-		_ = c.SetDeadline(past)
+		c.writeDeadline = pastDeadline
+		_ = c.SetDeadline(pastDeadline)
 	}
 }
 
-// await sets the deadline of reading, unless the request was interrupted.
-func (c *conn) await(t time.Time) {
+// setReadDeadline sets the deadline of reading, unless the request was interrupted.
+func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.interrupted {
@@ -131,15 +131,15 @@
 	return bytes.Contains(head, []byte("\r\n\r\n"))
 }
 
-// awaitHead reads the head of the answer, leaving out informational ones.
-func (c *conn) awaitHead(r *http.Request) (*http.Response, error) {
+// readHead reads the head of the answer, leaving out informational ones.
+func (c *conn) readHead(r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.in, r)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode >= http.StatusOK {
-			c.headLeft = -1
+			c.headRemaining = -1
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
@@ -148,72 +148,72 @@
 	}
 }
 
-// withdraw takes leave of a server that may still run the request, and calls done when it has
+// cancelRequest takes leave of a server that may still run the request, and calls done when it has
 // dropped it. Only the sending side is closed: the server takes that as a cancellation, and
 // closes the connection when it has dropped the work. If the connection went silent even
 // that is left out, to hear whether the server was only slow.
-func (c *conn) withdraw(s *sending) {
-	c.settle()
-	if c.server.settings.Abrupt {
-		c.end()
+func (c *conn) cancelRequest(s *attempt) {
+	c.ignoreInterrupts()
+	if c.client.settings.Abrupt {
+		c.discard()
 		s.done(true)
 		return
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !s.silent {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !s.connSilent {
 		_ = half.CloseWrite()
 	}
-	go c.linger(s)
+	go c.awaitServerClose(s)
 }
 
-// linger reads until the server closes the connection, or until the request's time is over
+// awaitServerClose reads until the server closes the connection, or until the request's time is over
 // if it does not, and then calls done.
 //
 // A timeout in the kernel ends the connection but proves nothing: the server may run on at
 // the other end of a connection that went silent. Then the request ends with its time.
-func (c *conn) linger(s *sending) {
+func (c *conn) awaitServerClose(s *attempt) {
 	defer s.done(true)
-	_ = c.SetReadDeadline(s.until)
+	_ = c.SetReadDeadline(s.dropDeadline)
 	var scrap [4 << 10]byte
 	for {
 		n, err := c.Conn.Read(scrap[:])
 		if n > 0 {
-			c.server.observe(time.Since(s.began))
+			c.client.observeLatency(time.Since(s.startedAt))
 		}
 		if err == nil {
 			continue
 		}
-		c.end()
+		c.discard()
 		var failure net.Error
 		if errors.As(err, &failure) && failure.Timeout() {
-			time.Sleep(time.Until(s.until))
+			time.Sleep(time.Until(s.dropDeadline))
 		}
 		return
 	}
 }
 
-// end closes the connection.
-func (c *conn) end() {
+// discard closes the connection.
+func (c *conn) discard() {
 	_ = c.Close()
-	c.server.forget(c)
+	c.client.removeConn(c)
 }
 
-// body is the body of an answer.
-type body struct {
+// responseBody is the body of an answer.
+type responseBody struct {
 	io.ReadCloser
 	conn    *conn
-	sending *sending
-	// keep says that the connection may carry another request afterwards.
-	keep  bool
-	ended bool
+	attempt *attempt
+	// reusable says that the connection may carry another request afterwards.
+	reusable bool
+	ended    bool
 }
 
 // Read implements io.Reader. At the end of the body the server is done.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
 	if b.conn.in.Buffered() == 0 {
-		b.conn.await(time.Now().Add(stall))
+		b.conn.setReadDeadline(time.Now().Add(bodyReadTimeout))
 	}
 	n, err := b.ReadCloser.Read(p)
 	if err == nil {
@@ -223,15 +223,15 @@
 		b.finish()
 		return n, io.EOF
 	}
-	return n, b.conn.server.failure(b.sending, err)
+	return n, b.conn.client.classifyError(b.attempt, err)
 }
 
 // Close implements io.Closer. Before the end of the body it cancels the request.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	if !b.ended {
 		b.ended = true
-		b.sending.stop()
-		b.conn.withdraw(b.sending)
+		b.attempt.stopContextWatch()
+		b.conn.cancelRequest(b.attempt)
 	}
 	return nil
 }
@@ -240,14 +240,14 @@
 //
 // Bytes beyond the answer would become the answer to the next request, which may be another
 // caller's. A connection with any is closed.
-func (b *body) finish() {
+func (b *responseBody) finish() {
 	b.ended = true
-	b.sending.stop()
-	b.conn.settle()
-	if b.keep && b.conn.in.Buffered() == 0 && b.sending.written() {
-		b.conn.server.put(b.conn)
+	b.attempt.stopContextWatch()
+	b.conn.ignoreInterrupts()
+	if b.reusable && b.conn.in.Buffered() == 0 && b.attempt.writtenWhole() {
+		b.conn.client.putIdle(b.conn)
 	} else {
-		b.conn.end()
+		b.conn.discard()
 	}
-	b.sending.done(true)
+	b.attempt.done(true)
 }
--- a/internal/upstr/watch.go
+++ b/internal/upstr/monitor.go
@@ -9,37 +9,37 @@
 
 // The times of a watch.
 const (
-	redialFirst = 100 * time.Millisecond
-	redialMost  = 2 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 2 * time.Second
 	// deathWindow is how far apart the ends of two connections may be seen if one loss of the
 	// server ended both.
 	deathWindow = 100 * time.Millisecond
 )
 
-// watch keeps one connection open on which nothing is sent. When the server's process ends,
+// monitor keeps one connection open on which nothing is sent. When the server's process ends,
 // the kernel closes it together with all others; when a server closes a single connection
 // because it dislikes a request, it stays. That tells a request that crashes servers from
 // one that is only badly answered, also where the server is back within milliseconds.
-type watch struct {
-	server *Server
-	once   sync.Once
-	cancel context.CancelFunc
-	ended  chan struct{}
+type monitor struct {
+	client  *Server
+	once    sync.Once
+	cancel  context.CancelFunc
+	stopped chan struct{}
 
 	mu sync.Mutex
-	// brokeAt is when the connection last ended.
-	brokeAt time.Time
-	// broke is closed at the next end of the connection.
-	broke chan struct{}
+	// lastBreak is when the connection last ended.
+	lastBreak time.Time
+	// nextBreak is closed at the next end of the connection.
+	nextBreak chan struct{}
 }
 
-func newWatch(s *Server) *watch {
-	return &watch{server: s, cancel: func() {}, ended: make(chan struct{}), broke: make(chan struct{})}
+func newMonitor(s *Server) *monitor {
+	return &monitor{client: s, cancel: func() {}, stopped: make(chan struct{}), nextBreak: make(chan struct{})}
 }
 
 // start begins the watch with the first request, which waits until the watched connection is
 // there: it may be the one that crashes the server.
-func (w *watch) start(ctx context.Context) {
+func (w *monitor) start(ctx context.Context) {
 	w.once.Do(func() {
 		first := w.dial(ctx)
 		ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -49,10 +49,10 @@
 }
 
 // dial returns a connection to watch, nil if there is none.
-func (w *watch) dial(ctx context.Context) net.Conn {
+func (w *monitor) dial(ctx context.Context) net.Conn {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	c, err := w.server.dialer.DialContext(ctx, "tcp", w.server.settings.Address)
+	c, err := w.client.dialer.DialContext(ctx, "tcp", w.client.settings.Address)
 	if err != nil {
 		return nil
 	}
@@ -60,55 +60,55 @@
 }
 
 // stop ends the watch and waits for its end.
-func (w *watch) stop() {
-	w.once.Do(func() { close(w.ended) })
+func (w *monitor) stop() {
+	w.once.Do(func() { close(w.stopped) })
 	w.cancel()
-	<-w.ended
+	<-w.stopped
 }
 
 // run keeps a connection until the context ends, and then closes ended.
-func (w *watch) run(ctx context.Context, c net.Conn) {
-	defer close(w.ended)
-	pause := redialFirst
+func (w *monitor) run(ctx context.Context, c net.Conn) {
+	defer close(w.stopped)
+	pause := minRedialDelay
 	for ; ctx.Err() == nil; c = w.dial(ctx) {
 		if c != nil {
-			pause = redialFirst
-			w.hold(ctx, c)
+			pause = minRedialDelay
+			w.awaitBreak(ctx, c)
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, maxRedialDelay)
 	}
 }
 
-// hold keeps a connection until it or the context ends.
-func (w *watch) hold(ctx context.Context, c net.Conn) {
+// awaitBreak keeps a connection until it or the context ends.
+func (w *monitor) awaitBreak(ctx context.Context, c net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	_, _ = c.Read(make([]byte, 1))
 	_ = c.Close()
 	if ctx.Err() == nil {
-		w.sawEnd()
+		w.recordBreak()
 	}
 }
 
-func (w *watch) sawEnd() {
+func (w *monitor) recordBreak() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.brokeAt = time.Now()
-	close(w.broke)
-	w.broke = make(chan struct{})
+	w.lastBreak = time.Now()
+	close(w.nextBreak)
+	w.nextBreak = make(chan struct{})
 }
 
 // Died reports whether the server's process ended when a connection was lost at a time just
 // past. It takes up to deathWindow to be sure.
 func (s *Server) Died(ctx context.Context, lostAt time.Time) bool {
-	s.watch.mu.Lock()
-	recent := s.watch.brokeAt.After(lostAt.Add(-deathWindow))
-	broke := s.watch.broke
-	s.watch.mu.Unlock()
+	s.monitor.mu.Lock()
+	recent := s.monitor.lastBreak.After(lostAt.Add(-deathWindow))
+	broke := s.monitor.nextBreak
+	s.monitor.mu.Unlock()
 	if recent {
 		return true
 	}
--- a/internal/upstr/quiet_linux.go
+++ b/internal/upstr/peek_linux.go
@@ -25,9 +25,9 @@
 	return p
 }
 
-// quiet reports whether an idle connection is open with nothing to read. A server that closed
+// usable reports whether an idle connection is open with nothing to read. A server that closed
 // it would lose the next request; bytes that it sent unasked would become the next answer.
-func (p *peeker) quiet() bool {
+func (p *peeker) usable() bool {
 	if p.raw == nil {
 		return false
 	}
--- a/internal/upstr/quiet_other.go
+++ b/internal/upstr/peek_other.go
@@ -10,4 +10,4 @@
 func newPeeker(net.Conn) *peeker { return &peeker{} }
 
 // quiet reports true, as it cannot be found out.
-func (p *peeker) quiet() bool { return true }
+func (p *peeker) usable() bool { return true }
--- a/internal/upstr/script_test.go
+++ b/internal/upstr/script_test.go
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// script is a server whose behaviour on each connection is written out.
-type script struct {
+// scriptedServer is a server whose behaviour on each connection is written out.
+type scriptedServer struct {
 	net.Listener
-	// asked counts the requests that were read.
-	asked atomic.Int32
-	mu    sync.Mutex
-	conns []net.Conn
+	// requests counts the requests that were read.
+	requests atomic.Int32
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
-// play starts a script; handle gets the connection's number from 0.
-func play(t *testing.T, handle func(s *script, number int, c net.Conn, in *bufio.Reader)) *script {
+// startScript starts a script; handle gets the connection's number from 0.
+func startScript(t *testing.T, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{Listener: l}
+	s := &scriptedServer{Listener: l}
 	var group sync.WaitGroup
 	group.Go(func() {
 		for {
@@ -53,25 +53,25 @@
 	return s
 }
 
-var numbers sync.Map
+var connCounters sync.Map
 
-func (s *script) serve(c net.Conn, handle func(s *script, number int, c net.Conn, in *bufio.Reader)) {
+func (s *scriptedServer) serve(c net.Conn, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) {
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		return
 	}
-	counter, _ := numbers.LoadOrStore(s, new(atomic.Int32))
+	counter, _ := connCounters.LoadOrStore(s, new(atomic.Int32))
 	handle(s, int(counter.(*atomic.Int32).Add(1))-1, c, in)
 }
 
-// read takes in one request and reports false at the connection's end.
-func (s *script) read(in *bufio.Reader) bool {
+// readRequest takes in one request and reports false at the connection's end.
+func (s *scriptedServer) readRequest(in *bufio.Reader) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return false
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	s.asked.Add(1)
+	s.requests.Add(1)
 	return true
 }
 
--- a/internal/upstr/server.go
+++ b/internal/upstr/server.go
@@ -42,15 +42,15 @@
 // The bounds of connections.
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout bounds how long a connection that went silent can go unnoticed between two
+	// defaultIdleTimeout bounds how long a connection that went silent can go unnoticed between two
 	// requests. A new one costs about a millisecond.
-	idleTimeout   = 3 * time.Second
-	headBytes     = 64 << 10
-	budgetDivisor = 3
+	defaultIdleTimeout = 3 * time.Second
+	maxHeadBytes       = 64 << 10
+	maxConnsDivisor    = 3
 	// dropGrace is how long after its deadline a server may still run a request.
 	dropGrace = time.Second
-	// stall is how long a server may take over the next part of an answer's body.
-	stall = 30 * time.Second
+	// bodyReadTimeout is how long a server may take over the next part of an answer's body.
+	bodyReadTimeout = 30 * time.Second
 )
 
 // Settings describe a backend server.
@@ -84,32 +84,32 @@
 // Server is the connections to one backend server.
 type Server struct {
 	settings Settings
-	budget   int
+	maxConns int
 	dialer   net.Dialer
-	// slowest is the longest time to an answer of late, in nanoseconds.
-	slowest atomic.Int64
-	watch   *watch
+	// slowestResponse is the longest time to an answer of late, in nanoseconds.
+	slowestResponse atomic.Int64
+	monitor         *monitor
 	// serial numbers the requests.
 	serial atomic.Uint64
 
-	mu     sync.Mutex
-	open   map[*conn]struct{}
-	dials  int
-	idle   []*conn
-	reaper *time.Timer
-	closed bool
+	mu      sync.Mutex
+	open    map[*conn]struct{}
+	dialing int
+	idle    []*conn
+	reaper  *time.Timer
+	closed  bool
 }
 
-// filled returns the settings with the defaults in place.
-func (s Settings) filled() Settings {
+// withDefaults returns the settings with the defaults in place.
+func (s Settings) withDefaults() Settings {
 	if s.Patience == 0 {
 		s.Patience = DefaultPatience
 	}
 	if s.Idle == 0 {
-		s.Idle = idleTimeout
+		s.Idle = defaultIdleTimeout
 	}
 	if s.Unacknowledged == 0 {
-		s.Unacknowledged = userTimeoutMillis * time.Millisecond
+		s.Unacknowledged = defaultUserTimeoutMillis * time.Millisecond
 	}
 	return s
 }
@@ -118,20 +118,20 @@
 // that the server accepts, so that a successor of this gate, and heartbeats, have room
 // beside it. Close ends it.
 func NewServer(settings Settings) *Server {
-	settings = settings.filled()
+	settings = settings.withDefaults()
 	s := &Server{
 		settings: settings,
-		budget:   max(settings.Connections/budgetDivisor, settings.Slots+1),
+		maxConns: max(settings.Connections/maxConnsDivisor, settings.Slots+1),
 		dialer:   net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: UserTimeout(settings.Unacknowledged)},
 		open:     make(map[*conn]struct{}),
 	}
-	s.slowest.Store(int64(settings.Patience) / patienceTimes)
-	s.watch = newWatch(s)
+	s.slowestResponse.Store(int64(settings.Patience) / silenceFactor)
+	s.monitor = newMonitor(s)
 	return s
 }
 
 // Made reports whether the server was made from the given settings.
-func (s *Server) Made(settings Settings) bool { return s.settings == settings.filled() }
+func (s *Server) Made(settings Settings) bool { return s.settings == settings.withDefaults() }
 
 // Order says how a request is to be sent.
 type Order struct {
@@ -150,7 +150,7 @@
 	Done func(sent bool)
 }
 
-func (o *Order) permitted() error {
+func (o *Order) runBeforeWrite() error {
 	if o.Permit == nil {
 		return nil
 	}
@@ -162,33 +162,33 @@
 // ErrInDoubt.
 func (s *Server) Send(r *http.Request, o Order) (*http.Response, error) {
 	if !s.settings.Unwatched {
-		s.watch.start(r.Context())
+		s.monitor.start(r.Context())
 	}
-	c, err := s.get(r.Context(), o)
+	c, err := s.acquireConn(r.Context(), o)
 	if err != nil {
 		o.Done(false)
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
 	}
-	if err := o.permitted(); err != nil {
-		s.put(c)
+	if err := o.runBeforeWrite(); err != nil {
+		s.putIdle(c)
 		o.Done(false)
 		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
 	}
-	out := &sending{
-		serial: s.serial.Add(1), request: r, began: time.Now(),
-		deadline: o.Deadline, until: o.Deadline.Add(dropGrace), done: o.Done,
+	out := &attempt{
+		serial: s.serial.Add(1), request: r, startedAt: time.Now(),
+		deadline: o.Deadline, dropDeadline: o.Deadline.Add(dropGrace), done: o.Done,
 	}
 	c.begin(out.serial, out.writeDeadline(o))
-	out.stop = context.AfterFunc(r.Context(), func() { c.interrupt(out.serial) })
+	out.stopContextWatch = context.AfterFunc(r.Context(), func() { c.interrupt(out.serial) })
 	if err := out.write(c, o.InMemory); err != nil {
-		return nil, s.giveUp(out, c, err)
+		return nil, s.failAttempt(out, c, err)
 	}
-	response, err := out.await(c)
+	response, err := out.awaitResponse(c)
 	if err != nil {
-		return nil, s.giveUp(out, c, err)
+		return nil, s.failAttempt(out, c, err)
 	}
-	s.observe(time.Since(out.began))
-	b := &body{ReadCloser: response.Body, conn: c, sending: out, keep: !response.Close && !r.Close}
+	s.observeLatency(time.Since(out.startedAt))
+	b := &responseBody{ReadCloser: response.Body, conn: c, attempt: out, reusable: !response.Close && !r.Close}
 	response.Body = b
 	if b.ReadCloser == http.NoBody {
 		b.finish()
@@ -196,24 +196,24 @@
 	return response, nil
 }
 
-// giveUp ends a request without an answer.
-func (s *Server) giveUp(out *sending, c *conn, err error) error {
-	out.stop()
-	if out.writing == nil && !c.wrote {
-		c.settle()
-		c.end()
+// failAttempt ends a request without an answer.
+func (s *Server) failAttempt(out *attempt, c *conn, err error) error {
+	out.stopContextWatch()
+	if out.writeDone == nil && !c.mayHaveWritten {
+		c.ignoreInterrupts()
+		c.discard()
 		out.done(false)
 		return fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
 	}
-	failure := s.failure(out, err)
-	c.withdraw(out)
+	failure := s.classifyError(out, err)
+	c.cancelRequest(out)
 	return failure
 }
 
-// failure says what an error after the first byte means.
-func (s *Server) failure(out *sending, err error) error {
+// classifyError says what an error after the first byte means.
+func (s *Server) classifyError(out *attempt, err error) error {
 	switch {
-	case out.silent:
+	case out.connSilent:
 		err = ErrSilent
 	case out.request.Context().Err() != nil:
 		err = context.Cause(out.request.Context())
@@ -227,7 +227,7 @@
 
 // Cut closes all connections at once, for when the right to use the server is lost.
 func (s *Server) Cut() {
-	s.dropIdle()
+	s.closeIdle()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
@@ -241,31 +241,31 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.dropIdle()
-	s.watch.stop()
+	s.closeIdle()
+	s.monitor.stop()
 }
 
 // Open returns the number of open connections, those being opened included.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.open) + s.dials
+	return len(s.open) + s.dialing
 }
 
-// get returns a connection for a request.
-func (s *Server) get(ctx context.Context, o Order) (*conn, error) {
+// acquireConn returns a connection for a request.
+func (s *Server) acquireConn(ctx context.Context, o Order) (*conn, error) {
 	for !o.Fresh {
 		c := s.takeIdle()
 		if c == nil {
 			break
 		}
-		if time.Since(c.idleSince) < s.settings.Idle && c.peeker.quiet() {
+		if time.Since(c.idleSince) < s.settings.Idle && c.peeker.usable() {
 			c.reused = true
 			return c, nil
 		}
-		c.end()
+		c.discard()
 	}
-	if !s.reserve() {
+	if !s.reserveConn() {
 		return nil, ErrBudget
 	}
 	dialer := s.dialer
@@ -273,7 +273,7 @@
 	raw, err := dialer.DialContext(ctx, "tcp", s.settings.Address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dials--
+	s.dialing--
 	if err != nil {
 		return nil, err
 	}
@@ -282,12 +282,12 @@
 	return c, nil
 }
 
-// reserve counts a connection about to be opened. If all are in use an idle one gives way.
-func (s *Server) reserve() bool {
+// reserveConn counts a connection about to be opened. If all are in use an idle one gives way.
+func (s *Server) reserveConn() bool {
 	for {
 		s.mu.Lock()
-		if len(s.open)+s.dials < s.budget {
-			s.dials++
+		if len(s.open)+s.dialing < s.maxConns {
+			s.dialing++
 			s.mu.Unlock()
 			return true
 		}
@@ -296,7 +296,7 @@
 		if c == nil {
 			return false
 		}
-		c.end()
+		c.discard()
 	}
 }
 
@@ -314,24 +314,24 @@
 	return c
 }
 
-// put makes a connection idle.
-func (s *Server) put(c *conn) {
+// putIdle makes a connection idle.
+func (s *Server) putIdle(c *conn) {
 	c.idleSince = time.Now()
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
-		c.end()
+		c.discard()
 		return
 	}
 	s.idle = append(s.idle, c)
 	if s.reaper == nil {
-		s.reaper = time.AfterFunc(s.settings.Idle, s.reap)
+		s.reaper = time.AfterFunc(s.settings.Idle, s.closeExpiredIdle)
 	}
 	s.mu.Unlock()
 }
 
-// reap closes the connections that have been idle for too long.
-func (s *Server) reap() {
+// closeExpiredIdle closes the connections that have been idle for too long.
+func (s *Server) closeExpiredIdle() {
 	s.mu.Lock()
 	limit := time.Now().Add(-s.settings.Idle)
 	fresh := slices.IndexFunc(s.idle, func(c *conn) bool { return c.idleSince.After(limit) })
@@ -342,22 +342,22 @@
 	s.idle = slices.Delete(s.idle, 0, fresh)
 	s.reaper = nil
 	if len(s.idle) > 0 {
-		s.reaper = time.AfterFunc(time.Until(s.idle[0].idleSince.Add(s.settings.Idle)), s.reap)
+		s.reaper = time.AfterFunc(time.Until(s.idle[0].idleSince.Add(s.settings.Idle)), s.closeExpiredIdle)
 	}
 	s.mu.Unlock()
 	for _, c := range old {
-		c.end()
+		c.discard()
 	}
 }
 
-// dropIdle closes all idle connections.
-func (s *Server) dropIdle() {
+// closeIdle closes all idle connections.
+func (s *Server) closeIdle() {
 	for c := s.takeIdle(); c != nil; c = s.takeIdle() {
-		c.end()
+		c.discard()
 	}
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
--- a/internal/upstr/server_test.go
+++ b/internal/upstr/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// connect returns the connections to an address, closed with the test.
-func connect(t *testing.T, address string, change func(*Settings)) *Server {
+// newTestServer returns the connections to an address, closed with the test.
+func newTestServer(t *testing.T, address string, change func(*Settings)) *Server {
 	t.Helper()
 	settings := Settings{Name: "a", Address: address, Connections: 110, Slots: 2}
 	if change != nil {
@@ -42,26 +42,26 @@
 type result struct {
 	text string
 	err  error
-	// done is closed when the server is done.
-	done chan struct{}
+	// serverDone is closed when the server is done.
+	serverDone chan struct{}
 }
 
-// order returns an order without a deadline to speak of, and a channel that its Done closes.
-func order() (Order, chan struct{}) {
+// testOptions returns an order without a deadline to speak of, and a channel that its Done closes.
+func testOptions() (Order, chan struct{}) {
 	done := make(chan struct{})
 	return Order{Deadline: time.Now().Add(time.Hour), InMemory: true, Done: func(bool) { close(done) }}, done
 }
 
 // send sends a request and reads its answer.
 func send(s *Server, r *http.Request) result {
-	o, done := order()
+	o, done := testOptions()
 	response, err := s.Send(r, o)
 	if err != nil {
-		return result{err: err, done: done}
+		return result{err: err, serverDone: done}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return result{text: string(text), err: err, done: done}
+	return result{text: string(text), err: err, serverDone: done}
 }
 
 // A server restarts between two requests on one connection. net/http would take the second
@@ -77,16 +77,16 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			server := play(t, func(s *script, number int, c net.Conn, in *bufio.Reader) {
+			server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
 				defer c.Close()
-				for i := 0; s.read(in); i++ {
+				for i := 0; s.readRequest(in); i++ {
 					if number == 0 && i == 1 {
 						return
 					}
 					_, _ = io.WriteString(c, ok)
 				}
 			})
-			s := connect(t, server.Addr().String(), nil)
+			s := newTestServer(t, server.Addr().String(), nil)
 			is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 			r := request(is, tt.method, "")
 			if tt.header != "" {
@@ -95,8 +95,8 @@
 			got := send(s, r)
 			is.True(errors.Is(got.err, ErrInDoubt))
 			is.True(errors.Is(got.err, ErrLost))
-			<-got.done
-			is.Equal(server.asked.Load(), int32(2))
+			<-got.serverDone
+			is.Equal(server.requests.Load(), int32(2))
 		})
 	}
 }
@@ -107,10 +107,10 @@
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	s := connect(t, address, nil)
+	s := newTestServer(t, address, nil)
 	got := send(s, request(is, http.MethodPost, "text"))
 	is.True(errors.Is(got.err, ErrNotSent))
-	<-got.done
+	<-got.serverDone
 	is.Equal(s.Open(), 0)
 }
 
@@ -128,7 +128,7 @@
 		<-drop
 	}))
 	defer server.Close()
-	s := connect(t, server.Listener.Addr().String(), nil)
+	s := newTestServer(t, server.Listener.Addr().String(), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-begun
@@ -139,12 +139,12 @@
 	is.True(!errors.Is(got.err, ErrLost))
 	<-told
 	select {
-	case <-got.done:
+	case <-got.serverDone:
 		t.Fatal("the slot is free while the server works")
 	default:
 	}
 	close(drop)
-	<-got.done
+	<-got.serverDone
 }
 
 // A server takes no notice of a cancellation. Its slot is free when the request's time is
@@ -152,17 +152,17 @@
 func TestSlotIsFreeAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
 	begun := make(chan struct{})
-	server := play(t, func(s *script, _ int, _ net.Conn, in *bufio.Reader) {
-		s.read(in)
+	server := startScript(t, func(s *scriptedServer, _ int, _ net.Conn, in *bufio.Reader) {
+		s.readRequest(in)
 		close(begun)
 	})
-	s := connect(t, server.Addr().String(), nil)
+	s := newTestServer(t, server.Addr().String(), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-begun
 		cancel()
 	}()
-	o, done := order()
+	o, done := testOptions()
 	o.Deadline = time.Now().Add(time.Second)
 	_, err := s.Send(request(is, http.MethodPost, "text").WithContext(ctx), o) //nolint:bodyclose // there is none
 	is.True(errors.Is(err, ErrInDoubt))
@@ -181,15 +181,15 @@
 	for name, text := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			server := play(t, func(s *script, _ int, c net.Conn, in *bufio.Reader) {
-				s.read(in)
+			server := startScript(t, func(s *scriptedServer, _ int, c net.Conn, in *bufio.Reader) {
+				s.readRequest(in)
 				_, _ = io.WriteString(c, text)
 				c.Close()
 			})
-			s := connect(t, server.Addr().String(), nil)
+			s := newTestServer(t, server.Addr().String(), nil)
 			got := send(s, request(is, http.MethodGet, ""))
 			is.True(errors.Is(got.err, ErrInDoubt))
-			<-got.done
+			<-got.serverDone
 		})
 	}
 }
@@ -197,8 +197,8 @@
 // The bytes after a stated length belong to no answer. They must not become the next one.
 func TestLongAnswerDoesNotCross(t *testing.T) {
 	is := is.New(t)
-	server := play(t, func(s *script, number int, c net.Conn, in *bufio.Reader) {
-		for s.read(in) {
+	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
+		for s.readRequest(in) {
 			if number > 0 {
 				_, _ = io.WriteString(c, ok)
 				continue
@@ -206,12 +206,12 @@
 			_, _ = io.WriteString(c, ok+"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstrays")
 		}
 	})
-	s := connect(t, server.Addr().String(), nil)
+	s := newTestServer(t, server.Addr().String(), nil)
 	for range 3 {
 		got := send(s, request(is, http.MethodGet, ""))
 		is.NoErr(got.err)
 		is.Equal(got.text, "ok")
-		<-got.done
+		<-got.serverDone
 	}
 }
 
@@ -226,8 +226,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			answered, disturbed := make(chan struct{}), make(chan struct{})
-			server := play(t, func(s *script, number int, c net.Conn, in *bufio.Reader) {
-				for s.read(in) {
+			server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
+				for s.readRequest(in) {
 					_, _ = io.WriteString(c, ok)
 					if number == 0 {
 						<-answered
@@ -237,7 +237,7 @@
 					}
 				}
 			})
-			s := connect(t, server.Addr().String(), nil)
+			s := newTestServer(t, server.Addr().String(), nil)
 			is.NoErr(send(s, request(is, http.MethodPost, "text")).err)
 			close(answered)
 			<-disturbed
@@ -257,7 +257,7 @@
 		<-release
 	}))
 	defer server.Close()
-	s := connect(t, server.Listener.Addr().String(), func(s *Settings) { s.Connections, s.Slots = 12, 2 })
+	s := newTestServer(t, server.Listener.Addr().String(), func(s *Settings) { s.Connections, s.Slots = 12, 2 })
 	results := make(chan result, 4)
 	for range 4 {
 		r := request(is, http.MethodGet, "")
@@ -270,12 +270,12 @@
 	got := send(s, request(is, http.MethodGet, ""))
 	is.True(errors.Is(got.err, ErrBudget))
 	is.True(errors.Is(got.err, ErrNotSent))
-	<-got.done
+	<-got.serverDone
 	close(release)
 	for range 4 {
 		got := <-results
 		is.NoErr(got.err)
-		<-got.done
+		<-got.serverDone
 	}
 	is.Equal(s.Open(), 4)
 }
@@ -284,17 +284,17 @@
 // the rest of the body may still be, is not used again.
 func TestAnswerBeforeTheEndOfTheBody(t *testing.T) {
 	is := is.New(t)
-	server := play(t, func(_ *script, _ int, c net.Conn, in *bufio.Reader) {
+	server := startScript(t, func(_ *scriptedServer, _ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno")
 		}
 	})
-	s := connect(t, server.Addr().String(), nil)
+	s := newTestServer(t, server.Addr().String(), nil)
 	from, to := io.Pipe()
 	defer func() { _ = to.Close() }()
 	r := request(is, http.MethodPost, "text")
 	r.Body, r.ContentLength = from, 1000
-	o, done := order()
+	o, done := testOptions()
 	o.InMemory = false
 	response, err := s.Send(r, o)
 	is.NoErr(err)
@@ -318,7 +318,7 @@
 				seen <- err
 			}))
 			defer server.Close()
-			s := connect(t, server.Listener.Addr().String(), nil)
+			s := newTestServer(t, server.Listener.Addr().String(), nil)
 			from, to := io.Pipe()
 			r := request(is, http.MethodPost, "text")
 			r.Body, r.ContentLength = from, length
@@ -326,7 +326,7 @@
 				_, _ = to.Write([]byte("half"))
 				_ = to.CloseWithError(errors.New("caller gone"))
 			}()
-			o, done := order()
+			o, done := testOptions()
 			o.InMemory = false
 			_, err := s.Send(r, o) //nolint:bodyclose // there is none
 			is.True(errors.Is(err, ErrInDoubt))
--- a/internal/upstr/silent.go
+++ b/internal/upstr/silent.go
@@ -20,8 +20,8 @@
 
 // The patience with a silent connection.
 const (
-	patienceTimes = 8
-	patienceMost  = time.Minute
+	silenceFactor = 8
+	maxSilence    = time.Minute
 	probeTimeout  = 500 * time.Millisecond
 	// slowestDecay lets the slowest time fall by this share, as a divisor, with each answer.
 	slowestDecay = 4096
@@ -31,16 +31,16 @@
 // other end's kernel.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
-// observe takes in a time to an answer.
-func (s *Server) observe(d time.Duration) {
-	slowest := s.slowest.Load()
+// observeLatency takes in a time to an answer.
+func (s *Server) observeLatency(d time.Duration) {
+	slowest := s.slowestResponse.Load()
 	next := max(int64(d), slowest-slowest/slowestDecay)
-	s.slowest.CompareAndSwap(slowest, next)
+	s.slowestResponse.CompareAndSwap(slowest, next)
 }
 
-// patience returns how long a request may be silent before its connection is doubted.
-func (s *Server) patience() time.Duration {
-	return min(max(patienceTimes*time.Duration(s.slowest.Load()), s.settings.Patience), patienceMost)
+// silenceLimit returns how long a request may be silent before its connection is doubted.
+func (s *Server) silenceLimit() time.Duration {
+	return min(max(silenceFactor*time.Duration(s.slowestResponse.Load()), s.settings.Patience), maxSilence)
 }
 
 // Probe returns nil if the server answers anything on a new connection.
--- a/internal/upstr/silent_test.go
+++ b/internal/upstr/silent_test.go
@@ -25,8 +25,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			server := play(t, func(s *script, _ int, c net.Conn, in *bufio.Reader) {
-				for i := 0; s.read(in); i++ {
+			server := startScript(t, func(s *scriptedServer, _ int, c net.Conn, in *bufio.Reader) {
+				for i := 0; s.readRequest(in); i++ {
 					if i == 0 {
 						_, _ = io.WriteString(c, ok)
 						continue
@@ -42,7 +42,7 @@
 					s.mu.Unlock()
 				}
 			})
-			s := connect(t, server.Addr().String(), nil)
+			s := newTestServer(t, server.Addr().String(), nil)
 			is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 			server.awaitConns(2)
 			is.True(errors.Is(send(s, request(is, http.MethodGet, "")).err, ErrLost))
@@ -52,7 +52,7 @@
 }
 
 // awaitConns waits until a number of connections were accepted.
-func (s *script) awaitConns(n int) {
+func (s *scriptedServer) awaitConns(n int) {
 	for {
 		s.mu.Lock()
 		reached := len(s.conns) >= n
@@ -68,15 +68,15 @@
 // while new connections work. The user would wait for the whole deadline.
 func TestSilentConnectionIsDropped(t *testing.T) {
 	is := is.New(t)
-	server := play(t, func(s *script, number int, c net.Conn, in *bufio.Reader) {
-		for i := 0; s.read(in); i++ {
+	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
+		for i := 0; s.readRequest(in); i++ {
 			if number == 0 && i == 1 {
 				return
 			}
 			_, _ = io.WriteString(c, ok)
 		}
 	})
-	s := connect(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
+	s := newTestServer(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
 	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 	silent := send(s, request(is, http.MethodGet, ""))
 	is.True(errors.Is(silent.err, ErrSilent))
@@ -91,8 +91,8 @@
 func TestFrozenServerIsNotSilence(t *testing.T) {
 	is := is.New(t)
 	thaw := make(chan struct{})
-	server := play(t, func(s *script, number int, c net.Conn, in *bufio.Reader) {
-		for i := 0; s.read(in); i++ {
+	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
+		for i := 0; s.readRequest(in); i++ {
 			switch {
 			case number == 0 && i == 1:
 				<-thaw
@@ -103,7 +103,7 @@
 			_, _ = io.WriteString(c, ok)
 		}
 	})
-	s := connect(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
+	s := newTestServer(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
 	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 	got := send(s, request(is, http.MethodGet, ""))
 	is.NoErr(got.err)
--- a/internal/upstr/timeout_linux.go
+++ b/internal/upstr/timeout_linux.go
@@ -11,7 +11,7 @@
 const tcpUserTimeout = 18
 
 // UserTimeoutMillis agrees with keepAlive.
-const userTimeoutMillis = 5000
+const defaultUserTimeoutMillis = 5000
 
 // UserTimeout returns what sets the option on a new connection.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
