--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -51,7 +51,7 @@
 type request struct {
 	*http.Request
 	edge    *Edge
-	call    Call
+	call    RequestInfo
 	route   *rules.Route
 	version uint64
 	service string
@@ -88,8 +88,8 @@
 
 // admit finds the route of a request.
 func (e *Edge) admit(r *http.Request, arrivedAt time.Time) (*request, *inlet.Reply) {
-	q := &request{Request: r, edge: e, call: e.Wire.Call(r.Header), arrivedAt: arrivedAt}
-	c := e.World.Config()
+	q := &request{Request: r, edge: e, call: e.Codec.DecodeRequest(r.Header), arrivedAt: arrivedAt}
+	c := e.Cluster.Config()
 	if c == nil {
 		return nil, e.reject(q, endNoConfig, errorReply(http.StatusServiceUnavailable, retryAfterStart))
 	}
@@ -108,7 +108,7 @@
 	if !found {
 		return nil, e.reject(q, endNoService, errorReply(http.StatusServiceUnavailable, retryAfterStart))
 	}
-	q.divided = service.Divided && q.call.Keyed
+	q.divided = service.Divided && q.call.HasKey
 	q.setDeadlines(&e.returns)
 	if r.Body != nil && r.Body != http.NoBody {
 		data, err := io.ReadAll(r.Body)
@@ -118,7 +118,7 @@
 		q.body = data
 	}
 	q.print = fingerprintOf(r, q.body)
-	if e.World.Suspicious(q.print) {
+	if e.Cluster.Quarantined(q.print) {
 		return nil, e.reject(q, endCrashesServers, errorReply(http.StatusBadGateway, 0))
 	}
 	return q, nil
@@ -126,7 +126,7 @@
 
 // reject logs a request that got no further.
 func (e *Edge) reject(q *request, reason endReason, reply *inlet.Reply) *inlet.Reply {
-	e.Meters.Request("", reason, time.Since(q.arrivedAt))
+	e.Meters.RecordRequest("", reason, time.Since(q.arrivedAt))
 	e.Events.Note(event.Failure, "request", "id", q.call.ID, "status", reply.Status, "why", reason,
 		"config", q.version, "host", q.Host, "path", q.URL.Path)
 	return reply
@@ -135,8 +135,8 @@
 // setDeadlines sets the times of a request.
 func (q *request) setDeadlines(p *returnDetector) {
 	patient := defaultCallerTimeout
-	if q.call.Patient {
-		patient = q.call.Patience
+	if q.call.HasTimeout {
+		patient = q.call.Timeout
 	}
 	var before time.Duration
 	q.returning, before = p.observe(q.route.Name, patient, q.arrivedAt)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -27,23 +27,23 @@
 // wire is a simple set of headers.
 type wire struct{}
 
-func (wire) Call(h http.Header) edge.Call {
+func (wire) DecodeRequest(h http.Header) edge.RequestInfo {
 	millis, err := strconv.Atoi(h.Get("Left"))
 	key, failed := strconv.ParseUint(h.Get("Key"), 10, 16)
-	return edge.Call{
-		ID: h.Get("Id"), Patience: time.Duration(millis) * time.Millisecond, Patient: err == nil,
-		Key: uint16(key), Keyed: failed == nil,
+	return edge.RequestInfo{
+		ID: h.Get("Id"), Timeout: time.Duration(millis) * time.Millisecond, HasTimeout: err == nil,
+		Key: uint16(key), HasKey: failed == nil,
 	}
 }
 
-func (wire) Address(h http.Header, server string, left time.Duration) {
+func (wire) EncodeTarget(h http.Header, server string, left time.Duration) {
 	h.Set("Server", server)
 	h.Set("Left", strconv.Itoa(int(left.Milliseconds())))
 }
 
-func (wire) Answer(r *http.Response) edge.Answer {
-	return edge.Answer{
-		ID: r.Header.Get("Id"), NotRun: r.Header.Get("Not-Run") != "" || r.StatusCode == 421, Moved: r.StatusCode == 421,
+func (wire) DecodeResponse(r *http.Response) edge.ResponseInfo {
+	return edge.ResponseInfo{
+		ID: r.Header.Get("Id"), NotRun: r.Header.Get("Not-Run") != "" || r.StatusCode == 421, Misdirected: r.StatusCode == 421,
 	}
 }
 
@@ -108,10 +108,10 @@
 func (w *world) Owner(string, uint16) (shard.Range, bool, <-chan struct{}) {
 	return w.owner, w.owner.Server != "", w.changed
 }
-func (w *world) Count(string, uint16)         {}
-func (w *world) Suspicious(uint64) bool       { return w.blocked }
-func (w *world) Crashed(uint64, rules.Server) { w.crashed.Add(1) }
-func (w *world) Cleared(uint64)               {}
+func (w *world) CountRequest(string, uint16)      {}
+func (w *world) Quarantined(uint64) bool          { return w.blocked }
+func (w *world) ReportCrash(uint64, rules.Server) { w.crashed.Add(1) }
+func (w *world) ClearSuspicion(uint64)            {}
 
 // permits grants every asking: the servers in turn, or the one that is asked for.
 type permits struct {
@@ -126,10 +126,10 @@
 	server  string
 }
 
-func (g *granted) Server() string     { return g.server }
-func (g *granted) Done(d permit.Done) { g.permits.done = append(g.permits.done, d.Outcome) }
+func (g *granted) Server() string         { return g.server }
+func (g *granted) Complete(d permit.Done) { g.permits.done = append(g.permits.done, d.Outcome) }
 
-func (p *permits) Acquire(_ context.Context, a permit.Ask, _ string) (edge.Permit, *permit.Refused) {
+func (p *permits) Acquire(_ context.Context, a permit.Ask, _ string) (edge.Admission, *permit.Refused) {
 	if p.refused != nil {
 		return nil, p.refused
 	}
@@ -164,9 +164,9 @@
 		f.permits.ids = append(f.permits.ids, id)
 	}
 	f.edge = edge.New(edge.Deps{
-		Wire: wire{}, World: f.world, Permits: f.permits, Pool: edge.NewPool(func(string) int { return 10 }),
-		Budget: edge.NewBudget(0.2, 10*time.Second, func() float64 { return 100 }, time.Now),
-		Events: event.New(io.Discard, log.ErrorLevel), Meters: edge.NewMeters(),
+		Codec: wire{}, Cluster: f.world, Admitter: f.permits, ConnPool: edge.NewConnPool(func(string) int { return 10 }),
+		RetryBudget: edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 100 }, time.Now),
+		Events:      event.New(io.Discard, log.ErrorLevel), Meters: edge.NewMeters(),
 	})
 	return f
 }
@@ -307,7 +307,7 @@
 func TestBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	b := edge.NewBudget(0.2, 10*time.Second, func() float64 { return 10 }, func() time.Time { return now })
+	b := edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 10 }, func() time.Time { return now })
 	spent := 0
 	for range 100 {
 		b.Earn("books")
@@ -326,17 +326,17 @@
 func TestSuspects(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	s := edge.NewSuspects()
-	s.Lost(1, "a", now)
-	s.Lost(1, "a", now) // two instances saw the same loss
-	s.Lost(2, "a", now)
-	is.True(!s.Blocked(1, now))
+	s := edge.NewCrashTracker()
+	s.RecordCrash(1, "a", now)
+	s.RecordCrash(1, "a", now) // two instances saw the same loss
+	s.RecordCrash(2, "a", now)
+	is.True(!s.Quarantined(1, now))
 	s.Clear(2)
-	s.Lost(1, "b", now)
-	s.Lost(2, "b", now)
-	is.True(s.Blocked(1, now))
-	is.True(!s.Blocked(2, now))
-	is.True(!s.Blocked(1, now.Add(time.Hour)))
+	s.RecordCrash(1, "b", now)
+	s.RecordCrash(2, "b", now)
+	is.True(s.Quarantined(1, now))
+	is.True(!s.Quarantined(2, now))
+	is.True(!s.Quarantined(1, now.Add(time.Hour)))
 }
 
 // A server was about to leave. A request got its permit while there was time, waited 0.2 seconds for a
@@ -351,7 +351,7 @@
 	s := f.world.servers["s0"]
 	s.Draining, s.LeaveBy = true, time.Now().Add(200*time.Millisecond)
 	f.world.servers["s0"] = s
-	f.edge.Pool.Connections = func(string) int {
+	f.edge.ConnPool.Connections = func(string) int {
 		<-time.After(time.Until(s.LeaveBy) + 10*time.Millisecond)
 		return 10
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -36,7 +36,7 @@
 func (q *request) serve(ctx context.Context) *inlet.Reply {
 	if q.divided {
 		// Refused requests count too: they show where there is too little room.
-		q.edge.World.Count(q.service, q.call.Key)
+		q.edge.Cluster.CountRequest(q.service, q.call.Key)
 	}
 	for range maxAdmissionRequests {
 		p, s, refused := q.acquire(ctx)
@@ -54,7 +54,7 @@
 			continue
 		}
 		q.fallback = reply
-		if q.attempts >= q.route.MaxAttempts || time.Until(q.deadline) < minAttemptTime || !q.edge.Budget.Spend(q.service) {
+		if q.attempts >= q.route.MaxAttempts || time.Until(q.deadline) < minAttemptTime || !q.edge.RetryBudget.Spend(q.service) {
 			return q.finalReply(ctx, reply)
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // acquire waits for a permit. If all three results are nil it should be asked for again.
-func (q *request) acquire(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
+func (q *request) acquire(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
 	began := time.Now()
 	defer func() { q.waited += time.Since(began) }()
 	ask := permit.Ask{
@@ -96,20 +96,20 @@
 		if reply != nil {
 			return nil, rules.Server{}, reply
 		}
-		owner, found := q.edge.World.Server(r.Server)
+		owner, found := q.edge.Cluster.Server(r.Server)
 		if !found || owner.Closed(true, time.Now()) {
 			q.reason = endNoOwner
 			return nil, rules.Server{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		ask.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
 	}
-	p, refused := q.edge.Permits.Acquire(ctx, ask, domain)
+	p, refused := q.edge.Admitter.Acquire(ctx, ask, domain)
 	if refused != nil {
 		return nil, rules.Server{}, q.handleRejection(ctx, refused)
 	}
-	s, found := q.edge.World.Server(p.Server())
+	s, found := q.edge.Cluster.Server(p.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		p.Done(permit.Done{Outcome: permit.Unsent})
+		p.Complete(permit.Done{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
 	return p, s, nil
@@ -138,7 +138,7 @@
 // awaitOwner returns the owner of the request's key. While the key changes hands it waits.
 func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
-		r, found, changed := q.edge.World.Owner(q.service, q.call.Key)
+		r, found, changed := q.edge.Cluster.Owner(q.service, q.call.Key)
 		if found && len(r.Before) == 0 {
 			return r, nil
 		}
@@ -165,7 +165,7 @@
 
 // attempt sends the request to one server. It returns true if the request may be sent again;
 // the answer is then the one for the caller if it is not, and nil if this was no attempt.
-func (q *request) attempt(ctx context.Context, p Permit, s rules.Server) (*inlet.Reply, bool) {
+func (q *request) attempt(ctx context.Context, p Admission, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
 	q.edge.inFlight.add(s.Domain, 1)
@@ -175,12 +175,12 @@
 	done := permit.Done{}
 	defer func() {
 		done.Took = time.Since(began)
-		p.Done(done)
+		p.Complete(done)
 	}()
 	if err != nil {
 		return q.handleSendError(ctx, &done, s, err)
 	}
-	answer := q.edge.Wire.Answer(response)
+	answer := q.edge.Codec.DecodeResponse(response)
 	done.Load = answer.Load
 	if answer.LoadErr != nil {
 		q.edge.logMalformedLoad(s.ID, answer.LoadErr)
@@ -194,14 +194,14 @@
 		return q.handleSendError(ctx, &done, s, err)
 	}
 	done.Bytes = len(reply.Body)
-	q.edge.World.Cleared(q.print)
+	q.edge.Cluster.ClearSuspicion(q.print)
 	return q.handleResponse(ctx, &done, s, answer, reply)
 }
 
 // handleResponse decides about a whole answer.
-func (q *request) handleResponse(ctx context.Context, done *permit.Done, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
+func (q *request) handleResponse(ctx context.Context, done *permit.Done, s rules.Server, a ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
-	case a.NotRun && a.Moved:
+	case a.NotRun && a.Misdirected:
 		done.Outcome = permit.NotHere
 		q.reason = endNoOwner
 		duty.Pause(ctx, misdirectedDelay)
@@ -238,7 +238,7 @@
 		q.reason = endNoOwner
 		return nil, true
 	case unsent:
-		if errors.Is(err, upstr.ErrBudget) {
+		if errors.Is(err, upstr.ErrConnLimit) {
 			done.Outcome = permit.Unsent
 		}
 		q.reason, q.avoid = endUnsent, s.ID
@@ -251,7 +251,7 @@
 	}
 	q.reason, q.avoid = endInDoubt, s.ID
 	if errors.Is(err, upstr.ErrLost) {
-		q.edge.World.Crashed(q.print, s)
+		q.edge.Cluster.ReportCrash(q.print, s)
 	}
 	return errorReply(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -177,7 +177,7 @@
 func (n *Node) serversChanged() {
 	servers := n.world.servers()
 	n.permits.setServers()
-	n.edge.Pool.Keep(func(id string) bool { _, there := servers[id]; return there })
+	n.edge.ConnPool.Retain(func(id string) bool { _, there := servers[id]; return there })
 }
 
 func (n *Node) ownersChanged() { n.world.ownersChanged() }
@@ -280,18 +280,18 @@
 	return r, true, changed
 }
 
-// Count implements edge.World.
-func (n *Node) Count(service string, key uint16) { n.loads.count(service, key) }
+// CountRequest implements edge.World.
+func (n *Node) CountRequest(service string, key uint16) { n.loads.count(service, key) }
 
-// Suspicious implements edge.World.
-func (n *Node) Suspicious(print uint64) bool { return n.suspects.Blocked(print, time.Now()) }
+// Quarantined implements edge.World.
+func (n *Node) Quarantined(print uint64) bool { return n.suspects.Quarantined(print, time.Now()) }
 
 // crashProbe bounds the look whether a server whose connection was lost still takes new ones.
 const crashProbe = 300 * time.Millisecond
 
-// Crashed implements edge.World. Servers also break off single answers, so a lost connection
+// ReportCrash implements edge.World. Servers also break off single answers, so a lost connection
 // counts as a crash only if the server refuses a new one.
-func (n *Node) Crashed(print uint64, s rules.Server) {
+func (n *Node) ReportCrash(print uint64, s rules.Server) {
 	go func() {
 		c, err := net.DialTimeout("tcp4", s.Address, crashProbe)
 		if err == nil {
@@ -299,13 +299,13 @@
 			return
 		}
 		n.events.Note(event.Belief, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
-		n.suspects.Lost(print, s.ID, time.Now())
+		n.suspects.RecordCrash(print, s.ID, time.Now())
 		n.tellAll(gram.Crash{Print: print, Server: s.ID})
 	}()
 }
 
-// Cleared implements edge.World.
-func (n *Node) Cleared(print uint64) {
+// ClearSuspicion implements edge.World.
+func (n *Node) ClearSuspicion(print uint64) {
 	if n.suspects.Clear(print) {
 		n.tellAll(gram.Crash{Print: print, Cleared: true})
 	}
@@ -317,5 +317,5 @@
 		n.suspects.Clear(m.Print)
 		return
 	}
-	n.suspects.Lost(m.Print, m.Server, time.Now())
+	n.suspects.RecordCrash(m.Print, m.Server, time.Now())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 type Surroundings struct {
 	Store  follow.Store
 	Orders holder.Orders
-	Wire   edge.Wire
+	Wire   edge.HeaderCodec
 	// Config, Servers and Owners are topics of the store, ConfigKey is the key of the
 	// configuration.
 	Config    string
@@ -66,13 +66,13 @@
 	loads    *loads
 	holder   *holder.Holder
 	edge     *edge.Edge
-	suspects *edge.Suspects
+	suspects *edge.CrashTracker
 	meters   *edge.Meters
 	inlet    *inlet.Server
 	// calls counts the calls to the store by reason.
 	calls *expvar.Map
 	// times holds how long calls to the store took that do not wait for news.
-	times       *edge.Times
+	times       *edge.LatencyHistograms
 	incarnation uint64
 	updates     chan follow.Update
 	again       map[string]chan struct{}
@@ -111,8 +111,8 @@
 	n := &Node{
 		settings: settings, around: around, events: events, port: port,
 		roster: roster.New(settings.Name, settings.Domain),
-		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
-		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewTimes(),
+		meters: edge.NewMeters(), suspects: edge.NewCrashTracker(), incarnation: rand.Uint64() | 1,
+		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewLatencyHistograms(),
 		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.News{}, told: map[string]chan follow.Update{},
 		behind: map[string]*behind{}, settled: make(chan gram.SettledRange, settledMost), beatNow: make(chan struct{}, 1), beatAll: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
@@ -141,11 +141,11 @@
 	})
 	n.world.owners = n.holder.Owners
 	n.topics = n.newTopics()
-	budget := edge.NewBudget(settings.Bounds.RetryRatio,
+	budget := edge.NewRetryBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Wire: around.Wire, World: n, Permits: n.permits, Pool: edge.NewPool(n.connections), Budget: budget,
+		Codec: around.Wire, Cluster: n, Admitter: n.permits, ConnPool: edge.NewConnPool(n.connections), RetryBudget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -222,8 +222,8 @@
 // Server implements edge.Permit.
 func (h *held) Server() string { return h.server }
 
-// Done implements edge.Permit.
-func (h *held) Done(d permit.Done) {
+// Complete implements edge.Permit.
+func (h *held) Complete(d permit.Done) {
 	defer h.permits.asker.close(h.serial)
 	d.Key, d.Server, d.Route = permit.Key{Serial: h.serial}, h.server, h.route
 	if !h.keeper.IsValid() {
@@ -244,7 +244,7 @@
 }
 
 // Acquire implements edge.Permits.
-func (p *permits) Acquire(ctx context.Context, a permit.Ask, domain string) (edge.Permit, *permit.Refused) {
+func (p *permits) Acquire(ctx context.Context, a permit.Ask, domain string) (edge.Admission, *permit.Refused) {
 	if a.Server != "" {
 		a.Pool, a.Domain = a.Service, p.node.settings.Domain
 		return p.askKeepers(ctx, a, a.Server, domain)
@@ -278,7 +278,7 @@
 }
 
 // askKeepers asks those in charge of a pool or a server in turn, and decides itself if they are silent.
-func (p *permits) askKeepers(ctx context.Context, a permit.Ask, thing, domain string) (edge.Permit, *permit.Refused) {
+func (p *permits) askKeepers(ctx context.Context, a permit.Ask, thing, domain string) (edge.Admission, *permit.Refused) {
 	for i, keeper := range p.node.roster.Rank(thing, domain, time.Now()) {
 		if i == asksMost {
 			a.Apart = true
@@ -300,7 +300,7 @@
 }
 
 // conclude turns a final verdict into a permit or a refusal.
-func (p *permits) conclude(a permit.Ask, m gram.Verdict, keeper netip.AddrPort) (edge.Permit, *permit.Refused) {
+func (p *permits) conclude(a permit.Ask, m gram.Verdict, keeper netip.AddrPort) (edge.Admission, *permit.Refused) {
 	if m.Server != "" {
 		return &held{permits: p, serial: m.Serial, pool: a.Pool, route: a.Route, server: m.Server, keeper: keeper}, nil
 	}
--- a/internal/upstr/attempt.go
+++ b/internal/upstr/attempt.go
@@ -46,7 +46,7 @@
 
 // writeDeadline returns the deadline of writing. A request that fits the buffers of both ends
 // is never blocked, and needs none.
-func (s *attempt) writeDeadline(o Order) time.Time {
+func (s *attempt) writeDeadline(o SendOptions) time.Time {
 	if o.InMemory && s.request.ContentLength < writeBufferSize {
 		return time.Time{}
 	}
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -28,7 +28,7 @@
 // the goroutine that carries it.
 type conn struct {
 	net.Conn
-	client *Server
+	client *Client
 	peeker *peeker
 	in     *bufio.Reader
 	out    *bufio.Writer
@@ -51,7 +51,7 @@
 	interrupted bool
 }
 
-func newConn(raw net.Conn, s *Server) *conn {
+func newConn(raw net.Conn, s *Client) *conn {
 	c := &conn{Conn: raw, client: s, peeker: newPeeker(raw)}
 	c.in = bufio.NewReaderSize(c, readBufferSize)
 	c.out = bufio.NewWriterSize(c, writeBufferSize)
@@ -154,7 +154,7 @@
 // that is left out, to hear whether the server was only slow.
 func (c *conn) cancelRequest(s *attempt) {
 	c.ignoreInterrupts()
-	if c.client.settings.Abrupt {
+	if c.client.settings.CancelByFullClose {
 		c.discard()
 		s.done(true)
 		return
--- a/internal/upstr/monitor.go
+++ b/internal/upstr/monitor.go
@@ -21,7 +21,7 @@
 // because it dislikes a request, it stays. That tells a request that crashes servers from
 // one that is only badly answered, also where the server is back within milliseconds.
 type monitor struct {
-	client  *Server
+	client  *Client
 	once    sync.Once
 	cancel  context.CancelFunc
 	stopped chan struct{}
@@ -33,7 +33,7 @@
 	nextBreak chan struct{}
 }
 
-func newMonitor(s *Server) *monitor {
+func newMonitor(s *Client) *monitor {
 	return &monitor{client: s, cancel: func() {}, stopped: make(chan struct{}), nextBreak: make(chan struct{})}
 }
 
@@ -102,9 +102,9 @@
 	w.nextBreak = make(chan struct{})
 }
 
-// Died reports whether the server's process ended when a connection was lost at a time just
+// ServerDied reports whether the server's process ended when a connection was lost at a time just
 // past. It takes up to deathWindow to be sure.
-func (s *Server) Died(ctx context.Context, lostAt time.Time) bool {
+func (s *Client) ServerDied(ctx context.Context, lostAt time.Time) bool {
 	s.monitor.mu.Lock()
 	recent := s.monitor.lastBreak.After(lostAt.Add(-deathWindow))
 	broke := s.monitor.nextBreak
--- a/internal/upstr/silent.go
+++ b/internal/upstr/silent.go
@@ -32,19 +32,19 @@
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
 // observeLatency takes in a time to an answer.
-func (s *Server) observeLatency(d time.Duration) {
+func (s *Client) observeLatency(d time.Duration) {
 	slowest := s.slowestResponse.Load()
 	next := max(int64(d), slowest-slowest/slowestDecay)
 	s.slowestResponse.CompareAndSwap(slowest, next)
 }
 
 // silenceLimit returns how long a request may be silent before its connection is doubted.
-func (s *Server) silenceLimit() time.Duration {
-	return min(max(silenceFactor*time.Duration(s.slowestResponse.Load()), s.settings.Patience), maxSilence)
+func (s *Client) silenceLimit() time.Duration {
+	return min(max(silenceFactor*time.Duration(s.slowestResponse.Load()), s.settings.SilenceTimeout), maxSilence)
 }
 
 // Probe returns nil if the server answers anything on a new connection.
-func (s *Server) Probe(ctx context.Context) error {
+func (s *Client) Probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	transport := &http.Transport{DialContext: s.dialer.DialContext, DisableKeepAlives: true}
