--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// RetryBudget bounds how often requests are sent a second time. All instances share one allowance:
-// in any window, a part of the requests and a fixed number. Each takes its part of it, so that
-// it holds also while instances do not hear one another.
+// RetryBudget limits retries. In any window, all instances together may retry a fraction of the
+// requests plus a fixed number. Each instance uses only its own part of that, so that the limit
+// also holds while instances cannot communicate.
 type RetryBudget struct {
-	// Ratio and Slack are this instance's part of the allowance.
+	// ratio is the number of retries that each request earns. slack returns this instance's part
+	// of the fixed number, which may change with the number of instances.
 	ratio  float64
 	window time.Duration
 	slack  func() float64
@@ -19,56 +20,58 @@
 	buckets map[string]*tokenBucket
 }
 
-// ratioShare is the part of the allowed ratio that is used: the window of the allowance slides,
-// and requests that are counted at its edges may fall out of it. A repetition comes within some
-// tenths of a second of its request, so that 3% of a window of ten seconds lie at its edges.
+// ratioShare is the part of the allowed ratio that is used. The limit holds in a sliding window,
+// which may contain a retry but not the request that earned it. A retry follows its request
+// within some tenths of a second, so about 3% of a window of ten seconds are affected.
 const ratioShare = 0.85
 
-// slackShare is the part of the fixed number that is used: instances may start anew within a
-// window, and begin with a full allowance.
+// slackShare is the part of the fixed number that is used. An instance that restarts within a
+// window begins with a full bucket again.
 const slackShare = 0.5
 
-// tokenBucket is what is left for one service.
+// tokenBucket holds the retries that are left for one service.
 type tokenBucket struct {
 	tokens   float64
 	filledAt time.Time
 }
 
-// NewRetryBudget returns a budget. Slack returns this instance's part of the fixed number.
+// NewRetryBudget returns a budget. Ratio is the number of retries per request that all instances
+// may make in a window; slack returns this instance's part of the fixed number of retries.
 func NewRetryBudget(ratio float64, window time.Duration, slack func() float64, now func() time.Time) *RetryBudget {
 	return &RetryBudget{ratio: ratio * ratioShare, window: window, slack: slack, now: now, buckets: map[string]*tokenBucket{}}
 }
 
+// refilled returns the bucket of a service, refilled up to the current time.
 func (b *RetryBudget) refilled(service string) *tokenBucket {
-	a := b.buckets[service]
+	t := b.buckets[service]
 	now := b.now()
-	most := b.slack() * slackShare
-	if a == nil {
-		a = &tokenBucket{tokens: most, filledAt: now}
-		b.buckets[service] = a
+	maxTokens := b.slack() * slackShare
+	if t == nil {
+		t = &tokenBucket{tokens: maxTokens, filledAt: now}
+		b.buckets[service] = t
 	}
-	// The fixed number comes back over one window.
-	a.tokens += most * now.Sub(a.filledAt).Seconds() / b.window.Seconds() / 2
-	a.tokens = min(a.tokens, most)
-	a.filledAt = now
-	return a
+	// The fixed number is refilled over two windows.
+	t.tokens += maxTokens * now.Sub(t.filledAt).Seconds() / b.window.Seconds() / 2
+	t.tokens = min(t.tokens, maxTokens)
+	t.filledAt = now
+	return t
 }
 
-// Earn takes in a request.
+// Earn adds what one request earns to the budget of its service.
 func (b *RetryBudget) Earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refilled(service).tokens += b.ratio
 }
 
-// Spend reports whether a request may be sent once more, and if so counts it.
+// Spend reports whether a request may be retried, and if so takes the retry from the budget.
 func (b *RetryBudget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.refilled(service)
-	if a.tokens < 1 {
+	t := b.refilled(service)
+	if t.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	t.tokens--
 	return true
 }
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -5,78 +5,82 @@
 	"time"
 )
 
-// The bounds of what is kept of requests that crash servers.
+// The limits of a CrashTracker.
 const (
-	// maxCrashedServers is the number of servers that a request may take down before it is blocked.
-	// One that merely ran beside the cause is cleared by its next answer.
+	// maxCrashedServers is the number of lost servers after which a request is quarantined. It
+	// is more than one because other requests that ran on the server at the same time are
+	// suspected too; the next response clears them.
 	maxCrashedServers = 2
-	// crashRetention is how long a request is remembered.
+	// crashRetention is how long a request is tracked after its last crash.
 	crashRetention = 2 * time.Minute
-	// maxTrackedRequests bounds the memory; the oldest give way.
+	// maxTrackedRequests bounds the memory; beyond it, the request that expires first is dropped.
 	maxTrackedRequests = 1024
 )
 
-// trackedRequest is a request at whose run servers were lost.
+// trackedRequest is a request during which servers were lost.
 type trackedRequest struct {
 	servers   map[string]struct{}
 	expiresAt time.Time
 }
 
-// CrashTracker finds requests that crash the servers which run them. Such a request comes again,
-// under another id and at any instance, so all instances tell one another of losses.
+// CrashTracker finds requests that crash the servers that run them. Callers retry such a request
+// under another ID and at any instance, so the instances report crashes to each other.
 type CrashTracker struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// requests holds the tracked requests by fingerprint.
 	requests map[uint64]*trackedRequest
 }
 
-// NewCrashTracker returns an empty memory.
+// NewCrashTracker returns a tracker without any requests.
 func NewCrashTracker() *CrashTracker { return &CrashTracker{requests: map[uint64]*trackedRequest{}} }
 
-// RecordCrash takes in that a server was lost while a request ran there.
-func (s *CrashTracker) RecordCrash(print uint64, server string, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.requests[print]
-	if k == nil {
-		s.evict(now)
-		k = &trackedRequest{servers: map[string]struct{}{}}
-		s.requests[print] = k
+// RecordCrash records that a server was lost while it ran the request with a fingerprint. Crashes
+// of the same server count once.
+func (c *CrashTracker) RecordCrash(print uint64, server string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[print]
+	if r == nil {
+		c.evict(now)
+		r = &trackedRequest{servers: map[string]struct{}{}}
+		c.requests[print] = r
 	}
-	k.servers[server] = struct{}{}
-	k.expiresAt = now.Add(crashRetention)
+	r.servers[server] = struct{}{}
+	r.expiresAt = now.Add(crashRetention)
 }
 
-// evict forgets what is old, and the one that ends first if that is not enough.
-func (s *CrashTracker) evict(now time.Time) {
+// evict drops all expired requests, and the one that expires first if no room is left.
+func (c *CrashTracker) evict(now time.Time) {
 	var oldest uint64
-	var until time.Time
-	for print, k := range s.requests {
-		if now.After(k.expiresAt) {
-			delete(s.requests, print)
+	var oldestExpiry time.Time
+	for print, r := range c.requests {
+		if now.After(r.expiresAt) {
+			delete(c.requests, print)
 			continue
 		}
-		if until.IsZero() || k.expiresAt.Before(until) {
-			oldest, until = print, k.expiresAt
+		if oldestExpiry.IsZero() || r.expiresAt.Before(oldestExpiry) {
+			oldest, oldestExpiry = print, r.expiresAt
 		}
 	}
-	if len(s.requests) >= maxTrackedRequests {
-		delete(s.requests, oldest)
+	if len(c.requests) >= maxTrackedRequests {
+		delete(c.requests, oldest)
 	}
 }
 
-// Clear takes in that a request had an answer. It reports whether the request was suspected.
-func (s *CrashTracker) Clear(print uint64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, known := s.requests[print]
-	delete(s.requests, print)
+// Clear drops the request with a fingerprint because it got a response. It reports whether the
+// request was tracked.
+func (c *CrashTracker) Clear(print uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, known := c.requests[print]
+	delete(c.requests, print)
 	return known
 }
 
-// Quarantined reports whether a request must not run again.
-func (s *CrashTracker) Quarantined(print uint64, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.requests[print]
-	return k != nil && len(k.servers) >= maxCrashedServers && now.Before(k.expiresAt)
+// Quarantined reports whether the request with a fingerprint must not be sent again for now.
+func (c *CrashTracker) Quarantined(print uint64, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[print]
+	return r != nil && len(r.servers) >= maxCrashedServers && now.Before(r.expiresAt)
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,10 +1,10 @@
-// Package edge answers the requests of callers: it finds the route and the server, asks for a
-// permit, sends the request, and decides what an outcome means for the caller.
+// Package edge handles the requests of callers: it finds the route and the server, requests an
+// admission, sends the request, and turns the outcome into a reply.
 //
-// Three states are told apart at all times. "Not run" is said only when no byte was written to
-// a server, or the server itself said so; it alone leads to the statuses 429 and 503. "Ran" is
-// an answer, which is passed on as it is. All else is in doubt: a request that is not
-// idempotent is then not sent again, and the caller gets 502 or 504.
+// An attempt has one of three outcomes. "Not run" is claimed only if no byte was written to a
+// server, or if the server itself said so; only this outcome leads to the statuses 429 and 503.
+// "Ran" means that the server sent a response, which is passed on unchanged. Everything else is
+// in doubt: a non-idempotent request is then not retried, and the caller gets 502 or 504.
 package edge
 
 import (
@@ -19,68 +19,76 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// RequestInfo is what a caller states about its request.
+// RequestInfo is what the headers of a request state.
 type RequestInfo struct {
-	// ID is the identity of this sending.
+	// ID identifies this attempt of the caller. A caller that retries uses another ID.
 	ID string
-	// Timeout is how long the caller will wait, if Patient is set.
+	// Timeout is how long the caller will wait from now on. It is valid if HasTimeout is set.
 	Timeout    time.Duration
 	HasTimeout bool
-	// Key is the key of the request, if Keyed is set.
+	// Key is the key of the request. It is valid if HasKey is set.
 	Key    uint16
 	HasKey bool
 }
 
-// ResponseInfo is what a server states in its answer.
+// ResponseInfo is what the headers of a server's response state.
 type ResponseInfo struct {
-	// ID is the identity of the sending that is answered.
+	// ID is the RequestInfo.ID of the request that the response belongs to. It may be empty.
 	ID string
-	// NotRun says that the server did not run the request; Moved that it is not the server that
-	// was meant, or does not hold the key.
+	// NotRun says that the server did not run the request. Misdirected says that the server is
+	// not the one that was addressed, or does not own the key.
 	NotRun      bool
 	Misdirected bool
 	Load        permit.Load
-	// LoadErr says that the server stated a load that cannot be read.
+	// LoadErr is set if the server stated a malformed load.
 	LoadErr error
 }
 
-// HeaderCodec translates between the headers of requests and what they mean.
+// HeaderCodec decodes and encodes the headers that callers, instances and servers exchange.
 type HeaderCodec interface {
 	DecodeRequest(h http.Header) RequestInfo
-	// EncodeTarget states which server alone may run the request, and how long it may take.
+	// EncodeTarget sets the only server that may run the request, and the time left for it.
 	EncodeTarget(h http.Header, server string, left time.Duration)
 	DecodeResponse(r *http.Response) ResponseInfo
 }
 
-// Admitter gives permits to send.
+// Admitter admits requests to servers.
 type Admitter interface {
-	// Acquire waits for a permit. The granted one must be given back. A nil refusal means that
-	// it was granted.
+	// Acquire waits for an admission. It returns either an admission, which must be completed,
+	// or a rejection. If the request names its server, domain is the failure domain of that
+	// server; otherwise domain is empty.
 	Acquire(ctx context.Context, a permit.Ask, domain string) (Admission, *permit.Refused)
 }
 
 // Admission is the right to send one request to a server.
 type Admission interface {
+	// Server returns the ID of the server.
 	Server() string
+	// Complete reports the end of the request and frees the slot of the server. It must be
+	// called exactly once.
 	Complete(d permit.Done)
 }
 
-// Cluster is what the edge knows of its surroundings at a moment.
+// Cluster is this instance's current view of configuration, servers and owners.
 type Cluster interface {
+	// Config returns nil until a configuration has been read.
 	Config() *rules.Config
 	Server(id string) (rules.Server, bool)
-	// Owner returns the range of a key, and a channel that is closed when owners change.
+	// Owner returns the range that contains a key, whether there is one, and a channel that is
+	// closed when owners change.
 	Owner(service string, key uint16) (shard.Range, bool, <-chan struct{})
-	// CountRequest takes in a request for a key.
+	// CountRequest counts a request for a key.
 	CountRequest(service string, key uint16)
-	// Quarantined reports whether a request is known to crash servers; Crashed takes in that a
-	// server was lost while it ran, Cleared that it had an answer.
+	// Quarantined reports whether the request with a fingerprint is suspected to crash servers.
 	Quarantined(print uint64) bool
+	// ReportCrash reports that the connection to a server was lost while the server ran the
+	// request with a fingerprint.
 	ReportCrash(print uint64, s rules.Server)
+	// ClearSuspicion reports that the request with a fingerprint got a response.
 	ClearSuspicion(print uint64)
 }
 
-// Deps is what an Edge needs.
+// Deps holds the dependencies of an Edge.
 type Deps struct {
 	Codec       HeaderCodec
 	Cluster     Cluster
@@ -91,24 +99,24 @@
 	Meters      *Meters
 }
 
-// Edge answers requests.
+// Edge handles the requests of the callers that are connected to this instance.
 type Edge struct {
 	Deps
 	returns returnDetector
-	// malformedLoads holds the servers whose load could not be read, as far as a line was written.
+	// malformedLoads holds the servers whose malformed load has been logged.
 	malformedLoads malformedLoads
 	inFlight       inFlightCounter
 }
 
-// New returns an edge.
+// New returns an Edge with the given dependencies.
 func New(d Deps) *Edge { return &Edge{Deps: d} }
 
-// Handle is an inlet.Handler.
+// Handle processes one request of a caller. It is an inlet.Handler.
 func (e *Edge) Handle(ctx context.Context, r *http.Request) *inlet.Reply {
 	arrivedAt := time.Now()
-	q, refused := e.admit(r, arrivedAt)
-	if refused != nil {
-		return refused
+	q, rejection := e.prepare(r, arrivedAt)
+	if rejection != nil {
+		return rejection
 	}
 	e.RetryBudget.Earn(q.service)
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
@@ -118,7 +126,7 @@
 	return reply
 }
 
-// recordEnd logs and counts how a request ended.
+// recordEnd logs and counts the end of a request. Reply is nil if there is none.
 func (e *Edge) recordEnd(q *request, reply *inlet.Reply) {
 	class := event.Success
 	status := 0
@@ -131,8 +139,8 @@
 	}
 	took := time.Since(q.arrivedAt)
 	e.Meters.RecordRequest(q.route.Name, q.reason, took)
-	e.Events.Note(class, "request", "id", q.call.ID, "route", q.route.Name, "config", q.version, "service", q.service,
+	e.Events.Note(class, "request", "id", q.info.ID, "route", q.route.Name, "config", q.configVersion, "service", q.service,
 		"status", status, "why", q.reason, "server", q.server, "attempts", q.attempts, "took", took,
-		"waited", q.waited, "dispatched", q.dispatchDelay, "leaving-in", q.leavesIn, "predicted", q.predictedWait, "pool", q.pool, "left", time.Until(q.deadline), "returning", q.returning, "patience", q.call.Timeout, "key", q.call.Key, "fence", q.fence,
+		"waited", q.waited, "dispatched", q.dispatchDelay, "leaving-in", q.leavesIn, "predicted", q.predictedWait, "pool", q.pool, "left", time.Until(q.deadline), "returning", q.returning, "patience", q.info.Timeout, "key", q.info.Key, "fence", q.fence,
 		"error", q.err)
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -24,42 +24,43 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// wire is a simple set of headers.
-type wire struct{}
+// headerCodec implements edge.HeaderCodec with a simple set of headers.
+type headerCodec struct{}
 
-func (wire) DecodeRequest(h http.Header) edge.RequestInfo {
+func (headerCodec) DecodeRequest(h http.Header) edge.RequestInfo {
 	millis, err := strconv.Atoi(h.Get("Left"))
-	key, failed := strconv.ParseUint(h.Get("Key"), 10, 16)
+	key, keyErr := strconv.ParseUint(h.Get("Key"), 10, 16)
 	return edge.RequestInfo{
 		ID: h.Get("Id"), Timeout: time.Duration(millis) * time.Millisecond, HasTimeout: err == nil,
-		Key: uint16(key), HasKey: failed == nil,
+		Key: uint16(key), HasKey: keyErr == nil,
 	}
 }
 
-func (wire) EncodeTarget(h http.Header, server string, left time.Duration) {
+func (headerCodec) EncodeTarget(h http.Header, server string, left time.Duration) {
 	h.Set("Server", server)
 	h.Set("Left", strconv.Itoa(int(left.Milliseconds())))
 }
 
-func (wire) DecodeResponse(r *http.Response) edge.ResponseInfo {
+func (headerCodec) DecodeResponse(r *http.Response) edge.ResponseInfo {
 	return edge.ResponseInfo{
 		ID: r.Header.Get("Id"), NotRun: r.Header.Get("Not-Run") != "" || r.StatusCode == 421, Misdirected: r.StatusCode == 421,
 	}
 }
 
-// backend is a server that answers each connection by a script, byte by byte.
-type backend struct {
+// fakeServer is a backend server that handles each request with a function of the test, which
+// writes to the connection directly.
+type fakeServer struct {
 	listener net.Listener
 	runs     atomic.Int32
 }
 
-func newBackend(t *testing.T, answer func(run int, c net.Conn, r *http.Request)) *backend {
+func newFakeServer(t *testing.T, answer func(run int, c net.Conn, r *http.Request)) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &backend{listener: l}
+	b := &fakeServer{listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -84,74 +85,80 @@
 	return b
 }
 
-// say writes an answer with the id of its request.
-func say(c net.Conn, r *http.Request, status, headers, body string) {
+// respond writes a response with the ID of its request.
+func respond(c net.Conn, r *http.Request, status, headers, body string) {
 	_, _ = io.WriteString(c, "HTTP/1.1 "+status+"\r\nId: "+r.Header.Get("Id")+"\r\n"+headers+
 		"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
-// world knows two servers of one service, and one owner.
-type world struct {
-	config  *rules.Config
-	servers map[string]rules.Server
-	owner   shard.Range
-	changed chan struct{}
-	crashed atomic.Int32
-	blocked bool
+// fakeCluster implements edge.Cluster with a fixed configuration, the servers of one service and
+// one owner for all keys.
+type fakeCluster struct {
+	config      *rules.Config
+	servers     map[string]rules.Server
+	owner       shard.Range
+	changed     chan struct{}
+	crashed     atomic.Int32
+	quarantined bool
 }
 
-func (w *world) Config() *rules.Config { return w.config }
-func (w *world) Server(id string) (rules.Server, bool) {
-	s, found := w.servers[id]
+func (c *fakeCluster) Config() *rules.Config { return c.config }
+func (c *fakeCluster) Server(id string) (rules.Server, bool) {
+	s, found := c.servers[id]
 	return s, found
 }
-func (w *world) Owner(string, uint16) (shard.Range, bool, <-chan struct{}) {
-	return w.owner, w.owner.Server != "", w.changed
+func (c *fakeCluster) Owner(string, uint16) (shard.Range, bool, <-chan struct{}) {
+	return c.owner, c.owner.Server != "", c.changed
 }
-func (w *world) CountRequest(string, uint16)      {}
-func (w *world) Quarantined(uint64) bool          { return w.blocked }
-func (w *world) ReportCrash(uint64, rules.Server) { w.crashed.Add(1) }
-func (w *world) ClearSuspicion(uint64)            {}
+func (c *fakeCluster) CountRequest(string, uint16)      {}
+func (c *fakeCluster) Quarantined(uint64) bool          { return c.quarantined }
+func (c *fakeCluster) ReportCrash(uint64, rules.Server) { c.crashed.Add(1) }
+func (c *fakeCluster) ClearSuspicion(uint64)            {}
 
-// permits grants every asking: the servers in turn, or the one that is asked for.
-type permits struct {
-	ids     []string
-	next    int
-	refused *permit.Refused
-	done    []permit.Outcome
+// fakeAdmitter implements edge.Admitter. It admits each request to the server that it names, or to
+// the servers in turn, unless rejection is set.
+type fakeAdmitter struct {
+	ids       []string
+	next      int
+	rejection *permit.Refused
+	outcomes  []permit.Outcome
 }
 
-type granted struct {
-	permits *permits
-	server  string
+// fakeAdmission implements edge.Admission and records the outcome of its request.
+type fakeAdmission struct {
+	admitter *fakeAdmitter
+	server   string
 }
 
-func (g *granted) Server() string         { return g.server }
-func (g *granted) Complete(d permit.Done) { g.permits.done = append(g.permits.done, d.Outcome) }
+func (a *fakeAdmission) Server() string { return a.server }
+func (a *fakeAdmission) Complete(d permit.Done) {
+	a.admitter.outcomes = append(a.admitter.outcomes, d.Outcome)
+}
 
-func (p *permits) Acquire(_ context.Context, a permit.Ask, _ string) (edge.Admission, *permit.Refused) {
-	if p.refused != nil {
-		return nil, p.refused
+func (f *fakeAdmitter) Acquire(_ context.Context, r permit.Ask, _ string) (edge.Admission, *permit.Refused) {
+	if f.rejection != nil {
+		return nil, f.rejection
 	}
-	if a.Server != "" {
-		return &granted{p, a.Server}, nil
+	if r.Server != "" {
+		return &fakeAdmission{f, r.Server}, nil
 	}
-	p.next++
-	return &granted{p, p.ids[(p.next-1)%len(p.ids)]}, nil
+	f.next++
+	return &fakeAdmission{f, f.ids[(f.next-1)%len(f.ids)]}, nil
 }
 
+// fixture is an Edge with fakes around it, and one route for host a.example.
 type fixture struct {
-	edge    *edge.Edge
-	world   *world
-	permits *permits
+	edge     *edge.Edge
+	cluster  *fakeCluster
+	admitter *fakeAdmitter
 }
 
-func newFixture(kind rules.Kind, backends ...*backend) *fixture {
+func newFixture(kind rules.Kind, backends ...*fakeServer) *fixture {
 	route := &rules.Route{
 		Name: "route", Host: "a.example", Prefix: "/", Kind: kind, Target: 300 * time.Millisecond, Timeout: 400 * time.Millisecond,
 		MaxAttempts: 2, Parts: []rules.Part{{Service: "books", Weight: 1}},
 	}
-	f := &fixture{permits: &permits{}, world: &world{
+	f := &fixture{admitter: &fakeAdmitter{}, cluster: &fakeCluster{
 		config: &rules.Config{
 			Version: 7, Services: map[string]rules.Service{"books": {Name: "books"}},
 			Hosts: map[string][]*rules.Route{"a.example": {route}},
@@ -160,17 +167,18 @@
 	}}
 	for i, b := range backends {
 		id := "s" + strconv.Itoa(i)
-		f.world.servers[id] = rules.Server{ID: id, Service: "books", Address: b.listener.Addr().String(), Slots: 2}
-		f.permits.ids = append(f.permits.ids, id)
+		f.cluster.servers[id] = rules.Server{ID: id, Service: "books", Address: b.listener.Addr().String(), Slots: 2}
+		f.admitter.ids = append(f.admitter.ids, id)
 	}
 	f.edge = edge.New(edge.Deps{
-		Codec: wire{}, Cluster: f.world, Admitter: f.permits, ConnPool: edge.NewConnPool(func(string) int { return 10 }),
+		Codec: headerCodec{}, Cluster: f.cluster, Admitter: f.admitter, ConnPool: edge.NewConnPool(func(string) int { return 10 }),
 		RetryBudget: edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 100 }, time.Now),
 		Events:      event.New(io.Discard, log.ErrorLevel), Meters: edge.NewMeters(),
 	})
 	return f
 }
 
+// send handles a request for the route. Headers are pairs of names and values.
 func (f *fixture) send(ctx context.Context, headers ...string) *inlet.Reply {
 	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader("body"))
 	r.Host = "a.example"
@@ -182,62 +190,62 @@
 	return f.edge.Handle(ctx, r)
 }
 
-func answerOK(_ int, c net.Conn, r *http.Request) { say(c, r, "200 OK", "", "fine") }
+func respondOK(_ int, c net.Conn, r *http.Request) { respond(c, r, "200 OK", "", "fine") }
 
-// What a server does with its first request, and what the caller must get: "not run" only when
-// that is true, one run of what must not be repeated, and nothing that is not the whole answer
-// to the caller's own request.
+// For each way in which a server can handle its first request, the caller must be told "not run"
+// only if that is true, a non-idempotent request must run at most once, and the caller must get
+// nothing but the complete response to its own request.
 func TestOutcomes(t *testing.T) {
 	type script = func(run int, c net.Conn, r *http.Request)
 	tests := map[string]struct {
 		first script
-		// once and again are the statuses for requests that must not, and may, be repeated;
-		// runs the number of runs at both servers together.
-		once, again         int
-		onceRuns, againRuns int
+		// once and repeatable are the expected statuses of non-idempotent and idempotent requests;
+		// onceRuns and repeatableRuns are how often both servers together run them.
+		once, repeatable         int
+		onceRuns, repeatableRuns int
 	}{
-		"answers":       {answerOK, 200, 200, 1, 1},
-		"reports error": {func(_ int, c net.Conn, r *http.Request) { say(c, r, "500 X", "", "no") }, 500, 200, 1, 2},
-		"is full":       {func(_ int, c net.Conn, r *http.Request) { say(c, r, "503 X", "Not-Run: 1\r\n", "") }, 200, 200, 2, 2},
+		"responds":      {respondOK, 200, 200, 1, 1},
+		"reports error": {func(_ int, c net.Conn, r *http.Request) { respond(c, r, "500 X", "", "no") }, 500, 200, 1, 2},
+		"is full":       {func(_ int, c net.Conn, r *http.Request) { respond(c, r, "503 X", "Not-Run: 1\r\n", "") }, 200, 200, 2, 2},
 		"closes":        {func(_ int, c net.Conn, _ *http.Request) { _ = c.Close() }, 502, 200, 1, 2},
-		"cuts the answer": {func(_ int, c net.Conn, r *http.Request) {
+		"cuts the response short": {func(_ int, c net.Conn, r *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nContent-Length: 100\r\n\r\nshort")
 			_ = c.Close()
 		}, 502, 200, 1, 2},
-		"says what is no answer": {func(_ int, c net.Conn, _ *http.Request) {
+		"sends no HTTP": {func(_ int, c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "garbage garbage garbage\r\n\r\n")
 			_ = c.Close()
 		}, 502, 200, 1, 2},
-		"answers another request": {func(_ int, c net.Conn, _ *http.Request) {
+		"responds to another request": {func(_ int, c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 2\r\n\r\nno")
 		}, 502, 200, 1, 2},
 		"is silent": {func(int, net.Conn, *http.Request) { time.Sleep(600 * time.Millisecond) }, 504, 504, 1, 1},
 	}
 	for name, test := range tests {
 		for kind, want := range map[rules.Kind][2]int{
-			rules.Once: {test.once, test.onceRuns}, rules.Repeatable: {test.again, test.againRuns},
+			rules.Once: {test.once, test.onceRuns}, rules.Repeatable: {test.repeatable, test.repeatableRuns},
 		} {
-			t.Run(name+" "+map[rules.Kind]string{rules.Once: "once", rules.Repeatable: "again"}[kind], func(t *testing.T) {
+			t.Run(name+" "+map[rules.Kind]string{rules.Once: "once", rules.Repeatable: "repeatable"}[kind], func(t *testing.T) {
 				is := is.New(t)
-				first, second := newBackend(t, test.first), newBackend(t, answerOK)
+				first, second := newFakeServer(t, test.first), newFakeServer(t, respondOK)
 				f := newFixture(kind, first, second)
 				reply := f.send(t.Context())
 				is.Equal(reply.Status, want[0])
 				is.Equal(int(first.runs.Load()+second.runs.Load()), want[1])
-				is.Equal(len(f.permits.done), want[1]) // each permit is given back
+				is.Equal(len(f.admitter.outcomes), want[1]) // each admission is completed
 			})
 		}
 	}
 }
 
-// A server sends a second answer behind the first, on a connection that is kept. It must not
-// become the answer to the next request.
-func TestAnswerTooMany(t *testing.T) {
+// A server sends two responses to one request on a kept-alive connection. The second must not
+// become the response to the next request.
+func TestSurplusResponse(t *testing.T) {
 	is := is.New(t)
-	b := newBackend(t, func(run int, c net.Conn, r *http.Request) {
-		say(c, r, "200 OK", "", "one")
+	b := newFakeServer(t, func(run int, c net.Conn, r *http.Request) {
+		respond(c, r, "200 OK", "", "one")
 		if run == 1 {
-			say(c, r, "200 OK", "", "two")
+			respond(c, r, "200 OK", "", "two")
 		}
 	})
 	f := newFixture(rules.Once, b)
@@ -246,22 +254,25 @@
 	is.Equal(string(f.send(t.Context(), "Id", "id-2").Body), "one")
 }
 
-func TestRefusals(t *testing.T) {
+// Requests that are rejected before their first attempt do not reach a server.
+func TestRejections(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(f *fixture)
 		host    string
 		status  int
 	}{
-		"no configuration": {func(f *fixture) { f.world.config = nil }, "a.example", 503},
+		"no configuration": {func(f *fixture) { f.cluster.config = nil }, "a.example", 503},
 		"no route":         {func(*fixture) {}, "b.example", 404},
-		"overload":         {func(f *fixture) { f.permits.refused = &permit.Refused{Reason: permit.Overload, RetryIn: time.Second} }, "a.example", 503},
-		"crashes servers":  {func(f *fixture) { f.world.blocked = true }, "a.example", 502},
-		"service is gone":  {func(f *fixture) { f.world.config.Services = nil }, "a.example", 503},
+		"overload": {func(f *fixture) {
+			f.admitter.rejection = &permit.Refused{Reason: permit.Overload, RetryIn: time.Second}
+		}, "a.example", 503},
+		"crashes servers": {func(f *fixture) { f.cluster.quarantined = true }, "a.example", 502},
+		"service is gone": {func(f *fixture) { f.cluster.config.Services = nil }, "a.example", 503},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBackend(t, answerOK)
+			b := newFakeServer(t, respondOK)
 			f := newFixture(rules.Once, b)
 			test.prepare(f)
 			r := httptest.NewRequest(http.MethodGet, "/x", nil)
@@ -274,24 +285,25 @@
 	}
 }
 
-// A key changes hands while a request for it is there: the request waits for the new owner.
-func TestKeyChangesHands(t *testing.T) {
+// While a key moves to another owner, a request for it waits, and is rejected if the move takes too
+// long. After the move it is sent to the new owner.
+func TestOwnerChanges(t *testing.T) {
 	is := is.New(t)
-	f := newFixture(rules.Once, newBackend(t, answerOK))
-	f.world.config.Services["books"] = rules.Service{Name: "books", Divided: true}
-	f.world.owner = shard.Range{To: 100, Server: "s0", Before: []shard.Holder{{Server: "old"}}}
+	f := newFixture(rules.Once, newFakeServer(t, respondOK))
+	f.cluster.config.Services["books"] = rules.Service{Name: "books", Divided: true}
+	f.cluster.owner = shard.Range{To: 100, Server: "s0", Before: []shard.Holder{{Server: "old"}}}
 	reply := f.send(t.Context(), "Key", "5")
-	is.Equal(reply.Status, 503) // in vain: told to come back
-	f.world.owner.Before = nil
+	is.Equal(reply.Status, 503) // the move did not end in time
+	f.cluster.owner.Before = nil
 	is.Equal(f.send(t.Context(), "Key", "5").Status, 200)
 }
 
-// The caller leaves: the server's work is cancelled by closing the connection.
+// If the caller leaves, closing the connection to the server cancels the request there.
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	ctx, leave := context.WithCancel(t.Context())
-	f := newFixture(rules.Once, newBackend(t, func(_ int, c net.Conn, _ *http.Request) {
+	f := newFixture(rules.Once, newFakeServer(t, func(_ int, c net.Conn, _ *http.Request) {
 		leave()
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
@@ -300,11 +312,12 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server was not told")
+		t.Fatal("the connection to the server was not closed")
 	}
 }
 
-func TestBudget(t *testing.T) {
+// Retries stay within the ratio plus the fixed number, and the fixed number is refilled with time.
+func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	b := edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 10 }, func() time.Time { return now })
@@ -315,20 +328,20 @@
 			spent++
 		}
 	}
-	is.True(spent <= 20+10) // a fifth of the requests and the fixed number
+	is.True(spent <= 20+10) // a fifth of the requests plus the fixed number
 	is.True(spent >= 10)
 	now = now.Add(time.Minute)
 	is.True(b.Spend("books"))
 }
 
-// A request crashes each server that runs it, and comes again at any instance. After two
-// servers it is blocked; one that only ran beside it is not.
-func TestSuspects(t *testing.T) {
+// A request that crashes each server that runs it is quarantined after two servers. Another request
+// that ran on the same servers, but got a response in between, is not.
+func TestCrashTracker(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	s := edge.NewCrashTracker()
 	s.RecordCrash(1, "a", now)
-	s.RecordCrash(1, "a", now) // two instances saw the same loss
+	s.RecordCrash(1, "a", now) // two instances report the same crash
 	s.RecordCrash(2, "a", now)
 	is.True(!s.Quarantined(1, now))
 	s.Clear(2)
@@ -339,18 +352,19 @@
 	is.True(!s.Quarantined(1, now.Add(time.Hour)))
 }
 
-// A server was about to leave. A request got its permit while there was time, waited 0.2 seconds for a
-// connection on a busy instance, and reached the server beyond its time: whether it still took requests
-// had been looked at once, when the permit came. The log showed up to 235 ms from permit to first byte.
+// A request was admitted to a server that was about to leave, waited 0.2 seconds for a connection on a
+// busy instance and reached the server after it had left, because the server was checked only at the
+// admission. The first byte can follow the admission by up to 235 ms. The server must be checked again
+// immediately before the first byte.
 func TestServerLeavesBeforeTheFirstByte(t *testing.T) {
 	is := is.New(t)
-	b := newBackend(t, answerOK)
+	b := newFakeServer(t, respondOK)
 	f := newFixture(rules.Once, b)
-	f.world.config.Services["books"] = rules.Service{Name: "books", Divided: true}
-	f.world.owner = shard.Range{To: 100, Server: "s0"}
-	s := f.world.servers["s0"]
+	f.cluster.config.Services["books"] = rules.Service{Name: "books", Divided: true}
+	f.cluster.owner = shard.Range{To: 100, Server: "s0"}
+	s := f.cluster.servers["s0"]
 	s.Draining, s.LeaveBy = true, time.Now().Add(200*time.Millisecond)
-	f.world.servers["s0"] = s
+	f.cluster.servers["s0"] = s
 	f.edge.ConnPool.Connections = func(string) int {
 		<-time.After(time.Until(s.LeaveBy) + 10*time.Millisecond)
 		return 10
--- a/internal/edge/inflight.go
+++ b/internal/edge/inflight.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// inFlightCounter counts the requests that are at servers, by failure domain.
+// inFlightCounter counts the requests that were sent to servers and have not ended, by the
+// failure domain of the server.
 type inFlightCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -19,7 +20,8 @@
 	}
 }
 
-// InFlight returns how many requests of this instance are at the servers of a failure domain.
+// InFlight returns the number of this instance's requests in progress at the servers of a
+// failure domain.
 func (e *Edge) InFlight(domain string) int {
 	e.inFlight.mu.Lock()
 	defer e.inFlight.mu.Unlock()
--- a/internal/edge/malformedload.go
+++ b/internal/edge/malformedload.go
@@ -6,30 +6,31 @@
 	"example.org/mustardring/internal/event"
 )
 
-// maxMalformedLoads bounds the memory of servers whose load could not be read.
+// maxMalformedLoads is the number of servers to remember; beyond it, all are forgotten.
 const maxMalformedLoads = 4096
 
-// malformedLoads remembers servers, so that each gets one line.
+// malformedLoads is the set of servers whose malformed load has been logged. It keeps a server
+// from being logged with every response.
 type malformedLoads struct {
 	mu      sync.Mutex
 	servers map[string]struct{}
 }
 
-// add reports whether a server was not known.
-func (o *malformedLoads) add(server string) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if _, known := o.servers[server]; known {
+// add adds a server and reports whether it was new.
+func (m *malformedLoads) add(server string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if _, known := m.servers[server]; known {
 		return false
 	}
-	if o.servers == nil || len(o.servers) >= maxMalformedLoads {
-		o.servers = map[string]struct{}{}
+	if m.servers == nil || len(m.servers) >= maxMalformedLoads {
+		m.servers = map[string]struct{}{}
 	}
-	o.servers[server] = struct{}{}
+	m.servers[server] = struct{}{}
 	return true
 }
 
-// logMalformedLoad logs, once for each server, that it stated a load that cannot be read.
+// logMalformedLoad logs, once for each server, that the server stated a malformed load.
 func (e *Edge) logMalformedLoad(server string, err error) {
 	if e.malformedLoads.add(server) {
 		e.Events.Note(event.Belief, "load-malformed", "server", server, "error", err)
--- a/internal/edge/meters.go
+++ b/internal/edge/meters.go
@@ -8,64 +8,68 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of latencies that are told apart, in microseconds, and their significant figures.
+// The limits of the meters.
 const (
+	// The range and the precision of the histograms. Latencies outside of the range are clamped.
 	minLatencyMicros          = 100
 	maxLatencyMicros          = 60_000_000
 	latencySignificantFigures = 2
-	// maxRouteLabels bounds the number of routes that are counted apart.
+	// maxRouteLabels is the number of routes with their own counts; the rest count as "other".
 	maxRouteLabels = 256
 )
 
-// LatencyHistograms holds how long things took, by what they were.
+// LatencyHistograms holds a latency histogram for each operation.
 type LatencyHistograms struct {
 	mu         sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// NewLatencyHistograms returns times of nothing yet.
+// NewLatencyHistograms returns LatencyHistograms without any operations.
 func NewLatencyHistograms() *LatencyHistograms {
 	return &LatencyHistograms{histograms: map[string]*hdrhistogram.Histogram{}}
 }
 
-// Record takes in how long something took.
-func (t *LatencyHistograms) Record(what string, took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := t.histograms[what]
+// Record records how long an operation took.
+func (l *LatencyHistograms) Record(operation string, took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.histograms[operation]
 	if h == nil {
 		h = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantFigures)
-		t.histograms[what] = h
+		l.histograms[operation] = h
 	}
 	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// Snapshot returns the quantiles.
-func (t *LatencyHistograms) Snapshot() map[string]LatencySummary {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make(map[string]LatencySummary, len(t.histograms))
-	for what, h := range t.histograms {
-		out[what] = LatencySummary{
+// Snapshot returns the current summary of each operation.
+func (l *LatencyHistograms) Snapshot() map[string]LatencySummary {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[string]LatencySummary, len(l.histograms))
+	for operation, h := range l.histograms {
+		out[operation] = LatencySummary{
 			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max(),
 		}
 	}
 	return out
 }
 
-// Meters counts requests and their latencies.
+// Meters counts the requests of callers by route and end reason, and records their latencies by
+// end reason.
 type Meters struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// counts holds the number of requests by route and end reason. The route is empty for
+	// requests that were rejected before their first attempt.
 	counts  map[string]map[endReason]int64
 	latency *LatencyHistograms
 }
 
-// NewMeters returns meters.
+// NewMeters returns meters at zero.
 func NewMeters() *Meters {
 	return &Meters{counts: map[string]map[endReason]int64{}, latency: NewLatencyHistograms()}
 }
 
-// RecordRequest takes in how a request ended.
+// RecordRequest counts a request that ended and records how long it took.
 func (m *Meters) RecordRequest(route string, reason endReason, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +85,7 @@
 	m.latency.Record(string(reason), took)
 }
 
-// LatencySummary are quantiles in microseconds.
+// LatencySummary holds the number of operations, and quantiles of their latency in microseconds.
 type LatencySummary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50-us"`
@@ -89,13 +93,13 @@
 	Max   int64 `json:"most-us"`
 }
 
-// Snapshot is the state of the meters.
+// Snapshot is a copy of the state of the meters, encoded as JSON.
 type Snapshot struct {
 	Requests map[string]map[endReason]int64 `json:"requests"`
 	Latency  map[string]LatencySummary      `json:"latency"`
 }
 
-// Snapshot returns the state of the meters.
+// Snapshot returns a copy of the current state.
 func (m *Meters) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,5 +113,5 @@
 	return s
 }
 
-// Var returns the meters as a variable of expvar.
+// Var returns the meters as an expvar variable.
 func (m *Meters) Var() expvar.Var { return expvar.Func(func() any { return m.Snapshot() }) }
--- /dev/null
+++ b/internal/edge/request.go
@@ -0,0 +1,190 @@
+package edge
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/inlet"
+	"example.org/mustardring/internal/rules"
+)
+
+// The timeouts and delays that apply before a request is sent.
+const (
+	// defaultCallerTimeout is assumed if a caller does not state how long it waits.
+	defaultCallerTimeout = 10 * time.Second
+	// retryAfterNoConfig is the Retry-After of a request that arrives before a configuration has
+	// been read, or whose service is missing from it. Reading one takes about 20 milliseconds.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// replyReserve is the part of the caller's timeout that is reserved for returning the reply.
+	replyReserve = 15 * time.Millisecond
+)
+
+// endReason says why a request ended as it did. It is logged and counted.
+type endReason string
+
+// The reasons.
+const (
+	endAnswered       endReason = "answered"
+	endNoConfig       endReason = "no-configuration"
+	endNoRoute        endReason = "no-route"
+	endOverload       endReason = "overload"
+	endNoServer       endReason = "no-server"
+	endNoOwner        endReason = "no-owner"
+	endServerFull     endReason = "server-full"
+	endUnsent         endReason = "unsent"
+	endInDoubt        endReason = "in-doubt"
+	endTimeout        endReason = "timeout"
+	endCallerLeft     endReason = "caller-left"
+	endCrashesServers endReason = "crashes-servers"
+	endNoService      endReason = "no-service"
+)
+
+// request is a request of a caller in progress.
+type request struct {
+	*http.Request
+	edge          *Edge
+	info          RequestInfo
+	route         *rules.Route
+	configVersion uint64
+	service       string
+	// divided says that only the server that owns the key may run the request.
+	divided bool
+	body    []byte
+	// print is the fingerprint of the request, see fingerprintOf.
+	print uint64
+
+	arrivedAt time.Time
+	// targetAt is when the reply should be ready, and deadline when it must be ready.
+	targetAt time.Time
+	deadline time.Time
+	// returning says that the caller was probably rejected before and tries again.
+	returning bool
+
+	// attempts is the number of attempts so far, and server the server of the last one.
+	attempts int
+	server   string
+
+	// The fields from here to leavesIn are only logged.
+
+	fence uint64
+	// predictedWait is the predicted time in the queue that led to a rejection, and pool the pool
+	// that it was predicted for.
+	predictedWait time.Duration
+	pool          string
+	// waited is the total time spent waiting for admissions.
+	waited time.Duration
+	// dispatchDelay is the time that the last attempt took, once admitted, to get a connection.
+	// leavesIn is how much longer the server accepted requests then; zero if it was not leaving.
+	dispatchDelay time.Duration
+	leavesIn      time.Duration
+
+	// reason is why the request ended or the last attempt failed, err the error of that attempt.
+	reason endReason
+	err    error
+	// mayHaveRun says that a server may have run the request.
+	mayHaveRun bool
+	// avoid is the server of the last failed attempt; retries should go to another one.
+	avoid string
+	// fallback is the reply of the last failed attempt. It is returned if no retry does better.
+	fallback *inlet.Reply
+}
+
+// prepare finds the route and service of a request, sets its deadlines and reads its body. If the
+// request cannot be sent it returns the reply instead.
+func (e *Edge) prepare(r *http.Request, arrivedAt time.Time) (*request, *inlet.Reply) {
+	q := &request{Request: r, edge: e, info: e.Codec.DecodeRequest(r.Header), arrivedAt: arrivedAt}
+	c := e.Cluster.Config()
+	if c == nil {
+		return nil, e.reject(q, endNoConfig, errorReply(http.StatusServiceUnavailable, retryAfterNoConfig))
+	}
+	host := r.Host
+	if h, _, err := net.SplitHostPort(host); err == nil {
+		host = h
+	}
+	path := r.URL.EscapedPath()
+	q.configVersion = c.Version
+	q.route = c.Match(strings.ToLower(host), path)
+	if q.route == nil {
+		return nil, e.reject(q, endNoRoute, errorReply(http.StatusNotFound, 0))
+	}
+	q.service = q.route.Pick()
+	service, found := c.Services[q.service]
+	if !found {
+		return nil, e.reject(q, endNoService, errorReply(http.StatusServiceUnavailable, retryAfterNoConfig))
+	}
+	q.divided = service.Divided && q.info.HasKey
+	q.setDeadlines(&e.returns)
+	if r.Body != nil && r.Body != http.NoBody {
+		data, err := io.ReadAll(r.Body)
+		if err != nil {
+			return nil, e.reject(q, endCallerLeft, &inlet.Reply{Abort: true})
+		}
+		q.body = data
+	}
+	q.print = fingerprintOf(r, q.body)
+	if e.Cluster.Quarantined(q.print) {
+		return nil, e.reject(q, endCrashesServers, errorReply(http.StatusBadGateway, 0))
+	}
+	return q, nil
+}
+
+// reject logs and counts a request that ends before its first attempt, and returns its reply.
+func (e *Edge) reject(q *request, reason endReason, reply *inlet.Reply) *inlet.Reply {
+	e.Meters.RecordRequest("", reason, time.Since(q.arrivedAt))
+	e.Events.Note(event.Failure, "request", "id", q.info.ID, "status", reply.Status, "why", reason,
+		"config", q.configVersion, "host", q.Host, "path", q.URL.Path)
+	return reply
+}
+
+// setDeadlines sets the target and the deadline of a request. The target is that of the route, or
+// half of the caller's timeout if the route has none.
+func (q *request) setDeadlines(d *returnDetector) {
+	timeout := defaultCallerTimeout
+	if q.info.HasTimeout {
+		timeout = q.info.Timeout
+	}
+	var elapsed time.Duration
+	q.returning, elapsed = d.observe(q.route.Name, timeout, q.arrivedAt)
+	// A returning request has used up a part of the time to its target already.
+	target := q.route.Target
+	if target == 0 {
+		target = timeout / 2
+	}
+	target -= elapsed
+	q.targetAt = q.arrivedAt.Add(target - replyReserve)
+	limit := timeout - replyReserve
+	if q.route.Timeout > 0 {
+		limit = min(limit, q.route.Timeout)
+	}
+	q.deadline = q.arrivedAt.Add(limit)
+}
+
+// fingerprintOf returns a hash of the method, host, URI and body of a request. It recognizes a
+// request that is sent again under another ID.
+func fingerprintOf(r *http.Request, body []byte) uint64 {
+	d := xxhash.New()
+	for _, part := range []string{r.Method, r.Host, r.RequestURI} {
+		_, _ = d.WriteString(part)
+		_, _ = d.Write([]byte{0})
+	}
+	_, _ = io.Copy(d, bytes.NewReader(body))
+	return d.Sum64()
+}
+
+// errorReply returns a reply without a body. If retryAfter is positive the caller should retry
+// after that time.
+func errorReply(status int, retryAfter time.Duration) *inlet.Reply {
+	h := http.Header{}
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	return &inlet.Reply{Status: status, Header: h}
+}
--- a/internal/edge/returns.go
+++ b/internal/edge/returns.go
@@ -7,78 +7,86 @@
 	"time"
 )
 
-// Callers state how long they will wait from now on. One that returns after a refusal states
-// less than one that comes for the first time, which is all there is to tell them apart: each
-// sending has its own identity. Callers differ, though, in how long they wait to begin with, by
-// a sixth at some sites. With a fixed bound half of all first requests were taken for returning
-// ones there, their target for nearly past, and a quarter of the page reads was refused.
+// Callers state how long they will wait from now on. A caller that returns after a rejection
+// states a shorter timeout than in its first request. Nothing else distinguishes the two, as each
+// attempt has its own ID.
 //
-// So each instance learns the band of what first requests state, in times with few refusals,
-// when nearly all are first ones.
+// The timeouts of first requests differ too, by a sixth at some sites. A fixed bound on the
+// timeout misclassified half of all first requests there as returning, with their target nearly
+// past, and a quarter of the page reads was rejected. So each instance learns the band of
+// timeouts that first requests state, from periods with few rejections, in which nearly all
+// requests are first ones.
 
-// The constants of learning what callers state.
+// The parameters of a timeoutBand.
 const (
-	// classWidth is the width of a class, as a logarithm: 2%.
+	// classWidth is the width of a histogram class, in units of the natural logarithm: about 2%.
 	classWidth = 0.02
-	// bandHalfLife is the time after which a request counts half.
+	// bandHalfLife is the time after which the weight of a request has halved.
 	bandHalfLife = 15 * time.Second
-	// estimateInterval is how often the band is estimated.
+	// estimateInterval is the time between two estimates of a band.
 	estimateInterval = 500 * time.Millisecond
-	// minBandRequests is the number of requests from which on a band is estimated.
+	// minBandRequests is the weighted number of requests that an estimate of the floor needs.
 	minBandRequests = 30
-	// aboveTopShare is the share of requests that may state more than the band's top: a few callers
-	// wait several times as long as the rest.
+	// aboveTopShare is the share of requests that may lie above the band: a few callers wait
+	// several times as long as the rest.
 	aboveTopShare = 0.1
-	// maxCalmRejectedShare is the share of refusals up to which nearly all requests are first ones, and
-	// lowShare the share of requests that may lie below the band besides those that return.
+	// maxCalmRejectedShare is the share of rejected requests up to which nearly all requests are
+	// first ones; only then the floor is estimated.
 	maxCalmRejectedShare = 0.05
-	belowFloorShare      = 0.02
-	// initialFloor bounds the band, as a part of its top, until it has been learnt, and
-	// highestFloor however narrow it is: the network takes some time as well.
+	// belowFloorShare is the share of requests, besides returning ones, that may lie below the band.
+	belowFloorShare = 0.02
+	// initialFloor is the floor, as a fraction of the top, until there is an estimate.
 	initialFloor = 0.8
-	maxFloor     = 0.93
-	// maxBandRoutes bounds the number of routes whose callers are known.
+	// maxFloor is the highest floor, as a fraction of the top. The network delays requests, so
+	// the band must not be too narrow.
+	maxFloor = 0.93
+	// maxBandRoutes is the number of routes with a band; beyond it, all bands are dropped.
 	maxBandRoutes = 4096
 )
 
-// returnDetector knows what the callers of each route state.
+// returnDetector detects requests of callers that return after a rejection, by the timeouts that
+// they state.
 type returnDetector struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// bands holds the band of each route.
 	bands map[string]*timeoutBand
 }
 
-// timeoutBand is what the callers of one route state.
+// timeoutBand is the range of the timeouts that the first requests of a route's callers state.
 type timeoutBand struct {
+	// classes is a histogram of the stated timeouts, total the sum of its weights, and rejected
+	// the weight of the rejected requests. All weights decay; decayedAt is when they last did.
 	classes   map[int]float64
 	total     float64
 	rejected  float64
 	decayedAt time.Time
-	// estimatedAt is when floor and first were estimated. Floor is what a first request states at
-	// least, as a part of top; first is what one states on average.
+	// estimatedAt is when the fields below were estimated. Top is the upper end of the band, floor
+	// its lower end as a fraction of top, and meanFirst the mean timeout of the requests in it.
 	estimatedAt time.Time
 	top         time.Duration
 	floor       float64
 	meanFirst   time.Duration
 }
 
-func (p *returnDetector) bandOf(route string, now time.Time) *timeoutBand {
-	b := p.bands[route]
+// bandOf returns the band of a route, a new one if it has none yet.
+func (d *returnDetector) bandOf(route string, now time.Time) *timeoutBand {
+	b := d.bands[route]
 	if b == nil {
-		if p.bands == nil || len(p.bands) >= maxBandRoutes {
-			p.bands = map[string]*timeoutBand{}
+		if d.bands == nil || len(d.bands) >= maxBandRoutes {
+			d.bands = map[string]*timeoutBand{}
 		}
 		b = &timeoutBand{classes: map[int]float64{}, decayedAt: now, floor: initialFloor}
-		p.bands[route] = b
+		d.bands[route] = b
 	}
 	return b
 }
 
-// observe takes in what a caller states. It reports whether the caller has been here before,
-// and then about how long ago its first request was.
-func (p *returnDetector) observe(route string, stated time.Duration, now time.Time) (bool, time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	b := p.bandOf(route, now)
+// observe adds the timeout that a request states to the band of its route. It reports whether the
+// request is a returning one, and if so about how long ago the caller's first request arrived.
+func (d *returnDetector) observe(route string, stated time.Duration, now time.Time) (bool, time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	b := d.bandOf(route, now)
 	b.classes[classOf(stated)]++
 	b.total++
 	if now.Sub(b.estimatedAt) >= estimateInterval {
@@ -91,17 +99,20 @@
 	return true, max(b.meanFirst-stated, 0)
 }
 
-// recordRejection takes in that a caller got no answer that it wanted, and may return.
-func (p *returnDetector) recordRejection(route string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.bandOf(route, now).rejected++
+// recordRejection counts a request that ended without a successful reply, so that its caller may
+// return.
+func (d *returnDetector) recordRejection(route string, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.bandOf(route, now).rejected++
 }
 
+// classOf returns the histogram class of a timeout.
 func classOf(d time.Duration) int {
 	return int(math.Round(math.Log(float64(max(d, time.Millisecond))) / classWidth))
 }
 
+// decay reduces all weights according to the time since the last decay, and drops empty classes.
 func (b *timeoutBand) decay(now time.Time) {
 	factor := math.Exp2(-now.Sub(b.decayedAt).Seconds() / bandHalfLife.Seconds())
 	b.decayedAt = now
@@ -116,7 +127,7 @@
 	}
 }
 
-// estimate finds the band.
+// estimate computes the band from the histogram.
 func (b *timeoutBand) estimate(now time.Time) {
 	b.estimatedAt = now
 	classes := make([]int, 0, len(b.classes))
@@ -147,19 +158,21 @@
 	}
 }
 
-// estimateFloor returns the least that first requests state, as a part of top.
+// estimateFloor returns the lower end of the band as a fraction of top. It assumes that each
+// rejected request returned with a timeout below the band.
 func (b *timeoutBand) estimateFloor(classes []int) float64 {
 	below := 0.0
 	for _, class := range classes {
 		if below += b.classes[class]; below > b.rejected+belowFloorShare*b.total {
-			// Half a class further down ends the class.
-			least := float64(classCenter(class)) * (1 - classWidth)
-			return min(least/float64(b.top), maxFloor)
+			// A whole class width below the center, so that the class lies within the band.
+			floor := float64(classCenter(class)) * (1 - classWidth)
+			return min(floor/float64(b.top), maxFloor)
 		}
 	}
 	return maxFloor
 }
 
+// classCenter returns the timeout at the center of a class.
 func classCenter(class int) time.Duration {
 	return time.Duration(math.Exp(float64(class) * classWidth))
 }
--- a/internal/edge/returns_test.go
+++ b/internal/edge/returns_test.go
@@ -8,62 +8,62 @@
 	"github.com/matryer/is"
 )
 
-// Callers of a larger site wait between 85% and 100% of four seconds. Half of their first
-// requests were taken for returning ones whose target is nearly past: they went behind the
-// others, and a quarter of all was refused while servers were free.
-func TestFirstRequestsDiffer(t *testing.T) {
+// The timeouts of a large site's callers vary between 85% and 100% of four seconds. Half of their
+// first requests were misclassified as returning, with their target nearly past: they were queued
+// behind the others, and a quarter of all requests was rejected while servers were free.
+func TestFirstAndReturningRequests(t *testing.T) {
 	tests := map[string]struct {
-		// spread is the part of the longest wait by which callers differ, patient the share of
-		// those that wait three times as long.
+		// spread is the fraction of the longest timeout by which timeouts differ, and patient the
+		// share of callers that wait three times as long.
 		spread, patient float64
-		// refused is the share of first requests that were refused and return after a tenth of a
-		// second and more, once half of the time is over.
-		refused float64
-		// most is the largest share of first requests that may be mistaken, found the least share
-		// of returning ones that must be found.
-		most, found float64
+		// rejected is the share of first requests that are rejected in the second half of the
+		// test. Their callers return after 0.35 to 1.25 seconds.
+		rejected float64
+		// maxMisclassified is the share of first requests that may be classified as returning,
+		// and minDetected the share of returning requests that must be detected.
+		maxMisclassified, minDetected float64
 	}{
-		"all wait as long":              {0.01, 0, 0.3, 0.02, 0.95},
-		"they differ by a sixth":        {0.15, 0, 0, 0.03, 0},
-		"they differ, many are refused": {0.15, 0, 0.4, 0.04, 0.5},
-		"a few are very patient":        {0.1, 0.04, 0.2, 0.03, 0.4},
+		"equal timeouts":                   {0.01, 0, 0.3, 0.02, 0.95},
+		"timeouts differ by a sixth":       {0.15, 0, 0, 0.03, 0},
+		"timeouts differ, many rejections": {0.15, 0, 0.4, 0.04, 0.5},
+		"a few very long timeouts":         {0.1, 0.04, 0.2, 0.03, 0.4},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(1, 2))
-			var p returnDetector
+			var d returnDetector
 			now := time.Unix(1000, 0)
-			first, mistaken, returned, found := 0.0, 0.0, 0.0, 0.0
+			first, misclassified, returned, detected := 0.0, 0.0, 0.0, 0.0
 			for i := range 4000 {
 				now = now.Add(10 * time.Millisecond)
 				stated := 4000 * (1 - test.spread*random.Float64())
 				if random.Float64() < test.patient {
 					stated *= 3
 				}
-				late := i >= 2000
-				returning, _ := p.observe("read", time.Duration(stated)*time.Millisecond, now)
-				if late {
+				secondHalf := i >= 2000
+				returning, _ := d.observe("read", time.Duration(stated)*time.Millisecond, now)
+				if secondHalf {
 					first++
 				}
-				if late && returning {
-					mistaken++
+				if secondHalf && returning {
+					misclassified++
 				}
-				if !late || random.Float64() >= test.refused {
+				if !secondHalf || random.Float64() >= test.rejected {
 					continue
 				}
-				p.recordRejection("read", now)
+				d.recordRejection("read", now)
 				wait := 350 + 900*random.Float64()
-				again, elapsed := p.observe("read", time.Duration(stated-wait)*time.Millisecond, now)
+				isReturning, elapsed := d.observe("read", time.Duration(stated-wait)*time.Millisecond, now)
 				returned++
-				if again {
-					found++
+				if isReturning {
+					detected++
 					is.True(elapsed < 2*time.Second)
 				}
 			}
-			t.Logf("mistaken %.3f, found %.3f", mistaken/first, found/max(returned, 1))
-			is.True(mistaken <= test.most*first)
-			is.True(found >= test.found*returned)
+			t.Logf("misclassified %.3f, detected %.3f", misclassified/first, detected/max(returned, 1))
+			is.True(misclassified <= test.maxMisclassified*first)
+			is.True(detected >= test.minDetected*returned)
 		})
 	}
 }
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -15,21 +15,23 @@
 )
 
 var (
-	// errMismatchedResponse says that a server sent the answer to another request.
-	errMismatchedResponse = errors.New("edge: answer to another request")
-	// errServerClosed says that the server takes no more requests, or not this one now.
-	errServerClosed = errors.New("edge: the server takes the request no more")
+	// errMismatchedResponse is the error of a response that states the ID of another request.
+	errMismatchedResponse = errors.New("edge: response belongs to another request")
+	// errServerClosed is the error of a request that was not sent because the server does not
+	// accept it any more.
+	errServerClosed = errors.New("edge: server no longer accepts the request")
 )
 
-// hopByHopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Content-Length",
 }
 
-// noUserAgent keeps net/http from adding a User-Agent of its own.
+// noUserAgent keeps net/http from adding its own User-Agent.
 var noUserAgent = []string{""}
 
-// send sends the request to a server and returns the head of its answer.
+// send sends the request to a server and returns the response once its head has arrived. The
+// caller must read and close the body.
 func (q *request) send(ctx context.Context, s rules.Server) (*http.Response, error) {
 	out := (&http.Request{
 		Method: q.Method, URL: q.URL, Host: q.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -43,18 +45,19 @@
 		out.Header["User-Agent"] = noUserAgent
 	}
 	q.edge.Codec.EncodeTarget(out.Header, s.ID, time.Until(q.deadline))
-	pool := q.edge.ConnPool.clientFor(s)
-	began := time.Now()
-	return pool.Send(out, upstr.SendOptions{
+	client := q.edge.ConnPool.clientFor(s)
+	startedAt := time.Now()
+	return client.Send(out, upstr.SendOptions{
 		Deadline: q.deadline, InMemory: true, Done: func(bool) {},
-		BeforeWrite: func() error { return q.checkServer(s.ID, time.Since(began)) },
+		BeforeWrite: func() error { return q.checkServer(s.ID, time.Since(startedAt)) },
 	})
 }
 
-// checkServer decides, immediately before the first byte, whether the server still takes the request.
+// checkServer returns an error if the server no longer accepts the request. It is called immediately
+// before the first byte is written; took is the time that it took to get a connection.
 //
-// It guards against the time until a connection is there, which is long on a busy instance: a request whose
-// permit came in time would reach a server beyond its own. After this look only the way to the server is left.
+// On a busy instance, getting a connection takes so long that a server which was about to leave at
+// the admission may have left. After this check only the network delay remains.
 func (q *request) checkServer(server string, took time.Duration) error {
 	now := time.Now()
 	s, found := q.edge.Cluster.Server(server)
@@ -65,11 +68,12 @@
 	return nil
 }
 
-// maxColdDispatchDelay is how long after its permit a request may be sent to a cold server: one that waited longer for its
-// connection would arrive among those of another span.
+// maxColdDispatchDelay is how long after its admission a request may be sent to a cold server. The
+// rate of requests to a cold server is limited by the time of admission, so a request that waits
+// longer for its connection would count in the wrong period.
 const maxColdDispatchDelay = 300 * time.Millisecond
 
-// copyEndToEndHeaders copies the headers that concern more than one connection.
+// copyEndToEndHeaders copies all headers but the hop-by-hop ones.
 func copyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
@@ -79,8 +83,8 @@
 	}
 }
 
-// readWhole reads an answer to its end. Only then is it known to be whole: a part must not reach
-// the caller as if it were all.
+// readWhole reads a response to its end. A response that was cut short returns an error, so that
+// the caller never gets a part of a response as if it were complete.
 func readWhole(r *http.Response) (*inlet.Reply, error) {
 	defer r.Body.Close()
 	var body bytes.Buffer
@@ -99,48 +103,52 @@
 const (
 	// serverIdleTimeout is below the ten seconds after which servers close idle connections.
 	serverIdleTimeout = 8 * time.Second
-	// serverUserTimeout ends a connection to a machine that has gone dark. Three packets in a row
-	// that get lost on a bad link take longer only once in some ten thousand.
+	// serverUserTimeout is the time after which a connection to an unreachable machine ends. On a
+	// lossy link, losing three packets in a row exceeds it only about once in ten thousand cases.
 	serverUserTimeout = 1200 * time.Millisecond
-	// serverSilenceTimeout is beyond all deadlines: a server is not asked in between whether it lives.
+	// serverSilenceTimeout is longer than any deadline, so that a server that has not responded
+	// yet is never probed.
 	serverSilenceTimeout = time.Minute
 )
 
-// ConnPool holds the connections to servers.
+// ConnPool holds the connections of this instance to the servers.
 type ConnPool struct {
-	// Connections returns how many connections this instance may open to one server.
+	// Connections returns the connection limit of one server of a service. It is called when the
+	// first request is sent to a server and becomes upstr.Settings.MaxConns.
 	Connections func(service string) int
 
 	mu      sync.Mutex
 	clients map[string]*upstr.Client
 }
 
-// NewConnPool returns a pool.
+// NewConnPool returns a pool without connections. The argument becomes ConnPool.Connections.
 func NewConnPool(connections func(service string) int) *ConnPool {
 	return &ConnPool{Connections: connections, clients: map[string]*upstr.Client{}}
 }
 
+// clientFor returns the client of a server, a new one if there is none.
 func (p *ConnPool) clientFor(s rules.Server) *upstr.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.clients[s.ID]
-	if known == nil {
-		known = upstr.NewClient(upstr.Settings{
+	client := p.clients[s.ID]
+	if client == nil {
+		client = upstr.NewClient(upstr.Settings{
 			Name: s.ID, Address: s.Address, MaxConns: p.Connections(s.Service), Slots: s.Slots,
 			IdleTimeout: serverIdleTimeout, SilenceTimeout: serverSilenceTimeout, NoDeathMonitor: true, CancelByFullClose: true, UserTimeout: serverUserTimeout,
 		})
-		p.clients[s.ID] = known
+		p.clients[s.ID] = client
 	}
-	return known
+	return client
 }
 
-// Retain closes the connections to servers that are gone.
-func (p *ConnPool) Retain(there func(id string) bool) {
+// Retain drops the clients of all servers for which exists returns false. Their connections are
+// closed as soon as they are idle.
+func (p *ConnPool) Retain(exists func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, s := range p.clients {
-		if !there(id) {
-			s.Close()
+	for id, c := range p.clients {
+		if !exists(id) {
+			c.Close()
 			delete(p.clients, id)
 		}
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -15,39 +15,41 @@
 	"example.org/mustardring/internal/upstr"
 )
 
-// The times of attempts.
+// The delays and limits of attempts.
 const (
-	// retryAfterNoOwner is when a caller should come back whose key has no owner: moves take some 0.3
-	// seconds, lapses of a lease 2.3.
+	// retryAfterNoOwner is the Retry-After of a request whose key has no owner. Moving a key takes
+	// about 0.3 seconds, the expiry of a lease about 2.3.
 	retryAfterNoOwner = 400 * time.Millisecond
-	// retryAfterServerFull is when a caller should come back whose server rejected it: the queue of a full one
-	// is shorter by a request or two by then, and one that rejects at random does not do so twice.
+	// retryAfterServerFull is the Retry-After of a request that its server rejected. By then the
+	// queue of a full server is shorter by a request or two, and a server that rejects requests
+	// at random does not do so twice.
 	retryAfterServerFull = 120 * time.Millisecond
-	// minAttemptTime is the least time that must be left for another attempt.
+	// minAttemptTime is the time that must be left for another attempt.
 	minAttemptTime = 60 * time.Millisecond
-	// misdirectedDelay is the pause before a server is asked again that said it does not hold the
-	// key: its grant is renewed, or the new owner is known by then.
+	// misdirectedDelay is the delay before the next attempt after the server or its controller
+	// said that the server does not own the key. By then the server's lease has been renewed, or
+	// the new owner is known.
 	misdirectedDelay = 120 * time.Millisecond
-	// maxAdmissionRequests bounds how often a request asks for a permit.
+	// maxAdmissionRequests is how often an admission is requested for one request.
 	maxAdmissionRequests = 6
 )
 
-// serve sends a request until it has an answer, or until another attempt is no use.
+// serve sends the request until it gets a reply or a retry is pointless or not allowed.
 func (q *request) serve(ctx context.Context) *inlet.Reply {
 	if q.divided {
-		// Refused requests count too: they show where there is too little room.
-		q.edge.Cluster.CountRequest(q.service, q.call.Key)
+		// Rejected requests count too: they show which keys need more capacity.
+		q.edge.Cluster.CountRequest(q.service, q.info.Key)
 	}
 	for range maxAdmissionRequests {
-		p, s, refused := q.acquire(ctx)
-		if refused != nil {
-			return q.finalReply(ctx, refused)
+		a, s, rejection := q.acquire(ctx)
+		if rejection != nil {
+			return q.finalReply(ctx, rejection)
 		}
-		if p == nil {
+		if a == nil {
 			continue
 		}
-		reply, again := q.attempt(ctx, p, s)
-		if !again {
+		reply, retry := q.attempt(ctx, a, s)
+		if !retry {
 			return reply
 		}
 		if reply == nil {
@@ -61,7 +63,9 @@
 	return q.finalReply(ctx, q.fallback)
 }
 
-// finalReply returns the final answer of a request whose last attempt led to the given one.
+// finalReply returns the reply of a request that is not retried any more. Reply is the reply of its
+// last attempt, or nil. Once a server may have run the request, the caller must not be told that it
+// was not run, so a status 503 becomes 502 or 504.
 func (q *request) finalReply(ctx context.Context, reply *inlet.Reply) *inlet.Reply {
 	if q.fallback != nil && (reply == nil || q.mayHaveRun) {
 		reply = q.fallback
@@ -82,11 +86,12 @@
 	}
 }
 
-// acquire waits for a permit. If all three results are nil it should be asked for again.
+// acquire waits for an admission. It returns either the admission and its server, or the reply to
+// a rejection. If it returns neither, the admission should be requested again.
 func (q *request) acquire(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
-	began := time.Now()
-	defer func() { q.waited += time.Since(began) }()
-	ask := permit.Ask{
+	startedAt := time.Now()
+	defer func() { q.waited += time.Since(startedAt) }()
+	req := permit.Ask{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
 		TargetAt: q.targetAt, LimitAt: q.deadline, Avoid: q.avoid,
 	}
@@ -101,49 +106,51 @@
 			q.reason = endNoOwner
 			return nil, rules.Server{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
-		ask.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
+		req.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
 	}
-	p, refused := q.edge.Admitter.Acquire(ctx, ask, domain)
-	if refused != nil {
-		return nil, rules.Server{}, q.handleRejection(ctx, refused)
+	a, rejected := q.edge.Admitter.Acquire(ctx, req, domain)
+	if rejected != nil {
+		return nil, rules.Server{}, q.handleRejection(ctx, rejected)
 	}
-	s, found := q.edge.Cluster.Server(p.Server())
+	s, found := q.edge.Cluster.Server(a.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		p.Complete(permit.Done{Outcome: permit.Unsent})
+		a.Complete(permit.Done{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
-	return p, s, nil
+	return a, s, nil
 }
 
-// handleRejection turns a refusal of the keeper into an answer.
-func (q *request) handleRejection(ctx context.Context, refused *permit.Refused) *inlet.Reply {
+// handleRejection returns the reply to a rejection by the admission controller, or nil if the
+// admission should be requested again.
+func (q *request) handleRejection(ctx context.Context, rejected *permit.Refused) *inlet.Reply {
 	switch {
-	case refused.Reason == permit.Gone:
+	case rejected.Reason == permit.Gone:
 		if !duty.Pause(ctx, misdirectedDelay) {
 			q.reason = endNoOwner
 			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		return nil
-	case refused.Reason == permit.NoServer:
+	case rejected.Reason == permit.NoServer:
 		q.reason = endNoServer
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		q.reason = endCallerLeft
 	default:
 		q.reason = endOverload
 	}
-	q.predictedWait, q.pool = refused.Wait, refused.Pool
-	return errorReply(http.StatusServiceUnavailable, refused.RetryIn)
+	q.predictedWait, q.pool = rejected.Wait, rejected.Pool
+	return errorReply(http.StatusServiceUnavailable, rejected.RetryIn)
 }
 
-// awaitOwner returns the owner of the request's key. While the key changes hands it waits.
+// awaitOwner returns the range that contains the request's key. While the key moves to another
+// owner it waits for up to maxOwnerWait; after that it returns the reply for the caller.
 func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
-		r, found, changed := q.edge.Cluster.Owner(q.service, q.call.Key)
+		r, found, changed := q.edge.Cluster.Owner(q.service, q.info.Key)
 		if found && len(r.Before) == 0 {
 			return r, nil
 		}
-		// A key that has no owner yet gets one within a few tenths of a second, or after a
-		// lease: what cannot wait for the former is told to come back.
+		// A key without an owner gets one within a few tenths of a second or, if the owner
+		// was lost, when its lease expires. Only the former is worth waiting for.
 		timer := time.NewTimer(min(maxOwnerWait, time.Until(q.targetAt)/2))
 		select {
 		case <-changed:
@@ -160,86 +167,89 @@
 	}
 }
 
-// maxOwnerWait is how long a request waits for a key that changes hands.
+// maxOwnerWait is how long a request waits for the new owner of its key.
 const maxOwnerWait = 400 * time.Millisecond
 
-// attempt sends the request to one server. It returns true if the request may be sent again;
-// the answer is then the one for the caller if it is not, and nil if this was no attempt.
-func (q *request) attempt(ctx context.Context, p Admission, s rules.Server) (*inlet.Reply, bool) {
+// attempt sends the request to a server, completes the admission and returns the reply for the
+// caller. It reports whether the request may be retried; the reply then counts only if it is not,
+// and is nil if nothing was sent and the attempt does not count.
+func (q *request) attempt(ctx context.Context, a Admission, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
 	q.edge.inFlight.add(s.Domain, 1)
 	defer q.edge.inFlight.add(s.Domain, -1)
-	began := time.Now()
+	startedAt := time.Now()
 	response, err := q.send(ctx, s)
-	done := permit.Done{}
+	completion := permit.Done{}
 	defer func() {
-		done.Took = time.Since(began)
-		p.Complete(done)
+		completion.Took = time.Since(startedAt)
+		a.Complete(completion)
 	}()
 	if err != nil {
-		return q.handleSendError(ctx, &done, s, err)
+		return q.handleFailure(ctx, &completion, s, err)
 	}
-	answer := q.edge.Codec.DecodeResponse(response)
-	done.Load = answer.Load
-	if answer.LoadErr != nil {
-		q.edge.logMalformedLoad(s.ID, answer.LoadErr)
+	info := q.edge.Codec.DecodeResponse(response)
+	completion.Load = info.Load
+	if info.LoadErr != nil {
+		q.edge.logMalformedLoad(s.ID, info.LoadErr)
 	}
 	reply, err := readWhole(response)
-	if err == nil && answer.ID != q.call.ID && answer.ID != "" {
+	if err == nil && info.ID != q.info.ID && info.ID != "" {
 		err = errMismatchedResponse
 	}
 	if err != nil {
 		q.mayHaveRun = true
-		return q.handleSendError(ctx, &done, s, err)
+		return q.handleFailure(ctx, &completion, s, err)
 	}
-	done.Bytes = len(reply.Body)
+	completion.Bytes = len(reply.Body)
 	q.edge.Cluster.ClearSuspicion(q.print)
-	return q.handleResponse(ctx, &done, s, answer, reply)
+	return q.handleResponse(ctx, &completion, s, info, reply)
 }
 
-// handleResponse decides about a whole answer.
-func (q *request) handleResponse(ctx context.Context, done *permit.Done, s rules.Server, a ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
+// handleResponse decides what a complete response means for the caller and for the admission. It sets
+// the outcome of the completion and returns the results of attempt.
+func (q *request) handleResponse(ctx context.Context, completion *permit.Done, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
-	case a.NotRun && a.Misdirected:
-		done.Outcome = permit.NotHere
+	case info.NotRun && info.Misdirected:
+		completion.Outcome = permit.NotHere
 		q.reason = endNoOwner
 		duty.Pause(ctx, misdirectedDelay)
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
-	case a.NotRun:
-		done.Outcome = permit.Full
+	case info.NotRun:
+		completion.Outcome = permit.Full
 		q.reason, q.avoid = endServerFull, s.ID
 		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull), true
 	case reply.Status >= http.StatusInternalServerError:
-		done.Outcome = permit.Failed
+		completion.Outcome = permit.Failed
 		q.reason, q.avoid, q.mayHaveRun = endAnswered, s.ID, true
 		return reply, q.route.Kind.Idempotent()
 	default:
-		done.Outcome = permit.Answered
+		completion.Outcome = permit.Answered
 		q.reason = endAnswered
 		return reply, false
 	}
 }
 
-// handleSendError decides about a sending that led to no whole answer.
-func (q *request) handleSendError(ctx context.Context, done *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
+// handleFailure decides what an attempt without a complete response means for the caller and for the
+// admission. It sets the outcome of the completion and returns the results of attempt.
+func (q *request) handleFailure(ctx context.Context, completion *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
-	done.Outcome = permit.Lost
+	completion.Outcome = permit.Lost
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		done.Outcome = permit.Cancelled
+		completion.Outcome = permit.Cancelled
 		q.mayHaveRun = q.mayHaveRun || !unsent
 		q.reason = endCallerLeft
 		return &inlet.Reply{Abort: true}, false
 	case errors.Is(err, errServerClosed):
-		done.Outcome = permit.Unsent
+		completion.Outcome = permit.Unsent
 		q.attempts--
 		q.reason = endNoOwner
 		return nil, true
 	case unsent:
 		if errors.Is(err, upstr.ErrConnLimit) {
-			done.Outcome = permit.Unsent
+			completion.Outcome = permit.Unsent
 		}
 		q.reason, q.avoid = endUnsent, s.ID
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
