--- a/internal/inlet/conn.go
+++ b/internal/inlet/conn.go
@@ -15,29 +15,32 @@
 	"time"
 )
 
-// The sizes of a connection.
+// The limits of a connection. Sizes are in bytes.
 const (
-	// maxPipelined is the number of requests of one connection that run at the same time. What
-	// else the caller sends waits in the connection.
+	// maxPipelined is the capacity of the pipeline. While it is full no more requests are read;
+	// what else the caller sends stays in the socket buffers.
 	maxPipelined    = 16
 	readBufferSize  = 4 << 10
 	writeBufferSize = 8 << 10
-	// bodyReadTimeout is how long the body of a request may make no progress.
+	// bodyReadTimeout is how long to wait for the next bytes of a body.
 	bodyReadTimeout = 10 * time.Second
-	// writeTimeout is how long a caller may take for one write of an answer.
+	// writeTimeout is how long writing a reply may take.
 	writeTimeout = 10 * time.Second
-	// lingerTimeout is how long a closed connection is read, so that unread bytes do not reset it
-	// before the caller has the last answer.
+	// lingerTimeout is how long a connection is still read after its last reply. Closing it with
+	// unread bytes would reset it, possibly before the caller has received the reply.
 	lingerTimeout = 300 * time.Millisecond
 )
 
-// pipelineEntry is the place of a request in the order of answers.
+// pipelineEntry is a request whose reply has not been written. Entries are in the order of the
+// requests, which is also the order of the replies.
 type pipelineEntry struct {
+	// request is nil if the reply is an error about a request that could not be read.
 	request *http.Request
 	reply   chan *Reply
 }
 
-// conn is a connection of a caller.
+// conn is a connection of a caller. One goroutine reads requests, one writes replies, and each
+// handler runs in its own.
 type conn struct {
 	server   *Server
 	raw      net.Conn
@@ -45,23 +48,25 @@
 	out      *bufio.Writer
 	head     *headLimiter
 	pipeline chan pipelineEntry
-	ctx      context.Context
-	cancel   context.CancelFunc
+	// ctx is the context of all handlers; cancel is called when the caller has left.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// pending is the number of requests that were read and not answered. Closing says that no
-	// more are taken.
+	// pending is the number of requests that have been read and whose reply has not been written.
+	// closing says that no more requests are accepted.
 	pending int
 	closing bool
 }
 
-// headLimiter bounds the bytes of a head.
+// headLimiter returns errHeadTooLarge from Read when remaining bytes have been read.
 type headLimiter struct {
 	net.Conn
 	remaining int
 }
 
-var errHeadTooLarge = errors.New("inlet: head too large")
+// errHeadTooLarge is the error of a request head beyond Limits.HeaderBytes.
+var errHeadTooLarge = errors.New("inlet: request head too large")
 
 // Read implements io.Reader.
 func (h *headLimiter) Read(p []byte) (int, error) {
@@ -81,7 +86,7 @@
 	return c
 }
 
-// run serves the connection to its end.
+// run serves the connection until it ends.
 func (c *conn) run() {
 	defer c.raw.Close()
 	defer c.cancel()
@@ -95,8 +100,8 @@
 	<-written
 }
 
-// readRequests reads requests and starts their handling, until the caller leaves or the connection
-// closes.
+// readRequests reads requests and starts their handlers until the caller leaves or the connection
+// is closing.
 func (c *conn) readRequests() {
 	for {
 		l := c.server.limits()
@@ -109,7 +114,7 @@
 		_ = c.raw.SetReadDeadline(deadline)
 		r, err := http.ReadRequest(c.in)
 		if err != nil && !time.Now().Before(deadline) {
-			// What came of a head that is not complete reads like a malformed one.
+			// A head that is incomplete at the deadline may be reported as malformed.
 			err = os.ErrDeadlineExceeded
 		}
 		if err == nil && headSize(r) > l.HeaderBytes {
@@ -129,7 +134,7 @@
 	}
 }
 
-// headSize returns about how large the head of a request is.
+// headSize returns the approximate size of the head of a request in bytes.
 func headSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	for name, values := range r.Header {
@@ -140,11 +145,12 @@
 	return n
 }
 
-// awaitRequest waits for the first byte of a request. While requests are in progress it waits as long
-// as they take: its end then says that the caller left.
-func (c *conn) awaitRequest(idle time.Duration) bool {
+// awaitRequest waits for the first byte of a request and reports whether there is one. The idle
+// timeout does not apply while requests are in progress. If the connection ends meanwhile, the
+// caller has left and the handlers are cancelled.
+func (c *conn) awaitRequest(idleTimeout time.Duration) bool {
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(idle))
+		_ = c.raw.SetReadDeadline(time.Now().Add(idleTimeout))
 		_, err := c.in.Peek(1)
 		switch {
 		case err == nil:
@@ -165,13 +171,14 @@
 	}
 }
 
+// hasPending reports whether requests of the connection are in progress.
 func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending > 0
 }
 
-// reject answers a request that cannot be read.
+// reject enqueues the error reply to a request that cannot be read.
 func (c *conn) reject(err error) {
 	switch {
 	case errors.Is(err, errHeadTooLarge):
@@ -185,8 +192,8 @@
 	}
 }
 
-// readBody reads the body of a request into memory. It returns the status of a refusal, zero for
-// none.
+// readBody reads the body of a request into memory. It returns zero, or the status of the error
+// reply if the body is too large or cannot be read.
 func (c *conn) readBody(r *http.Request, l Limits) int {
 	c.head.remaining = 1 << 30
 	if r.ContentLength == 0 {
@@ -206,16 +213,16 @@
 			return http.StatusBadRequest
 		}
 	}
-	var whole bytes.Buffer
+	var body bytes.Buffer
 	if r.ContentLength > 0 {
-		whole.Grow(int(min(r.ContentLength, writeBufferSize)))
+		body.Grow(int(min(r.ContentLength, writeBufferSize)))
 	}
 	chunk := make([]byte, min(readBufferSize, max(r.ContentLength, 512)))
 	for {
 		_ = c.raw.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		n, err := r.Body.Read(chunk)
-		whole.Write(chunk[:n])
-		if int64(whole.Len()) > l.BodyBytes {
+		body.Write(chunk[:n])
+		if int64(body.Len()) > l.BodyBytes {
 			return http.StatusRequestEntityTooLarge
 		}
 		if errors.Is(err, io.EOF) {
@@ -228,7 +235,7 @@
 			return http.StatusBadRequest
 		}
 	}
-	data := whole.Bytes()
+	data := body.Bytes()
 	r.Body = io.NopCloser(bytes.NewReader(data))
 	r.ContentLength = int64(len(data))
 	r.TransferEncoding = nil
@@ -236,7 +243,8 @@
 	return 0
 }
 
-// startHandler begins the handling of a request. It returns false if the connection takes no more.
+// startHandler starts the handler of a request. It returns false if no further request should be
+// read, because the connection is closing or the request asks for it to be closed.
 func (c *conn) startHandler(r *http.Request) bool {
 	c.mu.Lock()
 	if c.closing {
@@ -249,17 +257,18 @@
 		c.closing = true
 	}
 	c.mu.Unlock()
-	s := pipelineEntry{request: r, reply: make(chan *Reply, 1)}
+	e := pipelineEntry{request: r, reply: make(chan *Reply, 1)}
 	c.server.inFlight.Add(1)
-	go func() { s.reply <- c.server.handler(c.ctx, r) }()
-	c.pipeline <- s
+	go func() { e.reply <- c.server.handler(c.ctx, r) }()
+	c.pipeline <- e
 	if last {
 		c.watchForClose()
 	}
 	return !last
 }
 
-// watchForClose reads on behind the last request only to see whether the caller leaves.
+// watchForClose cancels the handlers if the caller closes the connection after its last request. It
+// returns when no request is in progress, or when the caller sends more.
 func (c *conn) watchForClose() {
 	for c.hasPending() {
 		_ = c.raw.SetReadDeadline(time.Now().Add(time.Second))
@@ -274,18 +283,20 @@
 	}
 }
 
+// enqueueError enqueues an error reply and makes it the last one of the connection.
 func (c *conn) enqueueError(status int) {
 	c.mu.Lock()
 	c.pending++
 	c.closing = true
 	c.mu.Unlock()
 	c.server.inFlight.Add(1)
-	s := pipelineEntry{reply: make(chan *Reply, 1)}
-	s.reply <- &Reply{Status: status, Header: http.Header{}}
-	c.pipeline <- s
+	e := pipelineEntry{reply: make(chan *Reply, 1)}
+	e.reply <- &Reply{Status: status, Header: http.Header{}}
+	c.pipeline <- e
 }
 
-// stopReading takes no more requests, and closes the connection if none is in progress.
+// stopReading makes the connection accept no more requests. If none is in progress it interrupts
+// the reader, which closes the connection.
 func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,11 +306,12 @@
 	}
 }
 
-// writeReplies writes the answers in the order of their requests.
+// writeReplies writes the replies in the order of their requests. Once the connection is broken or
+// the last reply has been written, it discards the remaining replies.
 func (c *conn) writeReplies() {
 	broken := false
-	for s := range c.pipeline {
-		reply := <-s.reply
+	for e := range c.pipeline {
+		reply := <-e.reply
 		if broken {
 			c.replyDone()
 			continue
@@ -307,7 +319,7 @@
 		last := c.isLastReply()
 		if reply == nil || reply.Abort {
 			broken = true
-		} else if err := c.writeReply(s.request, reply, last); err != nil {
+		} else if err := c.writeReply(e.request, reply, last); err != nil {
 			broken = true
 		}
 		c.replyDone()
@@ -318,8 +330,8 @@
 	}
 }
 
-// replyDone counts a request as answered. Only then it is no longer in progress: a process that
-// ended between the handler and the last byte would cut the answer.
+// replyDone counts a request as done. That must not happen before its reply has been written: if
+// the process ended after the handler but before the last byte, the reply would be cut short.
 func (c *conn) replyDone() {
 	c.mu.Lock()
 	c.pending--
@@ -327,8 +339,9 @@
 	c.server.inFlight.Add(-1)
 }
 
-// isLastReply reports whether the next answer is the last one of the connection. While the server
-// drains, that is the first behind which no other request waits.
+// isLastReply reports whether the next reply is the last one of the connection. While the server
+// drains, that is the first reply behind which no other request is pending; the connection then
+// accepts no more requests.
 func (c *conn) isLastReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -338,8 +351,8 @@
 	return c.closing && c.pending == 1
 }
 
-// shutdown ends the connection: at once if an answer was cut, else so that the caller gets the
-// last answer whole.
+// shutdown ends the connection: at once if it is broken, otherwise in such a way that the caller
+// receives the last reply completely.
 func (c *conn) shutdown(broken bool) {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && !broken {
 		_ = tcp.CloseWrite()
@@ -350,21 +363,21 @@
 	_ = c.raw.Close()
 }
 
-// writeReply writes one answer.
-func (c *conn) writeReply(r *http.Request, a *Reply, last bool) error {
+// writeReply writes the reply to a request. R is nil if the request could not be read.
+func (c *conn) writeReply(r *http.Request, reply *Reply, last bool) error {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w := c.out
 	_, _ = w.WriteString("HTTP/1.1 ")
-	_, _ = w.WriteString(strconv.Itoa(a.Status))
+	_, _ = w.WriteString(strconv.Itoa(reply.Status))
 	_ = w.WriteByte(' ')
-	_, _ = w.WriteString(http.StatusText(a.Status))
+	_, _ = w.WriteString(http.StatusText(reply.Status))
 	_, _ = w.WriteString("\r\n")
-	if err := a.Header.Write(w); err != nil {
+	if err := reply.Header.Write(w); err != nil {
 		return err
 	}
-	if hasBody(a.Status) {
+	if hasBody(reply.Status) {
 		_, _ = w.WriteString("Content-Length: ")
-		_, _ = w.WriteString(strconv.Itoa(len(a.Body)))
+		_, _ = w.WriteString(strconv.Itoa(len(reply.Body)))
 		_, _ = w.WriteString("\r\n")
 	}
 	if last {
@@ -372,14 +385,14 @@
 	}
 	_, _ = w.WriteString("\r\n")
 	if r == nil || r.Method != http.MethodHead {
-		if _, err := w.Write(a.Body); err != nil {
+		if _, err := w.Write(reply.Body); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-// hasBody reports whether answers with a status have a body.
+// hasBody reports whether responses with a status may have a body.
 func hasBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/inlet/inlet.go
+++ b/internal/inlet/inlet.go
@@ -1,9 +1,9 @@
-// Package inlet takes requests from callers over HTTP/1.1.
+// Package inlet implements an HTTP/1.1 server that handles pipelined requests concurrently.
 //
-// The server of net/http handles the requests of one connection one after the other. Callers
-// that send several before the first is answered would wait for the sum of their times. Here
-// they run at the same time, and their answers go out in order. Reading on also shows at once
-// when a caller has left.
+// The server of net/http handles the requests of a connection one after the other, so a caller
+// that pipelines requests waits for the sum of their times. Here they are handled at the same
+// time, and their replies are written in order. As the server keeps reading, it also notices at
+// once when a caller closes the connection.
 package inlet
 
 import (
@@ -16,54 +16,61 @@
 	"time"
 )
 
-// Reply is the answer to a request.
+// Reply is the reply to a request of a caller.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Abort closes the connection without an answer.
+	// Abort closes the connection without writing a reply.
 	Abort bool
 }
 
-// Handler answers a request. Its context ends when the caller leaves. The request's body, if
-// any, is in memory.
+// Handler handles a request. Its context is cancelled when the caller closes the connection. The
+// body of the request has been read into memory. A nil reply aborts like Reply.Abort.
 type Handler func(ctx context.Context, r *http.Request) *Reply
 
-// Limits bound what a caller may send.
+// Limits are the limits of requests and connections.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	// HeaderBytes is the maximum size of a request head, and BodyBytes that of a body.
+	HeaderBytes int
+	BodyBytes   int64
+	// HeaderTimeout is how long a head may take from its first byte to its last, and IdleTimeout
+	// how long a connection without requests in progress is kept open.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// DefaultLimits hold while none are configured.
+// DefaultLimits are the limits while no configuration has been read.
 var DefaultLimits = Limits{
 	HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
 }
 
-// Server takes connections.
+// Server accepts the connections of callers.
 type Server struct {
 	handler Handler
 	limits  func() Limits
-	// draining says that each answer is the last of its connection.
+	// draining says that connections are closed after the reply to their last pending request.
 	draining atomic.Bool
+	// inFlight is the number of requests whose reply has not been written.
 	inFlight atomic.Int64
 
-	mu        sync.Mutex
-	conns     map[*conn]struct{}
+	mu    sync.Mutex
+	conns map[*conn]struct{}
+	// connsDone waits for the goroutines of all connections.
 	connsDone sync.WaitGroup
 }
 
-// New returns a server. Limits is asked for each request.
+// New returns a server. Limits is called for each request.
 func New(handler Handler, limits func() Limits) *Server {
 	return &Server{handler: handler, limits: limits, conns: map[*conn]struct{}{}}
 }
 
-// acceptRetryDelay follows a failure to accept, as when descriptors run out.
+// acceptRetryDelay is the delay after a failure to accept a connection, for example because the
+// process has run out of file descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// Serve takes connections until the listener is closed or the context ends.
+// Serve accepts connections until the context ends, which closes the listener, or until the
+// listener is closed. It does not wait for the connections.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -80,6 +87,7 @@
 	}
 }
 
+// startConn serves a connection in its own goroutine.
 func (s *Server) startConn(raw net.Conn) {
 	c := newConn(s, raw)
 	s.mu.Lock()
@@ -95,15 +103,16 @@
 	}()
 }
 
-// Drain makes each answer the last of its connection.
+// Drain makes the server close each connection after a reply behind which no other request waits.
+// It keeps accepting connections and requests.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Finish takes no more requests: connections on which none is in progress are closed, the others
-// after the answers to those that were read.
+// Finish stops reading requests. It closes connections without requests in progress; the others
+// are closed after the replies to the requests that have been read.
 //
-// A caller that always sends its next request before it has the answer to the one before has no last
-// answer while the server only drains: its requests were taken four seconds after the signal to stop,
-// and cut by the end of the process.
+// Drain is not enough to stop a server: a caller that always sends its next request before it has
+// the previous reply keeps its connection open. Requests of such a caller were accepted four
+// seconds after the signal to stop, and cut short by the end of the process.
 func (s *Server) Finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,17 +121,18 @@
 	}
 }
 
-// InFlight returns the number of requests in progress.
+// InFlight returns the number of requests in progress on all connections. A request is in progress
+// until its reply has been written.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Conns returns the number of connections.
+// Conns returns the number of open connections.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Close ends all connections.
+// Close closes all connections at once and waits until they have ended.
 func (s *Server) Close() {
 	s.mu.Lock()
 	for c := range s.conns {
--- a/internal/inlet/inlet_test.go
+++ b/internal/inlet/inlet_test.go
@@ -37,7 +37,8 @@
 	return l.Addr().String()
 }
 
-func defaults() inlet.Limits { return inlet.DefaultLimits }
+// defaultLimits returns the limits that hold without a configuration.
+func defaultLimits() inlet.Limits { return inlet.DefaultLimits }
 
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
@@ -50,8 +51,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// read reads an answer. It returns the body, and whether it is the last of the connection.
-func read(t *testing.T, r *bufio.Reader) (body string, last bool) {
+// readReply reads a reply. It returns the body, and whether the reply is the last of the connection.
+func readReply(t *testing.T, r *bufio.Reader) (body string, last bool) {
 	t.Helper()
 	response, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -65,12 +66,12 @@
 	return string(data), response.Close
 }
 
-func ok(body string) *inlet.Reply {
+func okReply(body string) *inlet.Reply {
 	return &inlet.Reply{Status: http.StatusOK, Header: http.Header{}, Body: []byte(body)}
 }
 
-// A reader sends three requests at once. They must run at the same time, and their answers come
-// in the order in which they were sent, although the first one takes longest.
+// Pipelined requests must run at the same time, and their replies must come in the order of the
+// requests, even if the first one takes longest.
 func TestPipeline(t *testing.T) {
 	is := is.New(t)
 	running := make(chan string, 3)
@@ -80,21 +81,21 @@
 		if r.URL.Path == "/1" {
 			<-first
 		}
-		return ok(r.URL.Path)
-	}, defaults)
+		return okReply(r.URL.Path)
+	}, defaultLimits)
 	c, in := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /3 HTTP/1.1\r\nHost: a\r\n\r\n")
 	for range 3 {
-		<-running // all run before the first is answered
+		<-running // all run before the first reply
 	}
 	close(first)
 	for i := 1; i <= 3; i++ {
-		body, _ := read(t, in)
+		body, _ := readReply(t, in)
 		is.Equal(body, fmt.Sprintf("/%d", i))
 	}
 }
 
-// A caller leaves while its request runs: the request's context must end.
+// If a caller leaves while its request runs, the context of the request must be cancelled.
 func TestCallerLeaves(t *testing.T) {
 	left := make(chan struct{})
 	running := make(chan struct{})
@@ -103,7 +104,7 @@
 		<-ctx.Done()
 		close(left)
 		return nil
-	}, defaults)
+	}, defaultLimits)
 	c, _ := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-running
@@ -111,33 +112,33 @@
 	select {
 	case <-left:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the handler was not told")
+		t.Fatal("the context of the handler was not cancelled")
 	}
 }
 
-// An instance was told to stop as an archivist's volume was on its way. The process ended when
-// the handler had returned, before the answer was written, and the volume was cut. A request
-// must count as in progress until its last byte is written.
-func TestBusyUntilWritten(t *testing.T) {
+// A stopping process ended when the handler of a large download had returned but its reply had not
+// been written completely, so the reply was cut short. A request must count as in progress until
+// the last byte of its reply is written.
+func TestInFlightUntilWritten(t *testing.T) {
 	is := is.New(t)
-	volume := strings.Repeat("x", 16<<20) // more than the buffers of both ends hold
+	download := strings.Repeat("x", 16<<20) // more than the socket buffers of both ends hold
 	returned := make(chan struct{})
 	s := inlet.New(func(context.Context, *http.Request) *inlet.Reply {
 		defer close(returned)
-		return ok(volume)
-	}, defaults)
+		return okReply(download)
+	}, defaultLimits)
 	c, in := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-returned
 	s.Drain()
 	s.Finish()
 	is.Equal(s.InFlight(), int64(1))
-	body, _ := read(t, in)
-	is.Equal(len(body), len(volume))
+	body, _ := readReply(t, in)
+	is.Equal(len(body), len(download))
 }
 
-// While the instance stops, the answer to the last request in progress is the last one of the
-// connection, and no request that was read is left without an answer.
+// While the server drains, the reply to the last request in progress is the last one of its
+// connection, and every request that was read gets a reply.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -145,34 +146,34 @@
 	s := inlet.New(func(context.Context, *http.Request) *inlet.Reply {
 		running <- struct{}{}
 		<-release
-		return ok("done")
-	}, defaults)
+		return okReply("done")
+	}, defaultLimits)
 	c, in := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-running
 	<-running
 	s.Drain()
 	close(release)
-	_, last := read(t, in)
+	_, last := readReply(t, in)
 	is.True(!last)
-	_, last = read(t, in)
+	_, last = readReply(t, in)
 	is.True(last)
 	_, err := in.ReadByte()
 	is.Equal(err, io.EOF)
 }
 
-// A caller sent each request before it had the answer to the one before, so that no answer was the
-// last while the instance stopped. Its requests were taken until the process ended, and the last of
-// them lost at the server that was at work on it.
-func TestFinishTakesNoMore(t *testing.T) {
+// A caller that sent each request before it had the previous reply kept its connection open while
+// the instance drained. Its requests were accepted until the process ended, and the last of them
+// was lost while its server ran it.
+func TestFinishRejectsNewRequests(t *testing.T) {
 	is := is.New(t)
 	running := make(chan chan struct{}, 8)
 	s := inlet.New(func(_ context.Context, r *http.Request) *inlet.Reply {
 		release := make(chan struct{})
 		running <- release
 		<-release
-		return ok(r.URL.Path)
-	}, defaults)
+		return okReply(r.URL.Path)
+	}, defaultLimits)
 	c, in := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
 	first, second := <-running, <-running
@@ -182,15 +183,16 @@
 	time.Sleep(50 * time.Millisecond)
 	close(first)
 	close(second)
-	_, last := read(t, in)
+	_, last := readReply(t, in)
 	is.True(!last)
-	_, last = read(t, in)
-	is.True(last) // the third was not taken, and the caller is told so
+	_, last = readReply(t, in)
+	is.True(last) // the third was not accepted, and the caller can tell
 	_, err := in.ReadByte()
 	is.True(err != nil)
 	is.Equal(len(running), 0)
 }
 
+// Requests beyond a limit, slow or malformed ones get the matching error status.
 func TestLimits(t *testing.T) {
 	tight := func() inlet.Limits {
 		return inlet.Limits{HeaderBytes: 200, BodyBytes: 10, HeaderTimeout: 50 * time.Millisecond, IdleTimeout: time.Second}
@@ -199,21 +201,21 @@
 		send string
 		want int
 	}{
-		"in the limits":    {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200},
-		"chunks":           {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200},
-		"head too large":   {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 300) + "\r\n\r\n", 431},
-		"body too large":   {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n", 413},
-		"chunks too large": {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nabcdefghijk\r\n0\r\n\r\n", 413},
-		"head too slow":    {"GET / HTTP/1.1\r\nHo", 408},
-		"no request":       {"what is this\r\n\r\n", 400},
-		"expects continue": {"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 100},
+		"within the limits":      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200},
+		"chunked":                {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 200},
+		"head too large":         {"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 300) + "\r\n\r\n", 431},
+		"body too large":         {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n", 413},
+		"chunked body too large": {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nabcdefghijk\r\n0\r\n\r\n", 413},
+		"head too slow":          {"GET / HTTP/1.1\r\nHo", 408},
+		"malformed request":      {"what is this\r\n\r\n", 400},
+		"expects 100-continue":   {"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\nabc", 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := inlet.New(func(_ context.Context, r *http.Request) *inlet.Reply {
 				body, _ := io.ReadAll(r.Body)
-				return ok(string(body))
+				return okReply(string(body))
 			}, tight)
 			c, in := dial(t, serve(t, s))
 			_, _ = io.WriteString(c, test.send)
@@ -225,10 +227,10 @@
 	}
 }
 
-// An answer that is given up must not look complete.
+// An aborted reply must not look complete to the caller.
 func TestAbort(t *testing.T) {
 	is := is.New(t)
-	s := inlet.New(func(context.Context, *http.Request) *inlet.Reply { return &inlet.Reply{Abort: true} }, defaults)
+	s := inlet.New(func(context.Context, *http.Request) *inlet.Reply { return &inlet.Reply{Abort: true} }, defaultLimits)
 	c, in := dial(t, serve(t, s))
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	_, err := in.ReadByte()
