--- a/internal/upstr/attempt.go
+++ b/internal/upstr/attempt.go
@@ -9,105 +9,107 @@
 	"example.org/mustardring/internal/clock"
 )
 
-// attempt is one request on its way to a server.
+// attempt is one attempt to send a request to the server.
 type attempt struct {
+	// serial numbers the attempts of a client, from 1.
 	serial    uint64
 	request   *http.Request
 	startedAt time.Time
-	// deadline is when the answer's head must be there, and until when the server must have
-	// dropped the work at the latest.
+	// deadline is when the head of the response must have arrived. dropDeadline is when the
+	// server must have dropped the request at the latest.
 	deadline     time.Time
 	dropDeadline time.Time
-	// done is called once, when the server is done with the request or known to have
-	// dropped it.
+	// done is SendOptions.Done.
 	done func(sent bool)
-	// stopContextWatch ends the watch on the request's context.
+	// stopContextWatch stops waiting for the end of the request's context.
 	stopContextWatch func() bool
-	// writeDone reports the end of a write that goes on beside the reading; nil when the
-	// request was written as a whole before.
+	// writeDone receives the result of a write that runs concurrently with reading the response.
+	// It is nil if there is no such write, and after the result has been received.
 	writeDone chan error
-	// connSilent says that the connection was given up because nothing comes from it.
+	// connSilent says that the attempt was given up because the connection went silent.
 	connSilent bool
 }
 
-// writtenWhole reports whether the whole request was written without an error.
-func (s *attempt) writtenWhole() bool {
-	if s.writeDone == nil {
+// writtenWhole reports whether the request has been written completely and without an error.
+func (a *attempt) writtenWhole() bool {
+	if a.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-s.writeDone:
-		s.writeDone = nil
+	case err := <-a.writeDone:
+		a.writeDone = nil
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// writeDeadline returns the deadline of writing. A request that fits the buffers of both ends
-// is never blocked, and needs none.
-func (s *attempt) writeDeadline(o SendOptions) time.Time {
-	if o.InMemory && s.request.ContentLength < writeBufferSize {
+// writeDeadline returns the deadline for writing the request, or zero for none. A small request in
+// memory fits the socket buffers, so writing it never blocks.
+func (a *attempt) writeDeadline(o SendOptions) time.Time {
+	if o.InMemory && a.request.ContentLength < writeBufferSize {
 		return time.Time{}
 	}
 	return o.Deadline
 }
 
-// write writes the request. A body that is not in memory is written beside the reading of the
-// answer, which may come before the body's end.
-func (s *attempt) write(c *conn, inMemory bool) error {
+// write writes the request. If its body is not in memory, write returns at once and the request is
+// written concurrently, because the response may come before the end of the body.
+func (a *attempt) write(c *conn, inMemory bool) error {
 	if inMemory {
-		return s.writeAll(c)
+		return a.writeAll(c)
 	}
-	s.writeDone = make(chan error, 1)
+	a.writeDone = make(chan error, 1)
 	go func() {
-		err := s.writeAll(c)
+		err := a.writeAll(c)
 		if err != nil {
-			// The server must not take what came for the whole, and the reader must not wait.
-			c.interrupt(s.serial)
+			// The server must not mistake the incomplete request for a complete one, and
+			// the reader must not wait for a response.
+			c.interrupt(a.serial)
 		}
-		s.writeDone <- err
+		a.writeDone <- err
 	}()
 	return nil
 }
 
-func (s *attempt) writeAll(c *conn) error {
-	if err := s.request.Write(c.out); err != nil {
+// writeAll writes the request and flushes the buffer.
+func (a *attempt) writeAll(c *conn) error {
+	if err := a.request.Write(c.out); err != nil {
 		return err
 	}
 	return c.out.Flush()
 }
 
-// awaitResponse reads the head of the answer. On a connection that was used before it gives up when
-// the connection is silent and the server is not.
-func (s *attempt) awaitResponse(c *conn) (*http.Response, error) {
-	patient := c.reused
+// awaitResponse waits for the head of the response. On a reused connection, it fails if nothing
+// arrives for the silence limit while the server responds on a new connection.
+func (a *attempt) awaitResponse(c *conn) (*http.Response, error) {
+	checkSilence := c.reused
 	for {
-		limit := s.deadline
-		if patient {
+		limit := a.deadline
+		if checkSilence {
 			limit = clock.Earlier(limit, time.Now().Add(c.client.silenceLimit()))
 		}
 		c.setReadDeadline(limit)
 		_, err := c.in.Peek(1)
 		if err == nil {
 			if !c.hasHead() {
-				c.setReadDeadline(s.deadline)
+				c.setReadDeadline(a.deadline)
 			}
-			return c.readHead(s.request)
+			return c.readHead(a.request)
 		}
-		if !patient || !errors.Is(err, os.ErrDeadlineExceeded) || s.expired() {
+		if !checkSilence || !errors.Is(err, os.ErrDeadlineExceeded) || a.expired() {
 			return nil, err
 		}
-		patient = false
-		if c.client.Probe(s.request.Context()) == nil {
-			s.connSilent = true
+		checkSilence = false
+		if c.client.Probe(a.request.Context()) == nil {
+			a.connSilent = true
 			c.client.closeIdle()
 			return nil, ErrSilent
 		}
 	}
 }
 
-// expired reports whether nobody waits for the answer any more.
-func (s *attempt) expired() bool {
-	return !time.Now().Before(s.deadline) || s.request.Context().Err() != nil
+// expired reports whether the deadline has passed or the request's context has ended.
+func (a *attempt) expired() bool {
+	return !time.Now().Before(a.deadline) || a.request.Context().Err() != nil
 }
--- a/internal/upstr/client.go
+++ b/internal/upstr/client.go
@@ -1,12 +1,11 @@
-// Package upstr sends requests to backend servers over HTTP and reports what left, what came
-// back and when the server was done.
+// Package upstr sends requests to backend servers over HTTP. It reports whether any bytes of a
+// request may have been sent, what the response was, and when the server was done.
 //
-// It has its own pool of connections beneath the request and answer types of net/http. The
-// pool of http.Transport cannot give the evidence that "not run" needs: it sends a request
-// again by itself when a kept-alive connection breaks and the request looks idempotent to it
-// (GET, or any request with an Idempotency-Key), it may take bytes that a server sent too much
-// for the answer to the next request, and it does not tell when a server has dropped a
-// cancelled request.
+// It uses the request and response types of net/http with its own connection pool. The pool of
+// http.Transport cannot prove that a request was not run: it retries a request by itself when a
+// kept-alive connection breaks and the request looks idempotent to it (GET, or any request with an
+// Idempotency-Key), it may take surplus bytes that a server sent for the response to the next
+// request, and it does not report when a server has dropped a cancelled request.
 package upstr
 
 import (
@@ -22,85 +21,95 @@
 	"time"
 )
 
-// The errors of a Server.
+// The errors of Client.Send and of reading the body of its response. Each error wraps ErrNotSent
+// or ErrInDoubt, and possibly one of the others.
 var (
-	// ErrNotSent says that no byte of the request was written to the server.
+	// ErrNotSent means that no byte of the request was written to the server.
 	ErrNotSent = errors.New("upstr: request not sent")
-	// ErrInDoubt says that bytes were written and no whole answer came back.
+	// ErrInDoubt means that bytes may have been written, but no complete response was received.
 	ErrInDoubt = errors.New("upstr: request in doubt")
-	// ErrLost marks an ErrInDoubt that came with the loss of the connection.
+	// ErrLost accompanies ErrInDoubt if the connection was lost or the response was malformed.
 	ErrLost = errors.New("upstr: connection lost")
-	// ErrSilent marks an ErrInDoubt of a connection that went silent while the server
-	// answers on new ones.
+	// ErrSilent accompanies ErrInDoubt if nothing was received on the connection while the
+	// server responds on new connections.
 	ErrSilent = errors.New("upstr: connection went silent")
-	// ErrDeadline marks an ErrInDoubt of a server that did not answer in time.
-	ErrDeadline = errors.New("upstr: no answer by the deadline")
-	// ErrConnLimit marks an ErrNotSent: all connections are in use.
-	ErrConnLimit = errors.New("upstr: no connection left")
+	// ErrDeadline accompanies ErrInDoubt if the server did not respond in time.
+	ErrDeadline = errors.New("upstr: no response by the deadline")
+	// ErrConnLimit accompanies ErrNotSent if all connections are in use.
+	ErrConnLimit = errors.New("upstr: all connections in use")
 )
 
-// The bounds of connections.
+// The limits and timeouts of connections.
 const (
 	dialTimeout = 2 * time.Second
-	// defaultIdleTimeout bounds how long a connection that went silent can go unnoticed between two
-	// requests. A new one costs about a millisecond.
+	// defaultIdleTimeout bounds how long a silent connection can go unnoticed between two
+	// requests. Opening a new connection takes about a millisecond.
 	defaultIdleTimeout = 3 * time.Second
-	maxHeadBytes       = 64 << 10
-	maxConnsDivisor    = 3
-	// dropGrace is how long after its deadline a server may still run a request.
+	// maxHeadBytes is the maximum size of the head of a response.
+	maxHeadBytes = 64 << 10
+	// maxConnsDivisor is the divisor of Settings.MaxConns, see NewClient.
+	maxConnsDivisor = 3
+	// dropGrace is how long after its deadline a request may still occupy the server.
 	dropGrace = time.Second
-	// bodyReadTimeout is how long a server may take over the next part of an answer's body.
+	// bodyReadTimeout is how long to wait for the next bytes of a response body.
 	bodyReadTimeout = 30 * time.Second
 )
 
-// Settings describe a backend server.
+// Settings are the settings of a Client.
 type Settings struct {
+	// Name is the name of the server in errors.
 	Name string
 	// Address is an IP address with port.
 	Address string
-	// MaxConns is the number that the server accepts from all instances.
+	// MaxConns is the number of connections that the server accepts from all instances.
 	MaxConns int
-	Slots    int
-	// SilenceTimeout is the least time for which a connection may be silent before it is doubted;
-	// zero means DefaultPatience.
+	// Slots is the number of requests that the server runs at the same time.
+	Slots int
+	// SilenceTimeout is how long a request waits at least, on a reused connection without a
+	// response, before the connection is checked for having gone silent; zero means
+	// DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long a connection may be idle before it is used again; zero means
-	// idleTimeout.
+	// IdleTimeout is how long a connection may be idle and still be reused; zero means
+	// defaultIdleTimeout.
 	IdleTimeout time.Duration
-	// NoDeathMonitor leaves out the connection by which the end of the server is seen: Died may not
-	// be asked then.
+	// NoDeathMonitor disables the connection that detects the death of the server's process.
+	// ServerDied must not be called then.
 	NoDeathMonitor bool
-	// CancelByFullClose says that the server takes only the end of the whole connection as a cancellation,
-	// not that of its sending side.
+	// CancelByFullClose says that closing only the sending side of a connection does not cancel
+	// a request at this server; the whole connection must be closed.
 	CancelByFullClose bool
 	// UserTimeout is how long sent bytes may stay unacknowledged before the connection is
-	// lost; zero means userTimeoutMillis.
+	// lost; zero means defaultUserTimeoutMillis.
 	UserTimeout time.Duration
 }
 
-// DefaultSilenceTimeout is long beside the answers of today's services.
+// DefaultSilenceTimeout is much longer than the typical latency of a service.
 const DefaultSilenceTimeout = time.Second
 
-// Client is the connections to one backend server.
+// Client sends requests to one backend server over its own pool of connections.
 type Client struct {
 	settings Settings
 	maxConns int
 	dialer   net.Dialer
-	// slowestResponse is the longest time to an answer of late, in nanoseconds.
+	// slowestResponse is the longest recent time to the head of a response, in nanoseconds. It
+	// decays with each response.
 	slowestResponse atomic.Int64
 	monitor         *monitor
-	// serial numbers the requests.
+	// serial is the number of the last attempt.
 	serial atomic.Uint64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// open holds all connections, including those in idle, which is ordered by idleSince. dialing
+	// is the number of connections that are being opened.
 	open    map[*conn]struct{}
 	dialing int
 	idle    []*conn
-	reaper  *time.Timer
-	closed  bool
+	// reaper closes expired idle connections; it is nil if there are none.
+	reaper *time.Timer
+	closed bool
 }
 
-// withDefaults returns the settings with the defaults in place.
+// withDefaults returns the settings with zero values replaced by the defaults.
 func (s Settings) withDefaults() Settings {
 	if s.SilenceTimeout == 0 {
 		s.SilenceTimeout = DefaultSilenceTimeout
@@ -114,42 +123,43 @@
 	return s
 }
 
-// NewClient returns the connections to a server. It opens at most a third of the connections
-// that the server accepts, so that a successor of this gate, and heartbeats, have room
-// beside it. Close ends it.
+// NewClient returns a client without connections. It opens at most a third of the connections that
+// the server accepts, but always one more than the server has slots. The rest is left for the
+// instance that takes over the server, and for heartbeats. Close ends the client.
 func NewClient(settings Settings) *Client {
 	settings = settings.withDefaults()
-	s := &Client{
+	cl := &Client{
 		settings: settings,
 		maxConns: max(settings.MaxConns/maxConnsDivisor, settings.Slots+1),
 		dialer:   net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: UserTimeout(settings.UserTimeout)},
 		open:     make(map[*conn]struct{}),
 	}
-	s.slowestResponse.Store(int64(settings.SilenceTimeout) / silenceFactor)
-	s.monitor = newMonitor(s)
-	return s
+	cl.slowestResponse.Store(int64(settings.SilenceTimeout) / silenceFactor)
+	cl.monitor = newMonitor(cl)
+	return cl
 }
 
-// HasSettings reports whether the server was made from the given settings.
-func (s *Client) HasSettings(settings Settings) bool { return s.settings == settings.withDefaults() }
+// HasSettings reports whether the client was created with settings equal to the given ones.
+func (cl *Client) HasSettings(settings Settings) bool { return cl.settings == settings.withDefaults() }
 
-// SendOptions says how a request is to be sent.
+// SendOptions are the options of Client.Send.
 type SendOptions struct {
-	// Deadline is when the head of the answer must be there. The server must have dropped
-	// the work shortly after it.
+	// Deadline is when the head of the response must have arrived. The server is expected to
+	// drop the request within a second after it.
 	Deadline time.Time
-	// InMemory says that the request's body is in memory, or that it has none.
+	// InMemory says that the body of the request is in memory, or that there is none.
 	InMemory bool
-	// NewConn asks for a new connection.
+	// NewConn makes Send open a new connection instead of reusing one.
 	NewConn bool
-	// BeforeWrite, if not nil, is called when a connection is there, immediately before the first
-	// byte is written. Its error ends the request unsent.
+	// BeforeWrite, if not nil, is called when a connection is available, immediately before the
+	// first byte is written. If it returns an error, the request is not sent.
 	BeforeWrite func() error
-	// Done is called once, in any case, when the server is done with the request or known to
-	// have dropped it: only then its slot is free. Sent says whether bytes may have left.
+	// Done is called exactly once, when the server has finished or dropped the request. Only then
+	// its slot is free. Sent says whether bytes of the request may have been sent.
 	Done func(sent bool)
 }
 
+// runBeforeWrite calls BeforeWrite if it is set.
 func (o *SendOptions) runBeforeWrite() error {
 	if o.BeforeWrite == nil {
 		return nil
@@ -157,38 +167,38 @@
 	return o.BeforeWrite()
 }
 
-// Send sends a request and returns when the head of the answer is there. The request's
-// context cancels it at any time. Its answer's body must be closed. Errors wrap ErrNotSent or
-// ErrInDoubt.
-func (s *Client) Send(r *http.Request, o SendOptions) (*http.Response, error) {
-	if !s.settings.NoDeathMonitor {
-		s.monitor.start(r.Context())
+// Send sends a request and returns when the head of the response has arrived. The context of the
+// request can cancel it at any time. The caller must close the body of the response. Errors wrap
+// ErrNotSent or ErrInDoubt. Send never retries.
+func (cl *Client) Send(r *http.Request, o SendOptions) (*http.Response, error) {
+	if !cl.settings.NoDeathMonitor {
+		cl.monitor.start(r.Context())
 	}
-	c, err := s.acquireConn(r.Context(), o)
+	c, err := cl.acquireConn(r.Context(), o)
 	if err != nil {
 		o.Done(false)
-		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
+		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, cl.settings.Name, err)
 	}
 	if err := o.runBeforeWrite(); err != nil {
-		s.putIdle(c)
+		cl.putIdle(c)
 		o.Done(false)
-		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
+		return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, cl.settings.Name, err)
 	}
-	out := &attempt{
-		serial: s.serial.Add(1), request: r, startedAt: time.Now(),
+	a := &attempt{
+		serial: cl.serial.Add(1), request: r, startedAt: time.Now(),
 		deadline: o.Deadline, dropDeadline: o.Deadline.Add(dropGrace), done: o.Done,
 	}
-	c.begin(out.serial, out.writeDeadline(o))
-	out.stopContextWatch = context.AfterFunc(r.Context(), func() { c.interrupt(out.serial) })
-	if err := out.write(c, o.InMemory); err != nil {
-		return nil, s.failAttempt(out, c, err)
+	c.begin(a.serial, a.writeDeadline(o))
+	a.stopContextWatch = context.AfterFunc(r.Context(), func() { c.interrupt(a.serial) })
+	if err := a.write(c, o.InMemory); err != nil {
+		return nil, cl.failAttempt(a, c, err)
 	}
-	response, err := out.awaitResponse(c)
+	response, err := a.awaitResponse(c)
 	if err != nil {
-		return nil, s.failAttempt(out, c, err)
+		return nil, cl.failAttempt(a, c, err)
 	}
-	s.observeLatency(time.Since(out.startedAt))
-	b := &responseBody{ReadCloser: response.Body, conn: c, attempt: out, reusable: !response.Close && !r.Close}
+	cl.observeLatency(time.Since(a.startedAt))
+	b := &responseBody{ReadCloser: response.Body, conn: c, attempt: a, reusable: !response.Close && !r.Close}
 	response.Body = b
 	if b.ReadCloser == http.NoBody {
 		b.finish()
@@ -196,103 +206,107 @@
 	return response, nil
 }
 
-// failAttempt ends a request without an answer.
-func (s *Client) failAttempt(out *attempt, c *conn, err error) error {
-	out.stopContextWatch()
-	if out.writeDone == nil && !c.mayHaveWritten {
+// failAttempt ends an attempt that got no response and returns its error.
+func (cl *Client) failAttempt(a *attempt, c *conn, err error) error {
+	a.stopContextWatch()
+	if a.writeDone == nil && !c.mayHaveWritten {
 		c.ignoreInterrupts()
 		c.discard()
-		out.done(false)
-		return fmt.Errorf("%w to %s: %w", ErrNotSent, s.settings.Name, err)
+		a.done(false)
+		return fmt.Errorf("%w to %s: %w", ErrNotSent, cl.settings.Name, err)
 	}
-	failure := s.classifyError(out, err)
-	c.cancelRequest(out)
+	failure := cl.classifyError(a, err)
+	c.cancelRequest(a)
 	return failure
 }
 
-// classifyError says what an error after the first byte means.
-func (s *Client) classifyError(out *attempt, err error) error {
+// classifyError returns the error of an attempt that failed after its first byte, which wraps
+// ErrInDoubt and the cause.
+func (cl *Client) classifyError(a *attempt, err error) error {
 	switch {
-	case out.connSilent:
+	case a.connSilent:
 		err = ErrSilent
-	case out.request.Context().Err() != nil:
-		err = context.Cause(out.request.Context())
+	case a.request.Context().Err() != nil:
+		err = context.Cause(a.request.Context())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = fmt.Errorf("%w: %w", ErrDeadline, err)
 	default:
 		err = fmt.Errorf("%w: %w", ErrLost, err)
 	}
-	return fmt.Errorf("%w at %s: %w", ErrInDoubt, s.settings.Name, err)
+	return fmt.Errorf("%w at %s: %w", ErrInDoubt, cl.settings.Name, err)
 }
 
-// CloseConns closes all connections at once, for when the right to use the server is lost.
-func (s *Client) CloseConns() {
-	s.closeIdle()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.open {
+// CloseConns closes all connections at once, including those in use. It is called when the lease
+// of the server is lost.
+func (cl *Client) CloseConns() {
+	cl.closeIdle()
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for c := range cl.open {
 		_ = c.Close()
 	}
 }
 
-// Close closes the idle connections, and others when they become idle, and ends the watch.
-// Requests in progress go on.
-func (s *Client) Close() {
-	s.mu.Lock()
-	s.closed = true
-	s.mu.Unlock()
-	s.closeIdle()
-	s.monitor.stop()
+// Close closes the idle connections and stops the monitor. Requests in progress go on; their
+// connections are closed afterwards.
+func (cl *Client) Close() {
+	cl.mu.Lock()
+	cl.closed = true
+	cl.mu.Unlock()
+	cl.closeIdle()
+	cl.monitor.stop()
 }
 
-// OpenConns returns the number of open connections, those being opened included.
-func (s *Client) OpenConns() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.open) + s.dialing
+// OpenConns returns the number of connections, including those that are being opened.
+func (cl *Client) OpenConns() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return len(cl.open) + cl.dialing
 }
 
-// acquireConn returns a connection for a request.
-func (s *Client) acquireConn(ctx context.Context, o SendOptions) (*conn, error) {
+// acquireConn returns a connection for a request: the one that became idle last if it is usable,
+// otherwise a new one. It returns ErrConnLimit if all connections are in use.
+func (cl *Client) acquireConn(ctx context.Context, o SendOptions) (*conn, error) {
 	for !o.NewConn {
-		c := s.takeIdle()
+		c := cl.takeIdle()
 		if c == nil {
 			break
 		}
-		if time.Since(c.idleSince) < s.settings.IdleTimeout && c.peeker.usable() {
+		if time.Since(c.idleSince) < cl.settings.IdleTimeout && c.peeker.usable() {
 			c.reused = true
 			return c, nil
 		}
 		c.discard()
 	}
-	if !s.reserveConn() {
+	if !cl.reserveConn() {
 		return nil, ErrConnLimit
 	}
-	dialer := s.dialer
+	dialer := cl.dialer
 	dialer.Deadline = o.Deadline
-	raw, err := dialer.DialContext(ctx, "tcp", s.settings.Address)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.dialing--
+	raw, err := dialer.DialContext(ctx, "tcp", cl.settings.Address)
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.dialing--
 	if err != nil {
 		return nil, err
 	}
-	c := newConn(raw, s)
-	s.open[c] = struct{}{}
+	c := newConn(raw, cl)
+	cl.open[c] = struct{}{}
 	return c, nil
 }
 
-// reserveConn counts a connection about to be opened. If all are in use an idle one gives way.
-func (s *Client) reserveConn() bool {
+// reserveConn counts a connection that is about to be opened, and reports whether the limit allows
+// it. At the limit it closes an idle connection to make room.
+func (cl *Client) reserveConn() bool {
 	for {
-		s.mu.Lock()
-		if len(s.open)+s.dialing < s.maxConns {
-			s.dialing++
-			s.mu.Unlock()
+		cl.mu.Lock()
+		if len(cl.open)+cl.dialing < cl.maxConns {
+			cl.dialing++
+			cl.mu.Unlock()
 			return true
 		}
-		s.mu.Unlock()
-		c := s.takeIdle()
+		cl.mu.Unlock()
+		c := cl.takeIdle()
 		if c == nil {
 			return false
 		}
@@ -301,64 +315,65 @@
 }
 
 // takeIdle returns the connection that became idle last, nil if there is none.
-func (s *Client) takeIdle() *conn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	last := len(s.idle) - 1
+func (cl *Client) takeIdle() *conn {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	last := len(cl.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	c := s.idle[last]
-	s.idle[last] = nil
-	s.idle = s.idle[:last]
+	c := cl.idle[last]
+	cl.idle[last] = nil
+	cl.idle = cl.idle[:last]
 	return c
 }
 
-// putIdle makes a connection idle.
-func (s *Client) putIdle(c *conn) {
+// putIdle returns a connection to the pool, or closes it if the client is closed.
+func (cl *Client) putIdle(c *conn) {
 	c.idleSince = time.Now()
-	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
+	cl.mu.Lock()
+	if cl.closed {
+		cl.mu.Unlock()
 		c.discard()
 		return
 	}
-	s.idle = append(s.idle, c)
-	if s.reaper == nil {
-		s.reaper = time.AfterFunc(s.settings.IdleTimeout, s.closeExpiredIdle)
+	cl.idle = append(cl.idle, c)
+	if cl.reaper == nil {
+		cl.reaper = time.AfterFunc(cl.settings.IdleTimeout, cl.closeExpiredIdle)
 	}
-	s.mu.Unlock()
+	cl.mu.Unlock()
 }
 
-// closeExpiredIdle closes the connections that have been idle for too long.
-func (s *Client) closeExpiredIdle() {
-	s.mu.Lock()
-	limit := time.Now().Add(-s.settings.IdleTimeout)
-	fresh := slices.IndexFunc(s.idle, func(c *conn) bool { return c.idleSince.After(limit) })
-	if fresh < 0 {
-		fresh = len(s.idle)
+// closeExpiredIdle closes the connections that have been idle for longer than the idle timeout.
+func (cl *Client) closeExpiredIdle() {
+	cl.mu.Lock()
+	cutoff := time.Now().Add(-cl.settings.IdleTimeout)
+	firstKept := slices.IndexFunc(cl.idle, func(c *conn) bool { return c.idleSince.After(cutoff) })
+	if firstKept < 0 {
+		firstKept = len(cl.idle)
 	}
-	old := slices.Clone(s.idle[:fresh])
-	s.idle = slices.Delete(s.idle, 0, fresh)
-	s.reaper = nil
-	if len(s.idle) > 0 {
-		s.reaper = time.AfterFunc(time.Until(s.idle[0].idleSince.Add(s.settings.IdleTimeout)), s.closeExpiredIdle)
+	expired := slices.Clone(cl.idle[:firstKept])
+	cl.idle = slices.Delete(cl.idle, 0, firstKept)
+	cl.reaper = nil
+	if len(cl.idle) > 0 {
+		cl.reaper = time.AfterFunc(time.Until(cl.idle[0].idleSince.Add(cl.settings.IdleTimeout)), cl.closeExpiredIdle)
 	}
-	s.mu.Unlock()
-	for _, c := range old {
+	cl.mu.Unlock()
+	for _, c := range expired {
 		c.discard()
 	}
 }
 
 // closeIdle closes all idle connections.
-func (s *Client) closeIdle() {
-	for c := s.takeIdle(); c != nil; c = s.takeIdle() {
+func (cl *Client) closeIdle() {
+	for c := cl.takeIdle(); c != nil; c = cl.takeIdle() {
 		c.discard()
 	}
 }
 
-func (s *Client) removeConn(c *conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.open, c)
+// removeConn removes a closed connection from the count of open connections.
+func (cl *Client) removeConn(c *conn) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	delete(cl.open, c)
 }
--- a/internal/upstr/client_test.go
+++ b/internal/upstr/client_test.go
@@ -15,16 +15,16 @@
 	"github.com/matryer/is"
 )
 
-// newTestServer returns the connections to an address, closed with the test.
-func newTestServer(t *testing.T, address string, change func(*Settings)) *Client {
+// newTestClient returns a client for an address. It is closed at the end of the test.
+func newTestClient(t *testing.T, address string, change func(*Settings)) *Client {
 	t.Helper()
 	settings := Settings{Name: "a", Address: address, MaxConns: 110, Slots: 2}
 	if change != nil {
 		change(&settings)
 	}
-	s := NewClient(settings)
-	t.Cleanup(s.Close)
-	return s
+	client := NewClient(settings)
+	t.Cleanup(client.Close)
+	return client
 }
 
 func request(is *is.I, method, body string) *http.Request {
@@ -38,24 +38,24 @@
 	return r
 }
 
-// result is what became of a request.
+// result is the result of a request.
 type result struct {
 	text string
 	err  error
-	// serverDone is closed when the server is done.
+	// serverDone is closed when SendOptions.Done is called.
 	serverDone chan struct{}
 }
 
-// testOptions returns an order without a deadline to speak of, and a channel that its Done closes.
+// testOptions returns options with a deadline far away, and a channel that their Done closes.
 func testOptions() (SendOptions, chan struct{}) {
 	done := make(chan struct{})
 	return SendOptions{Deadline: time.Now().Add(time.Hour), InMemory: true, Done: func(bool) { close(done) }}, done
 }
 
-// send sends a request and reads its answer.
-func send(s *Client, r *http.Request) result {
+// send sends a request and reads its response.
+func send(client *Client, r *http.Request) result {
 	o, done := testOptions()
-	response, err := s.Send(r, o)
+	response, err := client.Send(r, o)
 	if err != nil {
 		return result{err: err, serverDone: done}
 	}
@@ -64,9 +64,9 @@
 	return result{text: string(text), err: err, serverDone: done}
 }
 
-// A server restarts between two requests on one connection. net/http would take the second
-// one, read by the server and unanswered, and send it again by itself: the crash would be
-// doubled, and a submission with an Idempotency-Key run twice.
+// A server crashes after it has read the second request on a connection. The transport of net/http
+// would send that request again by itself: it would crash the server twice, and a submission with
+// an Idempotency-Key would run twice.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	tests := map[string]struct {
 		method, header string
@@ -83,16 +83,16 @@
 					if number == 0 && i == 1 {
 						return
 					}
-					_, _ = io.WriteString(c, ok)
+					_, _ = io.WriteString(c, okResponse)
 				}
 			})
-			s := newTestServer(t, server.Addr().String(), nil)
-			is.NoErr(send(s, request(is, http.MethodGet, "")).err)
+			client := newTestClient(t, server.Addr().String(), nil)
+			is.NoErr(send(client, request(is, http.MethodGet, "")).err)
 			r := request(is, tt.method, "")
 			if tt.header != "" {
 				r.Header.Set(tt.header, "id")
 			}
-			got := send(s, r)
+			got := send(client, r)
 			is.True(errors.Is(got.err, ErrInDoubt))
 			is.True(errors.Is(got.err, ErrLost))
 			<-got.serverDone
@@ -101,54 +101,55 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+// A request to an address where no server listens is not sent.
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	s := newTestServer(t, address, nil)
-	got := send(s, request(is, http.MethodPost, "text"))
+	client := newTestClient(t, address, nil)
+	got := send(client, request(is, http.MethodPost, "text"))
 	is.True(errors.Is(got.err, ErrNotSent))
 	<-got.serverDone
-	is.Equal(s.OpenConns(), 0)
+	is.Equal(client.OpenConns(), 0)
 }
 
-// A caller goes away while the server works. The server is told by the end of the sending
-// side. Its slot is free only when it has dropped the work, else it would run three requests
-// in two slots.
-func TestCancelledRequestHoldsItsSlot(t *testing.T) {
+// A caller leaves while the server runs its request. The client cancels the request by closing the
+// sending side of the connection. The slot must not be free before the server has dropped the
+// request; otherwise a server with two slots would run three requests.
+func TestCancelledRequestKeepsSlot(t *testing.T) {
 	is := is.New(t)
-	begun, told, drop := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	begun, cancelled, drop := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(begun)
 		<-r.Context().Done()
-		close(told)
+		close(cancelled)
 		<-drop
 	}))
 	defer server.Close()
-	s := newTestServer(t, server.Listener.Addr().String(), nil)
+	client := newTestClient(t, server.Listener.Addr().String(), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-begun
 		cancel()
 	}()
-	got := send(s, request(is, http.MethodPost, "text").WithContext(ctx))
+	got := send(client, request(is, http.MethodPost, "text").WithContext(ctx))
 	is.True(errors.Is(got.err, ErrInDoubt))
 	is.True(!errors.Is(got.err, ErrLost))
-	<-told
+	<-cancelled
 	select {
 	case <-got.serverDone:
-		t.Fatal("the slot is free while the server works")
+		t.Fatal("Done was called while the server still ran the request")
 	default:
 	}
 	close(drop)
 	<-got.serverDone
 }
 
-// A server takes no notice of a cancellation. Its slot is free when the request's time is
-// over, as the server was told the deadline.
+// If a server ignores a cancellation, its slot is free after the deadline of the request, which the
+// server knows.
 func TestSlotIsFreeAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
 	begun := make(chan struct{})
@@ -156,7 +157,7 @@
 		s.readRequest(in)
 		close(begun)
 	})
-	s := newTestServer(t, server.Addr().String(), nil)
+	client := newTestClient(t, server.Addr().String(), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-begun
@@ -164,18 +165,19 @@
 	}()
 	o, done := testOptions()
 	o.Deadline = time.Now().Add(time.Second)
-	_, err := s.Send(request(is, http.MethodPost, "text").WithContext(ctx), o) //nolint:bodyclose // there is none
+	_, err := client.Send(request(is, http.MethodPost, "text").WithContext(ctx), o) //nolint:bodyclose // there is no response
 	is.True(errors.Is(err, ErrInDoubt))
 	<-done
 }
 
-// A server answers half and closes. The reader must see an error, not an end.
+// If a server closes the connection within a response, or sends a malformed one, the caller must get
+// an error and not the end of the body.
 func TestHalfAnswer(t *testing.T) {
 	tests := map[string]string{
 		"short":            "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"chunked":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"header only half": "HTTP/1.1 200 OK\r\nConte",
-		"no HTTP":          "hello, this is no HTTP\r\n\r\n",
+		"truncated header": "HTTP/1.1 200 OK\r\nConte",
+		"not HTTP":         "hello, this is no HTTP\r\n\r\n",
 		"two lengths":      "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 2\r\n\r\nhalf",
 	}
 	for name, text := range tests {
@@ -186,41 +188,41 @@
 				_, _ = io.WriteString(c, text)
 				c.Close()
 			})
-			s := newTestServer(t, server.Addr().String(), nil)
-			got := send(s, request(is, http.MethodGet, ""))
+			client := newTestClient(t, server.Addr().String(), nil)
+			got := send(client, request(is, http.MethodGet, ""))
 			is.True(errors.Is(got.err, ErrInDoubt))
 			<-got.serverDone
 		})
 	}
 }
 
-// The bytes after a stated length belong to no answer. They must not become the next one.
-func TestLongAnswerDoesNotCross(t *testing.T) {
+// Bytes after the stated length of a response must not become the next response.
+func TestSurplusBytesAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
 		for s.readRequest(in) {
 			if number > 0 {
-				_, _ = io.WriteString(c, ok)
+				_, _ = io.WriteString(c, okResponse)
 				continue
 			}
-			_, _ = io.WriteString(c, ok+"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstrays")
+			_, _ = io.WriteString(c, okResponse+"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstrays")
 		}
 	})
-	s := newTestServer(t, server.Addr().String(), nil)
+	client := newTestClient(t, server.Addr().String(), nil)
 	for range 3 {
-		got := send(s, request(is, http.MethodGet, ""))
+		got := send(client, request(is, http.MethodGet, ""))
 		is.NoErr(got.err)
 		is.Equal(got.text, "ok")
 		<-got.serverDone
 	}
 }
 
-// A server closes an idle connection, or sends something unasked on it. The next request must
-// not be lost on it, and what was sent must not become its answer.
-func TestIdleConnectionIsLookedAt(t *testing.T) {
+// A server closes an idle connection, or sends unsolicited bytes on it. The next request must not be
+// lost on that connection, and the bytes must not become its response.
+func TestIdleConnectionIsChecked(t *testing.T) {
 	tests := map[string]func(c net.Conn){
-		"closed":  func(c net.Conn) { _ = c.Close() },
-		"unasked": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstrays") },
+		"closed":            func(c net.Conn) { _ = c.Close() },
+		"unsolicited bytes": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstrays") },
 	}
 	for name, disturb := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -228,7 +230,7 @@
 			answered, disturbed := make(chan struct{}), make(chan struct{})
 			server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
 				for s.readRequest(in) {
-					_, _ = io.WriteString(c, ok)
+					_, _ = io.WriteString(c, okResponse)
 					if number == 0 {
 						<-answered
 						disturb(c)
@@ -237,19 +239,20 @@
 					}
 				}
 			})
-			s := newTestServer(t, server.Addr().String(), nil)
-			is.NoErr(send(s, request(is, http.MethodPost, "text")).err)
+			client := newTestClient(t, server.Addr().String(), nil)
+			is.NoErr(send(client, request(is, http.MethodPost, "text")).err)
 			close(answered)
 			<-disturbed
-			got := send(s, request(is, http.MethodPost, "text"))
+			got := send(client, request(is, http.MethodPost, "text"))
 			is.NoErr(got.err)
 			is.Equal(got.text, "ok")
 		})
 	}
 }
 
-// The server bears 110 connections from all instances. One gate stays within a third.
-func TestConnectionsStayWithinBudget(t *testing.T) {
+// A server accepts a limited number of connections from all instances, for example 110. One client
+// opens at most a third of them.
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	begun, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -257,17 +260,17 @@
 		<-release
 	}))
 	defer server.Close()
-	s := newTestServer(t, server.Listener.Addr().String(), func(s *Settings) { s.MaxConns, s.Slots = 12, 2 })
+	client := newTestClient(t, server.Listener.Addr().String(), func(s *Settings) { s.MaxConns, s.Slots = 12, 2 })
 	results := make(chan result, 4)
 	for range 4 {
 		r := request(is, http.MethodGet, "")
-		go func() { results <- send(s, r) }()
+		go func() { results <- send(client, r) }()
 	}
 	for range 4 {
 		<-begun
 	}
-	is.Equal(s.OpenConns(), 4)
-	got := send(s, request(is, http.MethodGet, ""))
+	is.Equal(client.OpenConns(), 4)
+	got := send(client, request(is, http.MethodGet, ""))
 	is.True(errors.Is(got.err, ErrConnLimit))
 	is.True(errors.Is(got.err, ErrNotSent))
 	<-got.serverDone
@@ -277,37 +280,37 @@
 		is.NoErr(got.err)
 		<-got.serverDone
 	}
-	is.Equal(s.OpenConns(), 4)
+	is.Equal(client.OpenConns(), 4)
 }
 
-// A long upload is answered before its end. The answer counts, and the connection, on which
-// the rest of the body may still be, is not used again.
-func TestAnswerBeforeTheEndOfTheBody(t *testing.T) {
+// A server responds before the end of a long upload. The response is valid, but the connection must
+// not be reused, as it may still carry the rest of the body.
+func TestResponseBeforeEndOfUpload(t *testing.T) {
 	is := is.New(t)
 	server := startScript(t, func(_ *scriptedServer, _ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			_, _ = io.WriteString(c, "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno")
 		}
 	})
-	s := newTestServer(t, server.Addr().String(), nil)
+	client := newTestClient(t, server.Addr().String(), nil)
 	from, to := io.Pipe()
 	defer func() { _ = to.Close() }()
 	r := request(is, http.MethodPost, "text")
 	r.Body, r.ContentLength = from, 1000
 	o, done := testOptions()
 	o.InMemory = false
-	response, err := s.Send(r, o)
+	response, err := client.Send(r, o)
 	is.NoErr(err)
 	text, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
 	is.Equal(string(text), "no")
 	<-done
-	is.Equal(s.OpenConns(), 0)
+	is.Equal(client.OpenConns(), 0)
 }
 
-// A caller's upload ends early. The server must not take the part for the whole.
-func TestUploadEndsEarly(t *testing.T) {
+// If a caller's upload ends early, the server must not mistake the part for the complete body.
+func TestUploadCutShort(t *testing.T) {
 	tests := map[string]int64{"stated length": 1000, "chunked": -1}
 	for name, length := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -318,7 +321,7 @@
 				seen <- err
 			}))
 			defer server.Close()
-			s := newTestServer(t, server.Listener.Addr().String(), nil)
+			client := newTestClient(t, server.Listener.Addr().String(), nil)
 			from, to := io.Pipe()
 			r := request(is, http.MethodPost, "text")
 			r.Body, r.ContentLength = from, length
@@ -328,7 +331,7 @@
 			}()
 			o, done := testOptions()
 			o.InMemory = false
-			_, err := s.Send(r, o) //nolint:bodyclose // there is none
+			_, err := client.Send(r, o) //nolint:bodyclose // there is no response
 			is.True(errors.Is(err, ErrInDoubt))
 			is.True(<-seen != nil)
 			<-done
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -11,54 +11,55 @@
 	"time"
 )
 
-// The sizes of a connection's buffers. A request whose head and body fit goes out in one
-// write.
+// The sizes of a connection's buffers in bytes. A request that fits the write buffer is sent in a
+// single write.
 const (
 	readBufferSize  = 8 << 10
 	writeBufferSize = 8 << 10
 )
 
-// errHeadTooLarge is returned when the head of an answer is larger than headBytes.
-var errHeadTooLarge = errors.New("upstr: head of the answer too large")
+// errHeadTooLarge is the error of a response head of more than maxHeadBytes.
+var errHeadTooLarge = errors.New("upstr: response head too large")
 
-// pastDeadline is a deadline that ends all reading and writing.
+// pastDeadline is a deadline that interrupts all reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is a connection to a backend server. It carries one request at a time, and belongs to
-// the goroutine that carries it.
+// conn is a connection to a backend server. It carries one request at a time and is used by the
+// goroutine of that request; only interrupt may be called by others.
 type conn struct {
 	net.Conn
 	client *Client
 	peeker *peeker
 	in     *bufio.Reader
 	out    *bufio.Writer
-	// idleSince is when the connection last had nothing to do.
+	// idleSince is when the connection last became idle.
 	idleSince time.Time
-	// reused says that the connection carried a request before the present one.
+	// reused says that the connection carried another request before the current one.
 	reused bool
-	// mayHaveWritten says that bytes of the present request may have left.
+	// mayHaveWritten says that bytes of the current request may have been sent.
 	mayHaveWritten bool
-	// writeDeadline is the deadline of writing, zero for none.
+	// writeDeadline is the write deadline that is set; zero for none.
 	writeDeadline time.Time
-	// headRemaining is the number of bytes that the head of the answer may still have; negative
+	// headRemaining is the number of bytes that the head of the response may still have; negative
 	// while the body is read.
 	headRemaining int
 
-	// mu guards what follows. Serial is that of the present request, zero from when its fate
-	// is known: from then on it cannot be interrupted. Interrupted says that it was.
-	mu          sync.Mutex
-	serial      uint64
+	mu sync.Mutex
+	// serial is the number of the current attempt, or zero if it must not be interrupted because
+	// its outcome is known.
+	serial uint64
+	// interrupted says that the current attempt was interrupted.
 	interrupted bool
 }
 
-func newConn(raw net.Conn, s *Client) *conn {
-	c := &conn{Conn: raw, client: s, peeker: newPeeker(raw)}
+func newConn(raw net.Conn, cl *Client) *conn {
+	c := &conn{Conn: raw, client: cl, peeker: newPeeker(raw)}
 	c.in = bufio.NewReaderSize(c, readBufferSize)
 	c.out = bufio.NewWriterSize(c, writeBufferSize)
 	return c
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It returns errHeadTooLarge if the head of the response exceeds its limit.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headRemaining == 0 {
 		return 0, errHeadTooLarge
@@ -73,18 +74,18 @@
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It sets mayHaveWritten unless it fails without writing a byte.
 func (c *conn) Write(p []byte) (int, error) {
-	before := c.mayHaveWritten
+	previous := c.mayHaveWritten
 	c.mayHaveWritten = true
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
-		c.mayHaveWritten = before
+		c.mayHaveWritten = previous
 	}
 	return n, err
 }
 
-// begin prepares the connection for a request.
+// begin prepares the connection for an attempt.
 func (c *conn) begin(serial uint64, deadline time.Time) {
 	c.mayHaveWritten = false
 	c.headRemaining = maxHeadBytes
@@ -97,15 +98,16 @@
 	c.mu.Unlock()
 }
 
-// ignoreInterrupts says that the request's fate is known.
+// ignoreInterrupts makes later interrupts of the current attempt have no effect. It is called when
+// the outcome of the attempt is known.
 func (c *conn) ignoreInterrupts() {
 	c.mu.Lock()
 	c.serial = 0
 	c.mu.Unlock()
 }
 
-// interrupt ends the reading and writing of a request. It does nothing if the connection
-// carries another one by now.
+// interrupt makes the reads and writes of an attempt fail. It does nothing if the connection
+// carries another attempt by now.
 func (c *conn) interrupt(serial uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +118,7 @@
 	}
 }
 
-// setReadDeadline sets the deadline of reading, unless the request was interrupted.
+// setReadDeadline sets the read deadline, unless the current attempt was interrupted.
 func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,13 +127,13 @@
 	}
 }
 
-// hasHead reports whether the whole head of the answer is in memory.
+// hasHead reports whether the head of the response has been received completely.
 func (c *conn) hasHead() bool {
 	head, _ := c.in.Peek(c.in.Buffered())
 	return bytes.Contains(head, []byte("\r\n\r\n"))
 }
 
-// readHead reads the head of the answer, leaving out informational ones.
+// readHead reads the head of the response. It skips informational responses (status 1xx).
 func (c *conn) readHead(r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.in, r)
@@ -143,71 +145,74 @@
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("upstr: protocol switched unasked")
+			return nil, errors.New("upstr: unexpected status 101 Switching Protocols")
 		}
 	}
 }
 
-// cancelRequest takes leave of a server that may still run the request, and calls done when it has
-// dropped it. Only the sending side is closed: the server takes that as a cancellation, and
-// closes the connection when it has dropped the work. If the connection went silent even
-// that is left out, to hear whether the server was only slow.
-func (c *conn) cancelRequest(s *attempt) {
+// cancelRequest cancels an attempt whose request the server may still be running, and calls done
+// when the server has dropped it.
+//
+// Only the sending side of the connection is closed. The server takes that as a cancellation, and
+// closes the connection when it has dropped the request. With Settings.CancelByFullClose the whole
+// connection is closed, and done is called at once. If the connection went silent it is left open
+// in both directions, so that a late response shows that the server was only slow.
+func (c *conn) cancelRequest(a *attempt) {
 	c.ignoreInterrupts()
 	if c.client.settings.CancelByFullClose {
 		c.discard()
-		s.done(true)
+		a.done(true)
 		return
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !s.connSilent {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !a.connSilent {
 		_ = half.CloseWrite()
 	}
-	go c.awaitServerClose(s)
+	go c.awaitServerClose(a)
 }
 
-// awaitServerClose reads until the server closes the connection, or until the request's time is over
-// if it does not, and then calls done.
+// awaitServerClose reads until the server closes the connection or the drop deadline of the attempt
+// has passed, and then calls done.
 //
-// A timeout in the kernel ends the connection but proves nothing: the server may run on at
-// the other end of a connection that went silent. Then the request ends with its time.
-func (c *conn) awaitServerClose(s *attempt) {
-	defer s.done(true)
-	_ = c.SetReadDeadline(s.dropDeadline)
-	var scrap [4 << 10]byte
+// If the kernel ends the connection because of a timeout, the server may still be running the
+// request at the other end of a silent connection. So done is called at the drop deadline then.
+func (c *conn) awaitServerClose(a *attempt) {
+	defer a.done(true)
+	_ = c.SetReadDeadline(a.dropDeadline)
+	var discarded [4 << 10]byte
 	for {
-		n, err := c.Conn.Read(scrap[:])
+		n, err := c.Conn.Read(discarded[:])
 		if n > 0 {
-			c.client.observeLatency(time.Since(s.startedAt))
+			c.client.observeLatency(time.Since(a.startedAt))
 		}
 		if err == nil {
 			continue
 		}
 		c.discard()
-		var failure net.Error
-		if errors.As(err, &failure) && failure.Timeout() {
-			time.Sleep(time.Until(s.dropDeadline))
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
+			time.Sleep(time.Until(a.dropDeadline))
 		}
 		return
 	}
 }
 
-// discard closes the connection.
+// discard closes the connection and removes it from its client.
 func (c *conn) discard() {
 	_ = c.Close()
 	c.client.removeConn(c)
 }
 
-// responseBody is the body of an answer.
+// responseBody is the body of a response. It gives the connection back when it has been read.
 type responseBody struct {
 	io.ReadCloser
 	conn    *conn
 	attempt *attempt
-	// reusable says that the connection may carry another request afterwards.
+	// reusable says that neither the request nor the response asks for the connection to be closed.
 	reusable bool
 	ended    bool
 }
 
-// Read implements io.Reader. At the end of the body the server is done.
+// Read implements io.Reader. At the end of the body the server is done with the request.
 func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
@@ -236,10 +241,10 @@
 	return nil
 }
 
-// finish gives the connection back after the whole answer.
+// finish gives the connection back after a complete response, and calls done.
 //
-// Bytes beyond the answer would become the answer to the next request, which may be another
-// caller's. A connection with any is closed.
+// A connection with surplus bytes is closed instead: they would be taken for the response to the
+// next request, which may be of another caller.
 func (b *responseBody) finish() {
 	b.ended = true
 	b.attempt.stopContextWatch()
--- a/internal/upstr/peek_linux.go
+++ b/internal/upstr/peek_linux.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// peeker looks whether there is anything to read on a connection, without reading it.
+// peeker checks whether there is anything to read on a connection, without reading it.
 type peeker struct {
 	raw     syscall.RawConn
 	peek    func(fd uintptr)
@@ -25,8 +25,9 @@
 	return p
 }
 
-// usable reports whether an idle connection is open with nothing to read. A server that closed
-// it would lose the next request; bytes that it sent unasked would become the next answer.
+// usable reports whether an idle connection is open and has nothing to read. If the server had
+// closed it, the next request would be lost; if the server had sent unsolicited bytes, they would be
+// taken for the response to the next request.
 func (p *peeker) usable() bool {
 	if p.raw == nil {
 		return false
--- a/internal/upstr/peek_other.go
+++ b/internal/upstr/peek_other.go
@@ -4,10 +4,10 @@
 
 import "net"
 
-// peeker knows nothing here.
+// peeker is not implemented on this system.
 type peeker struct{}
 
 func newPeeker(net.Conn) *peeker { return &peeker{} }
 
-// quiet reports true, as it cannot be found out.
+// usable always returns true: the state of the connection is unknown.
 func (p *peeker) usable() bool { return true }
--- a/internal/upstr/script_test.go
+++ b/internal/upstr/script_test.go
@@ -10,16 +10,17 @@
 	"testing"
 )
 
-// scriptedServer is a server whose behaviour on each connection is written out.
+// scriptedServer is a server that handles each connection with a function of the test.
 type scriptedServer struct {
 	net.Listener
-	// requests counts the requests that were read.
+	// requests is the number of requests that have been read.
 	requests atomic.Int32
 	mu       sync.Mutex
 	conns    []net.Conn
 }
 
-// startScript starts a script; handle gets the connection's number from 0.
+// startScript starts a server that ends with the test. It calls handle for each connection on which
+// something is sent, with the number of the connection counted from 0.
 func startScript(t *testing.T, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +38,7 @@
 			s.mu.Lock()
 			s.conns = append(s.conns, c)
 			s.mu.Unlock()
-			// The watch's connection sends nothing and takes no number.
+			// The monitor connection sends nothing and gets no number.
 			group.Go(func() { s.serve(c, handle) })
 		}
 	})
@@ -53,6 +54,7 @@
 	return s
 }
 
+// connCounters holds the number of numbered connections of each scriptedServer.
 var connCounters sync.Map
 
 func (s *scriptedServer) serve(c net.Conn, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) {
@@ -64,7 +66,7 @@
 	handle(s, int(counter.(*atomic.Int32).Add(1))-1, c, in)
 }
 
-// readRequest takes in one request and reports false at the connection's end.
+// readRequest reads one request. It returns false at the end of the connection.
 func (s *scriptedServer) readRequest(in *bufio.Reader) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -75,4 +77,5 @@
 	return true
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// okResponse is a complete response with the body "ok".
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/upstr/silence.go
+++ b/internal/upstr/silence.go
@@ -9,46 +9,51 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Something between the two ends may lose track of a connection: what is sent on it vanishes,
-// and nothing says so. Four guards find that out, from the quickest to the surest.
-//   - A connection is not used again after idleTimeout.
-//   - The kernel's keep-alive and user timeout end a connection whose packets vanish.
-//   - A request that waits far longer than the slowest of late, on a connection that was used
-//     before, is given up if the server answers on a new connection meanwhile. Where it
-//     does not, the server is slow, frozen or down, and the request waits on.
-//   - The request's deadline.
-
-// The patience with a silent connection.
+// A middlebox, such as a NAT or a firewall, may lose the state of a connection. Packets on it are
+// then dropped without an error: the connection has gone silent. Four mechanisms detect that, from
+// the quickest to the most reliable:
+//   - A connection that was idle for Settings.IdleTimeout is not reused.
+//   - TCP keep-alive and TCP_USER_TIMEOUT end a connection whose packets are lost.
+//   - A request on a reused connection that waits several times longer than the slowest recent
+//     response is given up if the server responds on a new connection. If it does not, the server
+//     is slow, frozen or down, and the request keeps waiting.
+//   - The deadline of the request.
+
+// The parameters of detecting a silent connection.
 const (
+	// silenceFactor is how many times longer than the slowest recent response a request waits
+	// before the server is probed.
 	silenceFactor = 8
-	maxSilence    = time.Minute
-	probeTimeout  = 500 * time.Millisecond
-	// slowestDecay lets the slowest time fall by this share, as a divisor, with each answer.
+	// maxSilence bounds the time before the server is probed.
+	maxSilence = time.Minute
+	// probeTimeout bounds an attempt to open a new connection to the server.
+	probeTimeout = 500 * time.Millisecond
+	// slowestDecay is the decay of the slowest response time: each response reduces it by
+	// 1/slowestDecay.
 	slowestDecay = 4096
 )
 
-// keepAlive ends a connection after about five seconds without a sign of life from the
-// other end's kernel.
+// keepAlive ends a connection about five seconds after the last packet from the other end's kernel.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
-// observeLatency takes in a time to an answer.
-func (s *Client) observeLatency(d time.Duration) {
-	slowest := s.slowestResponse.Load()
+// observeLatency updates the slowest recent response time with that of a new response.
+func (cl *Client) observeLatency(d time.Duration) {
+	slowest := cl.slowestResponse.Load()
 	next := max(int64(d), slowest-slowest/slowestDecay)
-	s.slowestResponse.CompareAndSwap(slowest, next)
+	cl.slowestResponse.CompareAndSwap(slowest, next)
 }
 
-// silenceLimit returns how long a request may be silent before its connection is doubted.
-func (s *Client) silenceLimit() time.Duration {
-	return min(max(silenceFactor*time.Duration(s.slowestResponse.Load()), s.settings.SilenceTimeout), maxSilence)
+// silenceLimit returns how long a request waits for a response before the server is probed.
+func (cl *Client) silenceLimit() time.Duration {
+	return min(max(silenceFactor*time.Duration(cl.slowestResponse.Load()), cl.settings.SilenceTimeout), maxSilence)
 }
 
-// Probe returns nil if the server answers anything on a new connection.
-func (s *Client) Probe(ctx context.Context) error {
+// Probe returns nil if the server sends any HTTP response on a new connection.
+func (cl *Client) Probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	transport := &http.Transport{DialContext: s.dialer.DialContext, DisableKeepAlives: true}
-	url := "http://" + s.settings.Address + grant.LoadPath
+	transport := &http.Transport{DialContext: cl.dialer.DialContext, DisableKeepAlives: true}
+	url := "http://" + cl.settings.Address + grant.LoadPath
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
--- a/internal/upstr/silence_test.go
+++ b/internal/upstr/silence_test.go
@@ -13,14 +13,14 @@
 	"github.com/matryer/is"
 )
 
-// A request's connection ends without an answer. When all others live, the server only
-// disliked the request; when they end as well, its process did.
-func TestDeathIsToldFromACut(t *testing.T) {
+// The connection of a request ends without a response. If the other connections stay open, the server
+// merely did not handle the request; if they end too, its process died.
+func TestServerDied(t *testing.T) {
 	tests := map[string]struct {
 		dies bool
 	}{
 		"closes one connection": {},
-		"dies and is back":      {dies: true},
+		"dies and restarts":     {dies: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 			server := startScript(t, func(s *scriptedServer, _ int, c net.Conn, in *bufio.Reader) {
 				for i := 0; s.readRequest(in); i++ {
 					if i == 0 {
-						_, _ = io.WriteString(c, ok)
+						_, _ = io.WriteString(c, okResponse)
 						continue
 					}
 					if !tt.dies {
@@ -42,16 +42,16 @@
 					s.mu.Unlock()
 				}
 			})
-			s := newTestServer(t, server.Addr().String(), nil)
-			is.NoErr(send(s, request(is, http.MethodGet, "")).err)
+			client := newTestClient(t, server.Addr().String(), nil)
+			is.NoErr(send(client, request(is, http.MethodGet, "")).err)
 			server.awaitConns(2)
-			is.True(errors.Is(send(s, request(is, http.MethodGet, "")).err, ErrLost))
-			is.Equal(s.ServerDied(context.Background(), time.Now()), tt.dies)
+			is.True(errors.Is(send(client, request(is, http.MethodGet, "")).err, ErrLost))
+			is.Equal(client.ServerDied(context.Background(), time.Now()), tt.dies)
 		})
 	}
 }
 
-// awaitConns waits until a number of connections were accepted.
+// awaitConns waits until at least n connections have been accepted.
 func (s *scriptedServer) awaitConns(n int) {
 	for {
 		s.mu.Lock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// Something between the two ends loses track of a connection: the request on it vanishes
-// while new connections work. The user would wait for the whole deadline.
+// A middlebox loses the state of a connection, so that the request on it gets no response while new
+// connections work. Without detection the caller would wait until the deadline.
 func TestSilentConnectionIsDropped(t *testing.T) {
 	is := is.New(t)
 	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
@@ -73,22 +73,22 @@
 			if number == 0 && i == 1 {
 				return
 			}
-			_, _ = io.WriteString(c, ok)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
-	s := newTestServer(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
-	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
-	silent := send(s, request(is, http.MethodGet, ""))
+	client := newTestClient(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
+	is.NoErr(send(client, request(is, http.MethodGet, "")).err)
+	silent := send(client, request(is, http.MethodGet, ""))
 	is.True(errors.Is(silent.err, ErrSilent))
 	is.True(errors.Is(silent.err, ErrInDoubt))
-	got := send(s, request(is, http.MethodGet, ""))
+	got := send(client, request(is, http.MethodGet, ""))
 	is.NoErr(got.err)
 	is.Equal(got.text, "ok")
 }
 
-// A server freezes: its kernel still takes connections, and nothing answers on any. To drop
-// the connection would gain nothing, and the server is back in a while.
-func TestFrozenServerIsNotSilence(t *testing.T) {
+// A frozen server accepts connections in its kernel, but responds on none. Giving up the connection
+// would gain nothing, as the server may resume.
+func TestFrozenServerIsNotSilentConnection(t *testing.T) {
 	is := is.New(t)
 	thaw := make(chan struct{})
 	server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
@@ -100,12 +100,12 @@
 				close(thaw)
 				return
 			}
-			_, _ = io.WriteString(c, ok)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
-	s := newTestServer(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
-	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
-	got := send(s, request(is, http.MethodGet, ""))
+	client := newTestClient(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
+	is.NoErr(send(client, request(is, http.MethodGet, "")).err)
+	got := send(client, request(is, http.MethodGet, ""))
 	is.NoErr(got.err)
 	is.Equal(got.text, "ok")
 }
--- a/internal/upstr/timeout_linux.go
+++ b/internal/upstr/timeout_linux.go
@@ -6,23 +6,23 @@
 )
 
 // tcpUserTimeout is the socket option TCP_USER_TIMEOUT (RFC 5482), which package syscall does
-// not name. It ends a connection whose sent bytes stay unacknowledged, where keep-alive
-// probes are not sent.
+// not define. It ends a connection whose sent bytes stay unacknowledged; no keep-alive probes are
+// sent meanwhile.
 const tcpUserTimeout = 18
 
-// UserTimeoutMillis agrees with keepAlive.
+// defaultUserTimeoutMillis matches the five seconds of keepAlive.
 const defaultUserTimeoutMillis = 5000
 
-// UserTimeout returns what sets the option on a new connection.
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT to d.
 func UserTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failure error
+		var optErr error
 		err := raw.Control(func(fd uintptr) {
-			failure = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failure
+		return optErr
 	}
 }
--- a/internal/upstr/timeout_other.go
+++ b/internal/upstr/timeout_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// UserTimeout does nothing where the option is not known.
+// UserTimeout returns a function that does nothing: the option is not supported on this system.
 func UserTimeout(time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, _ syscall.RawConn) error { return nil }
 }
