--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -2,9 +2,9 @@
 // admission, sends the request, and turns the outcome into a reply.
 //
 // An attempt has one of three outcomes. "Not run" is claimed only if no byte was written to a
-// server, or if the server itself said so; only this outcome leads to the statuses 429 and 503.
-// "Ran" means that the server sent a response, which is passed on unchanged. Everything else is
-// in doubt: a non-idempotent request is then not retried, and the caller gets 502 or 504.
+// server, or if the server itself said so; the edge itself replies with status 429 or 503 only in
+// this case. "Ran" means that the server sent a response, which is passed on unchanged. Everything
+// else is in doubt: a non-idempotent request is then not retried, and the caller gets 502 or 504.
 package edge
 
 import (
@@ -69,7 +69,8 @@
 	Complete(d permit.Done)
 }
 
-// Cluster is this instance's current view of configuration, servers and owners.
+// Cluster is this instance's current view of the configuration, the servers and the owners of keys.
+// It also takes in what the edge learns about requests.
 type Cluster interface {
 	// Config returns nil until a configuration has been read.
 	Config() *rules.Config
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -54,7 +54,8 @@
 	runs     atomic.Int32
 }
 
-func newFakeServer(t *testing.T, answer func(run int, c net.Conn, r *http.Request)) *fakeServer {
+// newFakeServer starts a fakeServer. Handle gets the number of the request, counted from 1.
+func newFakeServer(t *testing.T, handle func(run int, c net.Conn, r *http.Request)) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -77,7 +78,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
-					answer(int(b.runs.Add(1)), c, r)
+					handle(int(b.runs.Add(1)), c, r)
 				}
 			}()
 		}
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -56,8 +56,8 @@
 // checkServer returns an error if the server no longer accepts the request. It is called immediately
 // before the first byte is written; took is the time that it took to get a connection.
 //
-// On a busy instance, getting a connection takes so long that a server which was about to leave at
-// the admission may have left. After this check only the network delay remains.
+// Getting a connection can take long on a busy instance. Without this check, a request that was
+// admitted in time could reach a server that has left since. After it, only the network delay remains.
 func (q *request) checkServer(server string, took time.Duration) error {
 	now := time.Now()
 	s, found := q.edge.Cluster.Server(server)
@@ -69,8 +69,8 @@
 }
 
 // maxColdDispatchDelay is how long after its admission a request may be sent to a cold server. The
-// rate of requests to a cold server is limited by the time of admission, so a request that waits
-// longer for its connection would count in the wrong period.
+// admission controller limits the requests to a cold server in each period of time. A request that
+// waits longer for its connection would arrive among the requests of a later period.
 const maxColdDispatchDelay = 300 * time.Millisecond
 
 // copyEndToEndHeaders copies all headers but the hop-by-hop ones.
@@ -104,7 +104,8 @@
 	// serverIdleTimeout is below the ten seconds after which servers close idle connections.
 	serverIdleTimeout = 8 * time.Second
 	// serverUserTimeout is the time after which a connection to an unreachable machine ends. On a
-	// lossy link, losing three packets in a row exceeds it only about once in ten thousand cases.
+	// lossy link, recovering from the loss of three packets in a row takes longer than that in
+	// only about one of ten thousand cases.
 	serverUserTimeout = 1200 * time.Millisecond
 	// serverSilenceTimeout is longer than any deadline, so that a server that has not responded
 	// yet is never probed.
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -30,7 +30,7 @@
 	// said that the server does not own the key. By then the server's lease has been renewed, or
 	// the new owner is known.
 	misdirectedDelay = 120 * time.Millisecond
-	// maxAdmissionRequests is how often an admission is requested for one request.
+	// maxAdmissionRequests is how often an admission may be requested for one request of a caller.
 	maxAdmissionRequests = 6
 )
 
@@ -141,16 +141,16 @@
 	return errorReply(http.StatusServiceUnavailable, rejected.RetryIn)
 }
 
-// awaitOwner returns the range that contains the request's key. While the key moves to another
-// owner it waits for up to maxOwnerWait; after that it returns the reply for the caller.
+// awaitOwner returns the range that contains the request's key. If the key has no owner, or moves to
+// another one, it waits. If that takes too long it returns the reply for the caller instead.
 func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
 		r, found, changed := q.edge.Cluster.Owner(q.service, q.info.Key)
 		if found && len(r.Before) == 0 {
 			return r, nil
 		}
-		// A key without an owner gets one within a few tenths of a second or, if the owner
-		// was lost, when its lease expires. Only the former is worth waiting for.
+		// A key without an owner gets one within a few tenths of a second, or else when a
+		// lease has expired. A request that cannot wait for the former is to be retried later.
 		timer := time.NewTimer(min(maxOwnerWait, time.Until(q.targetAt)/2))
 		select {
 		case <-changed:
@@ -167,12 +167,12 @@
 	}
 }
 
-// maxOwnerWait is how long a request waits for the new owner of its key.
+// maxOwnerWait bounds how long a request waits for the owner of its key.
 const maxOwnerWait = 400 * time.Millisecond
 
-// attempt sends the request to a server, completes the admission and returns the reply for the
-// caller. It reports whether the request may be retried; the reply then counts only if it is not,
-// and is nil if nothing was sent and the attempt does not count.
+// attempt sends the request to a server and completes the admission. It returns the reply for the
+// caller, and whether the request may be retried. If it may, the reply is the one to use if there is
+// no retry after all, or nil if the request was not sent and the attempt does not count.
 func (q *request) attempt(ctx context.Context, a Admission, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
--- a/internal/inlet/conn.go
+++ b/internal/inlet/conn.go
@@ -34,7 +34,7 @@
 // pipelineEntry is a request whose reply has not been written. Entries are in the order of the
 // requests, which is also the order of the replies.
 type pipelineEntry struct {
-	// request is nil if the reply is an error about a request that could not be read.
+	// request is nil if the request was rejected before its handler was started.
 	request *http.Request
 	reply   chan *Reply
 }
@@ -48,7 +48,8 @@
 	out      *bufio.Writer
 	head     *headLimiter
 	pipeline chan pipelineEntry
-	// ctx is the context of all handlers; cancel is called when the caller has left.
+	// ctx is the context of all handlers. It is cancelled when the caller has left or the
+	// connection has ended.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -59,7 +60,8 @@
 	closing bool
 }
 
-// headLimiter returns errHeadTooLarge from Read when remaining bytes have been read.
+// headLimiter returns errHeadTooLarge from Read when remaining bytes have been read. Outside of
+// request heads, remaining is so large that it does not matter.
 type headLimiter struct {
 	net.Conn
 	remaining int
@@ -78,6 +80,7 @@
 	return n, err
 }
 
+// newConn returns a connection that is not served yet.
 func newConn(s *Server, raw net.Conn) *conn {
 	c := &conn{server: s, raw: raw, pipeline: make(chan pipelineEntry, maxPipelined), head: &headLimiter{Conn: raw}}
 	c.in = bufio.NewReaderSize(c.head, readBufferSize)
@@ -363,7 +366,8 @@
 	_ = c.raw.Close()
 }
 
-// writeReply writes the reply to a request. R is nil if the request could not be read.
+// writeReply writes the reply to a request, with "Connection: close" if it is the last one. R is nil
+// if the request was rejected before its handler was started.
 func (c *conn) writeReply(r *http.Request, reply *Reply, last bool) error {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w := c.out
--- a/internal/upstr/client.go
+++ b/internal/upstr/client.go
@@ -123,9 +123,9 @@
 	return s
 }
 
-// NewClient returns a client without connections. It opens at most a third of the connections that
-// the server accepts, but always one more than the server has slots. The rest is left for the
-// instance that takes over the server, and for heartbeats. Close ends the client.
+// NewClient returns a client without connections. The client opens at most a third of the connections
+// that the server accepts, or one more than the server has slots if that is more. The rest is left
+// for the instance that takes over the server, and for heartbeats. Close ends the client.
 func NewClient(settings Settings) *Client {
 	settings = settings.withDefaults()
 	cl := &Client{
--- a/internal/upstr/client_test.go
+++ b/internal/upstr/client_test.go
@@ -227,12 +227,12 @@
 	for name, disturb := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			answered, disturbed := make(chan struct{}), make(chan struct{})
+			responded, disturbed := make(chan struct{}), make(chan struct{})
 			server := startScript(t, func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader) {
 				for s.readRequest(in) {
 					_, _ = io.WriteString(c, okResponse)
 					if number == 0 {
-						<-answered
+						<-responded
 						disturb(c)
 						close(disturbed)
 						return
@@ -241,7 +241,7 @@
 			})
 			client := newTestClient(t, server.Addr().String(), nil)
 			is.NoErr(send(client, request(is, http.MethodPost, "text")).err)
-			close(answered)
+			close(responded)
 			<-disturbed
 			got := send(client, request(is, http.MethodPost, "text"))
 			is.NoErr(got.err)
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -24,8 +24,8 @@
 // pastDeadline is a deadline that interrupts all reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is a connection to a backend server. It carries one request at a time and is used by the
-// goroutine of that request; only interrupt may be called by others.
+// conn is a connection to a backend server. It carries one attempt at a time and belongs to it; only
+// interrupt may be called by other goroutines at any time.
 type conn struct {
 	net.Conn
 	client *Client
@@ -52,6 +52,7 @@
 	interrupted bool
 }
 
+// newConn returns a connection of a client that carries no attempt yet.
 func newConn(raw net.Conn, cl *Client) *conn {
 	c := &conn{Conn: raw, client: cl, peeker: newPeeker(raw)}
 	c.in = bufio.NewReaderSize(c, readBufferSize)
