--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -57,7 +57,7 @@
 	// Acquire waits for an admission. It returns either an admission, which must be completed,
 	// or a rejection. If the request names its server, domain is the failure domain of that
 	// server; otherwise domain is empty.
-	Acquire(ctx context.Context, a permit.Ask, domain string) (Admission, *permit.Refused)
+	Acquire(ctx context.Context, a permit.Request, domain string) (Admission, *permit.Rejected)
 }
 
 // Admission is the right to send one request to a server.
@@ -66,7 +66,7 @@
 	Server() string
 	// Complete reports the end of the request and frees the slot of the server. It must be
 	// called exactly once.
-	Complete(d permit.Done)
+	Complete(d permit.Completion)
 }
 
 // Cluster is this instance's current view of the configuration, the servers and the owners of keys.
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -121,7 +121,7 @@
 type fakeAdmitter struct {
 	ids       []string
 	next      int
-	rejection *permit.Refused
+	rejection *permit.Rejected
 	outcomes  []permit.Outcome
 }
 
@@ -132,11 +132,11 @@
 }
 
 func (a *fakeAdmission) Server() string { return a.server }
-func (a *fakeAdmission) Complete(d permit.Done) {
+func (a *fakeAdmission) Complete(d permit.Completion) {
 	a.admitter.outcomes = append(a.admitter.outcomes, d.Outcome)
 }
 
-func (f *fakeAdmitter) Acquire(_ context.Context, r permit.Ask, _ string) (edge.Admission, *permit.Refused) {
+func (f *fakeAdmitter) Acquire(_ context.Context, r permit.Request, _ string) (edge.Admission, *permit.Rejected) {
 	if f.rejection != nil {
 		return nil, f.rejection
 	}
@@ -156,8 +156,8 @@
 
 func newFixture(kind rules.Kind, backends ...*fakeServer) *fixture {
 	route := &rules.Route{
-		Name: "route", Host: "a.example", Prefix: "/", Kind: kind, Target: 300 * time.Millisecond, Timeout: 400 * time.Millisecond,
-		MaxAttempts: 2, Parts: []rules.Part{{Service: "books", Weight: 1}},
+		Name: "route", Host: "a.example", Prefix: "/", Kind: kind, TargetLatency: 300 * time.Millisecond, Timeout: 400 * time.Millisecond,
+		MaxAttempts: 2, Services: []rules.WeightedService{{Service: "books", Weight: 1}},
 	}
 	f := &fixture{admitter: &fakeAdmitter{}, cluster: &fakeCluster{
 		config: &rules.Config{
@@ -224,9 +224,9 @@
 	}
 	for name, test := range tests {
 		for kind, want := range map[rules.Kind][2]int{
-			rules.Once: {test.once, test.onceRuns}, rules.Repeatable: {test.repeatable, test.repeatableRuns},
+			rules.NonIdempotent: {test.once, test.onceRuns}, rules.Idempotent: {test.repeatable, test.repeatableRuns},
 		} {
-			t.Run(name+" "+map[rules.Kind]string{rules.Once: "once", rules.Repeatable: "repeatable"}[kind], func(t *testing.T) {
+			t.Run(name+" "+map[rules.Kind]string{rules.NonIdempotent: "once", rules.Idempotent: "repeatable"}[kind], func(t *testing.T) {
 				is := is.New(t)
 				first, second := newFakeServer(t, test.first), newFakeServer(t, respondOK)
 				f := newFixture(kind, first, second)
@@ -249,7 +249,7 @@
 			respond(c, r, "200 OK", "", "two")
 		}
 	})
-	f := newFixture(rules.Once, b)
+	f := newFixture(rules.NonIdempotent, b)
 	is.Equal(string(f.send(t.Context()).Body), "one")
 	time.Sleep(20 * time.Millisecond)
 	is.Equal(string(f.send(t.Context(), "Id", "id-2").Body), "one")
@@ -265,7 +265,7 @@
 		"no configuration": {func(f *fixture) { f.cluster.config = nil }, "a.example", 503},
 		"no route":         {func(*fixture) {}, "b.example", 404},
 		"overload": {func(f *fixture) {
-			f.admitter.rejection = &permit.Refused{Reason: permit.Overload, RetryIn: time.Second}
+			f.admitter.rejection = &permit.Rejected{Reason: permit.Overload, RetryIn: time.Second}
 		}, "a.example", 503},
 		"crashes servers": {func(f *fixture) { f.cluster.quarantined = true }, "a.example", 502},
 		"service is gone": {func(f *fixture) { f.cluster.config.Services = nil }, "a.example", 503},
@@ -274,7 +274,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newFakeServer(t, respondOK)
-			f := newFixture(rules.Once, b)
+			f := newFixture(rules.NonIdempotent, b)
 			test.prepare(f)
 			r := httptest.NewRequest(http.MethodGet, "/x", nil)
 			r.Host = test.host
@@ -290,12 +290,12 @@
 // long. After the move it is sent to the new owner.
 func TestOwnerChanges(t *testing.T) {
 	is := is.New(t)
-	f := newFixture(rules.Once, newFakeServer(t, respondOK))
+	f := newFixture(rules.NonIdempotent, newFakeServer(t, respondOK))
 	f.cluster.config.Services["books"] = rules.Service{Name: "books", Divided: true}
-	f.cluster.owner = shard.Range{To: 100, Server: "s0", Before: []shard.Holder{{Server: "old"}}}
+	f.cluster.owner = shard.Range{To: 100, Server: "s0", FormerOwners: []shard.Owner{{Server: "old"}}}
 	reply := f.send(t.Context(), "Key", "5")
 	is.Equal(reply.Status, 503) // the move did not end in time
-	f.cluster.owner.Before = nil
+	f.cluster.owner.FormerOwners = nil
 	is.Equal(f.send(t.Context(), "Key", "5").Status, 200)
 }
 
@@ -304,7 +304,7 @@
 	is := is.New(t)
 	closed := make(chan struct{})
 	ctx, leave := context.WithCancel(t.Context())
-	f := newFixture(rules.Once, newFakeServer(t, func(_ int, c net.Conn, _ *http.Request) {
+	f := newFixture(rules.NonIdempotent, newFakeServer(t, func(_ int, c net.Conn, _ *http.Request) {
 		leave()
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
@@ -360,7 +360,7 @@
 func TestServerLeavesBeforeTheFirstByte(t *testing.T) {
 	is := is.New(t)
 	b := newFakeServer(t, respondOK)
-	f := newFixture(rules.Once, b)
+	f := newFixture(rules.NonIdempotent, b)
 	f.cluster.config.Services["books"] = rules.Service{Name: "books", Divided: true}
 	f.cluster.owner = shard.Range{To: 100, Server: "s0"}
 	s := f.cluster.servers["s0"]
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -154,7 +154,7 @@
 	var elapsed time.Duration
 	q.returning, elapsed = d.observe(q.route.Name, timeout, q.arrivedAt)
 	// A returning request has used up a part of the time to its target already.
-	target := q.route.Target
+	target := q.route.TargetLatency
 	if target == 0 {
 		target = timeout / 2
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -91,9 +91,9 @@
 func (q *request) acquire(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
 	startedAt := time.Now()
 	defer func() { q.waited += time.Since(startedAt) }()
-	req := permit.Ask{
+	req := permit.Request{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
-		TargetAt: q.targetAt, LimitAt: q.deadline, Avoid: q.avoid,
+		TargetAt: q.targetAt, Deadline: q.deadline, Avoid: q.avoid,
 	}
 	domain := ""
 	if q.divided {
@@ -114,7 +114,7 @@
 	}
 	s, found := q.edge.Cluster.Server(a.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		a.Complete(permit.Done{Outcome: permit.Unsent})
+		a.Complete(permit.Completion{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
 	return a, s, nil
@@ -122,9 +122,9 @@
 
 // handleRejection returns the reply to a rejection by the admission controller, or nil if the
 // admission should be requested again.
-func (q *request) handleRejection(ctx context.Context, rejected *permit.Refused) *inlet.Reply {
+func (q *request) handleRejection(ctx context.Context, rejected *permit.Rejected) *inlet.Reply {
 	switch {
-	case rejected.Reason == permit.Gone:
+	case rejected.Reason == permit.OwnerGone:
 		if !duty.Pause(ctx, misdirectedDelay) {
 			q.reason = endNoOwner
 			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
@@ -146,7 +146,7 @@
 func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
 		r, found, changed := q.edge.Cluster.Owner(q.service, q.info.Key)
-		if found && len(r.Before) == 0 {
+		if found && len(r.FormerOwners) == 0 {
 			return r, nil
 		}
 		// A key without an owner gets one within a few tenths of a second, or else when a
@@ -180,7 +180,7 @@
 	defer q.edge.inFlight.add(s.Domain, -1)
 	startedAt := time.Now()
 	response, err := q.send(ctx, s)
-	completion := permit.Done{}
+	completion := permit.Completion{}
 	defer func() {
 		completion.Took = time.Since(startedAt)
 		a.Complete(completion)
@@ -208,10 +208,10 @@
 
 // handleResponse decides what a complete response means for the caller and for the admission. It sets
 // the outcome of the completion and returns the results of attempt.
-func (q *request) handleResponse(ctx context.Context, completion *permit.Done, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
+func (q *request) handleResponse(ctx context.Context, completion *permit.Completion, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
 	case info.NotRun && info.Misdirected:
-		completion.Outcome = permit.NotHere
+		completion.Outcome = permit.NotOwner
 		q.reason = endNoOwner
 		duty.Pause(ctx, misdirectedDelay)
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
@@ -232,7 +232,7 @@
 
 // handleFailure decides what an attempt without a complete response means for the caller and for the
 // admission. It sets the outcome of the completion and returns the results of attempt.
-func (q *request) handleFailure(ctx context.Context, completion *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
+func (q *request) handleFailure(ctx context.Context, completion *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
 	completion.Outcome = permit.Lost
--- a/internal/holder/enrol_test.go
+++ b/internal/holder/enrol_test.go
@@ -54,7 +54,7 @@
 	is.True(follows)
 	is.Equal(k.get().End, int64(8))
 	is.Equal(len(k.get().Instances), 1)
-	is.True(k.extend("books", 8, 1, []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}))
+	is.True(k.extend("books", 8, 1, []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1}}))
 	is.True(!k.get().registered("i1", 7))
 	is.True(k.get().registered("i2", 8))
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -142,10 +142,10 @@
 	// Grant gives keys to a server. It names the server that is meant, and sends nothing on a
 	// connection that has no Proof: a server that started anew has forgotten the fences that it
 	// saw, and would take an old grant.
-	Grant(ctx context.Context, to shard.Holder, g Grant, proven Proof) error
+	Grant(ctx context.Context, to shard.Owner, g Grant, proven Proof) error
 	// Release ends a right. It returns, when the work in progress has ended, the handover for
 	// the next owner.
-	Release(ctx context.Context, to shard.Holder, g Grant) (string, error)
+	Release(ctx context.Context, to shard.Owner, g Grant) (string, error)
 }
 
 // Owners is what the holder knows of the owners of all services.
--- a/internal/holder/know.go
+++ b/internal/holder/know.go
@@ -150,7 +150,7 @@
 	if m == nil {
 		m = &shard.Map{}
 	}
-	next, err := m.With(fence, changes)
+	next, err := m.WithChanges(fence, changes)
 	if err != nil {
 		return false
 	}
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -24,7 +24,7 @@
 	if leads != h.leads {
 		h.leads = leads
 		h.leading.Store(leads)
-		h.Roster.Lead(leads, now)
+		h.Roster.SetLeading(leads, now)
 		h.Leading(leads)
 		h.Events.Note(event.Belief, "leading", "leads", leads, "offset", h.know.get().End)
 	}
@@ -64,10 +64,10 @@
 	}
 	h.clearedAt = now
 	for _, p := range h.Roster.Others() {
-		if p.Silent(now) < registerSilence {
+		if p.SinceHeartbeat(now) < registerSilence {
 			continue
 		}
-		h.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.Silent(now))
+		h.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
 		e := p.Entry
 		e.Removed = true
 		if value, err := e.Encode(); err == nil {
@@ -75,7 +75,7 @@
 		}
 		return
 	}
-	for _, name := range h.Roster.Removed(now.Add(-knowledgeTime - leaseTime)) {
+	for _, name := range h.Roster.RemovedBefore(now.Add(-knowledgeTime - leaseTime)) {
 		h.append(ctx, InstanceKey(name), nil)
 		return
 	}
@@ -127,11 +127,11 @@
 		h.write(ctx, service, current, adopted)
 		return
 	}
-	if len(current.Ranges) == 0 && !h.gathered(service, len(in.Members), now) {
+	if len(current.Ranges) == 0 && !h.gathered(service, len(in.Servers), now) {
 		return
 	}
-	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Members, func(m shard.Member) bool {
-		return m.Lost && len(current.Of(m.ID)) > 0
+	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Servers, func(m shard.ServerState) bool {
+		return m.Lost && len(current.RangesOf(m.ID)) > 0
 	}) || h.orphans(in, current)
 	if urgent || now.Sub(h.plannedAt) >= balanceEvery {
 		if settled != nil {
@@ -158,7 +158,7 @@
 	begun := time.Now()
 	next := shard.Plan(in)
 	if next != nil {
-		took, uses := time.Since(begun), shard.Uses(in)
+		took, uses := time.Since(begun), shard.ServerLoads(in)
 		h.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
 			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), usesLogged)]))
 	}
@@ -185,8 +185,8 @@
 
 // orphans reports whether keys belong to servers that are not there.
 func (h *Holder) orphans(in shard.Input, m *shard.Map) bool {
-	known := make(map[string]bool, len(in.Members))
-	for _, s := range in.Members {
+	known := make(map[string]bool, len(in.Servers))
+	for _, s := range in.Servers {
 		known[s.ID] = true
 	}
 	return slices.ContainsFunc(m.Ranges, func(r shard.Range) bool { return !known[r.Server] })
@@ -204,7 +204,7 @@
 			next = m.Clone()
 		}
 		if i := next.Find(s.from); i >= 0 && next.Ranges[i].Fence == s.fence && next.Ranges[i].From == s.from {
-			next.Ranges[i].Before = nil
+			next.Ranges[i].FormerOwners = nil
 		}
 	}
 	if next == nil || slices.EqualFunc(next.Ranges, m.Ranges, sameRight) {
@@ -217,7 +217,7 @@
 func (h *Holder) input(service string, m *shard.Map, now time.Time) shard.Input {
 	servers, powers := h.Servers(), h.Powers(service)
 	in := shard.Input{
-		Map: m, Target: h.Target(service).Seconds(), Addresses: map[string]string{}, Reborn: reborn(servers, m),
+		Map: m, TargetLatency: h.Target(service).Seconds(), Addresses: map[string]string{}, Restarted: reborn(servers, m),
 	}
 	usual, n := 0.0, 0
 	for _, p := range powers {
@@ -247,20 +247,20 @@
 				power, capped = min(power, coldShare*s.ColdRate), true
 			}
 		}
-		in.Members = append(in.Members, shard.Member{
-			ID: id, Address: s.Address, Power: power, Slots: s.Slots, Usable: !lost && (s.Domain == h.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
+		in.Servers = append(in.Servers, shard.ServerState{
+			ID: id, Address: s.Address, Capacity: power, Slots: s.Slots, Usable: !lost && (s.Domain == h.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
 		})
 		in.Addresses[id] = s.Address
 	}
 	h.remember(servers)
 	for id, s := range h.left {
 		in.Addresses[id] = s.Address
-		if in.Reborn[id] == "" && s.Service == service && h.Roster.CutOff(s.Domain, holdTime, now) {
+		if in.Restarted[id] == "" && s.Service == service && h.Roster.CutOff(s.Domain, holdTime, now) {
 			// It may only seem to have left: it keeps its keys for now.
-			in.Members = append(in.Members, shard.Member{ID: id, Address: s.Address, Slots: s.Slots})
+			in.Servers = append(in.Servers, shard.ServerState{ID: id, Address: s.Address, Slots: s.Slots})
 		}
 	}
-	for before, id := range in.Reborn {
+	for before, id := range in.Restarted {
 		in.Addresses[before] = servers[id].Address
 	}
 	return in
@@ -323,7 +323,7 @@
 func (h *Holder) failing(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, reporter := range h.Roster.Alive(now) {
-		for _, id := range reporter.Beat.Failing {
+		for _, id := range reporter.Heartbeat.Failing {
 			s, there := servers[id]
 			if !there || out[id] {
 				continue
@@ -331,7 +331,7 @@
 			charged := h.Roster.Rank(id, s.Domain, now)
 			charged = charged[:min(witnesses, len(charged))]
 			out[id] = !slices.ContainsFunc(charged, func(p roster.Peer) bool {
-				return !slices.Contains(p.Beat.Failing, id)
+				return !slices.Contains(p.Heartbeat.Failing, id)
 			})
 		}
 	}
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -51,10 +51,10 @@
 		h.fold(follow.Update{
 			Complete: h.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
 		})
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		h.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		h.lead(t.Context(), time.Now()) // servers of new services are awaited
 		time.Sleep(gatherTime)
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		h.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		h.lead(t.Context(), time.Now())
 		is.Equal(s.appends, 1)
 	})
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -38,7 +38,7 @@
 // as long as it has not done so itself.
 func (h *Holder) own(service string, from, to *shard.Map) {
 	for _, r := range to.Ranges {
-		if r.Fence > from.Fence && len(r.Before) > 0 {
+		if r.Fence > from.Fence && len(r.FormerOwners) > 0 {
 			h.owned[moveKey{service, r.From, r.Fence}] = struct{}{}
 		}
 	}
@@ -52,7 +52,7 @@
 	out := map[moveKey]change{}
 	for service, m := range known.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) > 0 {
+			if len(r.FormerOwners) > 0 {
 				out[moveKey{service, r.From, r.Fence}] = change{service: service, Range: r, offset: known.End - 1}
 			}
 		}
@@ -91,13 +91,13 @@
 	now := h.Clock.Now()
 	for i, r := range m.Ranges {
 		key := moveKey{service, r.From, r.Fence}
-		if len(r.Before) == 0 || h.mine(key, r) || now.Sub(h.seen[key]) < adoptAfter {
+		if len(r.FormerOwners) == 0 || h.mine(key, r) || now.Sub(h.seen[key]) < adoptAfter {
 			continue
 		}
 		if next == nil {
 			next = m.Clone()
 		}
-		next.Move(i, r.Server, append(slices.Clone(r.Before), shard.Holder{Server: r.Server, Address: addresses[r.Server]}))
+		next.Reassign(i, r.Server, append(slices.Clone(r.FormerOwners), shard.Owner{Server: r.Server, Address: addresses[r.Server]}))
 	}
 	return next
 }
@@ -149,7 +149,7 @@
 	handover := ""
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for _, b := range r.Before {
+	for _, b := range r.FormerOwners {
 		if !h.guards.ending {
 			continue
 		}
@@ -181,7 +181,7 @@
 )
 
 // end returns when an owner of old can have no right to a range any more.
-func (h *Holder) end(ctx context.Context, b shard.Holder, c change) (handover, how string) {
+func (h *Holder) end(ctx context.Context, b shard.Owner, c change) (handover, how string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lapsed := make(chan struct{})
@@ -215,7 +215,7 @@
 // Addresses of servers that have ended go to others, also of services that know no keys: those refuse
 // the order with 400, not 421. Asked again for each of some hundred ranges, releases would be most of what
 // arrives at them.
-func (h *Holder) release(ctx context.Context, b shard.Holder, r shard.Range, released chan<- string) {
+func (h *Holder) release(ctx context.Context, b shard.Owner, r shard.Range, released chan<- string) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, releaseTimeout)
 		handover, err := h.Orders.Release(call, b, Grant{From: r.From, To: r.To, Fence: r.Fence})
@@ -230,7 +230,7 @@
 
 // replaced reports whether another server has the address of an owner of old. A holder of keys refuses
 // no release, and an address is given on only after its server has ended.
-func (h *Holder) replaced(b shard.Holder) bool {
+func (h *Holder) replaced(b shard.Owner) bool {
 	for id, s := range h.Servers() {
 		if s.Address == b.Address && rules.NameOf(id) != rules.NameOf(b.Server) {
 			return true
@@ -251,8 +251,8 @@
 			last = h.Clock.Now()
 			break
 		}
-		if h.Roster.Confirmed(c.offset, since) {
-			last = min(last, h.Clock.Now().Add(time.Duration(float64(h.Roster.ContactTime())*drift)))
+		if h.Roster.HalfConfirmed(c.offset, since) {
+			last = min(last, h.Clock.Now().Add(time.Duration(float64(h.Roster.ContactTimeout())*drift)))
 		}
 		if !duty.Pause(ctx, tickEvery) {
 			return false
--- a/internal/holder/prove.go
+++ b/internal/holder/prove.go
@@ -52,7 +52,7 @@
 // decides something is registered, and knows it. The latter bridges outages of the store for all, in
 // which nothing is decided, but servers change hands between instances that stop and start.
 func (h *Holder) newest(at clock.Instant) bool {
-	return h.know.provenSince(at) || h.Roster.Agreed(int64(at), h.know.get().End, time.Now())
+	return h.know.provenSince(at) || h.Roster.AllAgree(int64(at), h.know.get().End, time.Now())
 }
 
 // listed reports whether a server that had started by an instant would be known by now.
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		for _, g := range m.Ranges {
-			if g.Server == r.server.ID && len(g.Before) == 0 && !done[g.From] {
+			if g.Server == r.server.ID && len(g.FormerOwners) == 0 && !done[g.From] {
 				return service, g, true
 			}
 		}
@@ -132,7 +132,7 @@
 		}
 		return nil
 	}
-	return r.holder.Orders.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
+	return r.holder.Orders.Grant(ctx, shard.Owner{Server: r.server.ID, Address: r.server.Address}, g, proven)
 }
 
 // entitled reports whether the instance may act on what it knows of the owners: it is
@@ -144,9 +144,9 @@
 	if !h.guards.knowing {
 		return true
 	}
-	now, contactTime := h.Clock.Now(), h.Roster.ContactTime()
+	now, contactTime := h.Clock.Now(), h.Roster.ContactTimeout()
 	return h.know.fresh(now, contactTime, func() bool {
-		return !h.guards.contact || h.Roster.Contact(int64(now.Add(-contactTime)), h.know.get().End)
+		return !h.guards.contact || h.Roster.MajorityAgrees(int64(now.Add(-contactTime)), h.know.get().End)
 	})
 }
 
@@ -158,7 +158,7 @@
 	}
 	i := m.Find(g.From)
 	return i >= 0 && m.Ranges[i].Server == g.Server && m.Ranges[i].Fence == g.Fence &&
-		m.Ranges[i].To == g.To && len(m.Ranges[i].Before) == 0
+		m.Ranges[i].To == g.To && len(m.Ranges[i].FormerOwners) == 0
 }
 
 // stop ends the order that is on its way, so that what follows can be sure that none is.
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -144,7 +144,7 @@
 			continue
 		}
 		now := time.Now()
-		if up := now.Sub(h.startedAt); up >= listenMost || up >= listenTime && h.Roster.HeardHalf() {
+		if up := now.Sub(h.startedAt); up >= listenMost || up >= listenTime && h.Roster.HalfOfDomainAlive() {
 			h.lead(ctx, now)
 		}
 	}
@@ -208,7 +208,7 @@
 	seen := make(map[moveKey]clock.Instant)
 	for service, m := range known.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) == 0 {
+			if len(r.FormerOwners) == 0 {
 				continue
 			}
 			key := moveKey{service, r.From, r.Fence}
@@ -274,7 +274,7 @@
 }
 
 // Hear takes in the word of another instance that nothing follows the newest record it knows.
-func (h *Holder) Hear(b roster.Beat) {
+func (h *Holder) Hear(b roster.Heartbeat) {
 	if b.KnownAge >= 0 && b.EchoAt > 0 {
 		h.know.refresh(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
 	}
@@ -314,12 +314,12 @@
 
 // sameRight reports whether two ranges are the same right.
 func sameRight(a, b shard.Range) bool {
-	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.Before) == len(b.Before)
+	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.FormerOwners) == len(b.FormerOwners)
 }
 
 func ranges(o *Owners, s rules.Server) []shard.Range {
 	if m := o.Maps[s.Service]; m != nil {
-		return m.Of(s.ID)
+		return m.RangesOf(s.ID)
 	}
 	return nil
 }
@@ -362,7 +362,7 @@
 }
 
 func (h *Holder) chargesRestOn(owners *Owners, now time.Time) basis {
-	return basis{owners: owners, directory: h.Directory(), ranks: h.Roster.ChargeVersion(now)}
+	return basis{owners: owners, directory: h.Directory(), ranks: h.Roster.RankVersion(now)}
 }
 
 // charge returns the renewers of the servers that fall to this instance.
@@ -372,7 +372,7 @@
 	for service, m := range known.Maps {
 		for id := range owners(m) {
 			s, found := servers[id]
-			if found && s.Service == service && h.Roster.Charged(s.ID, s.Domain, now) {
+			if found && s.Service == service && h.Roster.Responsible(s.ID, s.Domain, now) {
 				out = append(out, h.renewer(s))
 			}
 		}
--- a/internal/holder/world_test.go
+++ b/internal/holder/world_test.go
@@ -308,20 +308,20 @@
 func (n *instance) beat(incarnation uint64) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for duty.Pause(ctx, 100*time.Millisecond) {
-			b := roster.Beat{
+			b := roster.Heartbeat{
 				Name: n.name, Incarnation: incarnation, Confirmed: n.holder.Confirmed(), Known: n.holder.Owners().End,
 				StoreOK: n.holder.StoreOK(), Failing: n.holder.Failing(),
 				SentAt: int64(n.holder.Clock.Now()), KnownAge: n.holder.Age().Milliseconds() + 1,
 			}
-			n.roster.Heard(b, time.Now())
+			n.roster.RecordHeartbeat(b, time.Now())
 			echoes := map[string]int64{}
 			for _, p := range n.roster.Others() {
-				echoes[p.Name] = p.Beat.SentAt
+				echoes[p.Name] = p.Heartbeat.SentAt
 			}
 			for _, o := range n.world.others(n.name) {
 				if !n.world.isCut(n.name, o.name) && !n.world.chance(n.world.lostPeers) {
 					b.EchoAt = echoes[o.name]
-					o.roster.Heard(b, time.Now())
+					o.roster.RecordHeartbeat(b, time.Now())
 					o.holder.Hear(b)
 					if known := n.holder.Owners(); known.End > o.holder.Owners().End && n.world.chance(n.world.helps) {
 						select {
--- a/internal/node/beats_test.go
+++ b/internal/node/beats_test.go
@@ -29,7 +29,7 @@
 			is := is.New(t)
 			config, servers := &follow.Topic{}, &follow.Topic{}
 			n := &Node{
-				around: Surroundings{Config: "config", Servers: "servers"},
+				around: Platform{ConfigTopic: "config", ServersTopic: "servers"},
 				topics: map[string]*follow.Topic{"config": config, "servers": servers},
 			}
 			config.Applied(follow.Update{Batch: follow.Batch{End: 3}, Complete: test.config})
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -45,17 +45,17 @@
 	}
 	n.resume(u)
 	switch u.Topic {
-	case n.around.Config:
+	case n.around.ConfigTopic:
 		n.takeConfig(u)
 		n.topics[u.Topic].Applied(u)
 		u = n.withEvacuations(u)
-	case n.around.Servers:
+	case n.around.ServersTopic:
 		n.noteNews(u)
 		if n.world.putServers(u, n.ageOf(u), n.around.DecodeServer) {
 			n.serversChanged()
 		}
 		n.topics[u.Topic].Applied(u)
-	case n.around.Owners:
+	case n.around.OwnersTopic:
 		select {
 		case n.holder.Updates() <- u:
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 		n.calls.Add("read-failed "+u.Topic, 1)
 	}
 	age := n.topics[u.Topic].Age()
-	if u.Topic == n.around.Owners {
+	if u.Topic == n.around.OwnersTopic {
 		age = n.holder.Age()
 	}
 	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
@@ -142,7 +142,7 @@
 // hearNews takes in what another instance has read.
 func (n *Node) hearNews(m gram.News) {
 	news := m.News
-	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
+	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		news.SentAt = sentAt
 	}
 	select {
@@ -199,7 +199,7 @@
 	case gram.Relay:
 		n.passOn(r.From, m)
 	case gram.Heartbeat:
-		n.hearBeat(m.Beat)
+		n.hearBeat(m.Heartbeat)
 	case gram.Ask:
 		n.permits.asked(r.From, m)
 	case gram.Verdict:
@@ -236,8 +236,8 @@
 	if !leads {
 		return
 	}
-	n.readAgain(n.around.Config)
-	n.readAgain(n.around.Servers)
+	n.readAgain(n.around.ConfigTopic)
+	n.readAgain(n.around.ServersTopic)
 }
 
 // hearOwners takes in a record of owners that another instance wrote.
@@ -245,7 +245,7 @@
 	select {
 	case n.holder.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
-		n.readAgain(n.around.Owners)
+		n.readAgain(n.around.OwnersTopic)
 	}
 }
 
@@ -274,8 +274,8 @@
 		return shard.Range{}, false, changed
 	}
 	r := m.Ranges[i]
-	if len(r.Before) > 0 && n.world.isSettled(service, r.From, r.Fence) {
-		r.Before = nil
+	if len(r.FormerOwners) > 0 && n.world.isSettled(service, r.From, r.Fence) {
+		r.FormerOwners = nil
 	}
 	return r, true, changed
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,17 +30,17 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// Surroundings is what the adapter brings.
-type Surroundings struct {
+// Platform is what the adapter brings.
+type Platform struct {
 	Store  follow.Store
 	Orders holder.Orders
 	Wire   edge.HeaderCodec
-	// Config, Servers and Owners are topics of the store, ConfigKey is the key of the
+	// ConfigTopic, Servers and Owners are topics of the store, ConfigKey is the key of the
 	// configuration.
-	Config    string
-	ConfigKey string
-	Servers   string
-	Owners    string
+	ConfigTopic  string
+	ConfigKey    string
+	ServersTopic string
+	OwnersTopic  string
 	// ReadyPath is the path that the balancer asks.
 	ReadyPath    string
 	DecodeConfig func(data []byte) (*rules.Config, error)
@@ -57,7 +57,7 @@
 // Node is an instance.
 type Node struct {
 	settings config.Serve
-	around   Surroundings
+	around   Platform
 	events   *event.Log
 	world    *world
 	roster   *roster.Roster
@@ -103,7 +103,7 @@
 }
 
 // New returns an instance that is not started.
-func New(settings config.Serve, around Surroundings, events *event.Log) (*Node, error) {
+func New(settings config.Serve, around Platform, events *event.Log) (*Node, error) {
 	port, err := gram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
@@ -119,23 +119,23 @@
 	n.around.Store = &countedStore{Store: around.Store, calls: n.calls, times: n.times, events: events}
 	n.world = newWorld(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
 		evacuateTime(settings.Bounds))
-	for _, topic := range []string{around.Config, around.Servers, around.Owners} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic, around.OwnersTopic} {
 		n.again[topic] = make(chan struct{}, 1)
 		n.behind[topic] = &behind{}
 		n.news[topic] = make(chan follow.News, newsMost)
 	}
-	for _, topic := range []string{around.Config, around.Servers} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic} {
 		n.told[topic] = make(chan follow.Update, toldMost)
 	}
 	n.loads = newLoads()
 	n.permits = newPermits(n)
 	n.holder = holder.New(holder.Deps{
 		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.around.Store,
-		Topic: around.Owners, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
+		Topic: around.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
 		Servers: n.world.servers, Directory: n.world.published.Load, Services: n.world.divided, Target: n.world.target, Load: n.loads.load, Powers: n.loads.powers,
-		Again:        func() { n.readAgain(around.Owners) },
-		DirectoryAge: func() time.Duration { return n.topics[around.Servers].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
+		Again:        func() { n.readAgain(around.OwnersTopic) },
+		DirectoryAge: func() time.Duration { return n.topics[around.ServersTopic].Age() },
+		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.ServersTopic) },
 		Leading: n.leading, Tell: n.tellOwners, TellRegister: n.tellRegister, Settled: n.settledHere,
 		Changed: n.ownersChanged, Announce: n.announce,
 	})
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = n.around.Store.Append(ctx, n.around.Owners, holder.InstanceKey(n.settings.Name), value, -1)
+	_, err = n.around.Store.Append(ctx, n.around.OwnersTopic, holder.InstanceKey(n.settings.Name), value, -1)
 	return err
 }
 
