--- a/internal/edge/meters.go
+++ b/internal/edge/meters.go
@@ -8,98 +8,104 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of latencies that are told apart, in microseconds, and their significant figures.
+// The limits of the meters.
 const (
-	latencyLeast   = 100
-	latencyMost    = 60_000_000
-	latencyFigures = 2
-	// labelsMost bounds the number of routes that are counted apart.
-	labelsMost = 256
+	// The range and the precision of the histograms. Latencies outside of the range are clamped.
+	minLatencyMicros          = 100
+	maxLatencyMicros          = 60_000_000
+	latencySignificantFigures = 2
+	// maxRouteLabels is the number of routes with their own counts; the rest count as "other".
+	maxRouteLabels = 256
 )
 
-// Times holds how long things took, by what they were.
-type Times struct {
-	mu sync.Mutex
-	by map[string]*hdrhistogram.Histogram
+// LatencyHistograms holds a latency histogram for each operation.
+type LatencyHistograms struct {
+	mu         sync.Mutex
+	histograms map[string]*hdrhistogram.Histogram
 }
 
-// NewTimes returns times of nothing yet.
-func NewTimes() *Times { return &Times{by: map[string]*hdrhistogram.Histogram{}} }
+// NewLatencyHistograms returns LatencyHistograms without any operations.
+func NewLatencyHistograms() *LatencyHistograms {
+	return &LatencyHistograms{histograms: map[string]*hdrhistogram.Histogram{}}
+}
 
-// Record takes in how long something took.
-func (t *Times) Record(what string, took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := t.by[what]
+// Record records how long an operation took.
+func (l *LatencyHistograms) Record(operation string, took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.histograms[operation]
 	if h == nil {
-		h = hdrhistogram.New(latencyLeast, latencyMost, latencyFigures)
-		t.by[what] = h
+		h = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantFigures)
+		l.histograms[operation] = h
 	}
-	_ = h.RecordValue(min(max(took.Microseconds(), latencyLeast), latencyMost))
+	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// Snapshot returns the quantiles.
-func (t *Times) Snapshot() map[string]Latencies {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make(map[string]Latencies, len(t.by))
-	for what, h := range t.by {
-		out[what] = Latencies{
-			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max(),
+// Snapshot returns the current summary of each operation.
+func (l *LatencyHistograms) Snapshot() map[string]LatencySummary {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[string]LatencySummary, len(l.histograms))
+	for operation, h := range l.histograms {
+		out[operation] = LatencySummary{
+			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max(),
 		}
 	}
 	return out
 }
 
-// Meters counts requests and their latencies.
+// Meters counts the requests of callers by route and end reason, and records their latencies by
+// end reason.
 type Meters struct {
-	mu      sync.Mutex
-	counts  map[string]map[why]int64
-	latency *Times
+	mu sync.Mutex
+	// counts holds the number of requests by route and end reason. The route is empty for
+	// requests that were rejected before their first attempt.
+	counts  map[string]map[endReason]int64
+	latency *LatencyHistograms
 }
 
-// NewMeters returns meters.
+// NewMeters returns meters at zero.
 func NewMeters() *Meters {
-	return &Meters{counts: map[string]map[why]int64{}, latency: NewTimes()}
+	return &Meters{counts: map[string]map[endReason]int64{}, latency: NewLatencyHistograms()}
 }
 
-// Request takes in how a request ended.
-func (m *Meters) Request(route string, reason why, took time.Duration) {
+// RecordRequest counts a request that ended and records how long it took.
+func (m *Meters) RecordRequest(route string, reason endReason, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.counts[route] == nil {
-		if len(m.counts) >= labelsMost {
+		if len(m.counts) >= maxRouteLabels {
 			route = "other"
 		}
 		if m.counts[route] == nil {
-			m.counts[route] = map[why]int64{}
+			m.counts[route] = map[endReason]int64{}
 		}
 	}
 	m.counts[route][reason]++
 	m.latency.Record(string(reason), took)
 }
 
-// Latencies are quantiles in microseconds.
-type Latencies struct {
+// LatencySummary holds the number of operations, and quantiles of their latency in microseconds.
+type LatencySummary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50-us"`
 	P99   int64 `json:"p99-us"`
-	Most  int64 `json:"most-us"`
+	Max   int64 `json:"most-us"`
 }
 
-// Snapshot is the state of the meters.
+// Snapshot is a copy of the state of the meters, encoded as JSON.
 type Snapshot struct {
-	Requests map[string]map[why]int64 `json:"requests"`
-	Latency  map[string]Latencies     `json:"latency"`
+	Requests map[string]map[endReason]int64 `json:"requests"`
+	Latency  map[string]LatencySummary      `json:"latency"`
 }
 
-// Snapshot returns the state of the meters.
+// Snapshot returns a copy of the current state.
 func (m *Meters) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s := Snapshot{Requests: map[string]map[why]int64{}, Latency: m.latency.Snapshot()}
+	s := Snapshot{Requests: map[string]map[endReason]int64{}, Latency: m.latency.Snapshot()}
 	for route, counts := range m.counts {
-		s.Requests[route] = map[why]int64{}
+		s.Requests[route] = map[endReason]int64{}
 		for reason, n := range counts {
 			s.Requests[route][reason] = n
 		}
@@ -107,5 +113,5 @@
 	return s
 }
 
-// Var returns the meters as a variable of expvar.
+// Var returns the meters as an expvar variable.
 func (m *Meters) Var() expvar.Var { return expvar.Func(func() any { return m.Snapshot() }) }
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -15,21 +15,23 @@
 )
 
 var (
-	// errOtherAnswer says that a server sent the answer to another request.
-	errOtherAnswer = errors.New("edge: answer to another request")
-	// errClosed says that the server takes no more requests, or not this one now.
-	errClosed = errors.New("edge: the server takes the request no more")
+	// errMismatchedResponse is the error of a response that states the ID of another request.
+	errMismatchedResponse = errors.New("edge: response belongs to another request")
+	// errServerClosed is the error of a request that was not sent because the server does not
+	// accept it any more.
+	errServerClosed = errors.New("edge: server no longer accepts the request")
 )
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade", "Content-Length",
 }
 
-// noAgent keeps net/http from adding a User-Agent of its own.
-var noAgent = []string{""}
+// noUserAgent keeps net/http from adding its own User-Agent.
+var noUserAgent = []string{""}
 
-// send sends the request to a server and returns the head of its answer.
+// send sends the request to a server and returns the response once its head has arrived. The
+// caller must read and close the body.
 func (q *request) send(ctx context.Context, s rules.Server) (*http.Response, error) {
 	out := (&http.Request{
 		Method: q.Method, URL: q.URL, Host: q.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -38,50 +40,52 @@
 	if len(q.body) > 0 {
 		out.Body = io.NopCloser(bytes.NewReader(q.body))
 	}
-	copyHeader(out.Header, q.Header)
+	copyEndToEndHeaders(out.Header, q.Header)
 	if _, found := out.Header["User-Agent"]; !found {
-		out.Header["User-Agent"] = noAgent
+		out.Header["User-Agent"] = noUserAgent
 	}
-	q.edge.Wire.Address(out.Header, s.ID, time.Until(q.limitAt))
-	pool := q.edge.Pool.server(s)
-	began := time.Now()
-	return pool.Send(out, upstr.Order{
-		Deadline: q.limitAt, InMemory: true, Done: func(bool) {},
-		Permit: func() error { return q.dispatch(s.ID, time.Since(began)) },
+	q.edge.Codec.EncodeTarget(out.Header, s.ID, time.Until(q.deadline))
+	client := q.edge.ConnPool.clientFor(s)
+	startedAt := time.Now()
+	return client.Send(out, upstr.SendOptions{
+		Deadline: q.deadline, InMemory: true, Done: func(bool) {},
+		BeforeWrite: func() error { return q.checkServer(s.ID, time.Since(startedAt)) },
 	})
 }
 
-// dispatch decides, immediately before the first byte, whether the server still takes the request.
+// checkServer returns an error if the server no longer accepts the request. It is called immediately
+// before the first byte is written; took is the time that it took to get a connection.
 //
-// It guards against the time until a connection is there, which is long on a busy instance: a request whose
-// permit came in time would reach a server beyond its own. After this look only the way to the server is left.
-func (q *request) dispatch(server string, took time.Duration) error {
+// Getting a connection can take long on a busy instance. Without this check, a request that was
+// admitted in time could reach a server that has left since. After it, only the network delay remains.
+func (q *request) checkServer(server string, took time.Duration) error {
 	now := time.Now()
-	s, found := q.edge.World.Server(server)
-	q.dispatched, q.leaving = took, s.LeavesIn(now)
-	if !found || s.Closed(q.divided, now) || s.Cold(now) && took > coldSendMost {
-		return errClosed
+	s, found := q.edge.Cluster.Server(server)
+	q.dispatchDelay, q.leavesIn = took, s.LeavesIn(now)
+	if !found || s.Closed(q.divided, now) || s.Cold(now) && took > maxColdDispatchDelay {
+		return errServerClosed
 	}
 	return nil
 }
 
-// coldSendMost is how long after its permit a request may be sent to a cold server: one that waited longer for its
-// connection would arrive among those of another span.
-const coldSendMost = 300 * time.Millisecond
+// maxColdDispatchDelay is how long after its admission a request may be sent to a cold server. The
+// admission controller limits the requests to a cold server in each period of time. A request that
+// waits longer for its connection would arrive among the requests of a later period.
+const maxColdDispatchDelay = 300 * time.Millisecond
 
-// copyHeader copies the headers that concern more than one connection.
-func copyHeader(to, from http.Header) {
+// copyEndToEndHeaders copies all headers but the hop-by-hop ones.
+func copyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(to, name)
 	}
 }
 
-// whole reads an answer to its end. Only then is it known to be whole: a part must not reach
-// the caller as if it were all.
-func whole(r *http.Response) (*inlet.Reply, error) {
+// readWhole reads a response to its end. A response that was cut short returns an error, so that
+// the caller never gets a part of a response as if it were complete.
+func readWhole(r *http.Response) (*inlet.Reply, error) {
 	defer r.Body.Close()
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
@@ -91,57 +95,62 @@
 		return nil, err
 	}
 	h := make(http.Header, len(r.Header))
-	copyHeader(h, r.Header)
+	copyEndToEndHeaders(h, r.Header)
 	return &inlet.Reply{Status: r.StatusCode, Header: h, Body: body.Bytes()}, nil
 }
 
 // The settings of connections to servers.
 const (
-	// idleTime is below the ten seconds after which servers close idle connections.
-	idleTime = 8 * time.Second
-	// unacknowledged ends a connection to a machine that has gone dark. Three packets in a row
-	// that get lost on a bad link take longer only once in some ten thousand.
-	unacknowledged = 1200 * time.Millisecond
-	// quietMost is beyond all deadlines: a server is not asked in between whether it lives.
-	quietMost = time.Minute
+	// serverIdleTimeout is below the ten seconds after which servers close idle connections.
+	serverIdleTimeout = 8 * time.Second
+	// serverUserTimeout is the time after which a connection to an unreachable machine ends. On a
+	// lossy link, recovering from the loss of three packets in a row takes longer than that in
+	// only about one of ten thousand cases.
+	serverUserTimeout = 1200 * time.Millisecond
+	// serverSilenceTimeout is longer than any deadline, so that a server that has not responded
+	// yet is never probed.
+	serverSilenceTimeout = time.Minute
 )
 
-// Pool holds the connections to servers.
-type Pool struct {
-	// Connections returns how many connections this instance may open to one server.
+// ConnPool holds the connections of this instance to the servers.
+type ConnPool struct {
+	// Connections returns the connection limit of one server of a service. It is called when the
+	// first request is sent to a server and becomes upstr.Settings.MaxConns.
 	Connections func(service string) int
 
 	mu      sync.Mutex
-	servers map[string]*upstr.Server
+	clients map[string]*upstr.Client
 }
 
-// NewPool returns a pool.
-func NewPool(connections func(service string) int) *Pool {
-	return &Pool{Connections: connections, servers: map[string]*upstr.Server{}}
+// NewConnPool returns a pool without connections. The argument becomes ConnPool.Connections.
+func NewConnPool(connections func(service string) int) *ConnPool {
+	return &ConnPool{Connections: connections, clients: map[string]*upstr.Client{}}
 }
 
-func (p *Pool) server(s rules.Server) *upstr.Server {
+// clientFor returns the client of a server, a new one if there is none.
+func (p *ConnPool) clientFor(s rules.Server) *upstr.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.servers[s.ID]
-	if known == nil {
-		known = upstr.NewServer(upstr.Settings{
-			Name: s.ID, Address: s.Address, Connections: p.Connections(s.Service), Slots: s.Slots,
-			Idle: idleTime, Patience: quietMost, Unwatched: true, Abrupt: true, Unacknowledged: unacknowledged,
+	client := p.clients[s.ID]
+	if client == nil {
+		client = upstr.NewClient(upstr.Settings{
+			Name: s.ID, Address: s.Address, MaxConns: p.Connections(s.Service), Slots: s.Slots,
+			IdleTimeout: serverIdleTimeout, SilenceTimeout: serverSilenceTimeout, NoDeathMonitor: true, CancelByFullClose: true, UserTimeout: serverUserTimeout,
 		})
-		p.servers[s.ID] = known
+		p.clients[s.ID] = client
 	}
-	return known
+	return client
 }
 
-// Keep closes the connections to servers that are gone.
-func (p *Pool) Keep(there func(id string) bool) {
+// Retain drops the clients of all servers for which exists returns false. Their connections are
+// closed as soon as they are idle.
+func (p *ConnPool) Retain(exists func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, s := range p.servers {
-		if !there(id) {
-			s.Close()
-			delete(p.servers, id)
+	for id, c := range p.clients {
+		if !exists(id) {
+			c.Close()
+			delete(p.clients, id)
 		}
 	}
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -15,243 +15,253 @@
 	"example.org/mustardring/internal/upstr"
 )
 
-// The times of attempts.
+// The delays and limits of attempts.
 const (
-	// ownerRetry is when a caller should come back whose key has no owner: moves take some 0.3
-	// seconds, lapses of a lease 2.3.
-	ownerRetry = 400 * time.Millisecond
-	// fullRetry is when a caller should come back whose server rejected it: the queue of a full one
-	// is shorter by a request or two by then, and one that rejects at random does not do so twice.
-	fullRetry = 120 * time.Millisecond
-	// attemptLeast is the least time that must be left for another attempt.
-	attemptLeast = 60 * time.Millisecond
-	// movedPause is the pause before a server is asked again that said it does not hold the
-	// key: its grant is renewed, or the new owner is known by then.
-	movedPause = 120 * time.Millisecond
-	// askMost bounds how often a request asks for a permit.
-	askMost = 6
+	// retryAfterNoOwner is the Retry-After of a request whose key has no owner. Moving a key takes
+	// about 0.3 seconds, the expiry of a lease about 2.3.
+	retryAfterNoOwner = 400 * time.Millisecond
+	// retryAfterServerFull is the Retry-After of a request that its server rejected. By then the
+	// queue of a full server is shorter by a request or two, and a server that rejects requests
+	// at random does not do so twice.
+	retryAfterServerFull = 120 * time.Millisecond
+	// minAttemptTime is the time that must be left for another attempt.
+	minAttemptTime = 60 * time.Millisecond
+	// misdirectedDelay is the delay before the next attempt after the server or its controller
+	// said that the server does not own the key. By then the server's lease has been renewed, or
+	// the new owner is known.
+	misdirectedDelay = 120 * time.Millisecond
+	// maxAdmissionRequests is how often an admission may be requested for one request of a caller.
+	maxAdmissionRequests = 6
 )
 
-// serve sends a request until it has an answer, or until another attempt is no use.
+// serve sends the request until it gets a reply or a retry is pointless or not allowed.
 func (q *request) serve(ctx context.Context) *inlet.Reply {
 	if q.divided {
-		// Refused requests count too: they show where there is too little room.
-		q.edge.World.Count(q.service, q.call.Key)
+		// Rejected requests count too: they show which keys need more capacity.
+		q.edge.Cluster.CountRequest(q.service, q.info.Key)
 	}
-	for range askMost {
-		p, s, refused := q.permit(ctx)
-		if refused != nil {
-			return q.giveUp(ctx, refused)
+	for range maxAdmissionRequests {
+		a, s, rejection := q.acquire(ctx)
+		if rejection != nil {
+			return q.finalReply(ctx, rejection)
 		}
-		if p == nil {
+		if a == nil {
 			continue
 		}
-		reply, again := q.attempt(ctx, p, s)
-		if !again {
+		reply, retry := q.attempt(ctx, a, s)
+		if !retry {
 			return reply
 		}
 		if reply == nil {
 			continue
 		}
-		q.last = reply
-		if q.attempts >= q.route.MaxAttempts || time.Until(q.limitAt) < attemptLeast || !q.edge.Budget.Spend(q.service) {
-			return q.giveUp(ctx, reply)
+		q.fallback = reply
+		if q.attempts >= q.route.MaxAttempts || time.Until(q.deadline) < minAttemptTime || !q.edge.RetryBudget.Spend(q.service) {
+			return q.finalReply(ctx, reply)
 		}
 	}
-	return q.giveUp(ctx, q.last)
+	return q.finalReply(ctx, q.fallback)
 }
 
-// giveUp returns the final answer of a request whose last attempt led to the given one.
-func (q *request) giveUp(ctx context.Context, reply *inlet.Reply) *inlet.Reply {
-	if q.last != nil && (reply == nil || q.sent) {
-		reply = q.last
+// finalReply returns the reply of a request that is not retried any more. Reply is the reply of its
+// last attempt, or nil. Once a server may have run the request, the caller must not be told that it
+// was not run, so a status 503 becomes 502 or 504.
+func (q *request) finalReply(ctx context.Context, reply *inlet.Reply) *inlet.Reply {
+	if q.fallback != nil && (reply == nil || q.mayHaveRun) {
+		reply = q.fallback
 	}
 	switch {
-	case reply != nil && (!q.sent || reply.Status != http.StatusServiceUnavailable):
+	case reply != nil && (!q.mayHaveRun || reply.Status != http.StatusServiceUnavailable):
 		return reply
-	case ctx.Err() != nil && q.sent:
-		q.why = whyTimeout
-		return refusal(http.StatusGatewayTimeout, 0)
-	case q.sent:
-		q.why = whyInDoubt
-		return refusal(http.StatusBadGateway, 0)
-	case q.why == whyFull:
-		return refusal(http.StatusServiceUnavailable, fullRetry)
+	case ctx.Err() != nil && q.mayHaveRun:
+		q.reason = endTimeout
+		return errorReply(http.StatusGatewayTimeout, 0)
+	case q.mayHaveRun:
+		q.reason = endInDoubt
+		return errorReply(http.StatusBadGateway, 0)
+	case q.reason == endServerFull:
+		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull)
 	default:
-		return refusal(http.StatusServiceUnavailable, ownerRetry)
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 	}
 }
 
-// permit waits for a permit. If all three results are nil it should be asked for again.
-func (q *request) permit(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
-	began := time.Now()
-	defer func() { q.waited += time.Since(began) }()
-	ask := permit.Request{
+// acquire waits for an admission. It returns either the admission and its server, or the reply to
+// a rejection. If it returns neither, the admission should be requested again.
+func (q *request) acquire(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
+	startedAt := time.Now()
+	defer func() { q.waited += time.Since(startedAt) }()
+	req := permit.Request{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
-		TargetAt: q.targetAt, Deadline: q.limitAt, Avoid: q.avoid,
+		TargetAt: q.targetAt, Deadline: q.deadline, Avoid: q.avoid,
 	}
 	domain := ""
 	if q.divided {
-		r, reply := q.owner(ctx)
+		r, reply := q.awaitOwner(ctx)
 		if reply != nil {
 			return nil, rules.Server{}, reply
 		}
-		owner, found := q.edge.World.Server(r.Server)
+		owner, found := q.edge.Cluster.Server(r.Server)
 		if !found || owner.Closed(true, time.Now()) {
-			q.why = whyNoOwner
-			return nil, rules.Server{}, refusal(http.StatusServiceUnavailable, ownerRetry)
+			q.reason = endNoOwner
+			return nil, rules.Server{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
-		ask.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
+		req.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
 	}
-	p, refused := q.edge.Permits.Acquire(ctx, ask, domain)
-	if refused != nil {
-		return nil, rules.Server{}, q.refuse(ctx, refused)
+	a, rejected := q.edge.Admitter.Acquire(ctx, req, domain)
+	if rejected != nil {
+		return nil, rules.Server{}, q.handleRejection(ctx, rejected)
 	}
-	s, found := q.edge.World.Server(p.Server())
+	s, found := q.edge.Cluster.Server(a.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		p.Done(permit.Completion{Outcome: permit.Unsent})
+		a.Complete(permit.Completion{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
-	return p, s, nil
+	return a, s, nil
 }
 
-// refuse turns a refusal of the keeper into an answer.
-func (q *request) refuse(ctx context.Context, refused *permit.Rejected) *inlet.Reply {
+// handleRejection returns the reply to a rejection by the admission controller, or nil if the
+// admission should be requested again.
+func (q *request) handleRejection(ctx context.Context, rejected *permit.Rejected) *inlet.Reply {
 	switch {
-	case refused.Reason == permit.OwnerGone:
-		if !duty.Pause(ctx, movedPause) {
-			q.why = whyNoOwner
-			return refusal(http.StatusServiceUnavailable, ownerRetry)
+	case rejected.Reason == permit.OwnerGone:
+		if !duty.Pause(ctx, misdirectedDelay) {
+			q.reason = endNoOwner
+			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		return nil
-	case refused.Reason == permit.NoServer:
-		q.why = whyNoServer
+	case rejected.Reason == permit.NoServer:
+		q.reason = endNoServer
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		q.why = whyLeft
+		q.reason = endCallerLeft
 	default:
-		q.why = whyOverload
+		q.reason = endOverload
 	}
-	q.predicted, q.pool = refused.Wait, refused.Pool
-	return refusal(http.StatusServiceUnavailable, refused.RetryIn)
+	q.predictedWait, q.pool = rejected.Wait, rejected.Pool
+	return errorReply(http.StatusServiceUnavailable, rejected.RetryIn)
 }
 
-// owner returns the owner of the request's key. While the key changes hands it waits.
-func (q *request) owner(ctx context.Context) (shard.Range, *inlet.Reply) {
+// awaitOwner returns the range that contains the request's key. If the key has no owner, or moves to
+// another one, it waits. If that takes too long it returns the reply for the caller instead.
+func (q *request) awaitOwner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
-		r, found, changed := q.edge.World.Owner(q.service, q.call.Key)
+		r, found, changed := q.edge.Cluster.Owner(q.service, q.info.Key)
 		if found && len(r.FormerOwners) == 0 {
 			return r, nil
 		}
-		// A key that has no owner yet gets one within a few tenths of a second, or after a
-		// lease: what cannot wait for the former is told to come back.
-		timer := time.NewTimer(min(ownerWait, time.Until(q.targetAt)/2))
+		// A key without an owner gets one within a few tenths of a second, or else when a
+		// lease has expired. A request that cannot wait for the former is to be retried later.
+		timer := time.NewTimer(min(maxOwnerWait, time.Until(q.targetAt)/2))
 		select {
 		case <-changed:
 			timer.Stop()
-			if time.Since(q.arrivedAt) < ownerWait {
+			if time.Since(q.arrivedAt) < maxOwnerWait {
 				continue
 			}
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 		}
-		q.why = whyNoOwner
-		return shard.Range{}, refusal(http.StatusServiceUnavailable, ownerRetry)
+		q.reason = endNoOwner
+		return shard.Range{}, errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 	}
 }
 
-// ownerWait is how long a request waits for a key that changes hands.
-const ownerWait = 400 * time.Millisecond
+// maxOwnerWait bounds how long a request waits for the owner of its key.
+const maxOwnerWait = 400 * time.Millisecond
 
-// attempt sends the request to one server. It returns true if the request may be sent again;
-// the answer is then the one for the caller if it is not, and nil if this was no attempt.
-func (q *request) attempt(ctx context.Context, p Permit, s rules.Server) (*inlet.Reply, bool) {
+// attempt sends the request to a server and completes the admission. It returns the reply for the
+// caller, and whether the request may be retried. If it may, the reply is the one to use if there is
+// no retry after all, or nil if the request was not sent and the attempt does not count.
+func (q *request) attempt(ctx context.Context, a Admission, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
-	q.edge.running.add(s.Domain, 1)
-	defer q.edge.running.add(s.Domain, -1)
-	began := time.Now()
+	q.edge.inFlight.add(s.Domain, 1)
+	defer q.edge.inFlight.add(s.Domain, -1)
+	startedAt := time.Now()
 	response, err := q.send(ctx, s)
-	done := permit.Completion{}
+	completion := permit.Completion{}
 	defer func() {
-		done.Took = time.Since(began)
-		p.Done(done)
+		completion.Took = time.Since(startedAt)
+		a.Complete(completion)
 	}()
 	if err != nil {
-		return q.unanswered(ctx, &done, s, err)
+		return q.handleFailure(ctx, &completion, s, err)
 	}
-	answer := q.edge.Wire.Answer(response)
-	done.Load = answer.Load
-	if answer.LoadErr != nil {
-		q.edge.noteOddLoad(s.ID, answer.LoadErr)
+	info := q.edge.Codec.DecodeResponse(response)
+	completion.Load = info.Load
+	if info.LoadErr != nil {
+		q.edge.logMalformedLoad(s.ID, info.LoadErr)
 	}
-	reply, err := whole(response)
-	if err == nil && answer.ID != q.call.ID && answer.ID != "" {
-		err = errOtherAnswer
+	reply, err := readWhole(response)
+	if err == nil && info.ID != q.info.ID && info.ID != "" {
+		err = errMismatchedResponse
 	}
 	if err != nil {
-		q.sent = true
-		return q.unanswered(ctx, &done, s, err)
+		q.mayHaveRun = true
+		return q.handleFailure(ctx, &completion, s, err)
 	}
-	done.Bytes = len(reply.Body)
-	q.edge.World.Cleared(q.print)
-	return q.answered(ctx, &done, s, answer, reply)
+	completion.Bytes = len(reply.Body)
+	q.edge.Cluster.ClearSuspicion(q.print)
+	return q.handleResponse(ctx, &completion, s, info, reply)
 }
 
-// answered decides about a whole answer.
-func (q *request) answered(ctx context.Context, done *permit.Completion, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
+// handleResponse decides what a complete response means for the caller and for the admission. It sets
+// the outcome of the completion and returns the results of attempt.
+func (q *request) handleResponse(ctx context.Context, completion *permit.Completion, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
-	case a.NotRun && a.Moved:
-		done.Outcome = permit.NotOwner
-		q.why = whyNoOwner
-		duty.Pause(ctx, movedPause)
-		return refusal(http.StatusServiceUnavailable, ownerRetry), true
-	case a.NotRun:
-		done.Outcome = permit.Full
-		q.why, q.avoid = whyFull, s.ID
-		return refusal(http.StatusServiceUnavailable, fullRetry), true
+	case info.NotRun && info.Misdirected:
+		completion.Outcome = permit.NotOwner
+		q.reason = endNoOwner
+		duty.Pause(ctx, misdirectedDelay)
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
+	case info.NotRun:
+		completion.Outcome = permit.Full
+		q.reason, q.avoid = endServerFull, s.ID
+		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull), true
 	case reply.Status >= http.StatusInternalServerError:
-		done.Outcome = permit.Failed
-		q.why, q.avoid, q.sent = whyAnswered, s.ID, true
+		completion.Outcome = permit.Failed
+		q.reason, q.avoid, q.mayHaveRun = endAnswered, s.ID, true
 		return reply, q.route.Kind.Idempotent()
 	default:
-		done.Outcome = permit.Answered
-		q.why = whyAnswered
+		completion.Outcome = permit.Answered
+		q.reason = endAnswered
 		return reply, false
 	}
 }
 
-// unanswered decides about a sending that led to no whole answer.
-func (q *request) unanswered(ctx context.Context, done *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
+// handleFailure decides what an attempt without a complete response means for the caller and for the
+// admission. It sets the outcome of the completion and returns the results of attempt.
+func (q *request) handleFailure(ctx context.Context, completion *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
-	done.Outcome = permit.Lost
+	completion.Outcome = permit.Lost
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		done.Outcome = permit.Cancelled
-		q.sent = q.sent || !unsent
-		q.why = whyLeft
+		completion.Outcome = permit.Cancelled
+		q.mayHaveRun = q.mayHaveRun || !unsent
+		q.reason = endCallerLeft
 		return &inlet.Reply{Abort: true}, false
-	case errors.Is(err, errClosed):
-		done.Outcome = permit.Unsent
+	case errors.Is(err, errServerClosed):
+		completion.Outcome = permit.Unsent
 		q.attempts--
-		q.why = whyNoOwner
+		q.reason = endNoOwner
 		return nil, true
 	case unsent:
-		if errors.Is(err, upstr.ErrBudget) {
-			done.Outcome = permit.Unsent
+		if errors.Is(err, upstr.ErrConnLimit) {
+			completion.Outcome = permit.Unsent
 		}
-		q.why, q.avoid = whyUnsent, s.ID
-		return refusal(http.StatusServiceUnavailable, ownerRetry), true
+		q.reason, q.avoid = endUnsent, s.ID
+		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
 	}
-	q.sent = true
+	q.mayHaveRun = true
 	if ctx.Err() != nil || errors.Is(err, upstr.ErrDeadline) {
-		q.why = whyTimeout
-		return refusal(http.StatusGatewayTimeout, 0), false
+		q.reason = endTimeout
+		return errorReply(http.StatusGatewayTimeout, 0), false
 	}
-	q.why, q.avoid = whyInDoubt, s.ID
+	q.reason, q.avoid = endInDoubt, s.ID
 	if errors.Is(err, upstr.ErrLost) {
-		q.edge.World.Crashed(q.print, s)
+		q.edge.Cluster.ReportCrash(q.print, s)
 	}
-	return refusal(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
+	return errorReply(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
 }
--- a/internal/inlet/conn.go
+++ b/internal/inlet/conn.go
@@ -15,101 +15,109 @@
 	"time"
 )
 
-// The sizes of a connection.
+// The limits of a connection. Sizes are in bytes.
 const (
-	// pipelineMost is the number of requests of one connection that run at the same time. What
-	// else the caller sends waits in the connection.
-	pipelineMost = 16
-	readSize     = 4 << 10
-	writeSize    = 8 << 10
-	// bodyPause is how long the body of a request may make no progress.
-	bodyPause = 10 * time.Second
-	// writeTimeout is how long a caller may take for one write of an answer.
+	// maxPipelined is the capacity of the pipeline. While it is full no more requests are read;
+	// what else the caller sends stays in the socket buffers.
+	maxPipelined    = 16
+	readBufferSize  = 4 << 10
+	writeBufferSize = 8 << 10
+	// bodyReadTimeout is how long to wait for the next bytes of a body.
+	bodyReadTimeout = 10 * time.Second
+	// writeTimeout is how long writing a reply may take.
 	writeTimeout = 10 * time.Second
-	// lingerTime is how long a closed connection is read, so that unread bytes do not reset it
-	// before the caller has the last answer.
-	lingerTime = 300 * time.Millisecond
+	// lingerTimeout is how long a connection is still read after its last reply. Closing it with
+	// unread bytes would reset it, possibly before the caller has received the reply.
+	lingerTimeout = 300 * time.Millisecond
 )
 
-// slot is the place of a request in the order of answers.
-type slot struct {
+// pipelineEntry is a request whose reply has not been written. Entries are in the order of the
+// requests, which is also the order of the replies.
+type pipelineEntry struct {
+	// request is nil if the request was rejected before its handler was started.
 	request *http.Request
 	reply   chan *Reply
 }
 
-// conn is a connection of a caller.
+// conn is a connection of a caller. One goroutine reads requests, one writes replies, and each
+// handler runs in its own.
 type conn struct {
-	server *Server
-	raw    net.Conn
-	in     *bufio.Reader
-	out    *bufio.Writer
-	head   *headLimit
-	slots  chan slot
+	server   *Server
+	raw      net.Conn
+	in       *bufio.Reader
+	out      *bufio.Writer
+	head     *headLimiter
+	pipeline chan pipelineEntry
+	// ctx is the context of all handlers. It is cancelled when the caller has left or the
+	// connection has ended.
 	ctx    context.Context
-	leave  context.CancelFunc
+	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// pending is the number of requests that were read and not answered. Closing says that no
-	// more are taken.
+	// pending is the number of requests that have been read and whose reply has not been written.
+	// closing says that no more requests are accepted.
 	pending int
 	closing bool
 }
 
-// headLimit bounds the bytes of a head.
-type headLimit struct {
+// headLimiter returns errHeadTooLarge from Read when remaining bytes have been read. Outside of
+// request heads, remaining is so large that it does not matter.
+type headLimiter struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-var errHeadTooLarge = errors.New("inlet: head too large")
+// errHeadTooLarge is the error of a request head beyond Limits.HeaderBytes.
+var errHeadTooLarge = errors.New("inlet: request head too large")
 
 // Read implements io.Reader.
-func (h *headLimit) Read(p []byte) (int, error) {
-	if h.left <= 0 {
+func (h *headLimiter) Read(p []byte) (int, error) {
+	if h.remaining <= 0 {
 		return 0, errHeadTooLarge
 	}
-	n, err := h.Conn.Read(p[:min(len(p), h.left)])
-	h.left -= n
+	n, err := h.Conn.Read(p[:min(len(p), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
 
+// newConn returns a connection that is not served yet.
 func newConn(s *Server, raw net.Conn) *conn {
-	c := &conn{server: s, raw: raw, slots: make(chan slot, pipelineMost), head: &headLimit{Conn: raw}}
-	c.in = bufio.NewReaderSize(c.head, readSize)
-	c.out = bufio.NewWriterSize(raw, writeSize)
-	c.ctx, c.leave = context.WithCancel(context.Background())
+	c := &conn{server: s, raw: raw, pipeline: make(chan pipelineEntry, maxPipelined), head: &headLimiter{Conn: raw}}
+	c.in = bufio.NewReaderSize(c.head, readBufferSize)
+	c.out = bufio.NewWriterSize(raw, writeBufferSize)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// run serves the connection to its end.
+// run serves the connection until it ends.
 func (c *conn) run() {
 	defer c.raw.Close()
-	defer c.leave()
+	defer c.cancel()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		c.write()
+		c.writeReplies()
 	}()
-	c.read()
-	close(c.slots)
+	c.readRequests()
+	close(c.pipeline)
 	<-written
 }
 
-// read reads requests and starts their handling, until the caller leaves or the connection
-// closes.
-func (c *conn) read() {
+// readRequests reads requests and starts their handlers until the caller leaves or the connection
+// is closing.
+func (c *conn) readRequests() {
 	for {
 		l := c.server.limits()
-		c.head.left = 1 << 30
-		if !c.await(l.IdleTimeout) {
+		c.head.remaining = 1 << 30
+		if !c.awaitRequest(l.IdleTimeout) {
 			return
 		}
-		c.head.left = l.HeaderBytes + readSize
+		c.head.remaining = l.HeaderBytes + readBufferSize
 		deadline := time.Now().Add(l.HeaderTimeout)
 		_ = c.raw.SetReadDeadline(deadline)
 		r, err := http.ReadRequest(c.in)
 		if err != nil && !time.Now().Before(deadline) {
-			// What came of a head that is not complete reads like a malformed one.
+			// A head that is incomplete at the deadline may be reported as malformed.
 			err = os.ErrDeadlineExceeded
 		}
 		if err == nil && headSize(r) > l.HeaderBytes {
@@ -119,17 +127,17 @@
 			c.reject(err)
 			return
 		}
-		if status := c.body(r, l); status != 0 {
-			c.enqueueRefusal(status)
+		if status := c.readBody(r, l); status != 0 {
+			c.enqueueError(status)
 			return
 		}
-		if !c.start(r) {
+		if !c.startHandler(r) {
 			return
 		}
 	}
 }
 
-// headSize returns about how large the head of a request is.
+// headSize returns the approximate size of the head of a request in bytes.
 func headSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	for name, values := range r.Header {
@@ -140,16 +148,17 @@
 	return n
 }
 
-// await waits for the first byte of a request. While requests are in progress it waits as long
-// as they take: its end then says that the caller left.
-func (c *conn) await(idle time.Duration) bool {
+// awaitRequest waits for the first byte of a request and reports whether there is one. The idle
+// timeout does not apply while requests are in progress. If the connection ends meanwhile, the
+// caller has left and the handlers are cancelled.
+func (c *conn) awaitRequest(idleTimeout time.Duration) bool {
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(idle))
+		_ = c.raw.SetReadDeadline(time.Now().Add(idleTimeout))
 		_, err := c.in.Peek(1)
 		switch {
 		case err == nil:
 			return true
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.busy():
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.hasPending():
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return false
@@ -158,37 +167,38 @@
 			closing := c.closing
 			c.mu.Unlock()
 			if !closing {
-				c.leave()
+				c.cancel()
 			}
 			return false
 		}
 	}
 }
 
-func (c *conn) busy() bool {
+// hasPending reports whether requests of the connection are in progress.
+func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending > 0
 }
 
-// reject answers a request that cannot be read.
+// reject enqueues the error reply to a request that cannot be read.
 func (c *conn) reject(err error) {
 	switch {
 	case errors.Is(err, errHeadTooLarge):
-		c.enqueueRefusal(http.StatusRequestHeaderFieldsTooLarge)
+		c.enqueueError(http.StatusRequestHeaderFieldsTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.enqueueRefusal(http.StatusRequestTimeout)
+		c.enqueueError(http.StatusRequestTimeout)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
-		c.leave()
+		c.cancel()
 	default:
-		c.enqueueRefusal(http.StatusBadRequest)
+		c.enqueueError(http.StatusBadRequest)
 	}
 }
 
-// body reads the body of a request into memory. It returns the status of a refusal, zero for
-// none.
-func (c *conn) body(r *http.Request, l Limits) int {
-	c.head.left = 1 << 30
+// readBody reads the body of a request into memory. It returns zero, or the status of the error
+// reply if the body is too large or cannot be read.
+func (c *conn) readBody(r *http.Request, l Limits) int {
+	c.head.remaining = 1 << 30
 	if r.ContentLength == 0 {
 		r.Body = http.NoBody
 		return 0
@@ -199,23 +209,23 @@
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		r.Header.Del("Expect")
 		_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if c.busy() {
+		if c.hasPending() {
 			return http.StatusExpectationFailed
 		}
 		if _, err := io.WriteString(c.raw, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return http.StatusBadRequest
 		}
 	}
-	var whole bytes.Buffer
+	var body bytes.Buffer
 	if r.ContentLength > 0 {
-		whole.Grow(int(min(r.ContentLength, writeSize)))
+		body.Grow(int(min(r.ContentLength, writeBufferSize)))
 	}
-	chunk := make([]byte, min(readSize, max(r.ContentLength, 512)))
+	chunk := make([]byte, min(readBufferSize, max(r.ContentLength, 512)))
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(bodyPause))
+		_ = c.raw.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 		n, err := r.Body.Read(chunk)
-		whole.Write(chunk[:n])
-		if int64(whole.Len()) > l.BodyBytes {
+		body.Write(chunk[:n])
+		if int64(body.Len()) > l.BodyBytes {
 			return http.StatusRequestEntityTooLarge
 		}
 		if errors.Is(err, io.EOF) {
@@ -228,7 +238,7 @@
 			return http.StatusBadRequest
 		}
 	}
-	data := whole.Bytes()
+	data := body.Bytes()
 	r.Body = io.NopCloser(bytes.NewReader(data))
 	r.ContentLength = int64(len(data))
 	r.TransferEncoding = nil
@@ -236,8 +246,9 @@
 	return 0
 }
 
-// start begins the handling of a request. It returns false if the connection takes no more.
-func (c *conn) start(r *http.Request) bool {
+// startHandler starts the handler of a request. It returns false if no further request should be
+// read, because the connection is closing or the request asks for it to be closed.
+func (c *conn) startHandler(r *http.Request) bool {
 	c.mu.Lock()
 	if c.closing {
 		c.mu.Unlock()
@@ -249,23 +260,24 @@
 		c.closing = true
 	}
 	c.mu.Unlock()
-	s := slot{request: r, reply: make(chan *Reply, 1)}
-	c.server.open.Add(1)
-	go func() { s.reply <- c.server.handler(c.ctx, r) }()
-	c.slots <- s
+	e := pipelineEntry{request: r, reply: make(chan *Reply, 1)}
+	c.server.inFlight.Add(1)
+	go func() { e.reply <- c.server.handler(c.ctx, r) }()
+	c.pipeline <- e
 	if last {
-		c.watch()
+		c.watchForClose()
 	}
 	return !last
 }
 
-// watch reads on behind the last request only to see whether the caller leaves.
-func (c *conn) watch() {
-	for c.busy() {
+// watchForClose cancels the handlers if the caller closes the connection after its last request. It
+// returns when no request is in progress, or when the caller sends more.
+func (c *conn) watchForClose() {
+	for c.hasPending() {
 		_ = c.raw.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.in.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			if c.busy() {
-				c.leave()
+			if c.hasPending() {
+				c.cancel()
 			}
 			return
 		} else if err == nil {
@@ -274,19 +286,21 @@
 	}
 }
 
-func (c *conn) enqueueRefusal(status int) {
+// enqueueError enqueues an error reply and makes it the last one of the connection.
+func (c *conn) enqueueError(status int) {
 	c.mu.Lock()
 	c.pending++
 	c.closing = true
 	c.mu.Unlock()
-	c.server.open.Add(1)
-	s := slot{reply: make(chan *Reply, 1)}
-	s.reply <- &Reply{Status: status, Header: http.Header{}}
-	c.slots <- s
+	c.server.inFlight.Add(1)
+	e := pipelineEntry{reply: make(chan *Reply, 1)}
+	e.reply <- &Reply{Status: status, Header: http.Header{}}
+	c.pipeline <- e
 }
 
-// finish takes no more requests, and closes the connection if none is in progress.
-func (c *conn) finish() {
+// stopReading makes the connection accept no more requests. If none is in progress it interrupts
+// the reader, which closes the connection.
+func (c *conn) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
@@ -295,41 +309,43 @@
 	}
 }
 
-// write writes the answers in the order of their requests.
-func (c *conn) write() {
+// writeReplies writes the replies in the order of their requests. Once the connection is broken or
+// the last reply has been written, it discards the remaining replies.
+func (c *conn) writeReplies() {
 	broken := false
-	for s := range c.slots {
-		reply := <-s.reply
+	for e := range c.pipeline {
+		reply := <-e.reply
 		if broken {
-			c.done()
+			c.replyDone()
 			continue
 		}
-		last := c.last()
+		last := c.isLastReply()
 		if reply == nil || reply.Abort {
 			broken = true
-		} else if err := c.send(s.request, reply, last); err != nil {
+		} else if err := c.writeReply(e.request, reply, last); err != nil {
 			broken = true
 		}
-		c.done()
+		c.replyDone()
 		if broken || last {
-			c.shut(broken)
+			c.shutdown(broken)
 			broken = true
 		}
 	}
 }
 
-// done counts a request as answered. Only then it is no longer in progress: a process that
-// ended between the handler and the last byte would cut the answer.
-func (c *conn) done() {
+// replyDone counts a request as done. That must not happen before its reply has been written: if
+// the process ended after the handler but before the last byte, the reply would be cut short.
+func (c *conn) replyDone() {
 	c.mu.Lock()
 	c.pending--
 	c.mu.Unlock()
-	c.server.open.Add(-1)
+	c.server.inFlight.Add(-1)
 }
 
-// last reports whether the next answer is the last one of the connection. While the server
-// drains, that is the first behind which no other request waits.
-func (c *conn) last() bool {
+// isLastReply reports whether the next reply is the last one of the connection. While the server
+// drains, that is the first reply behind which no other request is pending; the connection then
+// accepts no more requests.
+func (c *conn) isLastReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == 1 && c.server.draining.Load() {
@@ -338,33 +354,34 @@
 	return c.closing && c.pending == 1
 }
 
-// shut ends the connection: at once if an answer was cut, else so that the caller gets the
-// last answer whole.
-func (c *conn) shut(broken bool) {
+// shutdown ends the connection: at once if it is broken, otherwise in such a way that the caller
+// receives the last reply completely.
+func (c *conn) shutdown(broken bool) {
 	if tcp, ok := c.raw.(*net.TCPConn); ok && !broken {
 		_ = tcp.CloseWrite()
-		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime))
+		_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 		return
 	}
-	c.leave()
+	c.cancel()
 	_ = c.raw.Close()
 }
 
-// send writes one answer.
-func (c *conn) send(r *http.Request, a *Reply, last bool) error {
+// writeReply writes the reply to a request, with "Connection: close" if it is the last one. R is nil
+// if the request was rejected before its handler was started.
+func (c *conn) writeReply(r *http.Request, reply *Reply, last bool) error {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w := c.out
 	_, _ = w.WriteString("HTTP/1.1 ")
-	_, _ = w.WriteString(strconv.Itoa(a.Status))
+	_, _ = w.WriteString(strconv.Itoa(reply.Status))
 	_ = w.WriteByte(' ')
-	_, _ = w.WriteString(http.StatusText(a.Status))
+	_, _ = w.WriteString(http.StatusText(reply.Status))
 	_, _ = w.WriteString("\r\n")
-	if err := a.Header.Write(w); err != nil {
+	if err := reply.Header.Write(w); err != nil {
 		return err
 	}
-	if bodied(a.Status) {
+	if hasBody(reply.Status) {
 		_, _ = w.WriteString("Content-Length: ")
-		_, _ = w.WriteString(strconv.Itoa(len(a.Body)))
+		_, _ = w.WriteString(strconv.Itoa(len(reply.Body)))
 		_, _ = w.WriteString("\r\n")
 	}
 	if last {
@@ -372,14 +389,14 @@
 	}
 	_, _ = w.WriteString("\r\n")
 	if r == nil || r.Method != http.MethodHead {
-		if _, err := w.Write(a.Body); err != nil {
+		if _, err := w.Write(reply.Body); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-// bodied reports whether answers with a status have a body.
-func bodied(status int) bool {
+// hasBody reports whether responses with a status may have a body.
+func hasBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -226,9 +226,9 @@
 // Server returns the id of the server to send the request to.
 func (a *admission) Server() string { return a.server }
 
-// Done reports the completion of the request to the controller, twice if that is remote: a lost completion would
+// Complete reports the completion of the request to the controller, twice if that is remote: a lost completion would
 // occupy a slot. The second message leaves out the load, which is no longer current.
-func (a *admission) Done(d permit.Completion) {
+func (a *admission) Complete(d permit.Completion) {
 	defer a.admissions.client.close(a.serial)
 	d.ID, d.Server, d.Route = permit.ID{Serial: a.serial}, a.server, a.route
 	if !a.controller.IsValid() {
@@ -250,7 +250,7 @@
 
 // Acquire implements edge.Admitter. A request with an owner is decided by the controller of that server; others try
 // the pools of the service in turn until one has room.
-func (ad *admissions) Acquire(ctx context.Context, r permit.Request, domain string) (edge.Permit, *permit.Rejected) {
+func (ad *admissions) Acquire(ctx context.Context, r permit.Request, domain string) (edge.Admission, *permit.Rejected) {
 	if r.Server != "" {
 		r.Pool, r.Domain = r.Service, ad.node.settings.Domain
 		return ad.requestFrom(ctx, r, r.Server, domain)
@@ -286,7 +286,7 @@
 
 // requestFrom asks the instances that are responsible for a pool or a server in turn, and decides locally if this
 // instance is one of them or they do not answer.
-func (ad *admissions) requestFrom(ctx context.Context, r permit.Request, name, domain string) (edge.Permit, *permit.Rejected) {
+func (ad *admissions) requestFrom(ctx context.Context, r permit.Request, name, domain string) (edge.Admission, *permit.Rejected) {
 	for i, controller := range ad.node.roster.Rank(name, domain, time.Now()) {
 		if i == maxControllersTried {
 			r.NonExclusive = true
@@ -308,7 +308,7 @@
 }
 
 // result converts a final decision to an admission or a rejection.
-func (ad *admissions) result(r permit.Request, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Permit, *permit.Rejected) {
+func (ad *admissions) result(r permit.Request, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Admission, *permit.Rejected) {
 	if m.Server != "" {
 		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
 	}
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -196,7 +196,7 @@
 
 // remainingIn returns what is left in a domain: requests in progress, and keys that its servers own.
 func (n *Node) remainingIn(domain string) remaining {
-	rest := remaining{requests: n.edge.Running(domain)}
+	rest := remaining{requests: n.edge.InFlight(domain)}
 	servers := n.cluster.servers()
 	for service, m := range n.leases.Owners().Maps {
 		for _, r := range m.Ranges {
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -183,7 +183,7 @@
 func (n *Node) serversChanged() {
 	servers := n.cluster.servers()
 	n.admissions.setServers()
-	n.edge.Pool.Keep(func(id string) bool { _, there := servers[id]; return there })
+	n.edge.ConnPool.Retain(func(id string) bool { _, there := servers[id]; return there })
 }
 
 // ownersChanged wakes the requests that wait for a change of owners.
@@ -291,20 +291,20 @@
 	return r, true, changed
 }
 
-// Count implements edge.Cluster. It counts a request for the load report.
-func (n *Node) Count(service string, key uint16) { n.loadTracker.count(service, key) }
+// CountRequest implements edge.Cluster. It counts a request for the load report.
+func (n *Node) CountRequest(service string, key uint16) { n.loadTracker.count(service, key) }
 
-// Suspicious implements edge.Cluster.
-func (n *Node) Suspicious(print uint64) bool {
-	return n.suspects.Blocked(print, time.Now())
+// Quarantined implements edge.Cluster.
+func (n *Node) Quarantined(print uint64) bool {
+	return n.suspects.Quarantined(print, time.Now())
 }
 
 // crashProbeTimeout limits the check whether a server that lost a connection still accepts new ones.
 const crashProbeTimeout = 300 * time.Millisecond
 
-// Crashed implements edge.Cluster. Servers also break off single answers, so a lost connection counts as a crash only
+// ReportCrash implements edge.Cluster. Servers also break off single answers, so a lost connection counts as a crash only
 // if the server does not accept a new one.
-func (n *Node) Crashed(print uint64, s rules.Server) {
+func (n *Node) ReportCrash(print uint64, s rules.Server) {
 	go func() {
 		c, err := net.DialTimeout("tcp4", s.Address, crashProbeTimeout)
 		if err == nil {
@@ -312,13 +312,13 @@
 			return
 		}
 		n.events.Note(event.Belief, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
-		n.suspects.Lost(print, s.ID, time.Now())
+		n.suspects.RecordCrash(print, s.ID, time.Now())
 		n.broadcast(gram.CrashReport{Fingerprint: print, Server: s.ID})
 	}()
 }
 
-// Cleared implements edge.Cluster.
-func (n *Node) Cleared(print uint64) {
+// ClearSuspicion implements edge.Cluster.
+func (n *Node) ClearSuspicion(print uint64) {
 	if n.suspects.Clear(print) {
 		n.broadcast(gram.CrashReport{Fingerprint: print, Cleared: true})
 	}
@@ -330,5 +330,5 @@
 		n.suspects.Clear(m.Fingerprint)
 		return
 	}
-	n.suspects.Lost(m.Fingerprint, m.Server, time.Now())
+	n.suspects.RecordCrash(m.Fingerprint, m.Server, time.Now())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,7 +35,7 @@
 type Platform struct {
 	Store  follow.Store
 	Orders holder.Orders
-	Wire   edge.Wire
+	Wire   edge.HeaderCodec
 	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
 	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
 	// the configuration in its topic.
@@ -70,13 +70,13 @@
 	loadTracker *loadTracker
 	leases      *holder.Holder
 	edge        *edge.Edge
-	suspects    *edge.Suspects
+	suspects    *edge.CrashTracker
 	meters      *edge.Meters
 	inlet       *inlet.Server
 	// storeCalls counts appends by topic and kind of record, and reads by topic and reason.
 	storeCalls *expvar.Map
 	// storeTimes records the latencies of calls to the store, except for reads that wait for new records.
-	storeTimes *edge.Times
+	storeTimes *edge.LatencyHistograms
 	// incarnation is drawn at random at each start of the process.
 	incarnation uint64
 	// updates takes the updates of all watches. readRequests, by topic, asks a watch for a read at once;
@@ -123,8 +123,8 @@
 	n := &Node{
 		settings: settings, platform: platform, events: events, port: port,
 		roster: roster.New(settings.Name, settings.Domain),
-		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
-		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewTimes(),
+		meters: edge.NewMeters(), suspects: edge.NewCrashTracker(), incarnation: rand.Uint64() | 1,
+		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewLatencyHistograms(),
 		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{}, broadcasts: map[string]chan follow.Update{},
 		lag: map[string]*lagDetector{}, completedMoves: make(chan gram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
@@ -153,11 +153,11 @@
 	})
 	n.cluster.owners = n.leases.Owners
 	n.watches = n.newWatches()
-	budget := edge.NewBudget(settings.Bounds.RetryRatio,
+	budget := edge.NewRetryBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Wire: platform.Wire, World: n, Permits: n.admissions, Pool: edge.NewPool(n.connections), Budget: budget,
+		Codec: platform.Wire, Cluster: n, Admitter: n.admissions, ConnPool: edge.NewConnPool(n.connections), RetryBudget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -17,7 +17,7 @@
 type instrumentedStore struct {
 	follow.Store
 	calls  *expvar.Map
-	times  *edge.Times
+	times  *edge.LatencyHistograms
 	events *event.Log
 }
 
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -11,83 +11,85 @@
 	"time"
 )
 
-// The sizes of a connection's buffers. A request whose head and body fit goes out in one
-// write.
+// The sizes of a connection's buffers in bytes. A request that fits the write buffer is sent in a
+// single write.
 const (
-	readBuffer  = 8 << 10
-	writeBuffer = 8 << 10
+	readBufferSize  = 8 << 10
+	writeBufferSize = 8 << 10
 )
 
-// errHead is returned when the head of an answer is larger than headBytes.
-var errHead = errors.New("upstr: head of the answer too large")
+// errHeadTooLarge is the error of a response head of more than maxHeadBytes.
+var errHeadTooLarge = errors.New("upstr: response head too large")
 
-// past is a deadline that ends all reading and writing.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that interrupts all reads and writes.
+var pastDeadline = time.Unix(1, 0)
 
-// conn is a connection to a backend server. It carries one request at a time, and belongs to
-// the goroutine that carries it.
+// conn is a connection to a backend server. It carries one attempt at a time and belongs to it; only
+// interrupt may be called by other goroutines at any time.
 type conn struct {
 	net.Conn
-	server *Server
+	client *Client
 	peeker *peeker
 	in     *bufio.Reader
 	out    *bufio.Writer
-	// idleSince is when the connection last had nothing to do.
+	// idleSince is when the connection last became idle.
 	idleSince time.Time
-	// reused says that the connection carried a request before the present one.
+	// reused says that the connection carried another request before the current one.
 	reused bool
-	// wrote says that bytes of the present request may have left.
-	wrote bool
-	// writeDeadline is the deadline of writing, zero for none.
+	// mayHaveWritten says that bytes of the current request may have been sent.
+	mayHaveWritten bool
+	// writeDeadline is the write deadline that is set; zero for none.
 	writeDeadline time.Time
-	// headLeft is the number of bytes that the head of the answer may still have; negative
+	// headRemaining is the number of bytes that the head of the response may still have; negative
 	// while the body is read.
-	headLeft int
+	headRemaining int
 
-	// mu guards what follows. Serial is that of the present request, zero from when its fate
-	// is known: from then on it cannot be interrupted. Interrupted says that it was.
-	mu          sync.Mutex
-	serial      uint64
+	mu sync.Mutex
+	// serial is the number of the current attempt, or zero if it must not be interrupted because
+	// its outcome is known.
+	serial uint64
+	// interrupted says that the current attempt was interrupted.
 	interrupted bool
 }
 
-func newConn(raw net.Conn, s *Server) *conn {
-	c := &conn{Conn: raw, server: s, peeker: newPeeker(raw)}
-	c.in = bufio.NewReaderSize(c, readBuffer)
-	c.out = bufio.NewWriterSize(c, writeBuffer)
+// newConn returns a connection of a client that carries no attempt yet.
+func newConn(raw net.Conn, cl *Client) *conn {
+	c := &conn{Conn: raw, client: cl, peeker: newPeeker(raw)}
+	c.in = bufio.NewReaderSize(c, readBufferSize)
+	c.out = bufio.NewWriterSize(c, writeBufferSize)
 	return c
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It returns errHeadTooLarge if the head of the response exceeds its limit.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.headLeft == 0 {
-		return 0, errHead
+	if c.headRemaining == 0 {
+		return 0, errHeadTooLarge
 	}
-	if c.headLeft > 0 && len(p) > c.headLeft {
-		p = p[:c.headLeft]
+	if c.headRemaining > 0 && len(p) > c.headRemaining {
+		p = p[:c.headRemaining]
 	}
 	n, err := c.Conn.Read(p)
-	if c.headLeft > 0 {
-		c.headLeft -= n
+	if c.headRemaining > 0 {
+		c.headRemaining -= n
 	}
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It sets mayHaveWritten unless it fails without writing a byte.
 func (c *conn) Write(p []byte) (int, error) {
-	before := c.wrote
-	c.wrote = true
+	previous := c.mayHaveWritten
+	c.mayHaveWritten = true
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
-		c.wrote = before
+		c.mayHaveWritten = previous
 	}
 	return n, err
 }
 
-// begin prepares the connection for a request.
+// begin prepares the connection for an attempt.
 func (c *conn) begin(serial uint64, deadline time.Time) {
-	c.wrote = false
-	c.headLeft = headBytes
+	c.mayHaveWritten = false
+	c.headRemaining = maxHeadBytes
 	if deadline != c.writeDeadline {
 		c.writeDeadline = deadline
 		_ = c.SetWriteDeadline(deadline)
@@ -97,27 +99,28 @@
 	c.mu.Unlock()
 }
 
-// settle says that the request's fate is known.
-func (c *conn) settle() {
+// ignoreInterrupts makes later interrupts of the current attempt have no effect. It is called when
+// the outcome of the attempt is known.
+func (c *conn) ignoreInterrupts() {
 	c.mu.Lock()
 	c.serial = 0
 	c.mu.Unlock()
 }
 
-// interrupt ends the reading and writing of a request. It does nothing if the connection
-// carries another one by now.
+// interrupt makes the reads and writes of an attempt fail. It does nothing if the connection
+// carries another attempt by now.
 func (c *conn) interrupt(serial uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.serial == serial {
 		c.interrupted = true
-		c.writeDeadline = past
-		_ = c.SetDeadline(past)
+		c.writeDeadline = pastDeadline
+		_ = c.SetDeadline(pastDeadline)
 	}
 }
 
-// await sets the deadline of reading, unless the request was interrupted.
-func (c *conn) await(t time.Time) {
+// setReadDeadline sets the read deadline, unless the current attempt was interrupted.
+func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.interrupted {
@@ -125,95 +128,98 @@
 	}
 }
 
-// hasHead reports whether the whole head of the answer is in memory.
+// hasHead reports whether the head of the response has been received completely.
 func (c *conn) hasHead() bool {
 	head, _ := c.in.Peek(c.in.Buffered())
 	return bytes.Contains(head, []byte("\r\n\r\n"))
 }
 
-// awaitHead reads the head of the answer, leaving out informational ones.
-func (c *conn) awaitHead(r *http.Request) (*http.Response, error) {
+// readHead reads the head of the response. It skips informational responses (status 1xx).
+func (c *conn) readHead(r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.in, r)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode >= http.StatusOK {
-			c.headLeft = -1
+			c.headRemaining = -1
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("upstr: protocol switched unasked")
+			return nil, errors.New("upstr: unexpected status 101 Switching Protocols")
 		}
 	}
 }
 
-// withdraw takes leave of a server that may still run the request, and calls done when it has
-// dropped it. Only the sending side is closed: the server takes that as a cancellation, and
-// closes the connection when it has dropped the work. If the connection went silent even
-// that is left out, to hear whether the server was only slow.
-func (c *conn) withdraw(s *sending) {
-	c.settle()
-	if c.server.settings.Abrupt {
-		c.end()
-		s.done(true)
+// cancelRequest cancels an attempt whose request the server may still be running, and calls done
+// when the server has dropped it.
+//
+// Only the sending side of the connection is closed. The server takes that as a cancellation, and
+// closes the connection when it has dropped the request. With Settings.CancelByFullClose the whole
+// connection is closed, and done is called at once. If the connection went silent it is left open
+// in both directions, so that a late response shows that the server was only slow.
+func (c *conn) cancelRequest(a *attempt) {
+	c.ignoreInterrupts()
+	if c.client.settings.CancelByFullClose {
+		c.discard()
+		a.done(true)
 		return
 	}
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !s.silent {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && !a.connSilent {
 		_ = half.CloseWrite()
 	}
-	go c.linger(s)
+	go c.awaitServerClose(a)
 }
 
-// linger reads until the server closes the connection, or until the request's time is over
-// if it does not, and then calls done.
+// awaitServerClose reads until the server closes the connection or the drop deadline of the attempt
+// has passed, and then calls done.
 //
-// A timeout in the kernel ends the connection but proves nothing: the server may run on at
-// the other end of a connection that went silent. Then the request ends with its time.
-func (c *conn) linger(s *sending) {
-	defer s.done(true)
-	_ = c.SetReadDeadline(s.until)
-	var scrap [4 << 10]byte
+// If the kernel ends the connection because of a timeout, the server may still be running the
+// request at the other end of a silent connection. So done is called at the drop deadline then.
+func (c *conn) awaitServerClose(a *attempt) {
+	defer a.done(true)
+	_ = c.SetReadDeadline(a.dropDeadline)
+	var discarded [4 << 10]byte
 	for {
-		n, err := c.Conn.Read(scrap[:])
+		n, err := c.Conn.Read(discarded[:])
 		if n > 0 {
-			c.server.observe(time.Since(s.began))
+			c.client.observeLatency(time.Since(a.startedAt))
 		}
 		if err == nil {
 			continue
 		}
-		c.end()
-		var failure net.Error
-		if errors.As(err, &failure) && failure.Timeout() {
-			time.Sleep(time.Until(s.until))
+		c.discard()
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
+			time.Sleep(time.Until(a.dropDeadline))
 		}
 		return
 	}
 }
 
-// end closes the connection.
-func (c *conn) end() {
+// discard closes the connection and removes it from its client.
+func (c *conn) discard() {
 	_ = c.Close()
-	c.server.forget(c)
+	c.client.removeConn(c)
 }
 
-// body is the body of an answer.
-type body struct {
+// responseBody is the body of a response. It gives the connection back when it has been read.
+type responseBody struct {
 	io.ReadCloser
 	conn    *conn
-	sending *sending
-	// keep says that the connection may carry another request afterwards.
-	keep  bool
-	ended bool
+	attempt *attempt
+	// reusable says that neither the request nor the response asks for the connection to be closed.
+	reusable bool
+	ended    bool
 }
 
-// Read implements io.Reader. At the end of the body the server is done.
-func (b *body) Read(p []byte) (int, error) {
+// Read implements io.Reader. At the end of the body the server is done with the request.
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
 	if b.conn.in.Buffered() == 0 {
-		b.conn.await(time.Now().Add(stall))
+		b.conn.setReadDeadline(time.Now().Add(bodyReadTimeout))
 	}
 	n, err := b.ReadCloser.Read(p)
 	if err == nil {
@@ -223,31 +229,31 @@
 		b.finish()
 		return n, io.EOF
 	}
-	return n, b.conn.server.failure(b.sending, err)
+	return n, b.conn.client.classifyError(b.attempt, err)
 }
 
 // Close implements io.Closer. Before the end of the body it cancels the request.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	if !b.ended {
 		b.ended = true
-		b.sending.stop()
-		b.conn.withdraw(b.sending)
+		b.attempt.stopContextWatch()
+		b.conn.cancelRequest(b.attempt)
 	}
 	return nil
 }
 
-// finish gives the connection back after the whole answer.
+// finish gives the connection back after a complete response, and calls done.
 //
-// Bytes beyond the answer would become the answer to the next request, which may be another
-// caller's. A connection with any is closed.
-func (b *body) finish() {
+// A connection with surplus bytes is closed instead: they would be taken for the response to the
+// next request, which may be of another caller.
+func (b *responseBody) finish() {
 	b.ended = true
-	b.sending.stop()
-	b.conn.settle()
-	if b.keep && b.conn.in.Buffered() == 0 && b.sending.written() {
-		b.conn.server.put(b.conn)
+	b.attempt.stopContextWatch()
+	b.conn.ignoreInterrupts()
+	if b.reusable && b.conn.in.Buffered() == 0 && b.attempt.writtenWhole() {
+		b.conn.client.putIdle(b.conn)
 	} else {
-		b.conn.end()
+		b.conn.discard()
 	}
-	b.sending.done(true)
+	b.attempt.done(true)
 }
--- a/internal/upstr/script_test.go
+++ b/internal/upstr/script_test.go
@@ -10,23 +10,24 @@
 	"testing"
 )
 
-// script is a server whose behaviour on each connection is written out.
-type script struct {
+// scriptedServer is a server that handles each connection with a function of the test.
+type scriptedServer struct {
 	net.Listener
-	// asked counts the requests that were read.
-	asked atomic.Int32
-	mu    sync.Mutex
-	conns []net.Conn
+	// requests is the number of requests that have been read.
+	requests atomic.Int32
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
-// play starts a script; handle gets the connection's number from 0.
-func play(t *testing.T, handle func(s *script, number int, c net.Conn, in *bufio.Reader)) *script {
+// startScript starts a server that ends with the test. It calls handle for each connection on which
+// something is sent, with the number of the connection counted from 0.
+func startScript(t *testing.T, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{Listener: l}
+	s := &scriptedServer{Listener: l}
 	var group sync.WaitGroup
 	group.Go(func() {
 		for {
@@ -37,7 +38,7 @@
 			s.mu.Lock()
 			s.conns = append(s.conns, c)
 			s.mu.Unlock()
-			// The watch's connection sends nothing and takes no number.
+			// The monitor connection sends nothing and gets no number.
 			group.Go(func() { s.serve(c, handle) })
 		}
 	})
@@ -53,26 +54,28 @@
 	return s
 }
 
-var numbers sync.Map
+// connCounters holds the number of numbered connections of each scriptedServer.
+var connCounters sync.Map
 
-func (s *script) serve(c net.Conn, handle func(s *script, number int, c net.Conn, in *bufio.Reader)) {
+func (s *scriptedServer) serve(c net.Conn, handle func(s *scriptedServer, number int, c net.Conn, in *bufio.Reader)) {
 	in := bufio.NewReader(c)
 	if _, err := in.Peek(1); err != nil {
 		return
 	}
-	counter, _ := numbers.LoadOrStore(s, new(atomic.Int32))
+	counter, _ := connCounters.LoadOrStore(s, new(atomic.Int32))
 	handle(s, int(counter.(*atomic.Int32).Add(1))-1, c, in)
 }
 
-// read takes in one request and reports false at the connection's end.
-func (s *script) read(in *bufio.Reader) bool {
+// readRequest reads one request. It returns false at the end of the connection.
+func (s *scriptedServer) readRequest(in *bufio.Reader) bool {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return false
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	s.asked.Add(1)
+	s.requests.Add(1)
 	return true
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+// okResponse is a complete response with the body "ok".
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
