--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -114,7 +114,7 @@
 		Topic  string
 		Sender string
 		SentAt int64
-		follow.News
+		follow.PeerUpdate
 	}
 	// Settled says that ranges have come to their new owners, ahead of the record that says so.
 	Settled struct{ Ranges []SettledRange }
--- a/internal/holder/backend_test.go
+++ b/internal/holder/backend_test.go
@@ -53,7 +53,7 @@
 	openedAt clock.Instant
 }
 
-func (o *orders) Grant(ctx context.Context, to shard.Holder, g Grant, proven Proof) error {
+func (o *orders) Grant(ctx context.Context, to shard.Holder, g Grant, proven GrantCheck) error {
 	address := to.Address
 	o.world.delay()
 	if ctx.Err() != nil {
@@ -135,7 +135,7 @@
 		return ErrRefused
 	}
 	if rules.NameOf(b.ID) != rules.NameOf(to.Server) && w.guards.naming {
-		return ErrEnded
+		return ErrServerGone
 	}
 	refused := false
 	b.each(g.From, g.To, func(i int) { refused = refused || g.Fence < b.seen[i] })
@@ -190,7 +190,7 @@
 		return ErrRefused
 	}
 	if rules.NameOf(b.ID) != rules.NameOf(to.Server) && w.guards.naming {
-		return ErrEnded
+		return ErrServerGone
 	}
 	b.each(g.From, g.To, func(i int) {
 		b.seen[i] = max(b.seen[i], g.Fence)
--- a/internal/holder/grant_test.go
+++ b/internal/holder/grant_test.go
@@ -19,7 +19,7 @@
 // endedOnce is orders of which the first is ended, as by a later record.
 type endedOnce struct{ grants int }
 
-func (o *endedOnce) Grant(context.Context, shard.Holder, Grant, Proof) error {
+func (o *endedOnce) Grant(context.Context, shard.Holder, Grant, GrantCheck) error {
 	o.grants++
 	if o.grants == 1 {
 		return context.Canceled
@@ -39,7 +39,7 @@
 		defer cancel()
 		s := rules.Server{ID: "s", Service: service, Address: "a"}
 		h := New(Deps{
-			Orders: &endedOnce{}, Clock: fakeClock{start}, Events: event.New(io.Discard, log.ErrorLevel),
+			LeaseClient: &endedOnce{}, Clock: fakeClock{start}, Events: event.New(io.Discard, log.ErrorLevel),
 			Servers: func() map[string]rules.Server { return map[string]rules.Server{"s": s} },
 		})
 		h.guards = guards{}
--- a/internal/holder/hold_test.go
+++ b/internal/holder/hold_test.go
@@ -81,7 +81,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[instance].holder.Owners().Maps[service].Ranges {
+	for _, r := range w.nodes[instance].holder.View().Maps[service].Ranges {
 		if w.backends[r.Server].Domain == domain {
 			n++
 		}
@@ -134,7 +134,7 @@
 		time.Sleep(2 * time.Second)
 		owners := map[string]int{}
 		w.mu.Lock()
-		for _, r := range w.nodes["i0"].holder.Owners().Maps[service].Ranges {
+		for _, r := range w.nodes["i0"].holder.View().Maps[service].Ranges {
 			owners[r.Server] += r.Len()
 		}
 		w.mu.Unlock()
@@ -161,7 +161,7 @@
 		time.Sleep(3 * time.Second)
 		w.cutServer("server-0")
 		time.Sleep(7 * time.Second)
-		is.Equal(w.nodes["i3"].holder.Owners().End, w.nodes["i0"].holder.Owners().End)
+		is.Equal(w.nodes["i3"].holder.View().End, w.nodes["i0"].holder.View().End)
 		is.Equal(w.served(), 256)
 	})
 }
@@ -277,7 +277,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	load := make([]float64, shard.Keys)
-	m := w.nodes["i0"].holder.Owners().Maps[service]
+	m := w.nodes["i0"].holder.View().Maps[service]
 	for _, r := range m.Of(server) {
 		for key := int(r.From); key <= int(r.To); key++ {
 			load[key] = 6 / float64(r.Len())
@@ -291,7 +291,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[name].holder.Owners().Maps[service].Ranges {
+	for _, r := range w.nodes[name].holder.View().Maps[service].Ranges {
 		for _, b := range r.Before {
 			if s := w.backends[b.Server]; s != nil && s.Domain == domain {
 				n += r.Len()
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -14,7 +14,7 @@
 
 // renewer renews the grants of one server. One order is on its way at a time.
 type renewer struct {
-	holder *Holder
+	holder *Manager
 	server rules.Server
 
 	// sending holds one element while an order is on its way.
@@ -132,12 +132,12 @@
 		}
 		return nil
 	}
-	return r.holder.Orders.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
+	return r.holder.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
 }
 
 // entitled reports whether the instance may act on what it knows of the owners: it is
 // registered, and the knowledge is fresh.
-func (h *Holder) entitled() bool {
+func (h *Manager) entitled() bool {
 	if h.guards.registering && !h.know.get().registered(h.Name, h.Incarnation) {
 		return false
 	}
@@ -189,8 +189,8 @@
 		}
 		r.failures, r.fencedAt, r.renewedAt = 0, 0, time.Now()
 		return true
-	case errors.Is(err, errStale), errors.Is(err, ErrUnproven):
-		if errors.Is(err, ErrUnproven) {
+	case errors.Is(err, errStale), errors.Is(err, ErrUnverified):
+		if errors.Is(err, ErrUnverified) {
 			r.dueAt = time.Now().Add(tickEvery)
 		}
 		h.Events.Note(event.Belief, "renewal-withheld", "server", r.server.ID, "reason", err,
--- a/internal/node/beats.go
+++ b/internal/node/beats.go
@@ -132,8 +132,8 @@
 		Proven:   proven != 0 && clock.Boot{}.Now().Sub(proven) < n.pollLeader()+provenSlack,
 		Complete: complete,
 		SentAt:   int64(sentAt), KnownAge: age,
-		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.holder.Confirmed(),
-		Known: n.holder.Owners().End, StoreOK: reached.owners && reached.directory,
+		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.holder.ConfirmedOffset(),
+		Known: n.holder.View().End, StoreOK: reached.owners && reached.directory,
 		Stopping: n.stopped(), Leads: n.holder.Leads(), Config: config, Servers: servers, Failing: n.holder.Failing(),
 	}
 }
@@ -164,8 +164,8 @@
 		return
 	}
 	until := sentAt.Add(-time.Duration(b.Complete) * time.Millisecond)
-	n.topics[n.around.Config].Refresh(b.Config, until)
-	n.topics[n.around.Servers].Refresh(b.Servers, until)
+	n.topics[n.around.Config].ConfirmCurrent(b.Config, until)
+	n.topics[n.around.Servers].ConfirmCurrent(b.Servers, until)
 }
 
 // hearBeat takes in the heartbeat of another instance, and reads again what that one knows more
@@ -177,8 +177,8 @@
 	if b.Ask {
 		n.answerBeat(b.Name)
 	}
-	n.holder.Hear(b)
-	if n.compare(n.around.Owners, b.Known, n.holder.Owners().End, now) {
+	n.holder.HandleHeartbeat(b)
+	if n.compare(n.around.Owners, b.Known, n.holder.View().End, now) {
 		n.askForOwners(b.Name)
 	}
 	config, _ := n.topics[n.around.Config].Known()
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -82,7 +82,7 @@
 		is := is.New(t)
 		w := newTestWorld()
 		tell := func(whole bool, value string) {
-			u := follow.Update{Whole: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
+			u := follow.Update{Snapshot: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
 			w.putServers(u, 0, decodeLife)
 		}
 		tell(true, "ready 20 4")
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -40,24 +40,24 @@
 
 func (n *Node) take(ctx context.Context, u follow.Update) {
 	n.noteRead(u)
-	if u.Err == nil && u.BegunAt != 0 {
+	if u.Err == nil && u.StartedAt != 0 {
 		n.provenAt.Store(int64(clock.Boot{}.Now()))
 	}
 	n.resume(u)
 	switch u.Topic {
 	case n.around.Config:
 		n.takeConfig(u)
-		n.topics[u.Topic].Applied(u)
+		n.topics[u.Topic].MarkApplied(u)
 		u = n.withEvacuations(u)
 	case n.around.Servers:
 		n.noteNews(u)
 		if n.world.putServers(u, n.ageOf(u), n.around.DecodeServer) {
 			n.serversChanged()
 		}
-		n.topics[u.Topic].Applied(u)
+		n.topics[u.Topic].MarkApplied(u)
 	case n.around.Owners:
 		select {
-		case n.holder.Updates() <- u:
+		case n.holder.StoreUpdates() <- u:
 		case <-ctx.Done():
 		}
 	}
@@ -67,11 +67,11 @@
 // resume asks for the topics whose last read had no answer when another one has got its own: each is in a pause of
 // its own, and an instance may lead only if all are read.
 func (n *Node) resume(u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 {
+	if u.Err != nil || u.StartedAt == 0 {
 		return
 	}
 	for name, t := range n.topics {
-		if name != u.Topic && t.Unanswered() {
+		if name != u.Topic && t.LastReadFailed() {
 			n.readAgain(name)
 		}
 	}
@@ -91,7 +91,7 @@
 		age = n.holder.Age()
 	}
 	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
-		"records", len(u.Records), "wait", u.HeldUntil.Sub(u.BegunAt), "took", u.EndedAt.Sub(u.BegunAt),
+		"records", len(u.Records), "wait", u.WaitDeadline.Sub(u.StartedAt), "took", u.EndedAt.Sub(u.StartedAt),
 		"knowledge-age", age, "error", u.Err)
 }
 
@@ -118,10 +118,10 @@
 		return
 	}
 	from, took := "instance", time.Duration(0)
-	if u.BegunAt != 0 {
-		from, took = "store", clock.Boot{}.Now().Sub(u.BegunAt)
+	if u.StartedAt != 0 {
+		from, took = "store", clock.Boot{}.Now().Sub(u.StartedAt)
 	}
-	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Whole, "overdue", u.Overdue,
+	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Snapshot, "overdue", u.Overdue,
 		"took", took, "age", n.ageOf(u), "end", u.End)
 }
 
@@ -133,15 +133,15 @@
 // An instance that has just started does not know. Taken for new, the word of a leaving server would give that
 // server its whole time once more.
 func (n *Node) ageOf(u follow.Update) time.Duration {
-	if u.Since == 0 {
+	if u.WrittenAfter == 0 {
 		return unknownAge
 	}
-	return max(clock.Boot{}.Now().Sub(u.Since), 0)
+	return max(clock.Boot{}.Now().Sub(u.WrittenAfter), 0)
 }
 
 // hearNews takes in what another instance has read.
 func (n *Node) hearNews(m gram.News) {
-	news := m.News
+	news := m.PeerUpdate
 	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		news.SentAt = sentAt
 	}
@@ -243,7 +243,7 @@
 // hearOwners takes in a record of owners that another instance wrote.
 func (n *Node) hearOwners(m gram.Owners) {
 	select {
-	case n.holder.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
+	case n.holder.OwnerChanges() <- holder.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
 		n.readAgain(n.around.Owners)
 	}
@@ -265,7 +265,7 @@
 // Owner implements edge.World.
 func (n *Node) Owner(service string, key uint16) (shard.Range, bool, <-chan struct{}) {
 	changed := n.world.change()
-	m := n.holder.Owners().Maps[service]
+	m := n.holder.View().Maps[service]
 	if m == nil {
 		return shard.Range{}, false, changed
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 // Surroundings is what the adapter brings.
 type Surroundings struct {
 	Store  follow.Store
-	Orders holder.Orders
+	Orders holder.LeaseClient
 	Wire   edge.Wire
 	// Config, Servers and Owners are topics of the store, ConfigKey is the key of the
 	// configuration.
@@ -64,7 +64,7 @@
 	port     *gram.Port
 	permits  *permits
 	loads    *loads
-	holder   *holder.Holder
+	holder   *holder.Manager
 	edge     *edge.Edge
 	suspects *edge.Suspects
 	meters   *edge.Meters
@@ -76,7 +76,7 @@
 	incarnation uint64
 	updates     chan follow.Update
 	again       map[string]chan struct{}
-	news        map[string]chan follow.News
+	news        map[string]chan follow.PeerUpdate
 	// told holds what was read of the configuration and the directory and is to be told to the others.
 	told     map[string]chan follow.Update
 	silentMu sync.Mutex
@@ -86,7 +86,7 @@
 	settled chan gram.SettledRange
 	beatNow chan struct{}
 	beatAll chan struct{}
-	topics  map[string]*follow.Topic
+	topics  map[string]*follow.Watch
 	// provenAt is when the store last answered this instance.
 	provenAt   atomic.Int64
 	behind     map[string]*behind
@@ -113,7 +113,7 @@
 		roster: roster.New(settings.Name, settings.Domain),
 		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
 		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewTimes(),
-		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.News{}, told: map[string]chan follow.Update{},
+		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.PeerUpdate{}, told: map[string]chan follow.Update{},
 		behind: map[string]*behind{}, settled: make(chan gram.SettledRange, settledMost), beatNow: make(chan struct{}, 1), beatAll: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
 	n.around.Store = &countedStore{Store: around.Store, calls: n.calls, times: n.times, events: events}
@@ -122,7 +122,7 @@
 	for _, topic := range []string{around.Config, around.Servers, around.Owners} {
 		n.again[topic] = make(chan struct{}, 1)
 		n.behind[topic] = &behind{}
-		n.news[topic] = make(chan follow.News, newsMost)
+		n.news[topic] = make(chan follow.PeerUpdate, newsMost)
 	}
 	for _, topic := range []string{around.Config, around.Servers} {
 		n.told[topic] = make(chan follow.Update, toldMost)
@@ -130,16 +130,16 @@
 	n.loads = newLoads()
 	n.permits = newPermits(n)
 	n.holder = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.around.Store,
+		Name: settings.Name, Domain: settings.Domain, LeaseClient: around.Orders, Store: n.around.Store,
 		Topic: around.Owners, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
-		Servers: n.world.servers, Directory: n.world.published.Load, Services: n.world.divided, Target: n.world.target, Load: n.loads.load, Powers: n.loads.powers,
-		Again:        func() { n.readAgain(around.Owners) },
+		Servers: n.world.servers, DirectoryVersion: n.world.published.Load, Services: n.world.divided, TargetLatency: n.world.target, Load: n.loads.load, Capacities: n.loads.powers,
+		RereadOwners: func() { n.readAgain(around.Owners) },
 		DirectoryAge: func() time.Duration { return n.topics[around.Servers].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
-		Leading: n.leading, Tell: n.tellOwners, TellRegister: n.tellRegister, Settled: n.settledHere,
-		Changed: n.ownersChanged, Announce: n.announce,
+		EntryDelay:   entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
+		LeadershipChanged: n.leading, BroadcastOwners: n.tellOwners, BroadcastRegister: n.tellRegister, MoveCompleted: n.settledHere,
+		OwnersChanged: n.ownersChanged, Announce: n.announce,
 	})
-	n.world.owners = n.holder.Owners
+	n.world.owners = n.holder.View
 	n.topics = n.newTopics()
 	budget := edge.NewBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -35,16 +35,16 @@
 )
 
 // newTopics returns what follows the topics of the store.
-func (n *Node) newTopics() map[string]*follow.Topic {
+func (n *Node) newTopics() map[string]*follow.Watch {
 	calm := func() time.Duration { return configPause }
-	out := map[string]*follow.Topic{
-		n.around.Config:  {Direct: n.reads, Wait: n.pollWait, Settle: calm, Latest: true, Overdue: n.overdue},
-		n.around.Servers: {Direct: n.reads, Wait: n.pollWait, Settle: n.settle, Overdue: n.overdue},
-		n.around.Owners:  {Direct: n.readsOwners, Every: n.ownersEvery, Settle: calm},
+	out := map[string]*follow.Watch{
+		n.around.Config:  {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: calm, CatchUpFromSnapshot: true, MaxStaleness: n.overdue},
+		n.around.Servers: {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: n.settle, MaxStaleness: n.overdue},
+		n.around.Owners:  {ReadsStore: n.readsOwners, ReadInterval: n.ownersEvery, BatchDelay: calm},
 	}
 	for name, t := range out {
-		t.Store, t.Name, t.Clock, t.Out = n.around.Store, name, clock.Boot{}, n.updates
-		t.Again, t.News, t.Retry = n.again[name], n.news[name], n.retryPause
+		t.Store, t.Topic, t.Clock, t.Out = n.around.Store, name, clock.Boot{}, n.updates
+		t.ReadNow, t.PeerUpdates, t.RetryDelay = n.again[name], n.news[name], n.retryPause
 	}
 	return out
 }
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -74,7 +74,7 @@
 			}
 			following = true
 			close(n.registered)
-		case r.unknown && !n.topics[n.around.Owners].Unanswered():
+		case r.unknown && !n.topics[n.around.Owners].LastReadFailed():
 			n.readAgain(n.around.Owners)
 		}
 	}
--- a/internal/node/tell_test.go
+++ b/internal/node/tell_test.go
@@ -21,7 +21,7 @@
 
 // entries returns news of as many servers.
 func entries(count int) follow.Update {
-	u := follow.Update{Topic: "servers", From: 40, BegunAt: 1, Overdue: true}
+	u := follow.Update{Topic: "servers", From: 40, StartedAt: 1, Overdue: true}
 	for i := range count {
 		u.Records = append(u.Records, follow.Record{Key: fmt.Sprint(i), Value: make([]byte, 250), Offset: int64(40 + i)})
 	}
@@ -95,7 +95,7 @@
 		begun := time.Now()
 		n.updates <- directory
 		n.updates <- follow.Update{
-			Topic: "config", BegunAt: 1, Overdue: true,
+			Topic: "config", StartedAt: 1, Overdue: true,
 			Batch: follow.Batch{End: 1, Records: []follow.Record{{Key: "config", Value: []byte("1")}}},
 		}
 		for n.world.config.Load() == nil {
--- a/internal/node/world.go
+++ b/internal/node/world.go
@@ -28,7 +28,7 @@
 	directory atomic.Pointer[map[string]rules.Server]
 	// published counts how often it was replaced.
 	published atomic.Uint64
-	owners    func() *holder.Owners
+	owners    func() *holder.View
 
 	mu sync.Mutex
 	// changed is closed when owners change.
