--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -151,178 +151,180 @@
 	// directory would stay as it was, and requests go to servers that have left.
 	MaxStaleness func() time.Duration
 
-	// readUntil is the time up to which nothing is missing of what was read, zero if never.
-	readUntil atomic.Int64
-	// failed says that the last read had no answer.
-	failed atomic.Bool
+	// readCurrentAsOf is the time up to which nothing is missing of what was read, zero if never.
+	readCurrentAsOf atomic.Int64
+	// lastReadFailed says that the last read had no answer.
+	lastReadFailed atomic.Bool
 
 	// The next five belong to the goroutine of Run. Next is the offset behind what is known, missing an end that
 	// another instance knows of. Until pauseUntil this instance reads only if it is asked.
-	next       int64
-	missing    int64
+	nextOffset int64
+	peerEnd    int64
 	pauseUntil time.Time
-	// whole says that everything is to be read, reason why.
-	whole  bool
-	reason Reason
+	// needsSnapshot says that everything is to be read, reason why.
+	needsSnapshot bool
+	lastReason    Reason
 
 	// mu guards what follows: the end of what the owner of Out acts by, and the time up to which
 	// nothing is missing before that end, zero if never. They belong together: an end from before an
 	// update with a time from after it says of the update's records that they were not written.
-	mu       sync.Mutex
-	end      int64
-	complete clock.Instant
+	mu          sync.Mutex
+	appliedEnd  int64
+	appliedAsOf clock.Instant
 }
 
-// directEvery is how often an instance that does not read looks whether it should.
-const directEvery = 100 * time.Millisecond
+// checkInterval is how often an instance that does not read looks whether it should.
+const checkInterval = 100 * time.Millisecond
 
 // The times of answers of the store.
 const (
-	// answerTime is how long an answer is on its way at most while the store is calm, also to an instance
+	// maxAnswerDelay is how long an answer is on its way at most while the store is calm, also to an instance
 	// with a small part of a core.
-	answerTime = 150 * time.Millisecond
-	// heldTime is the time from which on an answer is known to have been waited for at the store.
-	heldTime = 250 * time.Millisecond
+	maxAnswerDelay = 150 * time.Millisecond
+	// minHeldTime is the time from which on an answer is known to have been waited for at the store.
+	minHeldTime = 250 * time.Millisecond
 )
 
 // Age returns how old the knowledge is that nothing is missing of what the owner of Out acts by.
-func (t *Watch) Age() time.Duration {
-	_, complete := t.Known()
-	return t.age(complete)
+func (w *Watch) Age() time.Duration {
+	_, complete := w.Known()
+	return w.staleness(complete)
 }
 
-func (t *Watch) age(complete clock.Instant) time.Duration {
+func (w *Watch) staleness(complete clock.Instant) time.Duration {
 	if complete == 0 {
 		return math.MaxInt64
 	}
-	return t.Clock.Now().Sub(complete)
+	return w.Clock.Now().Sub(complete)
 }
 
 // Known returns the end of what the owner of Out acts by, and a time up to which nothing is missing
 // before it, zero if there is none.
-func (t *Watch) Known() (end int64, complete clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.end, t.complete
+func (w *Watch) Known() (end int64, complete clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.appliedEnd, w.appliedAsOf
 }
 
 // MarkApplied takes in that the owner of Out acts by an update.
-func (t *Watch) MarkApplied(u Update) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.end = max(t.end, u.End)
-	t.complete = max(t.complete, u.CurrentAsOf)
+func (w *Watch) MarkApplied(u Update) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.appliedEnd = max(w.appliedEnd, u.End)
+	w.appliedAsOf = max(w.appliedAsOf, u.CurrentAsOf)
 }
 
 // ConfirmCurrent takes in the word of another instance that nothing was missing before an end up to a time.
 // It says nothing to who acts by less.
-func (t *Watch) ConfirmCurrent(end int64, until clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if end <= t.end {
-		t.complete = max(t.complete, until)
+func (w *Watch) ConfirmCurrent(end int64, until clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if end <= w.appliedEnd {
+		w.appliedAsOf = max(w.appliedAsOf, until)
 	}
 }
 
-// until returns the time up to which nothing is missing before the next offset to read: the news to
+// currentAsOf returns the time up to which nothing is missing before the next offset to read: the news to
 // come was written after it.
-func (t *Watch) until() clock.Instant {
-	_, complete := t.Known()
-	return max(complete, clock.Instant(t.readUntil.Load()))
+func (w *Watch) currentAsOf() clock.Instant {
+	_, complete := w.Known()
+	return max(complete, clock.Instant(w.readCurrentAsOf.Load()))
 }
 
 // LastReadFailed reports whether the last read had no answer.
-func (t *Watch) LastReadFailed() bool { return t.failed.Load() }
+func (w *Watch) LastReadFailed() bool { return w.lastReadFailed.Load() }
 
-// overdue reports whether this instance should read although others do.
-func (t *Watch) overdue() bool { return t.MaxStaleness != nil && t.age(t.until()) > t.MaxStaleness() }
+// isOverdue reports whether this instance should read although others do.
+func (w *Watch) isOverdue() bool {
+	return w.MaxStaleness != nil && w.staleness(w.currentAsOf()) > w.MaxStaleness()
+}
 
 // Run follows the topic until the context ends.
-func (t *Watch) Run(ctx context.Context) error {
-	t.whole = true
+func (w *Watch) Run(ctx context.Context) error {
+	w.needsSnapshot = true
 	for reason := ReasonStarted; ; {
-		u, done := t.readOnce(ctx, reason)
+		u, done := w.readOnce(ctx, reason)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case !done:
 		case errors.Is(u.Err, ErrExpired):
-			t.whole, reason = true, ReasonExpired
+			w.needsSnapshot, reason = true, ReasonExpired
 			continue
 		default:
-			t.finish(ctx, u)
+			w.finishRead(ctx, u)
 		}
-		if reason = t.await(ctx); ctx.Err() != nil {
+		if reason = w.awaitReadDue(ctx); ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// finish passes on how a read ended, and sets the pause before the next one.
-func (t *Watch) finish(ctx context.Context, u Update) {
-	t.failed.Store(u.Err != nil)
+// finishRead passes on how a read ended, and sets the pause before the next one.
+func (w *Watch) finishRead(ctx context.Context, u Update) {
+	w.lastReadFailed.Store(u.Err != nil)
 	if u.Err != nil {
-		t.emit(ctx, u)
-		t.pause(t.RetryDelay())
+		w.emit(ctx, u)
+		w.pauseFor(w.RetryDelay())
 		return
 	}
-	u = t.rebase(u)
-	t.emit(ctx, u)
-	t.next, t.whole = u.End, false
-	t.pause(t.pauseAfter(u))
+	u = w.dropKnown(u)
+	w.emit(ctx, u)
+	w.nextOffset, w.needsSnapshot = u.End, false
+	w.pauseFor(w.pauseAfter(u))
 }
 
 // pauseAfter returns the pause after a read that was answered.
-func (t *Watch) pauseAfter(u Update) time.Duration {
+func (w *Watch) pauseAfter(u Update) time.Duration {
 	pause := time.Duration(0)
 	if u.CurrentAsOf == 0 {
 		// The answer was cut short.
 		return pause
 	}
 	if len(u.Records) > 0 {
-		pause += t.BatchDelay()
+		pause += w.BatchDelay()
 	}
-	if t.ReadInterval != nil {
-		pause += t.ReadInterval()
+	if w.ReadInterval != nil {
+		pause += w.ReadInterval()
 	}
 	return pause
 }
 
-func (t *Watch) pause(d time.Duration) { t.pauseUntil = time.Now().Add(d) }
+func (w *Watch) pauseFor(d time.Duration) { w.pauseUntil = time.Now().Add(d) }
 
-// rebase leaves out of a read what news brought in while the read was in progress.
-func (t *Watch) rebase(u Update) Update {
-	if u.Snapshot && u.End >= t.next {
+// dropKnown leaves out of a read what news brought in while the read was in progress.
+func (w *Watch) dropKnown(u Update) Update {
+	if u.Snapshot && u.End >= w.nextOffset {
 		return u
 	}
 	u.Snapshot = false
-	u.Records = slices.DeleteFunc(u.Records, func(r Record) bool { return r.Offset < t.next })
-	u.End = max(u.End, t.next)
+	u.Records = slices.DeleteFunc(u.Records, func(r Record) bool { return r.Offset < w.nextOffset })
+	u.End = max(u.End, w.nextOffset)
 	return u
 }
 
-func (t *Watch) emit(ctx context.Context, u Update) bool {
+func (w *Watch) emit(ctx context.Context, u Update) bool {
 	select {
-	case t.Out <- u:
+	case w.Out <- u:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// await takes in news until a read is due, and returns why it is.
-func (t *Watch) await(ctx context.Context) Reason {
+// awaitReadDue takes in news until a read is due, and returns why it is.
+func (w *Watch) awaitReadDue(ctx context.Context) Reason {
 	for ctx.Err() == nil {
-		if reason, due := t.due(); due {
+		if reason, due := w.readDue(); due {
 			return reason
 		}
-		timer := time.NewTimer(t.untilDue())
+		timer := time.NewTimer(w.timeToCheck())
 		select {
-		case n := <-t.PeerUpdates:
-			t.take(ctx, n)
-		case <-t.ReadNow:
+		case n := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, n)
+		case <-w.ReadNow:
 			timer.Stop()
-			return t.ask(ReasonBehind)
+			return w.requestedRead(ReasonBehind)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -331,55 +333,55 @@
 	return ""
 }
 
-// untilDue returns the time to the next look whether a read is due.
-func (t *Watch) untilDue() time.Duration {
-	if left := time.Until(t.pauseUntil); left > 0 && left < directEvery {
+// timeToCheck returns the time to the next look whether a read is due.
+func (w *Watch) timeToCheck() time.Duration {
+	if left := time.Until(w.pauseUntil); left > 0 && left < checkInterval {
 		return left
 	}
-	return directEvery
+	return checkInterval
 }
 
-// due reports whether and why this instance should read without being asked.
-func (t *Watch) due() (Reason, bool) {
+// readDue reports whether and why this instance should read without being asked.
+func (w *Watch) readDue() (Reason, bool) {
 	switch {
-	case time.Now().Before(t.pauseUntil):
+	case time.Now().Before(w.pauseUntil):
 		return "", false
-	case t.whole:
-		return t.reason, true
-	case t.ReadsStore():
+	case w.needsSnapshot:
+		return w.lastReason, true
+	case w.ReadsStore():
 		return ReasonReader, true
-	case t.missing > t.next:
-		return t.ask(ReasonGap), true
-	case t.overdue():
+	case w.peerEnd > w.nextOffset:
+		return w.requestedRead(ReasonGap), true
+	case w.isOverdue():
 		return ReasonOverdue, true
 	}
 	return "", false
 }
 
-// ask returns the reason of a read that another instance gives rise to.
-func (t *Watch) ask(reason Reason) Reason {
-	if t.ReadsStore() {
+// requestedRead returns the reason of a read that another instance gives rise to.
+func (w *Watch) requestedRead(reason Reason) Reason {
+	if w.ReadsStore() {
 		return ReasonReader
 	}
-	t.whole = t.whole || t.CatchUpFromSnapshot
+	w.needsSnapshot = w.needsSnapshot || w.CatchUpFromSnapshot
 	return reason
 }
 
-// take takes in what another instance read, or notes that a part before it is missing: then a pause is over, since
+// applyPeerUpdate takes in what another instance read, or notes that a part before it is missing: then a pause is over, since
 // the store has answered that one.
 //
 // Its receipt proves nothing: what was written while it was on its way is not in it. Dated by receipt,
 // it would make instances tell one another that nothing is missing while it is, and the words of servers
 // that leave, read later, seem younger than they are.
-func (t *Watch) take(ctx context.Context, n PeerUpdate) {
-	if n.End <= t.next {
+func (w *Watch) applyPeerUpdate(ctx context.Context, n PeerUpdate) {
+	if n.End <= w.nextOffset {
 		return
 	}
-	if n.From > t.next {
-		t.missing, t.pauseUntil = max(t.missing, n.End), time.Time{}
+	if n.From > w.nextOffset {
+		w.peerEnd, w.pauseUntil = max(w.peerEnd, n.End), time.Time{}
 		return
 	}
-	u := Update{Topic: t.Topic, Batch: Batch{End: n.End}, WrittenAfter: t.until(), Snapshot: n.Snapshot}
+	u := Update{Topic: w.Topic, Batch: Batch{End: n.End}, WrittenAfter: w.currentAsOf(), Snapshot: n.Snapshot}
 	if n.SentAt != 0 {
 		u.WrittenAfter = max(u.WrittenAfter, n.SentAt.Add(-time.Duration(n.RecordAge)*time.Millisecond))
 	}
@@ -387,13 +389,13 @@
 		u.CurrentAsOf = n.SentAt.Add(-time.Duration(n.Staleness) * time.Millisecond)
 	}
 	for _, r := range n.Records {
-		if r.Offset >= t.next || n.Snapshot {
+		if r.Offset >= w.nextOffset || n.Snapshot {
 			u.Records = append(u.Records, r)
 		}
 	}
-	if t.emit(ctx, u) {
-		t.next = n.End
-		t.readUntil.Store(max(t.readUntil.Load(), int64(u.CurrentAsOf)))
+	if w.emit(ctx, u) {
+		w.nextOffset = n.End
+		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(u.CurrentAsOf)))
 	}
 }
 
@@ -402,31 +404,31 @@
 //
 // A read that waits for news ends when a peer knows more, or when the word that nothing is missing is overdue: its
 // answer may be lost.
-func (t *Watch) readOnce(ctx context.Context, reason Reason) (Update, bool) {
+func (w *Watch) readOnce(ctx context.Context, reason Reason) (Update, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t.reason = reason
-	u := Update{Topic: t.Topic, Reason: reason, StartedAt: t.Clock.Now(), From: t.next, Snapshot: t.whole, Overdue: t.overdue()}
+	w.lastReason = reason
+	u := Update{Topic: w.Topic, Reason: reason, StartedAt: w.Clock.Now(), From: w.nextOffset, Snapshot: w.needsSnapshot, Overdue: w.isOverdue()}
 	wait, again := time.Duration(0), (<-chan struct{})(nil)
-	waits := t.ReadInterval == nil && t.ReadsStore() && !u.Snapshot && !u.Overdue
+	waits := w.ReadInterval == nil && w.ReadsStore() && !u.Snapshot && !u.Overdue
 	if waits {
-		wait, again = t.PollTimeout(), t.ReadNow
+		wait, again = w.PollTimeout(), w.ReadNow
 	}
 	u.WaitDeadline = u.StartedAt.Add(wait)
 	ended := make(chan Update, 1)
-	go func() { ended <- t.read(ctx, u, wait) }()
-	ticker := time.NewTicker(directEvery)
+	go func() { ended <- w.read(ctx, u, wait) }()
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case u := <-ended:
 			return u, true
-		case n := <-t.PeerUpdates:
-			t.take(ctx, n)
+		case n := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, n)
 			continue
 		case <-again:
 		case <-ticker.C:
-			if !waits || !t.overdue() {
+			if !waits || !w.isOverdue() {
 				continue
 			}
 		}
@@ -437,13 +439,13 @@
 }
 
 // read carries out a read, and dates what it brings.
-func (t *Watch) read(ctx context.Context, u Update, wait time.Duration) Update {
+func (w *Watch) read(ctx context.Context, u Update, wait time.Duration) Update {
 	if u.Snapshot {
-		u.Batch, u.Err = t.Store.Newest(ctx, t.Topic)
+		u.Batch, u.Err = w.Store.Newest(ctx, w.Topic)
 	} else {
-		u.Batch, u.Err = t.Store.Read(ctx, t.Topic, u.From, wait)
+		u.Batch, u.Err = w.Store.Read(ctx, w.Topic, u.From, wait)
 	}
-	u.EndedAt = t.Clock.Now()
+	u.EndedAt = w.Clock.Now()
 	if u.Err != nil {
 		return u
 	}
@@ -457,30 +459,30 @@
 		}
 		reachesEnd = u.End >= end
 	}
-	t.date(&u, wait, reachesEnd)
+	w.setTimes(&u, wait, reachesEnd)
 	return u
 }
 
-// date notes since when the records of an update may have been there, and, if the update reaches the
+// setTimes notes since when the records of an update may have been there, and, if the update reaches the
 // end of the topic, up to when nothing is missing. Wait is how long the store was to wait for news.
 //
 // An answer says what was there when it was made. It may have been made as soon as the read began,
 // unless it took so long that the store must have held it.
-func (t *Watch) date(u *Update, wait time.Duration, reachesEnd bool) {
+func (w *Watch) setTimes(u *Update, wait time.Duration, reachesEnd bool) {
 	now := u.EndedAt
 	took := now.Sub(u.StartedAt)
-	u.WrittenAfter = t.until()
+	u.WrittenAfter = w.currentAsOf()
 	madeAt := u.StartedAt
 	switch {
-	case wait == 0 || took < heldTime:
+	case wait == 0 || took < minHeldTime:
 	case len(u.Records) > 0:
-		madeAt = now.Add(-answerTime)
+		madeAt = now.Add(-maxAnswerDelay)
 		u.WrittenAfter = max(u.WrittenAfter, madeAt)
 	case took >= wait:
 		madeAt = u.StartedAt.Add(wait)
 	}
 	if reachesEnd {
 		u.CurrentAsOf = madeAt
-		t.readUntil.Store(max(t.readUntil.Load(), int64(madeAt)))
+		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(madeAt)))
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,39 +13,41 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// store is a topic whose reads may hang, fail or have expired.
-type store struct {
-	mu      sync.Mutex
-	records []follow.Record
-	hang    bool
-	expired bool
-	reads   int
-	whole   int
+// fakeStore is a topic whose reads may hang, fail or have expired.
+type fakeStore struct {
+	mu        sync.Mutex
+	records   []follow.Record
+	hang      bool
+	expired   bool
+	reads     int
+	snapshots int
 }
 
-func (s *store) put(key, value string) {
+func (s *fakeStore) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = append(s.records, follow.Record{Key: key, Value: []byte(value), Offset: int64(len(s.records))})
 }
 
-func (s *store) set(do func()) {
+func (s *fakeStore) set(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 }
 
-func (s *store) Append(context.Context, string, string, []byte, int64) (int64, error) { return 0, nil }
+func (s *fakeStore) Append(context.Context, string, string, []byte, int64) (int64, error) {
+	return 0, nil
+}
 
-func (s *store) Newest(context.Context, string) (follow.Batch, error) {
+func (s *fakeStore) Newest(context.Context, string) (follow.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole++
+	s.snapshots++
 	s.expired = false
 	return s.newest(), nil
 }
 
-func (s *store) newest() follow.Batch {
+func (s *fakeStore) newest() follow.Batch {
 	last := map[string]int{}
 	for i, r := range s.records {
 		last[r.Key] = i
@@ -59,7 +61,7 @@
 	return b
 }
 
-func (s *store) Read(ctx context.Context, _ string, from int64, wait time.Duration) (follow.Batch, error) {
+func (s *fakeStore) Read(ctx context.Context, _ string, from int64, wait time.Duration) (follow.Batch, error) {
 	deadline := time.Now().Add(wait)
 	s.set(func() { s.reads++ })
 	hung := false
@@ -84,21 +86,21 @@
 	}
 }
 
-// running is a clock that goes on with the time of the test.
-type running struct{}
+// testClock is a clock that goes on with the time of the test.
+type testClock struct{}
 
-func (running) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
+func (testClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() clock.Instant { return 1 }
+func (fixedClock) Now() clock.Instant { return 1 }
 
-// watch runs a topic and returns what it says, in order. All of it is acted by at once.
-func watch(t *testing.T, topic *follow.Watch) <-chan follow.Update {
+// runWatch runs a topic and returns what it says, in order. All of it is acted by at once.
+func runWatch(t *testing.T, topic *follow.Watch) <-chan follow.Update {
 	said, out := make(chan follow.Update), make(chan follow.Update, 64)
 	topic.Topic, topic.Out = "topic", said
 	if topic.Clock == nil {
-		topic.Clock = still{}
+		topic.Clock = fixedClock{}
 	}
 	if topic.BatchDelay == nil {
 		topic.BatchDelay = func() time.Duration { return 0 }
@@ -143,10 +145,10 @@
 func TestHungRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
 		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: again})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: again})
 		is.Equal(string((<-out).Records[0].Value), "1")
 		s.set(func() { s.hang = true })
 		time.Sleep(time.Second)
@@ -162,9 +164,9 @@
 func TestExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: always})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always})
 		<-out
 		s.set(func() { s.expired = true })
 		s.put("b", "2")
@@ -175,13 +177,13 @@
 }
 
 // Most instances must not read the store: they hear of news, and read only what they miss.
-func TestNewsInsteadOfReads(t *testing.T) {
+func TestPeerUpdatesReplaceReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
 		news := make(chan follow.PeerUpdate, 4)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
 		<-out
 		record := func(offset int64) follow.Record { return follow.Record{Key: "a", Value: []byte("x"), Offset: offset} }
 		s.put("a", "1")
@@ -201,13 +203,13 @@
 }
 
 // Guards against news of all there is that leaves out what was known before: it would seem to be gone.
-func TestNewsOfAllKeepsWhatIsKnown(t *testing.T) {
+func TestPeerSnapshotKeepsKnownRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
 		news := make(chan follow.PeerUpdate, 4)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
 		<-out
 		all := []follow.Record{{Key: "a", Value: []byte("0"), Offset: 0}, {Key: "b", Value: []byte("1"), Offset: 2}}
 		news <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all, End: 3}}
@@ -223,13 +225,13 @@
 // A configuration with 1,400 routes was too large to be passed on in a message. The others learnt
 // of it from the second heartbeat that named it, half a second later. Word without the records
 // makes them read at once.
-func TestNewsWithoutRecords(t *testing.T) {
+func TestPeerUpdateWithoutRecordsCausesRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
 		news := make(chan follow.PeerUpdate, 4)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: news})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: news})
 		<-out
 		s.put("config", "2")
 		began := time.Now()
@@ -245,13 +247,13 @@
 
 // An instance on a thin link read twenty versions of a large configuration to come to the last
 // one, ran out of time, and began anew, for five seconds.
-func TestLatest(t *testing.T) {
+func TestCatchUpFromSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
 		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: again})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: again})
 		<-out
 		for range 20 {
 			s.put("config", "n")
@@ -265,7 +267,7 @@
 // Four of eleven instances were cut off from the store, the leader and all that read for the
 // others among them. The others went on with what they knew for 2.1 seconds: they wait for news,
 // and took the silence for calm.
-func TestReadsWhenWordIsOverdue(t *testing.T) {
+func TestReadsWhenOverdue(t *testing.T) {
 	overdue := func() time.Duration { return 1200 * time.Millisecond }
 	tests := map[string]struct {
 		direct func() bool
@@ -281,10 +283,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &store{}
+				s := &fakeStore{}
 				s.put("a", "1")
-				topic := &follow.Watch{Store: s, ReadsStore: test.direct, Clock: running{}, MaxStaleness: overdue}
-				out := watch(t, topic)
+				topic := &follow.Watch{Store: s, ReadsStore: test.direct, Clock: testClock{}, MaxStaleness: overdue}
+				out := runWatch(t, topic)
 				<-out
 				began := time.Now()
 				s.set(func() { s.hang = true })
@@ -293,7 +295,7 @@
 				time.AfterFunc(500*time.Millisecond, func() { s.set(func() { s.hang = false }) })
 				for len(out) == 0 && time.Since(began) < 10*time.Second {
 					if test.refreshed {
-						topic.ConfirmCurrent(1, running{}.Now().Add(-100*time.Millisecond))
+						topic.ConfirmCurrent(1, testClock{}.Now().Add(-100*time.Millisecond))
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -314,10 +316,10 @@
 func TestOverdueReadsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Watch{
-			Store: &failing{store: s}, ReadsStore: never, Clock: running{},
+		out := runWatch(t, &follow.Watch{
+			Store: &failingStore{fakeStore: s}, ReadsStore: never, Clock: testClock{},
 			MaxStaleness: func() time.Duration { return time.Second },
 		})
 		<-out
@@ -326,10 +328,10 @@
 	})
 }
 
-// failing is a store that can be read as a whole only.
-type failing struct{ *store }
+// failingStore is a store that can be read as a whole only.
+type failingStore struct{ *fakeStore }
 
-func (*failing) Read(context.Context, string, int64, time.Duration) (follow.Batch, error) {
+func (*failingStore) Read(context.Context, string, int64, time.Duration) (follow.Batch, error) {
 	return follow.Batch{}, follow.ErrNotDone
 }
 
@@ -338,14 +340,14 @@
 func TestSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: running{}})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: testClock{}})
 		<-out
 		time.Sleep(5 * time.Second)
 		s.put("a", "2")
 		u := <-out
-		is.True(running{}.Now().Sub(u.WrittenAfter) <= 150*time.Millisecond)
+		is.True(testClock{}.Now().Sub(u.WrittenAfter) <= 150*time.Millisecond)
 		is.True(!u.Overdue)
 	})
 }
@@ -355,25 +357,25 @@
 // told the others, that nothing written before the message came was missing. So the words of the
 // rest, read 0.7 seconds later, seemed 170 ms younger than they were, and requests reached servers
 // beyond their time. A log of all instances showed it: 0.785 seconds passed, an age of 0.630 was told.
-func TestNewsUnderWayProvesNothing(t *testing.T) {
+func TestPeerUpdateIsNotDatedByReceipt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
 		news := make(chan follow.PeerUpdate, 1)
 		again := make(chan struct{}, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, ReadNow: again, Clock: running{}}
-		out := watch(t, topic)
+		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, ReadNow: again, Clock: testClock{}}
+		out := runWatch(t, topic)
 		<-out
 		time.Sleep(time.Second)
-		written := running{}.Now()
+		written := testClock{}.Now()
 		s.put("a", "leaves")
 		s.put("b", "leaves")
 		time.Sleep(170 * time.Millisecond)
 		news <- follow.PeerUpdate{From: 1, RecordAge: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
 		<-out
 		synctest.Wait()
-		is.True(topic.Age() >= running{}.Now().Sub(written)) // the word of b is missing since then
+		is.True(topic.Age() >= testClock{}.Now().Sub(written)) // the word of b is missing since then
 		time.Sleep(700 * time.Millisecond)
 		again <- struct{}{}
 		u := <-out
@@ -383,18 +385,18 @@
 }
 
 // The same with an echo that bounds when the message was sent: its words are as old as they are, not older.
-func TestNewsIsDatedByItsSending(t *testing.T) {
+func TestPeerUpdateIsDatedBySendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
 		news := make(chan follow.PeerUpdate, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, Clock: running{}}
-		out := watch(t, topic)
+		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, Clock: testClock{}}
+		out := runWatch(t, topic)
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "leaves")
-		sentAt := running{}.Now().Add(20 * time.Millisecond)
+		sentAt := testClock{}.Now().Add(20 * time.Millisecond)
 		time.Sleep(170 * time.Millisecond)
 		news <- follow.PeerUpdate{
 			From: 1, RecordAge: 20, Staleness: 5, SentAt: sentAt,
@@ -402,45 +404,45 @@
 		}
 		u := <-out
 		synctest.Wait()
-		is.Equal(running{}.Now().Sub(u.WrittenAfter), 170*time.Millisecond)
+		is.Equal(testClock{}.Now().Sub(u.WrittenAfter), 170*time.Millisecond)
 		is.Equal(topic.Age(), 155*time.Millisecond)
 	})
 }
 
 // A busy instance found the answer of the store after 0.2 seconds, and took it for one that had been
 // waited for there: the word in it, as old as the pause before the read, seemed to be new.
-func TestAnswerThatComesSlowlyIsNoNewWord(t *testing.T) {
+func TestSlowAnswerIsNotDatedAsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slow{store: &store{}}
+		s := &slowStore{fakeStore: &fakeStore{}}
 		s.put("a", "0")
 		news := make(chan follow.PeerUpdate, 1)
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: news, Clock: running{}})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: news, Clock: testClock{}})
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "1")
 		<-out
-		written := running{}.Now()
+		written := testClock{}.Now()
 		s.put("a", "2") // while the answer is on its way
 		u := <-out
 		is.True(u.WrittenAfter <= written)
 	})
 }
 
-// slow is a store whose answers are read 0.2 seconds late.
-type slow struct{ *store }
+// slowStore is a store whose answers are read 0.2 seconds late.
+type slowStore struct{ *fakeStore }
 
-func (s *slow) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	b, err := s.store.Read(ctx, topic, from, wait)
+func (s *slowStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	b, err := s.fakeStore.Read(ctx, topic, from, wait)
 	time.Sleep(200 * time.Millisecond)
 	return b, err
 }
 
 // An instance had read a record and was about to act by it. Its heartbeat said with the time of the new
 // read and the end of before that nothing was missing: others believed that the record did not exist.
-func TestEndAndTimeBelongTogether(t *testing.T) {
+func TestAppliedEndAndTimeStayConsistent(t *testing.T) {
 	is := is.New(t)
-	topic := &follow.Watch{Clock: still{}}
+	topic := &follow.Watch{Clock: fixedClock{}}
 	topic.MarkApplied(follow.Update{Batch: follow.Batch{End: 5}, CurrentAsOf: 100})
 	topic.ConfirmCurrent(5, 150)
 	topic.ConfirmCurrent(6, 300) // who knows more says nothing of what is missing here
@@ -454,14 +456,14 @@
 }
 
 // Guards against news that waits until a read ends to which the store does not answer.
-func TestNewsIsTakenWhileTheStoreIsSilent(t *testing.T) {
+func TestPeerUpdateDuringUnansweredRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
 		news := make(chan follow.PeerUpdate, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, Clock: running{}, PeerUpdates: news, MaxStaleness: func() time.Duration { return time.Second }}
-		out := watch(t, topic)
+		topic := &follow.Watch{Store: s, ReadsStore: never, Clock: testClock{}, PeerUpdates: news, MaxStaleness: func() time.Duration { return time.Second }}
+		out := runWatch(t, topic)
 		<-out
 		s.set(func() { s.hang = true })
 		time.Sleep(2 * time.Second)
@@ -474,16 +476,16 @@
 }
 
 // Guards against news that waits until the pause after a failed read is over.
-func TestNewsIsTakenInThePauseAfterAFailedRead(t *testing.T) {
+func TestPeerUpdateDuringRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
 		news := make(chan follow.PeerUpdate, 1)
 		topic := &follow.Watch{
-			Store: &failing{store: s}, ReadsStore: always, Clock: running{}, PeerUpdates: news,
+			Store: &failingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, PeerUpdates: news,
 		}
-		out := watch(t, topic)
+		out := runWatch(t, topic)
 		<-out
 		for range 5 {
 			is.True((<-out).Err != nil)
@@ -496,7 +498,7 @@
 }
 
 // Guards against an answer of the store that undoes what news told while it was on its way.
-func TestReadOvertakenByNews(t *testing.T) {
+func TestReadOvertakenByPeerUpdate(t *testing.T) {
 	removed := follow.Record{Key: "a", Offset: 1}
 	again := follow.Record{Key: "a", Value: []byte("2"), Offset: 2}
 	tests := map[string]bool{"records": false, "everything": true}
@@ -504,11 +506,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &store{}
+				s := &fakeStore{}
 				s.put("a", "1")
-				held := &late{store: s}
+				held := &delayedStore{fakeStore: s}
 				news, asked := make(chan follow.PeerUpdate, 1), make(chan struct{}, 1)
-				out := watch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: running{}, PeerUpdates: news, ReadNow: asked})
+				out := runWatch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: testClock{}, PeerUpdates: news, ReadNow: asked})
 				<-out
 				s.set(func() {
 					s.records = append(s.records, removed)
@@ -527,39 +529,39 @@
 	}
 }
 
-// late is a store whose answers are on their way for some time.
-type late struct {
-	*store
+// delayedStore is a store whose answers are on their way for some time.
+type delayedStore struct {
+	*fakeStore
 	delay time.Duration
 }
 
-func (s *late) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	batch, err := s.store.Read(ctx, topic, from, wait)
+func (s *delayedStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	batch, err := s.fakeStore.Read(ctx, topic, from, wait)
 	s.hold()
 	return batch, err
 }
 
-func (s *late) Newest(ctx context.Context, topic string) (follow.Batch, error) {
-	batch, err := s.store.Newest(ctx, topic)
+func (s *delayedStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
+	batch, err := s.fakeStore.Newest(ctx, topic)
 	s.hold()
 	return batch, err
 }
 
-func (s *late) hold() {
+func (s *delayedStore) hold() {
 	var delay time.Duration
 	s.set(func() { delay = s.delay })
 	time.Sleep(delay)
 }
 
 // Guards against records that are read an interval late since the answer before was cut short.
-func TestAnswerCutShortIsReadOn(t *testing.T) {
+func TestTruncatedReadContinuesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
 		asked := make(chan struct{}, 1)
-		out := watch(t, &follow.Watch{
-			Store: &brief{store: s}, ReadsStore: always, Clock: running{}, ReadNow: asked, ReadInterval: func() time.Duration { return time.Minute },
+		out := runWatch(t, &follow.Watch{
+			Store: &truncatingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, ReadNow: asked, ReadInterval: func() time.Duration { return time.Minute },
 		})
 		<-out
 		s.put("a", "2")
@@ -572,23 +574,23 @@
 	})
 }
 
-// brief is a store that answers with one record at most.
-type brief struct{ *store }
+// truncatingStore is a store that answers with one record at most.
+type truncatingStore struct{ *fakeStore }
 
-func (s *brief) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	batch, err := s.store.Read(ctx, topic, from, wait)
+func (s *truncatingStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	batch, err := s.fakeStore.Read(ctx, topic, from, wait)
 	batch.Records = batch.Records[:min(len(batch.Records), 1)]
 	return batch, err
 }
 
 // Guards against a leader that reads late since it looks only now and then whether its pause is over.
-func TestPauseEndsInTime(t *testing.T) {
+func TestPauseEndsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const pause = 30 * time.Millisecond
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: running{}, BatchDelay: func() time.Duration { return pause }})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: testClock{}, BatchDelay: func() time.Duration { return pause }})
 		<-out
 		s.put("a", "2")
 		began := time.Now()
@@ -598,15 +600,15 @@
 }
 
 // Guards against a large change that waits for the end of a pause although another instance has read it.
-func TestNewsWithoutRecordsEndsThePause(t *testing.T) {
+func TestPeerUpdateWithoutRecordsEndsRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		down := &failing{store: s}
+		down := &failingStore{fakeStore: s}
 		news := make(chan follow.PeerUpdate, 1)
-		out := watch(t, &follow.Watch{
-			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: running{}, PeerUpdates: news,
+		out := runWatch(t, &follow.Watch{
+			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: testClock{}, PeerUpdates: news,
 			MaxStaleness: func() time.Duration { return time.Second }, RetryDelay: func() time.Duration { return time.Minute },
 		})
 		<-out
--- /dev/null
+++ b/internal/holder/cluster_test.go
@@ -0,0 +1,390 @@
+package holder
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"sync"
+	"time"
+
+	"example.org/mustardring/internal/duty"
+
+	"github.com/charmbracelet/log"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/roster"
+	"example.org/mustardring/internal/rules"
+	"example.org/mustardring/internal/shard"
+)
+
+// The world of the random schedules: real holders, readers of the store and rosters, against
+// a naive store and naive servers, on the fake clock of testing/synctest.
+
+const (
+	service     = "books"
+	ownersTopic = "owners"
+	// keySpacing is the distance of the keys that are checked.
+	keySpacing = 256
+)
+
+var errCut = fmt.Errorf("%w: cut", ErrNoAnswer)
+
+type fakeClock struct{ start time.Time }
+
+func (c fakeClock) Now() clock.Instant { return clock.Instant(time.Since(c.start)) + 1 }
+
+// fakeStore is a linearizable store of keyed topics.
+type fakeStore struct {
+	mu     sync.Mutex
+	topics map[string][]follow.Record
+	down   bool
+}
+
+func (s *fakeStore) append(topic, key string, value []byte, asOf int64) (int64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	end := int64(len(s.topics[topic]))
+	if asOf >= 0 && asOf != end {
+		return 0, follow.ErrConflict
+	}
+	s.topics[topic] = append(s.topics[topic], follow.Record{Key: key, Value: value, Offset: end})
+	return end, nil
+}
+
+// storeClient is the store as one instance reaches it.
+type storeClient struct {
+	cluster *testCluster
+	name    string
+}
+
+func (c *storeClient) cut() bool {
+	return c.cluster.store.isDown() || c.cluster.storeCut(c.name)
+}
+
+func (s *fakeStore) isDown() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.down
+}
+
+func (c *storeClient) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
+	c.cluster.delay()
+	if c.cut() {
+		duty.Pause(ctx, c.cluster.appendTimeout)
+		return 0, follow.ErrNotDone
+	}
+	if topic == ownersTopic && c.cluster.chance(c.cluster.lostAppends) {
+		// The answer is lost, and the record may be written seconds later.
+		later := c.cluster.randomDuration(0, 6*time.Second)
+		c.cluster.after(later, func() { _, _ = c.cluster.store.append(topic, key, value, asOf) })
+		return 0, follow.ErrUnknown
+	}
+	offset, err := c.cluster.store.append(topic, key, value, asOf)
+	c.cluster.delay()
+	return offset, err
+}
+
+func (c *storeClient) Read(_ context.Context, topic string, from int64, _ time.Duration) (follow.Batch, error) {
+	c.cluster.delay()
+	if c.cut() {
+		return follow.Batch{}, follow.ErrNotDone
+	}
+	c.cluster.store.mu.Lock()
+	all := c.cluster.store.topics[topic]
+	batch := follow.Batch{End: int64(len(all)), Records: append([]follow.Record(nil), all[min(from, int64(len(all))):]...)}
+	c.cluster.store.mu.Unlock()
+	c.cluster.delay()
+	return batch, nil
+}
+
+func (c *storeClient) Newest(ctx context.Context, topic string) (follow.Batch, error) {
+	batch, err := c.Read(ctx, topic, 0, 0)
+	newest := map[string]follow.Record{}
+	for _, r := range batch.Records {
+		newest[r.Key] = r
+	}
+	batch.Records = nil
+	for _, r := range newest {
+		if len(r.Value) > 0 {
+			batch.Records = append(batch.Records, r)
+		}
+	}
+	return batch, err
+}
+
+// testCluster holds everything; mu guards it.
+type testCluster struct {
+	mu            sync.Mutex
+	random        *rand.Rand
+	ctx           context.Context
+	pending       sync.WaitGroup
+	store         *fakeStore
+	start         time.Time
+	servers       map[string]*fakeServer
+	instances     map[string]*instance
+	cuts          map[string]bool
+	delayedGrants float64
+	lostAppends   float64
+	lostMessages  float64
+	// appendTimeout is how long the store, while it is down, lets a call to append wait.
+	appendTimeout time.Duration
+	// viewSharing is the chance that an instance which is behind is told all by one that is not.
+	viewSharing float64
+	// load returns the requests in a second for each key as an instance knows them; it may be nil.
+	load func(name string) []float64
+	// namedRestarts says that servers state when they started, and keep their names when they start again.
+	// Entries holds what they stated last, by name.
+	namedRestarts bool
+	directory     map[string]rules.Server
+	// endedFences holds the fences with which lives that have ended had keys, by name and checked key.
+	endedFences map[string][]uint64
+	violations  []string
+	moved       int
+	// refusals counts the orders that servers without keys refused.
+	refusals int
+	guards   guards
+}
+
+// traceOutput returns where the instances log to: MUSTARDRING_TRACE asks for the lines of a schedule.
+func (tc *testCluster) traceOutput() io.Writer {
+	if os.Getenv("MUSTARDRING_TRACE") != "" {
+		return os.Stderr
+	}
+	return io.Discard
+}
+
+// loadAt returns the load as an instance knows it.
+func (tc *testCluster) loadAt(name string) []float64 {
+	tc.mu.Lock()
+	load := tc.load
+	tc.mu.Unlock()
+	if load == nil {
+		return nil
+	}
+	return load(name)
+}
+
+func (tc *testCluster) chance(p float64) bool {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return tc.random.Float64() < p
+}
+
+func (tc *testCluster) randomDuration(least, most time.Duration) time.Duration {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return least + time.Duration(tc.random.Int64N(int64(most-least)+1))
+}
+
+func (tc *testCluster) delay() {
+	time.Sleep(tc.randomDuration(100*time.Microsecond, 3*time.Millisecond))
+}
+
+// after does something later, unless the world ends before.
+func (tc *testCluster) after(d time.Duration, do func()) {
+	tc.pending.Add(1)
+	go func() {
+		defer tc.pending.Done()
+		if duty.Pause(tc.ctx, d) {
+			do()
+		}
+	}()
+}
+
+func (tc *testCluster) storeCut(name string) bool { return tc.isCut(name, "store") }
+
+func (tc *testCluster) isCut(a, b string) bool {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	return tc.cuts[a+">"+b]
+}
+
+func (tc *testCluster) directoryServers() map[string]rules.Server {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	out := map[string]rules.Server{}
+	for _, s := range tc.directory {
+		out[s.ID] = s
+	}
+	for id, b := range tc.servers {
+		if now, there := tc.directory[rules.NameOf(id)]; !tc.namedRestarts || there && now.ID == id {
+			out[id] = b.Server
+		}
+	}
+	return out
+}
+
+// instance is an instance of the system.
+type instance struct {
+	cluster *testCluster
+	name    string
+	roster  *roster.Roster
+	manager *Manager
+	reread  chan struct{}
+	cancel  context.CancelFunc
+	done    chan struct{}
+}
+
+// startInstance starts an instance, with nothing in memory.
+func (tc *testCluster) startInstance(name, domain string) {
+	ctx, cancel := context.WithCancel(tc.ctx)
+	incarnation := uint64(time.Since(tc.start)) + 1
+	n := &instance{
+		cluster: tc, name: name, roster: roster.New(name, domain),
+		reread: make(chan struct{}, 1), cancel: cancel, done: make(chan struct{}),
+	}
+	client := &storeClient{tc, name}
+	n.manager = New(Deps{
+		Name: name, Domain: domain, LeaseClient: &fakeLeaseClient{cluster: tc, name: name, conns: map[string]*fakeConn{}}, Store: client, Topic: ownersTopic, Incarnation: incarnation,
+		Clock: fakeClock{tc.start}, Roster: n.roster, Events: event.New(tc.traceOutput(), log.InfoLevel),
+		Servers: tc.directoryServers, DirectoryVersion: func() uint64 { return uint64(time.Since(tc.start)) }, Services: func() []string { return []string{service} },
+		TargetLatency: func(string) time.Duration { return time.Second },
+		Load:          func(string) []float64 { return tc.loadAt(name) },
+		Capacities:    func(string) map[string]float64 { return nil },
+		DirectoryAge:  func() time.Duration { return 0 }, EntryDelay: time.Second, ReadDirectory: func() {},
+		LeadershipChanged: func(bool) {}, OwnersChanged: func() {}, Announce: func() {},
+		RereadOwners: func() {
+			select {
+			case n.reread <- struct{}{}:
+			default:
+			}
+		},
+		BroadcastOwners: n.broadcastOwners, BroadcastRegister: n.broadcastRegister,
+		MoveCompleted: func(string, uint16, uint64) {},
+	})
+	n.manager.guards = tc.guards
+	tc.mu.Lock()
+	running := tc.instances[name] != nil
+	if !running {
+		tc.instances[name] = n
+	}
+	tc.mu.Unlock()
+	if running {
+		cancel()
+		return
+	}
+	go n.run(ctx, client, roster.Entry{Address: name, Domain: domain, Incarnation: incarnation, Share: 1})
+}
+
+func (n *instance) run(ctx context.Context, client *storeClient, entry roster.Entry) {
+	defer close(n.done)
+	value, _ := entry.Encode()
+	enroll := func(ctx context.Context) error {
+		for duty.Pause(ctx, 300*time.Millisecond) {
+			if n.manager.Registered() {
+				continue
+			}
+			if _, err := client.Append(ctx, ownersTopic, InstanceKey(n.name), value, -1); err == nil {
+				n.manager.RereadOwners()
+			}
+		}
+		return ctx.Err()
+	}
+	topic := follow.Watch{
+		Store: client, Topic: ownersTopic, Clock: fakeClock{n.cluster.start}, Out: n.manager.StoreUpdates(), ReadNow: n.reread,
+		ReadsStore:   func() bool { return n.manager.Leads() || n.manager.Age() > 5*time.Second },
+		ReadInterval: func() time.Duration { return time.Second }, BatchDelay: func() time.Duration { return 0 }, RetryDelay: func() time.Duration { return 300 * time.Millisecond },
+	}
+	var duties sync.WaitGroup
+	for _, duty := range []func(context.Context) error{n.manager.Events.Run, n.manager.Run, topic.Run, n.heartbeatLoop(entry.Incarnation), enroll} {
+		duties.Go(func() { _ = duty(ctx) })
+	}
+	duties.Wait()
+}
+
+// broadcastRegister sends records of the register to the others. A message may be lost.
+func (n *instance) broadcastRegister(records []follow.Record) {
+	n.toOthers(func(o *instance) {
+		select {
+		case o.manager.RegisterUpdates() <- records:
+		default:
+		}
+	})
+}
+
+// heartbeatLoop sends heartbeats, some of which are lost.
+func (n *instance) heartbeatLoop(incarnation uint64) func(context.Context) error {
+	return func(ctx context.Context) error {
+		for duty.Pause(ctx, 100*time.Millisecond) {
+			b := roster.Beat{
+				Name: n.name, Incarnation: incarnation, Confirmed: n.manager.ConfirmedOffset(), Known: n.manager.View().End,
+				StoreOK: n.manager.StoreOK(), Failing: n.manager.Failing(),
+				SentAt: int64(n.manager.Clock.Now()), KnownAge: n.manager.Age().Milliseconds() + 1,
+			}
+			n.roster.Heard(b, time.Now())
+			echoes := map[string]int64{}
+			for _, p := range n.roster.Others() {
+				echoes[p.Name] = p.Beat.SentAt
+			}
+			for _, o := range n.cluster.others(n.name) {
+				if !n.cluster.isCut(n.name, o.name) && !n.cluster.chance(n.cluster.lostMessages) {
+					b.EchoAt = echoes[o.name]
+					o.roster.Heard(b, time.Now())
+					o.manager.HandleHeartbeat(b)
+					if known := n.manager.View(); known.End > o.manager.View().End && n.cluster.chance(n.cluster.viewSharing) {
+						select {
+						case o.manager.PeerViews() <- known:
+						default:
+						}
+					}
+				}
+			}
+		}
+		return ctx.Err()
+	}
+}
+
+func (n *instance) broadcastOwners(service string, offset int64, fence uint64, changes []shard.Range) {
+	n.toOthers(func(o *instance) {
+		select {
+		case o.manager.OwnerChanges() <- OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes}:
+		default:
+		}
+	})
+}
+
+// toOthers does something at each other instance that a message reaches.
+func (n *instance) toOthers(do func(o *instance)) {
+	for _, o := range n.cluster.others(n.name) {
+		if !n.cluster.isCut(n.name, o.name) && !n.cluster.chance(n.cluster.lostMessages) {
+			do(o)
+		}
+	}
+}
+
+func (tc *testCluster) others(name string) []*instance {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	var out []*instance
+	for _, n := range tc.instances {
+		if n.name != name {
+			out = append(out, n)
+		}
+	}
+	return out
+}
+
+// stopInstance kills an instance.
+func (tc *testCluster) stopInstance(name string) {
+	tc.mu.Lock()
+	n := tc.instances[name]
+	delete(tc.instances, name)
+	tc.mu.Unlock()
+	if n != nil {
+		n.cancel()
+		<-n.done
+	}
+}
+
+// shutDown ends all instances, and what is still to come.
+func (tc *testCluster) shutDown(cancel context.CancelFunc) {
+	cancel()
+	for _, n := range tc.others("") {
+		<-n.done
+	}
+	tc.pending.Wait()
+}
--- a/internal/holder/hold_test.go
+++ b/internal/holder/faults_test.go
@@ -15,74 +15,74 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// newWorld starts two failure domains with two instances and three servers each, without faults.
-func newWorld(ctx context.Context) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(1, 1)), ctx: ctx, start: time.Now(), store: newStore(),
-		backends: map[string]*backend{}, nodes: map[string]*instance{}, cuts: map[string]bool{}, guards: allGuards,
+// newTestCluster starts two failure domains with two instances and three servers each, without faults.
+func newTestCluster(ctx context.Context) *testCluster {
+	tc := &testCluster{
+		random: rand.New(rand.NewPCG(1, 1)), ctx: ctx, start: time.Now(), store: newFakeStore(),
+		servers: map[string]*fakeServer{}, instances: map[string]*instance{}, cuts: map[string]bool{}, guards: allGuards,
 	}
 	for i := range 6 {
-		w.addBackend(fmt.Sprintf("s%d", i), fmt.Sprintf("server-%d", i), fmt.Sprintf("d%d", i%2))
+		tc.addServer(fmt.Sprintf("s%d", i), fmt.Sprintf("server-%d", i), fmt.Sprintf("d%d", i%2))
 	}
 	for i := range 4 {
-		w.startInstance(fmt.Sprintf("i%d", i), fmt.Sprintf("d%d", i%2))
+		tc.startInstance(fmt.Sprintf("i%d", i), fmt.Sprintf("d%d", i%2))
 	}
-	return w
+	return tc
 }
 
-// inWorld plays a test in such a world, and expects that no key had two owners.
-func inWorld(t *testing.T, play func(is *is.I, w *world)) {
+// runInCluster plays a test in such a world, and expects that no key had two owners.
+func runInCluster(t *testing.T, play func(is *is.I, tc *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx)
-		play(is, w)
-		w.end(cancel)
-		is.Equal(len(w.faults), 0)
+		tc := newTestCluster(ctx)
+		play(is, tc)
+		tc.shutDown(cancel)
+		is.Equal(len(tc.violations), 0)
 	})
 }
 
 // cutServer cuts a server off from all instances, for good.
-func (w *world) cutServer(address string) {
+func (tc *testCluster) cutServer(address string) {
 	for i := range 4 {
-		w.cut(fmt.Sprintf("i%d", i), address, time.Hour)
+		tc.cut(fmt.Sprintf("i%d", i), address, time.Hour)
 	}
 }
 
 // cutDomain cuts failure domain d1 off from the other one and from the store.
-func (w *world) cutDomain(d time.Duration) {
+func (tc *testCluster) cutDomain(d time.Duration) {
 	for i := range 4 {
 		if i%2 == 0 {
 			for j := range 6 {
 				if j%2 == 1 {
-					w.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("server-%d", j), d)
+					tc.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("server-%d", j), d)
 				}
 			}
 			continue
 		}
-		w.cut(fmt.Sprintf("i%d", i), "store", d)
+		tc.cut(fmt.Sprintf("i%d", i), "store", d)
 		for j := range 6 {
 			if j%2 == 0 {
-				w.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("server-%d", j), d)
+				tc.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("server-%d", j), d)
 			}
 		}
 		for j := range 4 {
 			if j%2 == 0 {
-				w.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("i%d", j), d)
-				w.cut(fmt.Sprintf("i%d", j), fmt.Sprintf("i%d", i), d)
+				tc.cut(fmt.Sprintf("i%d", i), fmt.Sprintf("i%d", j), d)
+				tc.cut(fmt.Sprintf("i%d", j), fmt.Sprintf("i%d", i), d)
 			}
 		}
 	}
 }
 
 // ownedBy counts the ranges that belong to a failure domain, as an instance knows it.
-func (w *world) ownedBy(instance, domain string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tc *testCluster) ownedBy(instance, domain string) int {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[instance].holder.View().Maps[service].Ranges {
-		if w.backends[r.Server].Domain == domain {
+	for _, r := range tc.instances[instance].manager.View().Maps[service].Ranges {
+		if tc.servers[r.Server].Domain == domain {
 			n++
 		}
 	}
@@ -103,18 +103,18 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(is *is.I, w *world) {
+			runInCluster(t, func(is *is.I, tc *testCluster) {
 				time.Sleep(5 * time.Second)
-				before := w.ownedBy("i0", "d1")
+				before := tc.ownedBy("i0", "d1")
 				is.True(before > 0)
-				w.cutDomain(test.cut)
+				tc.cutDomain(test.cut)
 				time.Sleep(test.after)
 				if test.keeps {
-					is.Equal(w.ownedBy("i0", "d1"), before)
+					is.Equal(tc.ownedBy("i0", "d1"), before)
 				} else {
-					is.Equal(w.ownedBy("i0", "d1"), 0)
+					is.Equal(tc.ownedBy("i0", "d1"), 0)
 				}
-				is.Equal(w.served(), 256)
+				is.Equal(tc.servedKeys(), 256)
 			})
 		})
 	}
@@ -124,20 +124,20 @@
 // leaves. Keys of the old one went to others that were busy, and three seconds later, when the new
 // one was warm, on to that one: each key moved twice, and the new server stood idle meanwhile.
 func TestKeysGoToTheNewServerAtOnce(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
+	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.addBackend("new", "server-new", "d0")
-		w.mu.Lock()
-		w.backends["new"].WarmAt = time.Now().Add(3 * time.Second)
-		w.backends["s0"].Draining = true
-		w.mu.Unlock()
+		tc.addServer("new", "server-new", "d0")
+		tc.mu.Lock()
+		tc.servers["new"].WarmAt = time.Now().Add(3 * time.Second)
+		tc.servers["s0"].Draining = true
+		tc.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		owners := map[string]int{}
-		w.mu.Lock()
-		for _, r := range w.nodes["i0"].holder.View().Maps[service].Ranges {
+		tc.mu.Lock()
+		for _, r := range tc.instances["i0"].manager.View().Maps[service].Ranges {
 			owners[r.Server] += r.Len()
 		}
-		w.mu.Unlock()
+		tc.mu.Unlock()
 		is.Equal(owners["s0"], 0)
 		// It can do half of what the others can while it is cold, and gets half of what s0 had.
 		is.True(owners["new"] >= (1<<16)/6*9/10/2)
@@ -148,21 +148,21 @@
 // that no message tells of; from then on it could not follow, did not confirm what came later, and a
 // server that fell silent kept its keys without service for fourteen seconds. It is told all by one
 // that knows more.
-func TestRefusedInstanceIsTold(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
-		w.helps = 1
+func TestInstanceWithoutStoreGetsPeerView(t *testing.T) {
+	runInCluster(t, func(is *is.I, tc *testCluster) {
+		tc.viewSharing = 1
 		time.Sleep(5 * time.Second)
-		w.cut("i3", "store", time.Hour)
+		tc.cut("i3", "store", time.Hour)
 		time.Sleep(2 * time.Second)
 		value, err := roster.Entry{Address: "x", Domain: "d0", Incarnation: 1, Share: 0.1, Ended: true}.Encode()
 		is.NoErr(err)
-		_, err = w.store.append(ownersTopic, InstanceKey("x"), value, -1)
+		_, err = tc.store.append(ownersTopic, InstanceKey("x"), value, -1)
 		is.NoErr(err)
 		time.Sleep(3 * time.Second)
-		w.cutServer("server-0")
+		tc.cutServer("server-0")
 		time.Sleep(7 * time.Second)
-		is.Equal(w.nodes["i3"].holder.View().End, w.nodes["i0"].holder.View().End)
-		is.Equal(w.served(), 256)
+		is.Equal(tc.instances["i3"].manager.View().End, tc.instances["i0"].manager.View().End)
+		is.Equal(tc.servedKeys(), 256)
 	})
 }
 
@@ -171,14 +171,14 @@
 // on one day an eighth of all requests was refused for want of an owner. An instance that hears no
 // majority of the others stops sooner, so that those who are one need not wait for it.
 func TestServerAndInstanceLost(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
+	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(15 * time.Second)
-		is.Equal(w.served(), 256)
-		w.stopInstance("i1")
-		w.cutServer("server-0")
+		is.Equal(tc.servedKeys(), 256)
+		tc.stopInstance("i1")
+		tc.cutServer("server-0")
 		lostAt := time.Now()
 		time.Sleep(2500 * time.Millisecond) // its last lease has run out
-		for w.served() < 256 {
+		for tc.servedKeys() < 256 {
 			time.Sleep(50 * time.Millisecond)
 		}
 		t.Logf("all keys are served again after %v", time.Since(lostAt))
@@ -189,45 +189,45 @@
 // A server was lost for good, and its address went to a server of another service, which refused the
 // order to give up keys. The order was sent again every 0.15 seconds for each range until the lease of
 // the last instance that might renew had run out: three in four arrivals at that service were orders.
-func TestReleaseEndsAtAnAddressGivenOn(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
+func TestReleaseEndsAtReassignedAddress(t *testing.T) {
+	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.mu.Lock()
-		gone := w.backends["s0"]
-		delete(w.backends, "s0")
-		w.backends["other"] = &backend{Server: rules.Server{ID: "other", Service: "desk", Address: gone.Address, Slots: 2}, up: true, keyless: true}
-		w.mu.Unlock()
+		tc.mu.Lock()
+		gone := tc.servers["s0"]
+		delete(tc.servers, "s0")
+		tc.servers["other"] = &fakeServer{Server: rules.Server{ID: "other", Service: "desk", Address: gone.Address, Slots: 2}, up: true, noKeys: true}
+		tc.mu.Unlock()
 		time.Sleep(time.Second)
-		is.Equal(w.served(), 256) // nobody waited for a lease
-		w.mu.Lock()
-		is.True(w.refusals > 0 && w.refusals <= 20) // once for each of its ranges
-		w.mu.Unlock()
+		is.Equal(tc.servedKeys(), 256) // nobody waited for a lease
+		tc.mu.Lock()
+		is.True(tc.refusals > 0 && tc.refusals <= 20) // once for each of its ranges
+		tc.mu.Unlock()
 	})
 }
 
 // Guards against leases that run out since the instance that renews them waits for the store.
 func TestRenewalsDoNotWaitForTheStore(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
-		const keys = shard.Keys / spacing
+	runInCluster(t, func(is *is.I, tc *testCluster) {
+		const keys = shard.Keys / keySpacing
 		time.Sleep(8 * time.Second)
-		is.Equal(w.served(), keys)
-		w.silence = 3 * time.Second
-		w.outage(6 * time.Second)
-		w.mu.Lock()
-		w.backends["s0"].Draining = true // a change to write down
-		w.mu.Unlock()
+		is.Equal(tc.servedKeys(), keys)
+		tc.appendTimeout = 3 * time.Second
+		tc.outage(6 * time.Second)
+		tc.mu.Lock()
+		tc.servers["s0"].Draining = true // a change to write down
+		tc.mu.Unlock()
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
-			is.Equal(w.served(), keys)
+			is.Equal(tc.servedKeys(), keys)
 		}
 	})
 }
 
 // evacuate changes whether the servers of a failure domain are evacuated.
-func (w *world) evacuate(domain string, evacuated bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, b := range w.backends {
+func (tc *testCluster) evacuate(domain string, evacuated bool) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	for _, b := range tc.servers {
 		if domain == "" || b.Domain == domain {
 			b.Evacuated = evacuated
 		}
@@ -250,34 +250,34 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(is *is.I, w *world) {
+			runInCluster(t, func(is *is.I, tc *testCluster) {
 				time.Sleep(8 * time.Second)
-				is.Equal(w.served(), 256)
+				is.Equal(tc.servedKeys(), 256)
 				if test.lost != "" {
-					w.stopInstance(test.lost)
+					tc.stopInstance(test.lost)
 				}
-				w.evacuate(test.domain, true)
+				tc.evacuate(test.domain, true)
 				time.Sleep(6 * time.Second)
 				domain := test.domain
 				if domain == "" {
 					domain = "d0"
 				}
-				is.Equal(w.ownedBy("i3", domain) > 0, test.left)
-				is.Equal(w.served(), 256)
-				w.evacuate(test.domain, false)
+				is.Equal(tc.ownedBy("i3", domain) > 0, test.left)
+				is.Equal(tc.servedKeys(), 256)
+				tc.evacuate(test.domain, false)
 				time.Sleep(6 * time.Second)
-				is.Equal(w.served(), 256)
+				is.Equal(tc.servedKeys(), 256)
 			})
 		})
 	}
 }
 
-// busyRun returns a load of which the keys of one server get most: plans take some of them from it.
-func (w *world) busyRun(server string) []float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// overloadOf returns a load of which the keys of one server get most: plans take some of them from it.
+func (tc *testCluster) overloadOf(server string) []float64 {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	load := make([]float64, shard.Keys)
-	m := w.nodes["i0"].holder.View().Maps[service]
+	m := tc.instances["i0"].manager.View().Maps[service]
 	for _, r := range m.Of(server) {
 		for key := int(r.From); key <= int(r.To); key++ {
 			load[key] = 6 / float64(r.Len())
@@ -286,14 +286,14 @@
 	return load
 }
 
-// inMove returns how many keys of the servers of a failure domain are being moved, as an instance knows it.
-func (w *world) inMove(name, domain string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// movingKeys returns how many keys of the servers of a failure domain are being moved, as an instance knows it.
+func (tc *testCluster) movingKeys(name, domain string) int {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[name].holder.View().Maps[service].Ranges {
+	for _, r := range tc.instances[name].manager.View().Maps[service].Ranges {
 		for _, b := range r.Before {
-			if s := w.backends[b.Server]; s != nil && s.Domain == domain {
+			if s := tc.servers[b.Server]; s != nil && s.Domain == domain {
 				n += r.Len()
 			}
 		}
@@ -304,20 +304,20 @@
 // Guards against plans that take keys from servers behind a cut: nobody can, and until the cut ends callers on both sides
 // find no owner.
 func TestPlansLeaveACutOffDomainAlone(t *testing.T) {
-	inWorld(t, func(is *is.I, w *world) {
+	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(8 * time.Second)
-		is.Equal(w.served(), 256)
-		w.cutDomain(6 * time.Second)
+		is.Equal(tc.servedKeys(), 256)
+		tc.cutDomain(6 * time.Second)
 		time.Sleep(2 * time.Second)
-		busy := w.busyRun("s1") // a server behind the cut
-		w.mu.Lock()
-		w.load = func(string) []float64 { return busy }
-		w.mu.Unlock()
+		busy := tc.overloadOf("s1") // a server behind the cut
+		tc.mu.Lock()
+		tc.load = func(string) []float64 { return busy }
+		tc.mu.Unlock()
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
-			is.Equal(w.inMove("i0", "d1"), 0)
+			is.Equal(tc.movingKeys("i0", "d1"), 0)
 		}
 		time.Sleep(15 * time.Second)
-		is.Equal(w.served(), 256)
+		is.Equal(tc.servedKeys(), 256)
 	})
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -52,76 +52,76 @@
 
 // The times of rights.
 const (
-	// leaseTime is how long a grant is good for, from its arrival. A server that goes silent
+	// leaseDuration is how long a grant is good for, from its arrival. A server that goes silent
 	// leaves its keys without an owner for as long; a renewal may fail twice in it.
-	leaseTime = 2200 * time.Millisecond
-	// renewEvery is how often a grant is renewed: three times in a lease, and again at once if one
+	leaseDuration = 2200 * time.Millisecond
+	// renewInterval is how often a grant is renewed: three times in a lease, and again at once if one
 	// fails. A thousand ranges are 1,400 renewals a second, beside 2,900 requests (worked out).
-	renewEvery = 700 * time.Millisecond
-	// drift is the factor by which the clock of a server may be slow.
-	drift = 1.02
-	// flightTime is how long an order that was sent before it was given up may still take to
+	renewInterval = 700 * time.Millisecond
+	// maxClockDrift is the factor by which the clock of a server may be slow.
+	maxClockDrift = 1.02
+	// maxTransitTime is how long an order that was sent before it was given up may still take to
 	// arrive: the delay of a link, of which the longest is 20 milliseconds.
-	flightTime = 150 * time.Millisecond
-	// knowledgeTime is how old the knowledge may be that an owner still is the owner. It
+	maxTransitTime = 150 * time.Millisecond
+	// maxViewAge is how old the knowledge may be that an owner still is the owner. It
 	// bridges that long an outage of the store. Takeovers from a server that is silent wait as
 	// long for instances that are silent as well.
-	knowledgeTime = 12 * time.Second
-	// orderTimeout bounds a grant, releaseTimeout a release, which is answered when the work
+	maxViewAge = 12 * time.Second
+	// grantTimeout bounds a grant, releaseTimeout a release, which is answered when the work
 	// in progress has ended.
-	orderTimeout   = 350 * time.Millisecond
+	grantTimeout   = 350 * time.Millisecond
 	releaseTimeout = 4 * time.Second
-	// listenTime is how long an instance listens for others before it may lead, and until it has heard half of
+	// minListenTime is how long an instance listens for others before it may lead, and until it has heard half of
 	// its domain or listenMost is over: without it all instances that start together lead at first.
-	listenTime = 500 * time.Millisecond
-	listenMost = 1500 * time.Millisecond
-	// chargeEvery is the least time between two looks which servers the instance renews, unless the owners
+	minListenTime = 500 * time.Millisecond
+	maxListenTime = 1500 * time.Millisecond
+	// renewalSetInterval is the least time between two looks which servers the instance renews, unless the owners
 	// have changed.
-	chargeEvery = 200 * time.Millisecond
-	// proofPause is the pause between two looks whether a grant is proved to stand. A read of the
+	renewalSetInterval = 200 * time.Millisecond
+	// verifyInterval is the pause between two looks whether a grant is proved to stand. A read of the
 	// store, which proves it, takes 4 ms.
-	proofPause = 5 * time.Millisecond
-	// tickEvery is the pace of decisions.
-	tickEvery = 50 * time.Millisecond
-	// failuresMost is the number of renewals in a row without an answer after which a server
+	verifyInterval = 5 * time.Millisecond
+	// tickInterval is the pace of decisions.
+	tickInterval = 50 * time.Millisecond
+	// maxRenewalFailures is the number of renewals in a row without an answer after which a server
 	// is reported as failing.
-	failuresMost = 2
-	// failingTime is how long a server that is not tried any more counts as failing. It then
+	maxRenewalFailures = 2
+	// failingTimeout is how long a server that is not tried any more counts as failing. It then
 	// gets keys again, and loses them within a lease if it still does not answer.
-	failingTime = 4 * time.Second
-	// witnesses is the number of instances that must find a server failing before it loses its
+	failingTimeout = 4 * time.Second
+	// requiredReporters is the number of instances that must find a server failing before it loses its
 	// keys: the first alone may have lost its own way to it.
-	witnesses = 2
-	// balanceEvery is the least time between two plans that only even out the load.
-	balanceEvery = 700 * time.Millisecond
-	// settleTime is how long the record that moves are complete may wait for others, or for a
+	requiredReporters = 2
+	// balanceInterval is the least time between two plans that only even out the load.
+	balanceInterval = 700 * time.Millisecond
+	// maxCompletionDelay is how long the record that moves are complete may wait for others, or for a
 	// plan that goes into the same record: the instances know it by message, and the leader
 	// renews until it stands in the store. Should the leader be lost, the next one ends and
 	// grants these moves again.
-	settleTime = 2 * time.Second
-	// gatherTime is how long no new server may come before keys are divided for the first time.
+	maxCompletionDelay = 2 * time.Second
+	// firstDivisionDelay is how long no new server may come before keys are divided for the first time.
 	// Servers that start together write their entries within a heartbeat of 0.9 seconds.
-	gatherTime = time.Second
-	// holdTime is how long servers keep their keys that seem lost while all instances of their
+	firstDivisionDelay = time.Second
+	// cutOffHoldTime is how long servers keep their keys that seem lost while all instances of their
 	// failure domain are silent as well: the domain is cut off rather than dead. Its servers go
 	// on serving callers of their own domain, and a move could not be completed before the cut
 	// ends or knowledgeTime is over. Without it each cut of six seconds moved a quarter of all keys
 	// when it ended, and for four seconds half to four fifths of the requests were refused at the
 	// other domains' servers while those of the domain had nothing to do. A domain that is lost for good costs
 	// as much longer until its keys are served elsewhere.
-	holdTime = 7500 * time.Millisecond
-	// coldPower is what a server that has just started can do, as a part of what it will: it takes
+	cutOffHoldTime = 7500 * time.Millisecond
+	// coldCapacityFactor is what a server that has just started can do, as a part of what it will: it takes
 	// twice as long for some seconds. Where servers are replaced, the keys of those that leave go
 	// to the new ones at once, not first to others that are busy and then on.
-	coldPower = 0.5
-	// coldShare is the part of the requests a second that a cold server bears for which it gets keys: requests come
+	coldCapacityFactor = 0.5
+	// coldLoadFactor is the part of the requests a second that a cold server bears for which it gets keys: requests come
 	// unevenly.
-	coldShare = 0.8
-	// registerSilence is how long an instance may be silent before its record is removed: longer
+	coldLoadFactor = 0.8
+	// removalTimeout is how long an instance may be silent before its record is removed: longer
 	// than holdTime, which looks at registered instances.
-	registerSilence = 8 * time.Second
-	// leftMost bounds the memory of servers that left.
-	leftMost = 4096
+	removalTimeout = 8 * time.Second
+	// maxLeftServers bounds the memory of servers that left.
+	maxLeftServers = 4096
 )
 
 // Grant is an order about keys. Lease and Handover do not matter in a release.
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against decisions that wait for a silent store once for each service, while news of owners waits for them.
-func TestOneWriteWithoutAnswerEndsTheRound(t *testing.T) {
+func TestUnansweredWriteEndsDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		start, s := time.Now(), &silentStore{}
@@ -37,7 +37,7 @@
 			"s1": {ID: "s1", Service: "books", Address: "127.0.0.1:1", Domain: "d0", Slots: 2},
 			"s2": {ID: "s2", Service: "stock", Address: "127.0.0.1:2", Domain: "d0", Slots: 2},
 		}
-		h := New(Deps{
+		lm := New(Deps{
 			Name: "i0", Domain: "d0", Store: s, Clock: fakeClock{start}, Roster: roster.New("i0", "d0"), Incarnation: 1,
 			Events:        event.New(io.Discard, log.InfoLevel),
 			Servers:       func() map[string]rules.Server { return servers },
@@ -48,14 +48,14 @@
 		})
 		entry, err := roster.Entry{Address: "127.0.0.1:3", Domain: "d0", Incarnation: 1, Share: 1}.Encode()
 		is.NoErr(err)
-		h.fold(follow.Update{
-			CurrentAsOf: h.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
+		lm.applyUpdate(follow.Update{
+			CurrentAsOf: lm.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
 		})
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
-		h.lead(t.Context(), time.Now()) // servers of new services are awaited
-		time.Sleep(gatherTime)
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
-		h.lead(t.Context(), time.Now())
+		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		lm.lead(t.Context(), time.Now()) // servers of new services are awaited
+		time.Sleep(firstDivisionDelay)
+		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		lm.lead(t.Context(), time.Now())
 		is.Equal(s.appends, 1)
 	})
 }
--- a/internal/holder/enrol.go
+++ b/internal/holder/register.go
@@ -9,39 +9,39 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// errNotRegister says that a record told of is not one of the register.
-var errNotRegister = errors.New("holder: not a record of the register")
+// errNotRegisterRecord says that a record told of is not one of the register.
+var errNotRegisterRecord = errors.New("holder: not a record of the register")
 
 // RegisterUpdates takes the records of the register that the leader tells of, which follow one another.
 //
 // Records of owners are told as what they change against the record before, so that whoever did not know of
 // one in between had to read the store. Where only owners were told, each instance that started or stopped
 // made all others read, at the next move at the latest: calls grew with the square of their number.
-func (h *Manager) RegisterUpdates() chan<- []follow.Record { return h.enrolled }
+func (lm *Manager) RegisterUpdates() chan<- []follow.Record { return lm.registerUpdates }
 
-// enroll takes in records of the register that the leader tells of.
-func (h *Manager) enroll(records []follow.Record) {
-	before := h.know.get()
+// applyRegister takes in records of the register that the leader tells of.
+func (lm *Manager) applyRegister(records []follow.Record) {
+	before := lm.view.get()
 	if n := len(records); n == 0 || records[n-1].Offset < before.End {
 		return
 	}
-	follows, err := h.know.enroll(records)
+	follows, err := lm.view.applyRegister(records)
 	switch {
 	case err != nil:
-		h.Events.Note(event.Belief, "register-malformed", "offset", records[0].Offset, "error", err)
+		lm.Events.Note(event.Belief, "register-malformed", "offset", records[0].Offset, "error", err)
 	case !follows:
-		h.RereadOwners()
+		lm.RereadOwners()
 	default:
-		h.follow(before)
+		lm.viewChanged(before)
 	}
 }
 
-// inRegister reports whether a record is one of the register.
-func inRegister(r follow.Record) bool { return strings.HasPrefix(r.Key, keyInstance) }
+// isRegisterRecord reports whether a record is one of the register.
+func isRegisterRecord(r follow.Record) bool { return strings.HasPrefix(r.Key, keyInstance) }
 
-// tellRegister tells the others of the records of the register in an update, from an offset on. It ends
+// broadcastRegister tells the others of the records of the register in an update, from an offset on. It ends
 // before a record of owners that this instance did not write: that one must be read.
-func (h *Manager) tellRegister(from int64, u follow.Update) {
+func (lm *Manager) broadcastRegister(from int64, u follow.Update) {
 	if u.Snapshot {
 		return
 	}
@@ -50,16 +50,16 @@
 		if r.Offset < from {
 			continue
 		}
-		if !inRegister(r) {
+		if !isRegisterRecord(r) {
 			break
 		}
 		if _, err := roster.Decode(r.Value); len(r.Value) > 0 && err != nil {
-			h.Events.Note(event.Belief, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
+			lm.Events.Note(event.Belief, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
 			break
 		}
 		told = append(told, r)
 	}
 	if len(told) > 0 {
-		h.BroadcastRegister(told)
+		lm.BroadcastRegister(told)
 	}
 }
--- a/internal/holder/enrol_test.go
+++ b/internal/holder/register_test.go
@@ -17,16 +17,16 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// follower returns the knowledge of an instance that has read the store up to an offset.
-func follower(end int64) *knowledge {
-	k := newKnowledge()
-	k.fold(follow.Update{StartedAt: clock.Instant(time.Second), CurrentAsOf: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Snapshot: true})
-	return k
+// newTestView returns the knowledge of an instance that has read the store up to an offset.
+func newTestView(end int64) *localView {
+	v := newLocalView()
+	v.applyUpdate(follow.Update{StartedAt: clock.Instant(time.Second), CurrentAsOf: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Snapshot: true})
+	return v
 }
 
-// register returns records of the register from an offset on: a name and an incarnation, or only a name if the
+// registerRecords returns records of the register from an offset on: a name and an incarnation, or only a name if the
 // record was deleted.
-func register(offset int64, records ...string) []follow.Record {
+func registerRecords(offset int64, records ...string) []follow.Record {
 	var out []follow.Record
 	for i, record := range records {
 		name, incarnation, there := strings.Cut(record, " ")
@@ -39,27 +39,27 @@
 	return out
 }
 
-// newTestHolder returns a holder that tells of the register.
-func newTestHolder(tell func([]follow.Record)) *Manager {
+// newTestManager returns a holder that tells of the register.
+func newTestManager(tell func([]follow.Record)) *Manager {
 	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), BroadcastRegister: tell})
 }
 
 // In a roll 295 instances stopped and started. None was told of their records, so that each of 294 others read
 // the store for the next record of owners, which did not follow what it knew: 86,000 reads.
-func TestRegisterIsTold(t *testing.T) {
+func TestRegisterUpdateIsApplied(t *testing.T) {
 	is := is.New(t)
-	k := follower(5)
-	follows, err := k.enroll(register(5, "i1 7", "i2 8", "i1"))
+	v := newTestView(5)
+	follows, err := v.applyRegister(registerRecords(5, "i1 7", "i2 8", "i1"))
 	is.NoErr(err)
 	is.True(follows)
-	is.Equal(k.get().End, int64(8))
-	is.Equal(len(k.get().Instances), 1)
-	is.True(k.extend("books", 8, 1, []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}))
-	is.True(!k.get().registered("i1", 7))
-	is.True(k.get().registered("i2", 8))
+	is.Equal(v.get().End, int64(8))
+	is.Equal(len(v.get().Instances), 1)
+	is.True(v.applyOwnerChange("books", 8, 1, []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}))
+	is.True(!v.get().registered("i1", 7))
+	is.True(v.get().registered("i2", 8))
 }
 
-func TestRegisterMustFollow(t *testing.T) {
+func TestRegisterUpdateMustBeContiguous(t *testing.T) {
 	tests := map[string]struct {
 		offset int64
 		taken  bool
@@ -74,23 +74,23 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := follower(5)
-			follows, err := k.enroll(register(test.offset, "i1 1", "i2 1", "i3 1"))
+			v := newTestView(5)
+			follows, err := v.applyRegister(registerRecords(test.offset, "i1 1", "i2 1", "i3 1"))
 			is.NoErr(err)
 			is.Equal(follows, test.taken)
-			is.Equal(k.get().End, test.end)
-			is.Equal(len(k.get().Instances), int(test.end-5))
+			is.Equal(v.get().End, test.end)
+			is.Equal(len(v.get().Instances), int(test.end-5))
 		})
 	}
 	is := is.New(t)
-	follows, err := newKnowledge().enroll(register(0, "i1 1"))
+	follows, err := newLocalView().applyRegister(registerRecords(0, "i1 1"))
 	is.NoErr(err)
 	is.True(!follows) // who has read nothing cannot know that nothing is missing
 }
 
 // The leader tells of what it reads, up to a record of owners that another instance wrote: who takes that for
 // told would act by owners of before.
-func TestLeaderTellsRegister(t *testing.T) {
+func TestLeaderBroadcastsRegister(t *testing.T) {
 	entry, err := roster.Entry{Incarnation: 3}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -113,14 +113,14 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			got := ""
-			h := newTestHolder(func(records []follow.Record) {
+			lm := newTestManager(func(records []follow.Record) {
 				names := []string{}
 				for _, r := range records {
 					names = append(names, strings.TrimPrefix(r.Key, keyInstance))
 				}
 				got = fmt.Sprintf("%d:%v", records[0].Offset, names)
 			})
-			h.tellRegister(3, follow.Update{Batch: follow.Batch{Records: test.records}, Snapshot: test.whole})
+			lm.broadcastRegister(3, follow.Update{Batch: follow.Batch{Records: test.records}, Snapshot: test.whole})
 			is.Equal(got, test.want)
 		})
 	}
@@ -128,7 +128,7 @@
 
 // A message that holds anything but the register must change nothing: owners that come this way would be acted on
 // without the record before them.
-func TestOnlyTheRegisterIsEnrolled(t *testing.T) {
+func TestRegisterUpdateRejectsOtherRecords(t *testing.T) {
 	for name, record := range map[string]follow.Record{
 		"owners":    {Key: keyService + "books", Offset: 6},
 		"malformed": {Key: InstanceKey("i2"), Value: []byte("{"), Offset: 6},
@@ -136,22 +136,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := follower(5)
-			_, err := k.enroll(append(register(5, "i1 1"), record))
+			v := newTestView(5)
+			_, err := v.applyRegister(append(registerRecords(5, "i1 1"), record))
 			is.True(err != nil)
-			is.Equal(k.get().End, int64(5))
-			is.Equal(len(k.get().Instances), 0)
+			is.Equal(v.get().End, int64(5))
+			is.Equal(len(v.get().Instances), 0)
 		})
 	}
 }
 
 // Guards against two owners of a key: the answer to a read was cut short, and passed for all that there was.
-func TestAnswerCutShortProvesNothing(t *testing.T) {
+func TestTruncatedReadProvesNothing(t *testing.T) {
 	is := is.New(t)
 	const before, later = clock.Instant(time.Second), clock.Instant(5 * time.Second)
-	k := follower(5)
-	k.fold(follow.Update{StartedAt: later, Batch: follow.Batch{Records: register(5, "i1 7"), End: 6}})
-	is.Equal(k.get().End, int64(6))
-	is.True(k.provenSince(before))
-	is.True(!k.provenSince(later))
+	v := newTestView(5)
+	v.applyUpdate(follow.Update{StartedAt: later, Batch: follow.Batch{Records: registerRecords(5, "i1 7"), End: 6}})
+	is.Equal(v.get().End, int64(6))
+	is.True(v.currentAt(before))
+	is.True(!v.currentAt(later))
 }
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -14,8 +14,8 @@
 
 // renewer renews the grants of one server. One order is on its way at a time.
 type renewer struct {
-	holder *Manager
-	server rules.Server
+	manager *Manager
+	server  rules.Server
 
 	// sending holds one element while an order is on its way.
 	sending chan struct{}
@@ -25,10 +25,10 @@
 	busy     bool
 	dueAt    time.Time
 	failures int
-	// fencedAt is since when the server answers that it has seen a higher fence, zero if it does not.
-	fencedAt clock.Instant
-	// renewedAt is when the server last answered.
-	renewedAt time.Time
+	// fencedSince is since when the server answers that it has seen a higher fence, zero if it does not.
+	fencedSince clock.Instant
+	// answeredAt is when the server last answered.
+	answeredAt time.Time
 }
 
 // failing reports whether the server does not answer. A server that is not tried any more,
@@ -36,7 +36,7 @@
 func (r *renewer) failing(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.failures >= failuresMost && now.Sub(r.dueAt) < failingTime
+	return r.failures >= maxRenewalFailures && now.Sub(r.dueAt) < failingTimeout
 }
 
 // idle reports whether no order is or will be on its way.
@@ -47,20 +47,20 @@
 	return !busy && len(r.sending) == 0
 }
 
-// due reports whether the server's grants are to be renewed, and if so marks it as busy.
-func (r *renewer) due(now time.Time) bool {
+// tryBegin reports whether the server's grants are to be renewed, and if so marks it as busy.
+func (r *renewer) tryBegin(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy || now.Before(r.dueAt) {
 		return false
 	}
 	r.busy = true
-	r.dueAt = now.Add(renewEvery)
+	r.dueAt = now.Add(renewInterval)
 	return true
 }
 
-// round renews all grants of the server once.
-func (r *renewer) round(ctx context.Context) {
+// renewAll renews all grants of the server once.
+func (r *renewer) renewAll(ctx context.Context) {
 	defer func() {
 		r.mu.Lock()
 		r.busy = false
@@ -68,7 +68,7 @@
 	}()
 	done := make(map[uint16]bool)
 	for {
-		service, g, ok := r.next(done)
+		service, g, ok := r.nextRange(done)
 		if !ok || ctx.Err() != nil {
 			return
 		}
@@ -77,15 +77,15 @@
 		if errors.Is(err, context.Canceled) {
 			return
 		}
-		if !r.note(err) {
+		if !r.recordResult(err) {
 			return
 		}
 	}
 }
 
-// next returns a grant of the server that this round has not renewed yet.
-func (r *renewer) next(done map[uint16]bool) (string, shard.Range, bool) {
-	for service, m := range r.holder.know.get().Maps {
+// nextRange returns a grant of the server that this round has not renewed yet.
+func (r *renewer) nextRange(done map[uint16]bool) (string, shard.Range, bool) {
+	for service, m := range r.manager.view.get().Maps {
 		if service != r.server.Service {
 			continue
 		}
@@ -98,13 +98,13 @@
 	return "", shard.Range{}, false
 }
 
-// errStale says that the right to renew cannot be proved any more.
-var errStale = errors.New("holder: knowledge of the owner is too old")
+// errStaleView says that the right to renew cannot be proved any more.
+var errStaleView = errors.New("holder: knowledge of the owner is too old")
 
 // renew renews one grant.
 func (r *renewer) renew(ctx context.Context, service string, g shard.Range) error {
-	order := Grant{From: g.From, To: g.To, Fence: g.Fence, Lease: leaseTime}
-	return r.send(ctx, order, false, func() bool { return r.stands(service, g) })
+	order := Grant{From: g.From, To: g.To, Fence: g.Fence, Lease: leaseDuration}
+	return r.send(ctx, order, false, func() bool { return r.stillOwned(service, g) })
 }
 
 // send sends a grant, if it still stands at the last moment before. First says that nobody can have
@@ -112,7 +112,7 @@
 func (r *renewer) send(ctx context.Context, g Grant, first bool, stands func() bool) error {
 	r.sending <- struct{}{}
 	defer func() { <-r.sending }()
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	r.mu.Lock()
 	r.cancel = cancel
@@ -120,11 +120,11 @@
 	if !stands() {
 		return context.Canceled
 	}
-	if !r.holder.entitled() {
-		return errStale
+	if !r.manager.mayAct() {
+		return errStaleView
 	}
 	proven := func(ctx context.Context, openedAt clock.Instant) error {
-		if err := r.holder.prove(ctx, r.server.ID, openedAt, first); err != nil {
+		if err := r.manager.awaitVerified(ctx, r.server.ID, openedAt, first); err != nil {
 			return err
 		}
 		if !stands() {
@@ -132,27 +132,27 @@
 		}
 		return nil
 	}
-	return r.holder.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
+	return r.manager.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
 }
 
-// entitled reports whether the instance may act on what it knows of the owners: it is
+// mayAct reports whether the instance may act on what it knows of the owners: it is
 // registered, and the knowledge is fresh.
-func (h *Manager) entitled() bool {
-	if h.guards.registering && !h.know.get().registered(h.Name, h.Incarnation) {
+func (lm *Manager) mayAct() bool {
+	if lm.guards.requireRegistration && !lm.view.get().registered(lm.Name, lm.Incarnation) {
 		return false
 	}
-	if !h.guards.knowing {
+	if !lm.guards.requireFreshView {
 		return true
 	}
-	now, contactTime := h.Clock.Now(), h.Roster.ContactTime()
-	return h.know.fresh(now, contactTime, func() bool {
-		return !h.guards.contact || h.Roster.Contact(int64(now.Add(-contactTime)), h.know.get().End)
+	now, contactTime := lm.Clock.Now(), lm.Roster.ContactTime()
+	return lm.view.fresh(now, contactTime, func() bool {
+		return !lm.guards.requireMajority || lm.Roster.Contact(int64(now.Add(-contactTime)), lm.view.get().End)
 	})
 }
 
-// stands reports whether a range is still a part of the owners.
-func (r *renewer) stands(service string, g shard.Range) bool {
-	m := r.holder.know.get().Maps[service]
+// stillOwned reports whether a range is still a part of the owners.
+func (r *renewer) stillOwned(service string, g shard.Range) bool {
+	m := r.manager.view.get().Maps[service]
 	if m == nil {
 		return false
 	}
@@ -161,8 +161,8 @@
 		m.Ranges[i].To == g.To && len(m.Ranges[i].Before) == 0
 }
 
-// stop ends the order that is on its way, so that what follows can be sure that none is.
-func (r *renewer) stop() {
+// cancelAndWait ends the order that is on its way, so that what follows can be sure that none is.
+func (r *renewer) cancelAndWait() {
 	r.mu.Lock()
 	cancel := r.cancel
 	r.mu.Unlock()
@@ -173,57 +173,57 @@
 	<-r.sending
 }
 
-// note takes in how a renewal ended, and reports whether the round goes on.
-func (r *renewer) note(err error) bool {
+// recordResult takes in how a renewal ended, and reports whether the round goes on.
+func (r *renewer) recordResult(err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.holder
-	if errors.Is(err, ErrFenced) && !r.outdone() {
+	lm := r.manager
+	if errors.Is(err, ErrFenced) && !r.persistentlyFenced() {
 		return true
 	}
 	switch {
 	case err == nil:
-		if r.failures >= failuresMost {
-			h.Events.Note(event.Belief, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.renewedAt))
-			h.Announce()
+		if r.failures >= maxRenewalFailures {
+			lm.Events.Note(event.Belief, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.answeredAt))
+			lm.Announce()
 		}
-		r.failures, r.fencedAt, r.renewedAt = 0, 0, time.Now()
+		r.failures, r.fencedSince, r.answeredAt = 0, 0, time.Now()
 		return true
-	case errors.Is(err, errStale), errors.Is(err, ErrUnverified):
+	case errors.Is(err, errStaleView), errors.Is(err, ErrUnverified):
 		if errors.Is(err, ErrUnverified) {
-			r.dueAt = time.Now().Add(tickEvery)
+			r.dueAt = time.Now().Add(tickInterval)
 		}
-		h.Events.Note(event.Belief, "renewal-withheld", "server", r.server.ID, "reason", err,
-			"knowledge-age", time.Duration(h.know.age(h.Clock.Now())))
+		lm.Events.Note(event.Belief, "renewal-withheld", "server", r.server.ID, "reason", err,
+			"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 		return false
 	}
 	r.failures++
-	h.Events.Note(event.Belief, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
-	if r.failures == failuresMost {
-		h.Announce()
+	lm.Events.Note(event.Belief, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
+	if r.failures == maxRenewalFailures {
+		lm.Announce()
 	}
-	if r.failures < failuresMost {
+	if r.failures < maxRenewalFailures {
 		// A lost answer is made good at once: the lease goes on running out.
-		r.dueAt = time.Now().Add(tickEvery)
+		r.dueAt = time.Now().Add(tickInterval)
 	}
-	return r.failures < failuresMost
+	return r.failures < maxRenewalFailures
 }
 
-// fencedTime is how long the record of a move may take to whoever renews.
-const fencedTime = time.Second
+// maxRecordDelay is how long the record of a move may take to whoever renews.
+const maxRecordDelay = time.Second
 
-// outdone reports whether a server goes on refusing for a higher fence although what is known of the owners is
+// persistentlyFenced reports whether a server goes on refusing for a higher fence although what is known of the owners is
 // younger than its first such answer, so that it cannot be a record on its way; the lock is held.
 //
 // It guards against taking a server for lost that answers: a plan releases keys while its record is on its way
 // to hundreds of instances, and who renews by the record before is refused. Counted as failures, two such
 // answers cost the server its keys, and the plan for those makes more of them.
-func (r *renewer) outdone() bool {
-	h := r.holder
-	if r.fencedAt == 0 {
-		r.fencedAt = h.Clock.Now()
-		h.Events.Note(event.Belief, "renewal-fenced", "server", r.server.ID,
-			"knowledge-age", time.Duration(h.know.age(h.Clock.Now())))
+func (r *renewer) persistentlyFenced() bool {
+	lm := r.manager
+	if r.fencedSince == 0 {
+		r.fencedSince = lm.Clock.Now()
+		lm.Events.Note(event.Belief, "renewal-fenced", "server", r.server.ID,
+			"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 	}
-	return h.know.provenSince(r.fencedAt.Add(fencedTime))
+	return lm.view.currentAt(r.fencedSince.Add(maxRecordDelay))
 }
--- a/internal/holder/prove.go
+++ b/internal/holder/verify.go
@@ -9,7 +9,7 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// prove waits until a grant to a life of a server is known to stand on a connection.
+// awaitVerified waits until a grant to a life of a server is known to stand on a connection.
 //
 // It guards against two things that a server can bring about which crashes and starts again under
 // its name, without a memory of before. First: it releases keys that move away, crashes, and an
@@ -21,48 +21,48 @@
 // must have had the time to tell of a new life.
 //
 // A life whose server has a name of its own needs no proof: the next one does not answer to it.
-func (h *Manager) prove(ctx context.Context, server string, openedAt clock.Instant, first bool) error {
-	if !h.guards.proving || rules.NameOf(server) == server {
+func (lm *Manager) awaitVerified(ctx context.Context, server string, openedAt clock.Instant, first bool) error {
+	if !lm.guards.verifyConnection || rules.NameOf(server) == server {
 		return nil
 	}
 	askAt := openedAt
 	if !first {
-		askAt = openedAt.Add(h.EntryDelay)
+		askAt = openedAt.Add(lm.EntryDelay)
 	}
-	for asked := false; !h.newest(openedAt) || !first && !h.listed(openedAt); {
-		if !asked && h.Clock.Now() >= askAt {
+	for asked := false; !lm.viewCurrentAt(openedAt) || !first && !lm.directoryCurrentAt(openedAt); {
+		if !asked && lm.Clock.Now() >= askAt {
 			asked = true
-			h.RereadOwners()
+			lm.RereadOwners()
 			if !first {
-				h.ReadDirectory()
+				lm.ReadDirectory()
 			}
 		}
-		if !duty.Pause(ctx, proofPause) {
+		if !duty.Pause(ctx, verifyInterval) {
 			return ErrUnverified
 		}
 	}
-	if _, there := h.Servers()[server]; !there {
+	if _, there := lm.Servers()[server]; !there {
 		return ErrServerGone
 	}
 	return nil
 }
 
-// newest reports whether what is known of the owners is known to have been the newest at an instant:
+// viewCurrentAt reports whether what is known of the owners is known to have been the newest at an instant:
 // from the store, or because all others have said since that they know of nothing newer. Whoever
 // decides something is registered, and knows it. The latter bridges outages of the store for all, in
 // which nothing is decided, but servers change hands between instances that stop and start.
-func (h *Manager) newest(at clock.Instant) bool {
-	return h.know.provenSince(at) || h.Roster.Agreed(int64(at), h.know.get().End, time.Now())
+func (lm *Manager) viewCurrentAt(at clock.Instant) bool {
+	return lm.view.currentAt(at) || lm.Roster.Agreed(int64(at), lm.view.get().End, time.Now())
 }
 
-// listed reports whether a server that had started by an instant would be known by now.
-func (h *Manager) listed(at clock.Instant) bool {
-	return h.Clock.Now().Add(-h.DirectoryAge()) >= at.Add(h.EntryDelay)
+// directoryCurrentAt reports whether a server that had started by an instant would be known by now.
+func (lm *Manager) directoryCurrentAt(at clock.Instant) bool {
+	return lm.Clock.Now().Add(-lm.DirectoryAge()) >= at.Add(lm.EntryDelay)
 }
 
-// provenSince reports whether the owners are known to have been the newest at an instant.
-func (k *knowledge) provenSince(at clock.Instant) bool {
+// currentAt reports whether the owners are known to have been the newest at an instant.
+func (k *localView) currentAt(at clock.Instant) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.read && k.asOf >= at
+	return k.loaded && k.currentAsOf >= at
 }
