--- a/internal/holder/cluster_test.go
+++ b/internal/holder/cluster_test.go
@@ -246,7 +246,7 @@
 		Load:          func(string) []float64 { return tc.loadAt(name) },
 		Capacities:    func(string) map[string]float64 { return nil },
 		DirectoryAge:  func() time.Duration { return 0 }, EntryDelay: time.Second, ReadDirectory: func() {},
-		LeadershipChanged: func(bool) {}, OwnersChanged: func() {}, Announce: func() {},
+		LeadershipChanged: func(bool) {}, OwnersChanged: func() {}, SendHeartbeat: func() {},
 		RereadOwners: func() {
 			select {
 			case n.reread <- struct{}{}:
--- a/internal/holder/fenced_test.go
+++ b/internal/holder/fenced_test.go
@@ -20,7 +20,7 @@
 func TestFencedServerIsNotFailing(t *testing.T) {
 	is := is.New(t)
 	now := &clock.Fake{At: clock.Instant(time.Hour)}
-	lm := New(Deps{Clock: now, Events: event.New(io.Discard, log.ErrorLevel), Announce: func() {}})
+	lm := New(Deps{Clock: now, Events: event.New(io.Discard, log.ErrorLevel), SendHeartbeat: func() {}})
 	knowAsOf := func(at clock.Instant) {
 		lm.view.applyUpdate(follow.Update{StartedAt: at, CurrentAsOf: at, Snapshot: true})
 	}
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -196,5 +196,5 @@
 	// OwnersChanged is called when the owners have changed, Announce when peers should hear of what
 	// this instance confirms.
 	OwnersChanged func()
-	Announce      func()
+	SendHeartbeat func()
 }
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -98,7 +98,7 @@
 		lm.nextWriteAt = time.Now().Add(writeRetryDelay)
 		if !errors.Is(err, follow.ErrConflict) {
 			lm.storeReachable.Store(false)
-			lm.Announce()
+			lm.SendHeartbeat()
 		}
 		lm.RereadOwners()
 		return false
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -44,7 +44,7 @@
 			Services:      func() []string { return []string{"books", "stock"} },
 			TargetLatency: func(string) time.Duration { return time.Second },
 			Load:          func(string) []float64 { return nil }, Capacities: func(string) map[string]float64 { return nil },
-			LeadershipChanged: func(bool) {}, Announce: func() {}, RereadOwners: func() {}, OwnersChanged: func() {},
+			LeadershipChanged: func(bool) {}, SendHeartbeat: func() {}, RereadOwners: func() {}, OwnersChanged: func() {},
 		})
 		entry, err := roster.Entry{Address: "127.0.0.1:3", Domain: "d0", Incarnation: 1, Share: 1}.Encode()
 		is.NoErr(err)
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -185,7 +185,7 @@
 	case err == nil:
 		if r.failures >= maxRenewalFailures {
 			lm.Events.Note(event.Belief, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.answeredAt))
-			lm.Announce()
+			lm.SendHeartbeat()
 		}
 		r.failures, r.fencedSince, r.answeredAt = 0, 0, time.Now()
 		return true
@@ -200,7 +200,7 @@
 	r.failures++
 	lm.Events.Note(event.Belief, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
 	if r.failures == maxRenewalFailures {
-		lm.Announce()
+		lm.SendHeartbeat()
 	}
 	if r.failures < maxRenewalFailures {
 		// A lost answer is made good at once: the lease goes on running out.
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -308,7 +308,7 @@
 		lm.mu.Lock()
 		lm.confirmedOffset = max(lm.confirmedOffset, after.End)
 		lm.mu.Unlock()
-		lm.Announce()
+		lm.SendHeartbeat()
 	}()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,7 +137,7 @@
 		DirectoryAge: func() time.Duration { return n.topics[around.Servers].Age() },
 		EntryDelay:   entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
 		LeadershipChanged: n.leading, BroadcastOwners: n.tellOwners, BroadcastRegister: n.tellRegister, MoveCompleted: n.settledHere,
-		OwnersChanged: n.ownersChanged, Announce: n.announce,
+		OwnersChanged: n.ownersChanged, SendHeartbeat: n.announce,
 	})
 	n.world.owners = n.holder.View
 	n.topics = n.newTopics()
