--- a/internal/holder/guards.go
+++ b/internal/holder/guards.go
@@ -1,30 +1,33 @@
 package holder
 
-// guards are the rules that keep a key with one owner. All are in force always; tests switch
-// one off at a time, to show that it is needed.
+// guards are the rules that keep each key with at most one owner. All of them are always on; tests turn
+// one off at a time to show that it is needed.
 type guards struct {
-	// conditionalAppend writes owners only behind the record that they were decided from.
+	// conditionalAppend appends records of owners only directly behind the record that they were decided from.
 	conditionalAppend bool
-	// endOldLeases waits for the right of the old owner to end before the new one gets the keys.
+	// endOldLeases waits until the lease of the former owner has ended before the new owner gets the keys.
 	endOldLeases bool
-	// awaitConfirmation waits for the instances to act by the new record, or to be too old.
+	// awaitConfirmation waits until every instance acts by the new record or its view is too old to act on.
 	awaitConfirmation bool
-	// awaitExpiry waits for the last lease to run out.
+	// awaitExpiry waits until the last lease that may have been granted has expired.
 	awaitExpiry bool
-	// requireFreshView renews only by knowledge that is fresh.
+	// requireFreshView renews only while the view is fresh.
 	requireFreshView bool
-	// requireMajority acts on knowledge of some age only while a majority of the others is heard.
+	// requireMajority acts on a view that is no longer fresh by itself only in contact with a majority of the instances.
 	requireMajority bool
-	// stopStaleGrants ends the orders on their way before a record is confirmed.
+	// stopStaleGrants cancels grants that are being sent before the record that contradicts them is confirmed.
 	stopStaleGrants bool
-	// checkIncarnation says in each order which life of a server is meant.
+	// checkIncarnation rejects requests that are meant for another incarnation of a server. Only the fake servers
+	// of the tests read it: a LeaseClient always states the incarnation.
 	checkIncarnation bool
-	// verifyConnection sends grants only on connections that are older than the proof that they stand.
+	// verifyConnection sends grants only on connections that were opened before the time as of which the grants
+	// are known to be current.
 	verifyConnection bool
-	// requireRegistration acts only while the register is known to hold the instance.
+	// requireRegistration acts only while the view contains the registration of this instance.
 	requireRegistration bool
 }
 
+// allGuards has every guard on.
 var allGuards = guards{
 	conditionalAppend: true, endOldLeases: true, awaitConfirmation: true, awaitExpiry: true, requireFreshView: true, stopStaleGrants: true, requireRegistration: true, checkIncarnation: true, verifyConnection: true, requireMajority: true,
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -1,26 +1,26 @@
-// Package holder keeps the rights of backend servers to their keys: it renews them, and moves
-// keys from one server to another when it leads.
+// Package holder manages the leases of backend servers: the right of a server to a range of keys,
+// with a fencing token. It renews leases and, on the leader, moves ranges from one server to another.
 //
-// What must hold is that two servers never have the same key. It rests on five rules.
-//   - A move is a record of the shared store that is written only behind the record that it
-//     was decided from. Its fence is higher than all before.
-//   - The new owner gets its first grant when the old one has answered a release with the new
-//     fence: from then on it takes no older grant, however late that comes. A server that does
-//     not answer loses its right by time: when every instance has confirmed that it acts by
-//     the new record, or has not read the store for knowledgeTime, and the lease has run out
-//     after that.
-//   - A grant goes on a connection that was opened before the time as of which its record is known
-//     to be the newest. A server may start again under its name, without the fences that it had
-//     seen: only a connection tells one life from the next.
-//   - An instance renews only what its newest record says, only while that record is known to
-//     be the newest as of a few seconds ago (roster.ContactTime), or knowledgeTime if it hears a
-//     majority of the others, and checks both at the last moment.
-//   - The register of instances stands in the same log. Who writes a move has read of every
-//     instance that is registered before it, and who reads its own registration reads every
-//     move before it. An instance that is silent is marked as removed first, and its record is
-//     deleted only when what it knew is too old to act on.
+// Two servers must never hold the same key at the same time. Five rules ensure this:
+//   - A move is a record of the shared store that is appended only directly behind the record that it
+//     was decided from. Its fence is higher than all earlier ones.
+//   - The new owner gets its first grant once the former owner has answered a release that carries
+//     the new fence: from then on the former owner rejects older grants, however late they arrive. If it
+//     does not answer, its lease must have expired. The manager waits until every instance has confirmed
+//     that it acts by the new record, or has not read the store for maxViewAge, and then for one lease.
+//   - A grant is sent only on a connection that was opened before the time as of which its record is
+//     known to be the newest. A restarted server may keep its name but loses the fences that it has
+//     seen, and only the connection tells one incarnation from the next.
+//   - An instance renews only the leases in its newest record, and only while that record is known to
+//     have been the newest within the contact timeout of the roster, or within maxViewAge while the
+//     instance is in contact with a majority of the others. Both are checked just before sending.
+//   - The register of instances is in the same log. An instance that appends a move has thus read every
+//     registration before it, and an instance that reads its own registration reads every move before
+//     it. An instance without heartbeats is first marked as removed; its record is deleted only when its
+//     view is too old to act on.
 //
-// Renewals change no owner, so any instance may send them. Who leads is a matter of cost.
+// Renewals change no owner, so any instance may send them. That only one instance decides about owners
+// saves work; the rules hold without it.
 package holder
 
 import (
@@ -36,165 +36,173 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// The errors of an Orders.
+// The errors of a LeaseClient.
 var (
-	// ErrFenced says that the server has seen a higher fence on some of the keys.
-	ErrFenced = errors.New("holder: higher fence seen")
-	// ErrNoAnswer says that no answer came: the order may be carried out, also later.
-	ErrNoAnswer = errors.New("holder: no answer")
-	// ErrServerGone says that another server, or another life of it, has the address.
-	ErrServerGone = errors.New("holder: the server has ended")
-	// ErrRefused says that the server refused the order for another reason.
-	ErrRefused = errors.New("holder: refused")
-	// ErrUnverified says that an order was not sent since it could not be proved to stand.
-	ErrUnverified = errors.New("holder: not proved to stand")
+	// ErrFenced means that the server has seen a higher fence on some of the keys.
+	ErrFenced = errors.New("holder: server has seen a higher fence")
+	// ErrNoAnswer means that no answer came: the server may still carry out the request, also later.
+	ErrNoAnswer = errors.New("holder: no answer from server")
+	// ErrServerGone means that another server, or another incarnation of the server, has the address.
+	ErrServerGone = errors.New("holder: another server has the address")
+	// ErrRefused means that the server refused the request for another reason.
+	ErrRefused = errors.New("holder: server refused the request")
+	// ErrUnverified means that a grant was not sent because its GrantCheck did not pass in time.
+	ErrUnverified = errors.New("holder: grant not verified as current")
 )
 
-// The times of rights.
+// The parameters of leases and moves.
 const (
-	// leaseDuration is how long a grant is good for, from its arrival. A server that goes silent
-	// leaves its keys without an owner for as long; a renewal may fail twice in it.
+	// leaseDuration is the duration of a lease, counted from the arrival of the grant. When a server
+	// stops answering, its keys have no owner for this long. Two renewals may fail within it.
 	leaseDuration = 2200 * time.Millisecond
-	// renewInterval is how often a grant is renewed: three times in a lease, and again at once if one
-	// fails. A thousand ranges are 1,400 renewals a second, beside 2,900 requests (worked out).
+	// renewInterval is the time between renewals of a lease: three within leaseDuration, and a retry soon
+	// after a failure. A thousand ranges cause 1,400 renewals per second, beside 2,900 requests.
 	renewInterval = 700 * time.Millisecond
 	// maxClockDrift is the factor by which the clock of a server may be slow.
 	maxClockDrift = 1.02
-	// maxTransitTime is how long an order that was sent before it was given up may still take to
-	// arrive: the delay of a link, of which the longest is 20 milliseconds.
+	// maxTransitTime is how long a request that was sent before it was canceled may still take to
+	// arrive. The longest link delay is 20 milliseconds.
 	maxTransitTime = 150 * time.Millisecond
-	// maxViewAge is how old the knowledge may be that an owner still is the owner. It
-	// bridges that long an outage of the store. Takeovers from a server that is silent wait as
-	// long for instances that are silent as well.
+	// maxViewAge is the age up to which a view of the owners may be acted on. It bridges an outage of the
+	// store of that length. A takeover from a server that does not answer waits as long for
+	// instances that do not confirm it.
 	maxViewAge = 12 * time.Second
-	// grantTimeout bounds a grant, releaseTimeout a release, which is answered when the work
+	// grantTimeout bounds a grant. releaseTimeout bounds a release, which is answered once the work
 	// in progress has ended.
 	grantTimeout   = 350 * time.Millisecond
 	releaseTimeout = 4 * time.Second
-	// minListenTime is how long an instance listens for others before it may lead, and until it has heard half of
-	// its domain or listenMost is over: without it all instances that start together lead at first.
+	// An instance receives heartbeats for minListenTime, and then until it has one from half of its failure
+	// domain or maxListenTime is over, before it may lead. Otherwise all instances that start together
+	// lead at first.
 	minListenTime = 500 * time.Millisecond
 	maxListenTime = 1500 * time.Millisecond
-	// renewalSetInterval is the least time between two looks which servers the instance renews, unless the owners
-	// have changed.
+	// renewalSetInterval is the minimum time between two computations of the servers that the instance
+	// renews, unless the owners have changed.
 	renewalSetInterval = 200 * time.Millisecond
-	// verifyInterval is the pause between two looks whether a grant is proved to stand. A read of the
-	// store, which proves it, takes 4 ms.
+	// verifyInterval is the time between two checks whether a grant is verified. A read of the store, which
+	// verifies it, takes 4 ms.
 	verifyInterval = 5 * time.Millisecond
-	// tickInterval is the pace of decisions.
+	// tickInterval is the time between two decisions about owners, and between two checks for due renewals.
 	tickInterval = 50 * time.Millisecond
-	// maxRenewalFailures is the number of renewals in a row without an answer after which a server
-	// is reported as failing.
+	// maxRenewalFailures is the number of consecutive failed renewals at which a server is reported as failing.
 	maxRenewalFailures = 2
-	// failingTimeout is how long a server that is not tried any more counts as failing. It then
-	// gets keys again, and loses them within a lease if it still does not answer.
+	// failingTimeout is how long a server counts as failing after its last renewal was due, when it gets no
+	// more renewals. It then gets keys again, and loses them within a lease if it still does not answer.
 	failingTimeout = 4 * time.Second
-	// requiredReporters is the number of instances that must find a server failing before it loses its
-	// keys: the first alone may have lost its own way to it.
+	// requiredReporters is the number of instances that must report a server as failing before it loses
+	// its keys: a single one may have lost its own connection to the server.
 	requiredReporters = 2
-	// balanceInterval is the least time between two plans that only even out the load.
+	// balanceInterval is the minimum time between two plans that only balance load.
 	balanceInterval = 700 * time.Millisecond
-	// maxCompletionDelay is how long the record that moves are complete may wait for others, or for a
-	// plan that goes into the same record: the instances know it by message, and the leader
-	// renews until it stands in the store. Should the leader be lost, the next one ends and
-	// grants these moves again.
+	// maxCompletionDelay is how long the record of completed moves may wait for further ones, or for a
+	// plan that goes into the same record. Meanwhile the other instances know the completion from a message,
+	// and the leader renews the leases. If the leader is lost, the next one ends the old leases and grants
+	// the ranges again.
 	maxCompletionDelay = 2 * time.Second
-	// firstDivisionDelay is how long no new server may come before keys are divided for the first time.
-	// Servers that start together write their entries within a heartbeat of 0.9 seconds.
+	// firstDivisionDelay is how long the set of servers of a new service must stay the same before its keys are
+	// divided for the first time. Servers that start together write their directory entries within
+	// a heartbeat interval of 0.9 seconds.
 	firstDivisionDelay = time.Second
-	// cutOffHoldTime is how long servers keep their keys that seem lost while all instances of their
-	// failure domain are silent as well: the domain is cut off rather than dead. Its servers go
-	// on serving callers of their own domain, and a move could not be completed before the cut
-	// ends or knowledgeTime is over. Without it each cut of six seconds moved a quarter of all keys
-	// when it ended, and for four seconds half to four fifths of the requests were refused at the
-	// other domains' servers while those of the domain had nothing to do. A domain that is lost for good costs
-	// as much longer until its keys are served elsewhere.
+	// cutOffHoldTime is how long servers that seem lost keep their keys while all instances of their
+	// failure domain are unreachable as well. The domain is then probably cut off and not down: its servers
+	// continue to serve callers of their own domain, and a move could not complete before the
+	// cut ends or maxViewAge is over. Without it each cut of six seconds moved a quarter of all keys
+	// when it ended, and for four seconds half to four fifths of the requests at the servers of the other
+	// domains were refused, while the servers of the domain were idle. After the permanent loss of a domain
+	// its keys are without an owner for this much longer.
 	cutOffHoldTime = 7500 * time.Millisecond
-	// coldCapacityFactor is what a server that has just started can do, as a part of what it will: it takes
-	// twice as long for some seconds. Where servers are replaced, the keys of those that leave go
-	// to the new ones at once, not first to others that are busy and then on.
+	// coldCapacityFactor is the capacity of a cold server as a fraction of its full capacity: for some
+	// seconds it takes twice as long for a request. With a fraction above zero, the keys of servers that are
+	// replaced go to the new servers at once, and not first to others that are busy.
 	coldCapacityFactor = 0.5
-	// coldLoadFactor is the part of the requests a second that a cold server bears for which it gets keys: requests come
-	// unevenly.
+	// coldLoadFactor is the fraction of the request rate that a cold server can take for which it gets keys:
+	// requests arrive unevenly.
 	coldLoadFactor = 0.8
-	// removalTimeout is how long an instance may be silent before its record is removed: longer
-	// than holdTime, which looks at registered instances.
+	// removalTimeout is how long an instance may be without heartbeats before it is marked as removed. It is
+	// longer than cutOffHoldTime, because cut-off domains are found by their registered instances.
 	removalTimeout = 8 * time.Second
-	// maxLeftServers bounds the memory of servers that left.
+	// maxLeftServers bounds the number of servers that are remembered after they left.
 	maxLeftServers = 4096
 )
 
-// Grant is an order about keys. Lease and Handover do not matter in a release.
+// Grant asks a server to hold or to release the keys From to To, both included. Lease and Handover are
+// not used in a release.
 type Grant struct {
 	From  uint16
 	To    uint16
 	Fence uint64
+	// Lease is the duration of the lease, counted from the arrival of the grant.
 	Lease time.Duration
-	// Handover is what the last owner gave out, so that the new one starts with its state.
+	// Handover is what the former owner returned on release, so that the new one starts with its state.
 	Handover string
 }
 
-// GrantCheck returns nil if a grant still stands after a connection for it was opened, else an error.
+// GrantCheck returns nil if a grant was still current after its connection was opened, and an error
+// otherwise. A LeaseClient calls it before it sends the grant; it may block until ctx is done.
 type GrantCheck func(ctx context.Context, openedAt clock.Instant) error
 
-// LeaseClient sends orders to servers.
+// LeaseClient sends grants and releases to servers.
 type LeaseClient interface {
-	// Grant gives keys to a server. It names the server that is meant, and sends nothing on a
-	// connection that has no Proof: a server that started anew has forgotten the fences that it
-	// saw, and would take an old grant.
-	Grant(ctx context.Context, to shard.Holder, g Grant, proven GrantCheck) error
-	// Release ends a right. It returns, when the work in progress has ended, the handover for
-	// the next owner.
+	// Grant gives keys to a server, or renews its lease. It names the incarnation of the server that is
+	// meant, and sends nothing on a connection for which check fails: a restarted server has lost the
+	// fences that it had seen, and would accept an old grant.
+	Grant(ctx context.Context, to shard.Holder, g Grant, check GrantCheck) error
+	// Release ends a lease. It returns the handover for the next owner once the work in progress
+	// has ended.
 	Release(ctx context.Context, to shard.Holder, g Grant) (string, error)
 }
 
-// View is what the holder knows of the owners of all services.
+// View is what an instance believes about the owners of all services and the registered instances.
+// It is immutable once published.
 type View struct {
-	// Maps holds the owners by service, Instances the register.
+	// Maps holds the owners by service, Instances the register of instances by name.
 	Maps      map[string]*shard.Map
 	Instances map[string]roster.Entry
-	// End is the offset behind the newest record.
+	// End is the offset after the newest record.
 	End int64
 }
 
-// Deps is what a Holder needs.
+// Deps holds the settings and dependencies of a Manager.
 type Deps struct {
+	// Name, Domain and Incarnation identify this instance; Domain is its failure domain.
 	Name        string
 	Domain      string
 	LeaseClient LeaseClient
 	Store       follow.Store
-	// Topic is the topic of owners, and of the register of instances.
+	// Topic is the topic of the store that holds the owners and the register of instances.
 	Topic       string
 	Incarnation uint64
 	Clock       clock.Clock
 	Roster      *roster.Roster
 	Events      *event.Log
-	// Servers returns the servers of the directory, by id, and Directory a number that changes whenever
-	// they do; Services returns the divided services.
+	// Servers returns the servers of the directory by id. DirectoryVersion returns a number that changes
+	// whenever they do. Services returns the services whose keys are divided among servers.
 	Servers          func() map[string]rules.Server
 	DirectoryVersion func() uint64
 	Services         func() []string
 	// TargetLatency returns the time within which requests of a service should be answered.
 	TargetLatency func(service string) time.Duration
-	// DirectoryAge returns how old the knowledge is that no entry of a server is missing. EntryTime is
-	// how long after its start a server's entry may be missing. ReadDirectory asks for a new read.
+	// DirectoryAge returns the age of the local copy of the directory. EntryDelay is how long after the start
+	// of a server its directory entry may be missing. ReadDirectory asks for a read of the directory.
 	DirectoryAge  func() time.Duration
 	EntryDelay    time.Duration
 	ReadDirectory func()
-	// Load returns the requests in a second by key, Powers what servers can do in a second.
+	// Load returns the requests per second by key. Capacities returns the requests per second that each
+	// server can serve, by id.
 	Load       func(service string) []float64
 	Capacities func(service string) map[string]float64
-	// LeadershipChanged is called when this instance begins or ceases to decide about owners.
+	// LeadershipChanged is called when this instance starts or stops deciding about owners.
 	LeadershipChanged func(leads bool)
-	// Tell tells the other instances of a record that was written, TellRegister of records of the register,
-	// Settled of a range that has come to its new owner.
+	// BroadcastRegister sends records of the register to the other instances, BroadcastOwners a record of
+	// owners that was appended. MoveCompleted is called when the new owner of a range, which starts
+	// at key from, has its first grant.
 	BroadcastRegister func([]follow.Record)
 	BroadcastOwners   func(service string, offset int64, fence uint64, changes []shard.Range)
 	MoveCompleted     func(service string, from uint16, fence uint64)
-	// RereadOwners asks for a new read of the topic of owners.
+	// RereadOwners asks for a read of Topic.
 	RereadOwners func()
-	// OwnersChanged is called when the owners have changed, Announce when peers should hear of what
-	// this instance confirms.
+	// OwnersChanged is called when the view has changed. SendHeartbeat asks for a heartbeat at once, because
+	// the confirmed offset, or another state that heartbeats carry, has changed.
 	OwnersChanged func()
 	SendHeartbeat func()
 }
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -16,7 +16,8 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// lead decides about owners, if this instance is the one to do so.
+// lead updates whether this instance leads. If it does, it decides about owners, cleans the register and
+// starts moves.
 func (lm *Manager) lead(ctx context.Context, now time.Time) {
 	leader, found := lm.Roster.Leader(now)
 	lm.logLeader(leader.Name)
@@ -45,8 +46,8 @@
 	lm.startMoves(ctx)
 }
 
-// logLeader logs whom this instance takes for the leader, when that changes, and what it lacks to lead
-// itself. The name is empty if no instance says that it reaches the store.
+// logLeader logs a change of the instance that this one takes for the leader, and the conditions for leading
+// itself. The name is empty if no instance reports that it reaches the store.
 func (lm *Manager) logLeader(name string) {
 	if name == lm.knownLeader {
 		return
@@ -56,8 +57,8 @@
 		"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 }
 
-// clear marks the instances that have been silent for long as removed, and deletes the records
-// of those that were marked for so long that nothing they know is fresh.
+// clear marks one instance without heartbeats for removalTimeout as removed. If there is none, it deletes the record
+// of an instance that has been marked for so long that its view and its leases have expired.
 func (lm *Manager) clear(ctx context.Context, now time.Time) {
 	if now.Sub(lm.registerCheckedAt) < cleanInterval {
 		return
@@ -81,17 +82,17 @@
 	}
 }
 
-// cleanInterval is how often the leader looks for instances that are gone. Each finding is one
-// call to the store.
+// cleanInterval is the minimum time between two checks for such instances. Each check
+// appends at most one record.
 const cleanInterval = 500 * time.Millisecond
 
-// append writes a record behind what is known, and takes it in.
+// append appends a record directly behind the view and applies it. It reports whether the record was appended.
 func (lm *Manager) append(ctx context.Context, key string, value []byte) bool {
 	end := lm.view.get().End
 	if !lm.guards.conditionalAppend {
 		end = -1
 	}
-	begun := lm.Clock.Now()
+	startedAt := lm.Clock.Now()
 	offset, err := lm.Store.Append(ctx, lm.Topic, key, value, end)
 	if err != nil {
 		lm.Events.Note(event.Belief, "owners-not-written", "key", key, "as-of", end, "error", err)
@@ -104,27 +105,27 @@
 		return false
 	}
 	lm.applyUpdate(follow.Update{
-		Topic: lm.Topic, StartedAt: begun, CurrentAsOf: begun,
+		Topic: lm.Topic, StartedAt: startedAt, CurrentAsOf: startedAt,
 		Batch: follow.Batch{End: offset + 1, Records: []follow.Record{{Key: key, Value: value, Offset: offset}}},
 	})
 	return true
 }
 
-// decideOwners writes the next owners of a service, if they should change.
+// decideOwners appends the next owners of a service if they should change.
 func (lm *Manager) decideOwners(ctx context.Context, service string, now time.Time) {
-	known := lm.view.get()
-	current := known.Maps[service]
+	view := lm.view.get()
+	current := view.Maps[service]
 	if current == nil {
 		current = &shard.Map{}
 	}
 	var next *shard.Map
-	settled := lm.withoutCompleted(service, current)
-	if settled != nil && !now.Before(lm.recordCompletedAt) {
-		next = settled
+	completed := lm.withoutCompleted(service, current)
+	if completed != nil && !now.Before(lm.completionDueAt) {
+		next = completed
 	}
 	in := lm.planInput(service, current, now)
-	if adopted := lm.takeOverMoves(service, current, in.Addresses); adopted != nil {
-		lm.writeOwners(ctx, service, current, adopted)
+	if takenOver := lm.takeOverMoves(service, current, in.Addresses); takenOver != nil {
+		lm.writeOwners(ctx, service, current, takenOver)
 		return
 	}
 	if len(current.Ranges) == 0 && !lm.readyToDivide(service, len(in.Members), now) {
@@ -134,8 +135,8 @@
 		return m.Lost && len(current.Of(m.ID)) > 0
 	}) || lm.hasOrphans(in, current)
 	if urgent || now.Sub(lm.plannedAt) >= balanceInterval {
-		if settled != nil {
-			in.Map = settled
+		if completed != nil {
+			in.Map = completed
 		}
 		if !urgent {
 			lm.plannedAt = now
@@ -150,40 +151,40 @@
 	}
 }
 
-// maxLoggedServers is the number of servers, those that lose most, that a line about a plan names.
+// maxLoggedServers is the number of servers, the most overloaded ones, in the log line of a plan.
 const maxLoggedServers = 6
 
-// plan returns the owners that should follow, nil if they stay, and logs what that rests on.
+// plan returns the next owners of a service, or nil if they stay, and logs the loads that it used.
 func (lm *Manager) plan(service string, in shard.Input) *shard.Map {
-	begun := time.Now()
+	startedAt := time.Now()
 	next := shard.Plan(in)
 	if next != nil {
-		took, uses := time.Since(begun), shard.Uses(in)
+		took, uses := time.Since(startedAt), shard.Uses(in)
 		lm.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
 			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), maxLoggedServers)]))
 	}
 	return next
 }
 
-// readyToDivide reports whether the servers of a new service have stopped coming, so that its keys
-// are divided among all of them at once. The first to come would get every key, and giving
-// them away one range after the other takes tens of seconds.
-func (lm *Manager) readyToDivide(service string, members int, now time.Time) bool {
-	g := lm.serverCounts[service]
-	if g.servers != members {
-		g = serverCount{servers: members, since: now}
-		lm.serverCounts[service] = g
-	}
-	return members > 0 && now.Sub(g.since) >= firstDivisionDelay
+// readyToDivide reports whether the number of servers of a new service has stopped changing, so that its
+// keys are divided among all of them at once. Otherwise the first server would get every key, and moving
+// them to the others range by range takes tens of seconds.
+func (lm *Manager) readyToDivide(service string, servers int, now time.Time) bool {
+	c := lm.serverCounts[service]
+	if c.servers != servers {
+		c = serverCount{servers: servers, since: now}
+		lm.serverCounts[service] = c
+	}
+	return servers > 0 && now.Sub(c.since) >= firstDivisionDelay
 }
 
-// serverCount is the number of servers of a service that has no owners yet.
+// serverCount is the number of servers of a service that has no owners yet, and since when it is unchanged.
 type serverCount struct {
 	servers int
 	since   time.Time
 }
 
-// hasOrphans reports whether keys belong to servers that are not there.
+// hasOrphans reports whether keys belong to servers that are not in the input of the plan.
 func (lm *Manager) hasOrphans(in shard.Input, m *shard.Map) bool {
 	known := make(map[string]bool, len(in.Members))
 	for _, s := range in.Members {
@@ -192,18 +193,18 @@
 	return slices.ContainsFunc(m.Ranges, func(r shard.Range) bool { return !known[r.Server] })
 }
 
-// withoutCompleted returns the map without the owners of old whose moves are complete, nil if there are
-// none.
+// withoutCompleted returns the map without the former owners of ranges whose moves are complete, or nil if
+// that changes nothing.
 func (lm *Manager) withoutCompleted(service string, m *shard.Map) *shard.Map {
 	var next *shard.Map
-	for _, s := range lm.completedMoves {
-		if s.service != service {
+	for _, c := range lm.completedMoves {
+		if c.service != service {
 			continue
 		}
 		if next == nil {
 			next = m.Clone()
 		}
-		if i := next.Find(s.from); i >= 0 && next.Ranges[i].Fence == s.fence && next.Ranges[i].From == s.from {
+		if i := next.Find(c.from); i >= 0 && next.Ranges[i].Fence == c.fence && next.Ranges[i].From == c.from {
 			next.Ranges[i].Before = nil
 		}
 	}
@@ -213,18 +214,18 @@
 	return next
 }
 
-// planInput gathers what a plan is made from.
+// planInput returns the input of a plan.
 func (lm *Manager) planInput(service string, m *shard.Map, now time.Time) shard.Input {
-	servers, powers := lm.Servers(), lm.Capacities(service)
+	servers, capacities := lm.Servers(), lm.Capacities(service)
 	in := shard.Input{
 		Map: m, Target: lm.TargetLatency(service).Seconds(), Addresses: map[string]string{}, Reborn: restarted(servers, m),
 	}
-	usual, n := 0.0, 0
-	for _, p := range powers {
-		usual, n = usual+p, n+1
+	average, n := 0.0, 0
+	for _, c := range capacities {
+		average, n = average+c, n+1
 	}
 	if n > 0 {
-		usual /= float64(n)
+		average /= float64(n)
 	}
 	failing := lm.failingServers(servers, now)
 	cutOff := lm.cutOffDomains(servers, now)
@@ -232,23 +233,23 @@
 		if s.Service != service {
 			continue
 		}
-		power := powers[id]
-		if power == 0 {
-			power = max(usual, float64(s.Slots))
-			if usual > 0 {
-				power = usual
+		capacity := capacities[id]
+		if capacity == 0 {
+			capacity = max(average, float64(s.Slots))
+			if average > 0 {
+				capacity = average
 			}
 		}
 		lost := s.Leaving() || failing[id] && !cutOff[s.Domain]
 		capped := false
 		if now.Before(s.WarmAt) {
-			power *= coldCapacityFactor
+			capacity *= coldCapacityFactor
 			if s.ColdRate > 0 {
-				power, capped = min(power, coldLoadFactor*s.ColdRate), true
+				capacity, capped = min(capacity, coldLoadFactor*s.ColdRate), true
 			}
 		}
 		in.Members = append(in.Members, shard.Member{
-			ID: id, Address: s.Address, Power: power, Slots: s.Slots, Usable: !lost && (s.Domain == lm.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
+			ID: id, Address: s.Address, Power: capacity, Slots: s.Slots, Usable: !lost && (s.Domain == lm.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
 		})
 		in.Addresses[id] = s.Address
 	}
@@ -256,20 +257,21 @@
 	for id, s := range lm.leftServers {
 		in.Addresses[id] = s.Address
 		if in.Reborn[id] == "" && s.Service == service && lm.Roster.CutOff(s.Domain, cutOffHoldTime, now) {
-			// It may only seem to have left: it keeps its keys for now.
+			// It may only seem to have left, so it keeps its keys for now.
 			in.Members = append(in.Members, shard.Member{ID: id, Address: s.Address, Slots: s.Slots})
 		}
 	}
-	for before, id := range in.Reborn {
-		in.Addresses[before] = servers[id].Address
+	for old, id := range in.Reborn {
+		in.Addresses[old] = servers[id].Address
 	}
 	return in
 }
 
-// cutOffDomains returns the failure domains that are cut off. No key can be taken from the servers of others than the own one, or
-// given to them: planned all the same, such a move leaves keys without an owner that are served behind the cut.
+// cutOffDomains reports which failure domains are cut off. Keys of servers in another domain that is cut off
+// cannot be moved, nor can its servers get keys: such a move would leave keys without an owner that are
+// served within the domain.
 //
-// The own domain seems cut off, too, while this instance has just stood still.
+// The own domain may also be reported, for a while after this process was paused.
 func (lm *Manager) cutOffDomains(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers {
@@ -280,31 +282,31 @@
 	return out
 }
 
-// restarted returns the lives of today of the servers that own keys in the name of an earlier one.
-// An earlier life gets its orders at the address of the new one: nobody else can answer for it.
+// restarted maps the ended incarnations that still own keys to the current incarnation of the same server.
+// Requests to an ended incarnation go to the address of the current one, which alone can answer for it.
 func restarted(servers map[string]rules.Server, m *shard.Map) map[string]string {
-	gone := ownersOf(m)
-	maps.DeleteFunc(gone, func(id string, _ struct{}) bool { _, there := servers[id]; return there })
-	if len(gone) == 0 {
+	ended := ownersOf(m)
+	maps.DeleteFunc(ended, func(id string, _ struct{}) bool { _, found := servers[id]; return found })
+	if len(ended) == 0 {
 		return nil
 	}
-	lives := make(map[string]string, len(servers))
+	incarnations := make(map[string]string, len(servers))
 	for id := range servers {
-		lives[rules.NameOf(id)] = id
+		incarnations[rules.NameOf(id)] = id
 	}
 	out := map[string]string{}
-	for id := range gone {
-		if now, there := lives[rules.NameOf(id)]; there {
-			out[id] = now
+	for id := range ended {
+		if current, found := incarnations[rules.NameOf(id)]; found {
+			out[id] = current
 		}
 	}
 	return out
 }
 
-// rememberServers keeps what is known of servers that left.
+// rememberServers keeps the entries of servers that left the directory.
 func (lm *Manager) rememberServers(servers map[string]rules.Server) {
 	for id, s := range lm.presentServers {
-		if _, there := servers[id]; !there {
+		if _, found := servers[id]; !found {
 			lm.leftServers[id] = s
 		}
 	}
@@ -317,20 +319,21 @@
 	}
 }
 
-// failingServers returns the servers that those in charge of them do not reach. Others may have lost their
-// own way to a server: when a cut between two failure domains ended, the instances of one still
-// took the servers of the other for silent, though these had been renewed all the while.
+// failingServers returns the servers that are reported as failing by all of the first requiredReporters
+// instances responsible for them. Reports of other instances do not count, as they may have lost their own
+// connection: when a cut between two failure domains ended, the instances of one still reported the
+// servers of the other as failing, though these had been renewed all the time.
 func (lm *Manager) failingServers(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, reporter := range lm.Roster.Alive(now) {
 		for _, id := range reporter.Beat.Failing {
-			s, there := servers[id]
-			if !there || out[id] {
+			s, found := servers[id]
+			if !found || out[id] {
 				continue
 			}
-			charged := lm.Roster.Rank(id, s.Domain, now)
-			charged = charged[:min(requiredReporters, len(charged))]
-			out[id] = !slices.ContainsFunc(charged, func(p roster.Peer) bool {
+			responsible := lm.Roster.Rank(id, s.Domain, now)
+			responsible = responsible[:min(requiredReporters, len(responsible))]
+			out[id] = !slices.ContainsFunc(responsible, func(p roster.Peer) bool {
 				return !slices.Contains(p.Beat.Failing, id)
 			})
 		}
@@ -338,7 +341,7 @@
 	return out
 }
 
-// writeOwners appends the next owners of a service behind those they were decided from.
+// writeOwners appends the next owners of a service directly behind the view that they were decided from.
 func (lm *Manager) writeOwners(ctx context.Context, service string, from, to *shard.Map) {
 	value, err := to.Encode()
 	if err != nil {
@@ -354,13 +357,14 @@
 	lm.BroadcastOwners(service, offset, to.Fence, to.Changes(from))
 	lm.Events.Note(event.Belief, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
 		"ranges", len(to.Ranges), "changes", describeChanges(from, to))
-	lm.completedMoves = slices.DeleteFunc(lm.completedMoves, func(s completedMove) bool { return s.service == service })
+	lm.completedMoves = slices.DeleteFunc(lm.completedMoves, func(c completedMove) bool { return c.service == service })
 }
 
-// writeRetryDelay is the time between attempts to write the owners: some fifty answers of the store.
+// writeRetryDelay is the delay before the next write of owners after a failed one: some fifty times the
+// response time of the store.
 const writeRetryDelay = 200 * time.Millisecond
 
-// describeChanges lists the changes of owners, for the log.
+// describeChanges lists the changed owners, cut off after some 200 bytes, for the log.
 func describeChanges(from, to *shard.Map) string {
 	var b strings.Builder
 	for _, r := range to.Ranges {
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -15,27 +15,27 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// moveKey identifies a move: a fence is used once.
+// moveKey identifies a move. Each fence is used for one move only.
 type moveKey struct {
 	service string
 	from    uint16
 	fence   uint64
 }
 
-// completedMove is a move that is complete: the new owner has the keys, and no other does.
+// completedMove is a move whose new owner has its first grant while no other server has a lease on the keys.
 type completedMove struct {
 	service string
 	from    uint16
 	fence   uint64
 }
 
-// runningMove is the change of owner of one range in progress.
+// runningMove is a move that a goroutine of this instance carries out.
 type runningMove struct {
 	cancel context.CancelFunc
 }
 
-// recordDecided keeps the moves that this instance decided: nobody else has granted anything by their fences
-// as long as it has not done so itself.
+// recordDecided remembers the moves that this instance decided. No other instance grants keys with the
+// fences of these moves unless this one has done so.
 func (lm *Manager) recordDecided(service string, from, to *shard.Map) {
 	for _, r := range to.Ranges {
 		if r.Fence > from.Fence && len(r.Before) > 0 {
@@ -44,48 +44,48 @@
 	}
 }
 
-// orderRetryDelay is the pause between attempts to grant keys to their new owner.
+// orderRetryDelay is the delay between attempts to send a release or a first grant.
 const orderRetryDelay = 150 * time.Millisecond
 
-// requestedMoves returns the moves that the records ask for.
-func requestedMoves(known *View) map[moveKey]pendingMove {
+// requestedMoves returns the moves that the records ask for: the ranges that still have former owners.
+func requestedMoves(view *View) map[moveKey]pendingMove {
 	out := map[moveKey]pendingMove{}
-	for service, m := range known.Maps {
+	for service, m := range view.Maps {
 		for _, r := range m.Ranges {
 			if len(r.Before) > 0 {
-				out[moveKey{service, r.From, r.Fence}] = pendingMove{service: service, Range: r, offset: known.End - 1}
+				out[moveKey{service, r.From, r.Fence}] = pendingMove{service: service, Range: r, offset: view.End - 1}
 			}
 		}
 	}
 	return out
 }
 
-// pruneMoves ends the moves that are overtaken or complete. An instance that leads no longer goes on
-// with the others: they are right as long as their record stands, and while the store is down
-// nobody else can take them over. Keys that had come to their new owner would lose it after a
-// lease, since only who moved them knows that they did.
-func (lm *Manager) pruneMoves(known *View) {
+// pruneMoves cancels the moves that are overtaken or complete. An instance that stops leading continues
+// the others: they are right as long as their record is the newest, and while the store is down no other
+// instance can take them over. Without that, keys that have reached their new owner would lose it after a
+// lease, since only the instance that moved them knows that they did.
+func (lm *Manager) pruneMoves(view *View) {
 	if len(lm.moves)+len(lm.decidedMoves) == 0 {
 		return
 	}
-	asked := requestedMoves(known)
+	requested := requestedMoves(view)
 	for key, m := range lm.moves {
-		if _, found := asked[key]; !found {
+		if _, found := requested[key]; !found {
 			m.cancel()
 			delete(lm.moves, key)
 		}
 	}
 	for key := range lm.decidedMoves {
-		if _, found := asked[key]; !found {
+		if _, found := requested[key]; !found {
 			delete(lm.decidedMoves, key)
 		}
 	}
 }
 
-// takeOverMoves returns a map in which this instance has decided the moves anew that another one, which led
-// before, has not completed; nil if there are none. Who takes over a move of a server that keeps its
-// name cannot know whether the other has granted the keys to an earlier life, so it takes a fence of
-// its own: each fence is granted first by the instance that wrote it.
+// takeOverMoves returns a map with new decisions for the incomplete moves of an earlier leader, or nil if
+// there are none. If a server keeps its name when it restarts, this instance cannot know whether the
+// earlier leader has already granted the keys to a previous incarnation. So it uses a fence of
+// its own: the first grant with a fence always comes from the instance that wrote the fence.
 func (lm *Manager) takeOverMoves(service string, m *shard.Map, addresses map[string]string) *shard.Map {
 	var next *shard.Map
 	now := lm.Clock.Now()
@@ -102,125 +102,128 @@
 	return next
 }
 
-// takeOverDelay is how old a move must be before another instance decides it anew: two that both take
-// themselves for the leader overtake one another no more often.
+// takeOverDelay is the minimum age of a move before another instance takes it over. It limits how often
+// two instances that both take themselves for the leader overtake each other's moves.
 const takeOverDelay = time.Second
 
-// mayCarryOut reports whether this instance may carry out a move.
+// mayCarryOut reports whether this instance may carry out a move: it decided the move or is carrying it out
+// already, or each incarnation of the new owner has a name of its own.
 func (lm *Manager) mayCarryOut(key moveKey, r shard.Range) bool {
-	_, owned := lm.decidedMoves[key]
-	return owned || lm.moves[key] != nil || rules.NameOf(r.Server) == r.Server || !lm.guards.verifyConnection
+	_, decided := lm.decidedMoves[key]
+	return decided || lm.moves[key] != nil || rules.NameOf(r.Server) == r.Server || !lm.guards.verifyConnection
 }
 
-// startMoves starts the moves that the records ask for.
+// startMoves starts the requested moves that this instance may carry out and that are not running yet.
 func (lm *Manager) startMoves(ctx context.Context) {
-	for key, c := range requestedMoves(lm.view.get()) {
-		if lm.moves[key] != nil || !lm.mayCarryOut(key, c.Range) {
+	for key, p := range requestedMoves(lm.view.get()) {
+		if lm.moves[key] != nil || !lm.mayCarryOut(key, p.Range) {
 			continue
 		}
-		inner, cancel := context.WithCancel(ctx)
+		moveCtx, cancel := context.WithCancel(ctx)
 		lm.moves[key] = &runningMove{cancel: cancel}
-		c.firstSeen = lm.firstSeen[key]
-		_, c.decidedHere = lm.decidedMoves[key]
+		p.firstSeen = lm.firstSeen[key]
+		_, p.decidedHere = lm.decidedMoves[key]
 		delete(lm.decidedMoves, key)
 		lm.jobs.Add(1)
 		go func() {
 			defer lm.jobs.Done()
-			lm.carryOut(inner, c)
+			lm.carryOut(moveCtx, p)
 		}()
 	}
 }
 
-// pendingMove is a move as a record asks for it.
+// pendingMove is a move that is to be carried out.
 type pendingMove struct {
 	service string
 	shard.Range
-	// offset is that of the record or of a later one, seen the time since when it is known.
+	// offset is the offset of the record that asks for the move, or of a later one. firstSeen is when this
+	// instance first knew of the move.
 	offset    int64
 	firstSeen clock.Instant
-	// decidedHere says that this instance decided it and has granted nothing by its fence.
+	// decidedHere means that this instance decided the move and has not sent a grant with its fence yet.
 	decidedHere bool
 }
 
-// carryOut ends the rights of the owners of old and grants the keys to the new one.
-func (lm *Manager) carryOut(ctx context.Context, c pendingMove) {
-	service, r := c.service, c.Range
-	begun := time.Now()
+// carryOut ends the leases of the former owners and then grants the keys to the new one.
+func (lm *Manager) carryOut(ctx context.Context, p pendingMove) {
+	service, r := p.service, p.Range
+	startedAt := time.Now()
 	handover := ""
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	for _, b := range r.Before {
+	var wg sync.WaitGroup
+	for _, former := range r.Before {
 		if !lm.guards.endOldLeases {
 			continue
 		}
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			got, how := lm.endLease(ctx, b, c)
+			defer wg.Done()
+			h, how := lm.endLease(ctx, former, p)
 			mu.Lock()
 			defer mu.Unlock()
-			if got != "" {
-				handover = got
+			if h != "" {
+				handover = h
 			}
 			lm.Events.Note(event.Belief, "right-ended", "service", service, "from", r.From, "to", r.To,
-				"server", b.Server, "fence", r.Fence, "how", how, "took", time.Since(begun))
+				"server", former.Server, "fence", r.Fence, "how", how, "took", time.Since(startedAt))
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	if ctx.Err() != nil {
 		return
 	}
-	lm.grantFirst(ctx, c, handover, begun)
+	lm.grantFirst(ctx, p, handover, startedAt)
 }
 
-// The ways in which a right ends.
+// The ways in which endLease ends, as logged.
 const (
 	endReleased  = "released"
 	endExpired   = "lapsed"
 	endOvertaken = "move-overtaken"
 )
 
-// endLease returns when an owner of old can have no right to a range any more.
-func (lm *Manager) endLease(ctx context.Context, b shard.Holder, c pendingMove) (handover, how string) {
+// endLease blocks until a former owner cannot hold the range any more: it has released the range or its
+// lease has expired. It also returns when ctx is done because the move was overtaken.
+func (lm *Manager) endLease(ctx context.Context, former shard.Holder, p pendingMove) (handover, how string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	lapsed := make(chan struct{})
+	expired := make(chan struct{})
 	lm.jobs.Add(1)
 	go func() {
 		defer lm.jobs.Done()
-		if lm.awaitExpiry(ctx, c) {
-			close(lapsed)
+		if lm.awaitExpiry(ctx, p) {
+			close(expired)
 		}
 	}()
 	released := make(chan string, 1)
-	if b.Address != "" {
+	if former.Address != "" {
 		lm.jobs.Add(1)
 		go func() {
 			defer lm.jobs.Done()
-			lm.release(ctx, b, c.Range, released)
+			lm.release(ctx, former, p.Range, released)
 		}()
 	}
 	select {
 	case handover = <-released:
 		return handover, endReleased
-	case <-lapsed:
+	case <-expired:
 		return "", endExpired
 	case <-ctx.Done():
 		return "", endOvertaken
 	}
 }
 
-// release asks an owner of old to give a range up until it answers.
+// release asks a former owner to release a range, and retries until it answers.
 //
-// Addresses of servers that have ended go to others, also of services that know no keys: those refuse
-// the order with 400, not 421. Asked again for each of some hundred ranges, releases would be most of what
-// arrives at them.
-func (lm *Manager) release(ctx context.Context, b shard.Holder, r shard.Range, released chan<- string) {
+// The address of an ended server may be reassigned to a server of a service without keys, which refuses a
+// release with status 400, not 421. Without addressReassigned the release of each of some hundred ranges
+// would be retried, and releases would be most of the requests to that server.
+func (lm *Manager) release(ctx context.Context, former shard.Holder, r shard.Range, released chan<- string) {
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, releaseTimeout)
-		handover, err := lm.LeaseClient.Release(call, b, Grant{From: r.From, To: r.To, Fence: r.Fence})
+		callCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
+		handover, err := lm.LeaseClient.Release(callCtx, former, Grant{From: r.From, To: r.To, Fence: r.Fence})
 		cancel()
-		if err == nil || errors.Is(err, ErrServerGone) || errors.Is(err, ErrRefused) && lm.addressReassigned(b) {
+		if err == nil || errors.Is(err, ErrServerGone) || errors.Is(err, ErrRefused) && lm.addressReassigned(former) {
 			released <- handover
 			return
 		}
@@ -228,31 +231,31 @@
 	}
 }
 
-// addressReassigned reports whether another server has the address of an owner of old. A holder of keys refuses
-// no release, and an address is given on only after its server has ended.
-func (lm *Manager) addressReassigned(b shard.Holder) bool {
+// addressReassigned reports whether another server has the address of a former owner. A server that holds
+// keys never refuses a release, and an address is reassigned only after its server has ended.
+func (lm *Manager) addressReassigned(former shard.Holder) bool {
 	for id, s := range lm.Servers() {
-		if s.Address == b.Address && rules.NameOf(id) != rules.NameOf(b.Server) {
+		if s.Address == former.Address && rules.NameOf(id) != rules.NameOf(former.Server) {
 			return true
 		}
 	}
 	return false
 }
 
-// awaitExpiry returns true when every grant that an older record gave rise to has run out: once
-// all instances have confirmed the record, or may not act on older ones any more, the lease
-// that the last of them may have granted. When a majority has confirmed it the others may act for
-// roster.ContactTime only.
-func (lm *Manager) awaitExpiry(ctx context.Context, c pendingMove) bool {
-	last := c.firstSeen.Add(maxViewAge)
-	for lm.Clock.Now().Before(last) {
+// awaitExpiry blocks until every grant that was sent because of an older record has expired, and reports
+// whether it did so before ctx was done. That is one lease after the last instance has confirmed the record
+// or may no longer act on an older view. Once at least half of the instances have confirmed the record,
+// the others may act on an older view for the contact timeout of the roster only.
+func (lm *Manager) awaitExpiry(ctx context.Context, p pendingMove) bool {
+	staleUntil := p.firstSeen.Add(maxViewAge)
+	for lm.Clock.Now().Before(staleUntil) {
 		since := time.Now().Add(-maxViewAge)
-		if !lm.guards.awaitConfirmation || len(lm.Roster.Unconfirmed(c.offset, since)) == 0 {
-			last = lm.Clock.Now()
+		if !lm.guards.awaitConfirmation || len(lm.Roster.Unconfirmed(p.offset, since)) == 0 {
+			staleUntil = lm.Clock.Now()
 			break
 		}
-		if lm.Roster.Confirmed(c.offset, since) {
-			last = min(last, lm.Clock.Now().Add(time.Duration(float64(lm.Roster.ContactTime())*maxClockDrift)))
+		if lm.Roster.Confirmed(p.offset, since) {
+			staleUntil = min(staleUntil, lm.Clock.Now().Add(time.Duration(float64(lm.Roster.ContactTime())*maxClockDrift)))
 		}
 		if !duty.Pause(ctx, tickInterval) {
 			return false
@@ -261,10 +264,10 @@
 	if !lm.guards.awaitExpiry {
 		return true
 	}
-	return lm.sleepUntil(ctx, last.Add(time.Duration(float64(leaseDuration)*maxClockDrift)+maxTransitTime))
+	return lm.sleepUntil(ctx, staleUntil.Add(time.Duration(float64(leaseDuration)*maxClockDrift)+maxTransitTime))
 }
 
-// sleepUntil waits for an instant of the lease clock.
+// sleepUntil blocks until the lease clock reaches an instant, and reports whether it did so before ctx was done.
 func (lm *Manager) sleepUntil(ctx context.Context, until clock.Instant) bool {
 	for {
 		left := until.Sub(lm.Clock.Now())
@@ -277,13 +280,13 @@
 	}
 }
 
-// grantFirst grants a range to its new owner until the owner answers, and from then on renews
-// the grant until the record says that the move is complete: before that nobody else does.
-func (lm *Manager) grantFirst(ctx context.Context, c pendingMove, handover string, begun time.Time) {
-	service, r, first := c.service, c.Range, c.decidedHere
+// grantFirst sends the first grant to the new owner until it answers, and then renews the lease until a
+// record states that the move is complete. No other instance renews it before that.
+func (lm *Manager) grantFirst(ctx context.Context, p pendingMove, handover string, startedAt time.Time) {
+	service, r, firstGrant := p.service, p.Range, p.decidedHere
 	g := Grant{From: r.From, To: r.To, Fence: r.Fence, Lease: leaseDuration, Handover: handover}
 	granted := false
-	wait := orderRetryDelay
+	delay := orderRetryDelay
 	for ctx.Err() == nil {
 		s, found := lm.Servers()[r.Server]
 		if !found {
@@ -292,13 +295,13 @@
 			}
 			continue
 		}
-		err := lm.renewer(s).send(ctx, g, first, func() bool { return lm.isCurrent(service, r) })
-		first = first && errors.Is(err, ErrUnverified)
+		err := lm.renewer(s).send(ctx, g, firstGrant, func() bool { return lm.isCurrent(service, r) })
+		firstGrant = firstGrant && errors.Is(err, ErrUnverified)
 		switch {
 		case err == nil && !granted:
-			granted, wait = true, renewInterval
+			granted, delay = true, renewInterval
 			lm.Events.Note(event.Belief, "moved", "service", service, "from", r.From, "to", r.To, "server", r.Server,
-				"fence", r.Fence, "handover", handover != "", "took", time.Since(begun))
+				"fence", r.Fence, "handover", handover != "", "took", time.Since(startedAt))
 			lm.completions <- completedMove{service, r.From, r.Fence}
 		case err != nil:
 			lm.Events.Note(event.Belief, "first-grant-failed", "server", r.Server, "fence", r.Fence, "error", err)
@@ -307,16 +310,16 @@
 			return
 		}
 		if errors.Is(err, context.Canceled) {
-			// A later record ended the order, since it changed other keys of the server. Nothing is wrong with
-			// this move, and its keys have no owner until it is granted.
+			// A later record that changed other keys of the server canceled the grant. The move is still
+			// right, and its keys have no owner until it is granted, so retry without orderRetryDelay.
 			duty.Pause(ctx, verifyInterval)
 			continue
 		}
-		duty.Pause(ctx, wait)
+		duty.Pause(ctx, delay)
 	}
 }
 
-// isCurrent reports whether a move is still what the newest record says.
+// isCurrent reports whether the newest record still asks for a move.
 func (lm *Manager) isCurrent(service string, r shard.Range) bool {
 	m := lm.view.get().Maps[service]
 	if m == nil {
--- a/internal/holder/register.go
+++ b/internal/holder/register.go
@@ -9,17 +9,18 @@
 	"example.org/mustardring/internal/roster"
 )
 
-// errNotRegisterRecord says that a record told of is not one of the register.
+// errNotRegisterRecord is the error for any other record in a register update of another instance.
 var errNotRegisterRecord = errors.New("holder: not a record of the register")
 
-// RegisterUpdates takes the records of the register that the leader tells of, which follow one another.
+// RegisterUpdates takes the records of the register that the leader broadcasts, in the order of their offsets.
 //
-// Records of owners are told as what they change against the record before, so that whoever did not know of
-// one in between had to read the store. Where only owners were told, each instance that started or stopped
-// made all others read, at the next move at the latest: calls grew with the square of their number.
+// Records of owners are broadcast as changes against the previous record, so an instance that misses
+// a record of the topic must read the store. If only records of owners were broadcast, each start or stop of
+// an instance would make all others read, at the next move at the latest: the number of reads would grow with
+// the square of the number of instances.
 func (lm *Manager) RegisterUpdates() chan<- []follow.Record { return lm.registerUpdates }
 
-// applyRegister takes in records of the register that the leader tells of.
+// applyRegister applies records of the register that the leader broadcast.
 func (lm *Manager) applyRegister(records []follow.Record) {
 	before := lm.view.get()
 	if n := len(records); n == 0 || records[n-1].Offset < before.End {
@@ -36,16 +37,16 @@
 	}
 }
 
-// isRegisterRecord reports whether a record is one of the register.
+// isRegisterRecord reports whether a record belongs to the register.
 func isRegisterRecord(r follow.Record) bool { return strings.HasPrefix(r.Key, keyInstance) }
 
-// broadcastRegister tells the others of the records of the register in an update, from an offset on. It ends
-// before a record of owners that this instance did not write: that one must be read.
+// broadcastRegister sends the records of the register in an update to the other instances, starting at offset
+// from. It stops before a record of owners, which another instance wrote and which must be read.
 func (lm *Manager) broadcastRegister(from int64, u follow.Update) {
 	if u.Snapshot {
 		return
 	}
-	var told []follow.Record
+	var records []follow.Record
 	for _, r := range u.Records {
 		if r.Offset < from {
 			continue
@@ -57,9 +58,9 @@
 			lm.Events.Note(event.Belief, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
 			break
 		}
-		told = append(told, r)
+		records = append(records, r)
 	}
-	if len(told) > 0 {
-		lm.BroadcastRegister(told)
+	if len(records) > 0 {
+		lm.BroadcastRegister(records)
 	}
 }
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -12,12 +12,12 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// renewer renews the grants of one server. One order is on its way at a time.
+// renewer renews the leases of one server. It sends one grant at a time.
 type renewer struct {
 	manager *Manager
 	server  rules.Server
 
-	// sending holds one element while an order is on its way.
+	// sending holds one element while a grant is being sent, and until it is answered or canceled.
 	sending chan struct{}
 
 	mu       sync.Mutex
@@ -25,21 +25,21 @@
 	busy     bool
 	dueAt    time.Time
 	failures int
-	// fencedSince is since when the server answers that it has seen a higher fence, zero if it does not.
+	// fencedSince is when the server began to answer that it has seen a higher fence, zero if it does not.
 	fencedSince clock.Instant
 	// answeredAt is when the server last answered.
 	answeredAt time.Time
 }
 
-// failing reports whether the server does not answer. A server that is not tried any more,
-// since it has lost its keys, counts as answering again after a while.
+// failing reports whether the server does not answer. A server that gets no more renewals because it has lost
+// its keys stops counting as failing after failingTimeout.
 func (r *renewer) failing(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failures >= maxRenewalFailures && now.Sub(r.dueAt) < failingTimeout
 }
 
-// idle reports whether no order is or will be on its way.
+// idle reports whether no grant is being sent and no round of renewals is running.
 func (r *renewer) idle() bool {
 	r.mu.Lock()
 	busy := r.busy
@@ -47,7 +47,7 @@
 	return !busy && len(r.sending) == 0
 }
 
-// tryBegin reports whether the server's grants are to be renewed, and if so marks it as busy.
+// tryBegin reports whether a round of renewals is due, and if so marks the renewer as busy.
 func (r *renewer) tryBegin(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,21 +59,21 @@
 	return true
 }
 
-// renewAll renews all grants of the server once.
+// renewAll renews all leases of the server once, unless one fails.
 func (r *renewer) renewAll(ctx context.Context) {
 	defer func() {
 		r.mu.Lock()
 		r.busy = false
 		r.mu.Unlock()
 	}()
-	done := make(map[uint16]bool)
+	renewed := make(map[uint16]bool)
 	for {
-		service, g, ok := r.nextRange(done)
+		service, keyRange, ok := r.nextRange(renewed)
 		if !ok || ctx.Err() != nil {
 			return
 		}
-		done[g.From] = true
-		err := r.renew(ctx, service, g)
+		renewed[keyRange.From] = true
+		err := r.renew(ctx, service, keyRange)
 		if errors.Is(err, context.Canceled) {
 			return
 		}
@@ -83,33 +83,33 @@
 	}
 }
 
-// nextRange returns a grant of the server that this round has not renewed yet.
-func (r *renewer) nextRange(done map[uint16]bool) (string, shard.Range, bool) {
+// nextRange returns a range of the server that this round has not renewed yet.
+func (r *renewer) nextRange(renewed map[uint16]bool) (string, shard.Range, bool) {
 	for service, m := range r.manager.view.get().Maps {
 		if service != r.server.Service {
 			continue
 		}
-		for _, g := range m.Ranges {
-			if g.Server == r.server.ID && len(g.Before) == 0 && !done[g.From] {
-				return service, g, true
+		for _, keyRange := range m.Ranges {
+			if keyRange.Server == r.server.ID && len(keyRange.Before) == 0 && !renewed[keyRange.From] {
+				return service, keyRange, true
 			}
 		}
 	}
 	return "", shard.Range{}, false
 }
 
-// errStaleView says that the right to renew cannot be proved any more.
-var errStaleView = errors.New("holder: knowledge of the owner is too old")
+// errStaleView means that the view is too old to renew by, or that this instance is not registered.
+var errStaleView = errors.New("holder: view of the owners is too old")
 
-// renew renews one grant.
-func (r *renewer) renew(ctx context.Context, service string, g shard.Range) error {
-	order := Grant{From: g.From, To: g.To, Fence: g.Fence, Lease: leaseDuration}
-	return r.send(ctx, order, false, func() bool { return r.stillOwned(service, g) })
+// renew renews the lease of one range.
+func (r *renewer) renew(ctx context.Context, service string, keyRange shard.Range) error {
+	g := Grant{From: keyRange.From, To: keyRange.To, Fence: keyRange.Fence, Lease: leaseDuration}
+	return r.send(ctx, g, false, func() bool { return r.stillOwned(service, keyRange) })
 }
 
-// send sends a grant, if it still stands at the last moment before. First says that nobody can have
-// granted these keys by this fence before.
-func (r *renewer) send(ctx context.Context, g Grant, first bool, stands func() bool) error {
+// send sends a grant if current, which is checked just before sending, reports that it is still right. With
+// firstGrant no instance can have sent a grant with this fence before.
+func (r *renewer) send(ctx context.Context, g Grant, firstGrant bool, current func() bool) error {
 	r.sending <- struct{}{}
 	defer func() { <-r.sending }()
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
@@ -117,26 +117,26 @@
 	r.mu.Lock()
 	r.cancel = cancel
 	r.mu.Unlock()
-	if !stands() {
+	if !current() {
 		return context.Canceled
 	}
 	if !r.manager.mayAct() {
 		return errStaleView
 	}
-	proven := func(ctx context.Context, openedAt clock.Instant) error {
-		if err := r.manager.awaitVerified(ctx, r.server.ID, openedAt, first); err != nil {
+	check := func(ctx context.Context, openedAt clock.Instant) error {
+		if err := r.manager.awaitVerified(ctx, r.server.ID, openedAt, firstGrant); err != nil {
 			return err
 		}
-		if !stands() {
+		if !current() {
 			return context.Canceled
 		}
 		return nil
 	}
-	return r.manager.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
+	return r.manager.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, check)
 }
 
-// mayAct reports whether the instance may act on what it knows of the owners: it is
-// registered, and the knowledge is fresh.
+// mayAct reports whether the instance may act on its view of the owners: it is registered, and the
+// view is fresh.
 func (lm *Manager) mayAct() bool {
 	if lm.guards.requireRegistration && !lm.view.get().registered(lm.Name, lm.Incarnation) {
 		return false
@@ -144,24 +144,24 @@
 	if !lm.guards.requireFreshView {
 		return true
 	}
-	now, contactTime := lm.Clock.Now(), lm.Roster.ContactTime()
-	return lm.view.fresh(now, contactTime, func() bool {
-		return !lm.guards.requireMajority || lm.Roster.Contact(int64(now.Add(-contactTime)), lm.view.get().End)
+	now, contactTimeout := lm.Clock.Now(), lm.Roster.ContactTime()
+	return lm.view.fresh(now, contactTimeout, func() bool {
+		return !lm.guards.requireMajority || lm.Roster.Contact(int64(now.Add(-contactTimeout)), lm.view.get().End)
 	})
 }
 
-// stillOwned reports whether a range is still a part of the owners.
-func (r *renewer) stillOwned(service string, g shard.Range) bool {
+// stillOwned reports whether the view still contains a range, with the same owner and fence and no former owners.
+func (r *renewer) stillOwned(service string, keyRange shard.Range) bool {
 	m := r.manager.view.get().Maps[service]
 	if m == nil {
 		return false
 	}
-	i := m.Find(g.From)
-	return i >= 0 && m.Ranges[i].Server == g.Server && m.Ranges[i].Fence == g.Fence &&
-		m.Ranges[i].To == g.To && len(m.Ranges[i].Before) == 0
+	i := m.Find(keyRange.From)
+	return i >= 0 && m.Ranges[i].Server == keyRange.Server && m.Ranges[i].Fence == keyRange.Fence &&
+		m.Ranges[i].To == keyRange.To && len(m.Ranges[i].Before) == 0
 }
 
-// cancelAndWait ends the order that is on its way, so that what follows can be sure that none is.
+// cancelAndWait cancels the grant that is being sent, and waits until it has ended.
 func (r *renewer) cancelAndWait() {
 	r.mu.Lock()
 	cancel := r.cancel
@@ -173,7 +173,7 @@
 	<-r.sending
 }
 
-// recordResult takes in how a renewal ended, and reports whether the round goes on.
+// recordResult records the result of a renewal, and reports whether the round continues.
 func (r *renewer) recordResult(err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,21 +203,23 @@
 		lm.SendHeartbeat()
 	}
 	if r.failures < maxRenewalFailures {
-		// A lost answer is made good at once: the lease goes on running out.
+		// Retry soon after a lost answer: the lease continues to run out.
 		r.dueAt = time.Now().Add(tickInterval)
 	}
 	return r.failures < maxRenewalFailures
 }
 
-// maxRecordDelay is how long the record of a move may take to whoever renews.
+// maxRecordDelay is how long the record of a move may take to reach the instances that renew.
 const maxRecordDelay = time.Second
 
-// persistentlyFenced reports whether a server goes on refusing for a higher fence although what is known of the owners is
-// younger than its first such answer, so that it cannot be a record on its way; the lock is held.
+// persistentlyFenced reports whether a server still answers that it has seen a higher fence although the
+// view was current maxRecordDelay after its first such answer, so that the answer cannot be explained by a
+// record that has not arrived yet. r.mu must be held.
 //
-// It guards against taking a server for lost that answers: a plan releases keys while its record is on its way
-// to hundreds of instances, and who renews by the record before is refused. Counted as failures, two such
-// answers cost the server its keys, and the plan for those makes more of them.
+// Without it a server that answers would be taken for lost: a plan releases keys while its record is still on
+// the way to hundreds of instances, and those that renew by the previous record are refused. If that
+// counted as failures, two such answers would cost the server its keys, and the plan that moves those would
+// cause more of them.
 func (r *renewer) persistentlyFenced() bool {
 	lm := r.manager
 	if r.fencedSince == 0 {
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -17,7 +17,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// Manager is the duty that keeps rights.
+// Manager renews the leases of servers and, while this instance leads, decides about owners.
 type Manager struct {
 	Deps
 	guards          guards
@@ -26,40 +26,45 @@
 	ownerChanges    chan OwnerChange
 	registerUpdates chan []follow.Record
 	peerViews       chan *View
-	// completions takes moves that are complete.
+	// completions takes the moves whose new owner has its first grant.
 	completions chan completedMove
-	jobs        sync.WaitGroup
+	// jobs counts the goroutines that Run waits for.
+	jobs sync.WaitGroup
 
+	// storeReachable tells whether the last call to the store about owners was answered, leading whether this
+	// instance decides about owners.
 	storeReachable atomic.Bool
 	leading        atomic.Bool
 
+	// mu guards renewers, confirmedOffset and stopping.
 	mu              sync.Mutex
 	renewers        map[string]*renewer
 	confirmedOffset int64
 	stopping        bool
 
-	// The rest belongs to the goroutine of Run.
+	// The fields below are used by the goroutine of Run only.
 	moves          map[moveKey]*runningMove
 	decidedMoves   map[moveKey]struct{}
 	completedMoves []completedMove
-	// firstSeen holds since when the moves in progress are known.
-	firstSeen         map[moveKey]clock.Instant
-	recordCompletedAt time.Time
+	// firstSeen holds the time since which each move in progress is known.
+	firstSeen map[moveKey]clock.Instant
+	// completionDueAt is when the completion of completedMoves is written at the latest.
+	completionDueAt   time.Time
 	startedAt         time.Time
 	registerCheckedAt time.Time
 	plannedAt         time.Time
 	leads             bool
-	// knownLeader is the instance that was last taken for the leader, empty for none.
+	// knownLeader is the last known leader, empty for none.
 	knownLeader  string
 	serverCounts map[string]serverCount
-	// nextWriteAt keeps a failed write from being repeated at once.
+	// nextWriteAt delays the next write after a failed one.
 	nextWriteAt time.Time
-	// presentServers holds the servers as of the last decision, left those that were there before.
+	// presentServers holds the servers of the directory at the last decision, leftServers those that have left it.
 	presentServers map[string]rules.Server
 	leftServers    map[string]rules.Server
 }
 
-// New returns a holder.
+// New returns a Manager that is not running.
 func New(d Deps) *Manager {
 	return &Manager{
 		Deps: d, guards: allGuards, view: newLocalView(), storeUpdates: make(chan follow.Update, 16),
@@ -68,13 +73,14 @@
 	}
 }
 
-// StoreUpdates takes the updates of the topic of owners.
+// StoreUpdates takes the updates of Deps.Topic that were read from the store.
 func (lm *Manager) StoreUpdates() chan<- follow.Update { return lm.storeUpdates }
 
-// View returns what is known of the owners.
+// View returns what this instance believes about the owners. It must not be modified.
 func (lm *Manager) View() *View { return lm.view.get() }
 
-// ConfirmedOffset returns the offset that a heartbeat confirms.
+// ConfirmedOffset returns the offset up to which this instance acts by the records of owners: no grant that
+// is based on an older view is being sent any more. Heartbeats carry it.
 func (lm *Manager) ConfirmedOffset() int64 {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -87,7 +93,7 @@
 // Leads reports whether this instance decides about owners.
 func (lm *Manager) Leads() bool { return lm.leading.Load() }
 
-// Failing returns the servers that do not answer renewals.
+// Failing returns the ids of the servers that do not answer renewals, sorted.
 func (lm *Manager) Failing() []string {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -102,7 +108,7 @@
 	return out
 }
 
-// Stop ends renewals: the instance is about to end, and others take over.
+// Stop ends renewals and decisions because the instance is about to stop. Others take over.
 func (lm *Manager) Stop() {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -115,7 +121,7 @@
 	return lm.stopping
 }
 
-// Run keeps rights until the context ends.
+// Run renews leases and decides about owners until ctx is done.
 func (lm *Manager) Run(ctx context.Context) (err error) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -130,14 +136,14 @@
 			return ctx.Err()
 		case u := <-lm.storeUpdates:
 			lm.applyUpdate(u)
-		case e := <-lm.ownerChanges:
-			lm.applyOwnerChange(e)
-		case e := <-lm.registerUpdates:
-			lm.applyRegister(e)
-		case o := <-lm.peerViews:
-			lm.applyPeerView(o)
-		case s := <-lm.completions:
-			lm.recordCompletion(s)
+		case c := <-lm.ownerChanges:
+			lm.applyOwnerChange(c)
+		case records := <-lm.registerUpdates:
+			lm.applyRegister(records)
+		case peer := <-lm.peerViews:
+			lm.applyPeerView(peer)
+		case m := <-lm.completions:
+			lm.recordCompletion(m)
 		case <-ticker.C:
 		}
 		if lm.isStopping() {
@@ -150,7 +156,7 @@
 	}
 }
 
-// OwnerChange is a record that another instance wrote.
+// OwnerChange is a record of owners that another instance appended, as the changes against the previous one.
 type OwnerChange struct {
 	Service string
 	Offset  int64
@@ -158,23 +164,23 @@
 	Changes []shard.Range
 }
 
-// OwnerChanges takes the records that other instances wrote.
+// OwnerChanges takes the records of owners that other instances appended.
 func (lm *Manager) OwnerChanges() chan<- OwnerChange { return lm.ownerChanges }
 
-// applyOwnerChange takes in a record that another instance wrote.
-func (lm *Manager) applyOwnerChange(w OwnerChange) {
+// applyOwnerChange applies a record of owners that another instance appended.
+func (lm *Manager) applyOwnerChange(c OwnerChange) {
 	before := lm.view.get()
-	if w.Offset < before.End {
+	if c.Offset < before.End {
 		return
 	}
-	if !lm.view.applyOwnerChange(w.Service, w.Offset, w.Fence, w.Changes) {
+	if !lm.view.applyOwnerChange(c.Service, c.Offset, c.Fence, c.Changes) {
 		lm.RereadOwners()
 		return
 	}
 	lm.viewChanged(before)
 }
 
-// viewChanged does what follows from knowing more than before.
+// viewChanged updates everything that depends on the view. before is the previous view.
 func (lm *Manager) viewChanged(before *View) {
 	after := lm.view.get()
 	lm.trackMoves(after)
@@ -183,55 +189,55 @@
 	lm.confirmView(before, after)
 }
 
-// PeerViews takes all that another instance knows of the owners.
+// PeerViews takes views of other instances.
 //
-// An instance that the store refuses hears of owners by message only. Once a message was missing, or
-// a record was written that no message tells of, it stayed behind until the store let it in again:
-// requests for moved keys failed there, and each move from a silent server waited twelve seconds for
-// it. So it asks one that knows more.
+// An instance that cannot reach the store learns about owners from messages only. After a lost message, or a
+// record that no message carries, it would stay behind until it reached the store again: requests for
+// moved keys would fail there, and each move from a server that does not answer would wait twelve seconds for it.
+// So it asks an instance with a newer view.
 func (lm *Manager) PeerViews() chan<- *View { return lm.peerViews }
 
-// applyPeerView takes in all that another instance knows.
-func (lm *Manager) applyPeerView(o *View) {
+// applyPeerView takes over the view of another instance if that one is newer.
+func (lm *Manager) applyPeerView(peer *View) {
 	before := lm.view.get()
-	if !lm.view.replace(o) {
+	if !lm.view.replace(peer) {
 		return
 	}
-	lm.Events.Note(event.Belief, "owners-adopted", "offset", o.End, "known-before", before.End)
+	lm.Events.Note(event.Belief, "owners-adopted", "offset", peer.End, "known-before", before.End)
 	lm.viewChanged(before)
 }
 
-// trackMoves notes since when each move is known. Its record was in the store by then, so that the
-// time after which nobody can act on an older one counts from there, whoever leads meanwhile.
-func (lm *Manager) trackMoves(known *View) {
+// trackMoves records since when each move is known. Its record was in the store by then, so the time
+// until no instance can act on an older record counts from there, also if the leader changes.
+func (lm *Manager) trackMoves(view *View) {
 	now := lm.Clock.Now()
-	seen := make(map[moveKey]clock.Instant)
-	for service, m := range known.Maps {
+	firstSeen := make(map[moveKey]clock.Instant)
+	for service, m := range view.Maps {
 		for _, r := range m.Ranges {
 			if len(r.Before) == 0 {
 				continue
 			}
 			key := moveKey{service, r.From, r.Fence}
-			since, before := lm.firstSeen[key]
-			if !before {
+			since, known := lm.firstSeen[key]
+			if !known {
 				since = now
 			}
-			seen[key] = since
+			firstSeen[key] = since
 		}
 	}
-	lm.firstSeen = seen
+	lm.firstSeen = firstSeen
 }
 
-// recordCompletion takes in that a move is complete.
-func (lm *Manager) recordCompletion(s completedMove) {
+// recordCompletion records that the new owner of a move has its first grant.
+func (lm *Manager) recordCompletion(m completedMove) {
 	if len(lm.completedMoves) == 0 {
-		lm.recordCompletedAt = time.Now().Add(maxCompletionDelay)
+		lm.completionDueAt = time.Now().Add(maxCompletionDelay)
 	}
-	lm.completedMoves = append(lm.completedMoves, s)
-	lm.MoveCompleted(s.service, s.from, s.fence)
+	lm.completedMoves = append(lm.completedMoves, m)
+	lm.MoveCompleted(m.service, m.from, m.fence)
 }
 
-// applyUpdate takes in news of the owners.
+// applyUpdate applies an update that was read from the store.
 func (lm *Manager) applyUpdate(u follow.Update) {
 	if (u.Err == nil) != lm.storeReachable.Load() {
 		lm.storeReachable.Store(u.Err == nil)
@@ -258,7 +264,7 @@
 	}
 }
 
-// updateRoster brings the roster up to the register.
+// updateRoster applies changes of the register to the roster.
 func (lm *Manager) updateRoster(before, after *View) {
 	now := time.Now()
 	for name, e := range after.Instances {
@@ -267,27 +273,26 @@
 		}
 	}
 	for name := range before.Instances {
-		if _, there := after.Instances[name]; !there {
+		if _, found := after.Instances[name]; !found {
 			lm.Roster.Remove(name, now)
 		}
 	}
 }
 
-// HandleHeartbeat takes in the word of another instance that nothing follows the newest record it knows.
+// HandleHeartbeat uses the statement of another instance that its view is the newest.
 func (lm *Manager) HandleHeartbeat(b roster.Beat) {
 	if b.KnownAge >= 0 && b.EchoAt > 0 {
 		lm.view.confirmCurrent(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
 	}
 }
 
-// Age returns how old the knowledge is that no owner has changed.
+// Age returns the age of the view.
 func (lm *Manager) Age() time.Duration { return time.Duration(lm.view.age(lm.Clock.Now())) }
 
-// Registered reports whether this life of the instance stands in the register, as far as is
-// known.
+// Registered reports whether this incarnation of the instance is registered, according to the view.
 func (lm *Manager) Registered() bool { return lm.view.get().registered(lm.Name, lm.Incarnation) }
 
-// confirmView ends the orders that the new record contradicts, and then lets the heartbeat say so.
+// confirmView cancels the grants that the new view contradicts, and then raises the confirmed offset.
 func (lm *Manager) confirmView(before, after *View) {
 	var stale []*renewer
 	lm.mu.Lock()
@@ -312,64 +317,67 @@
 	}()
 }
 
-// sameLease reports whether two ranges are the same right.
+// sameLease reports whether two ranges are the same lease, in the same state of a move.
 func sameLease(a, b shard.Range) bool {
 	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.Before) == len(b.Before)
 }
 
-func rangesOf(o *View, s rules.Server) []shard.Range {
-	if m := o.Maps[s.Service]; m != nil {
+// rangesOf returns the ranges of a server.
+func rangesOf(v *View, s rules.Server) []shard.Range {
+	if m := v.Maps[s.Service]; m != nil {
 		return m.Of(s.ID)
 	}
 	return nil
 }
 
-// renewalSet are the servers that fall to this instance, as of a time and of what decides it.
+// renewalSet holds the renewers of the servers that this instance is responsible for, and the inputs and the
+// time that it was computed from.
 type renewalSet struct {
-	renewers []*renewer
-	inputs   renewalInputs
-	at       time.Time
+	renewers   []*renewer
+	inputs     renewalInputs
+	computedAt time.Time
 }
 
-// renewLoop starts renewals until the context ends. It is a duty of its own: a decision about owners waits for the
-// store to write it down, and leases would run out meanwhile.
+// renewLoop starts renewals until ctx is done. It runs in a goroutine of its own because decisions about owners
+// wait for the store, and leases would expire meanwhile.
 func (lm *Manager) renewLoop(ctx context.Context) error {
-	var c renewalSet
+	var set renewalSet
 	for duty.Pause(ctx, tickInterval) {
 		if !lm.isStopping() {
-			lm.startDueRenewals(ctx, &c, time.Now())
+			lm.startDueRenewals(ctx, &set, time.Now())
 		}
 	}
 	return ctx.Err()
 }
 
-// startDueRenewals starts the renewals that are due and fall to this instance.
-func (lm *Manager) startDueRenewals(ctx context.Context, c *renewalSet, now time.Time) {
-	owners := lm.view.get()
-	if rest := lm.currentInputs(owners, now); rest != c.inputs && (owners != c.inputs.view || now.Sub(c.at) >= renewalSetInterval) {
-		*c = renewalSet{renewers: lm.responsibleRenewers(owners, now), inputs: rest, at: now}
+// startDueRenewals starts the due renewals of the servers that this instance is responsible for.
+func (lm *Manager) startDueRenewals(ctx context.Context, set *renewalSet, now time.Time) {
+	view := lm.view.get()
+	if inputs := lm.currentInputs(view, now); inputs != set.inputs && (view != set.inputs.view || now.Sub(set.computedAt) >= renewalSetInterval) {
+		*set = renewalSet{renewers: lm.responsibleRenewers(view, now), inputs: inputs, computedAt: now}
 	}
-	for _, r := range c.renewers {
+	for _, r := range set.renewers {
 		r.startIfDue(ctx, now)
 	}
 }
 
-// renewalInputs is what decides which servers fall to this instance.
+// renewalInputs is what decides which servers this instance is responsible for.
 type renewalInputs struct {
 	view             *View
 	directoryVersion uint64
 	rankVersion      uint64
 }
 
-func (lm *Manager) currentInputs(owners *View, now time.Time) renewalInputs {
-	return renewalInputs{view: owners, directoryVersion: lm.DirectoryVersion(), rankVersion: lm.Roster.ChargeVersion(now)}
+func (lm *Manager) currentInputs(view *View, now time.Time) renewalInputs {
+	return renewalInputs{view: view, directoryVersion: lm.DirectoryVersion(), rankVersion: lm.Roster.ChargeVersion(now)}
 }
 
-// responsibleRenewers returns the renewers of the servers that fall to this instance.
-func (lm *Manager) responsibleRenewers(known *View, now time.Time) []*renewer {
+// responsibleRenewers returns the renewers of the servers that this instance is responsible for, and deletes idle
+// renewers of servers that have left the directory.
+func (lm *Manager) responsibleRenewers(view *View, now time.Time) []*renewer {
 	servers := lm.Servers()
 	var out []*renewer
-	for service, m := range known.Maps {
+	for service, m := range view.Maps {
 		for id := range ownersOf(m) {
 			s, found := servers[id]
 			if found && s.Service == service && lm.Roster.Charged(s.ID, s.Domain, now) {
@@ -380,14 +388,14 @@
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
 	for id, r := range lm.renewers {
-		if _, there := servers[id]; !there && r.idle() {
+		if _, listed := servers[id]; !listed && r.idle() {
 			delete(lm.renewers, id)
 		}
 	}
 	return out
 }
 
-// ownersOf returns the servers of a map.
+// ownersOf returns the ids of the servers that own keys in a map.
 func ownersOf(m *shard.Map) map[string]struct{} {
 	out := map[string]struct{}{}
 	for _, r := range m.Ranges {
@@ -396,6 +404,7 @@
 	return out
 }
 
+// renewer returns the renewer of a server, which it creates if there is none for its address.
 func (lm *Manager) renewer(s rules.Server) *renewer {
 	lm.mu.Lock()
 	defer lm.mu.Unlock()
@@ -407,7 +416,7 @@
 	return r
 }
 
-// startIfDue begins a round if one is due.
+// startIfDue starts a round of renewals if one is due.
 func (r *renewer) startIfDue(ctx context.Context, now time.Time) {
 	if !r.tryBegin(now) {
 		return
--- a/internal/holder/verify.go
+++ b/internal/holder/verify.go
@@ -9,31 +9,34 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// awaitVerified waits until a grant to a life of a server is known to stand on a connection.
+// awaitVerified blocks until a grant is known to be current on a connection to an incarnation of a server that
+// was opened at openedAt. It returns ErrUnverified if ctx is done first.
 //
-// It guards against two things that a server can bring about which crashes and starts again under
-// its name, without a memory of before. First: it releases keys that move away, crashes, and an
-// instance that has missed the move renews the grant of before at the new life; two servers then
-// have the keys. The release came before the crash, the crash before the connection to the new life,
-// and the proof is younger than that connection, so the instance knows of the move. On a connection
-// to the life before the server itself refuses the grant. Second: it crashes, and the new life gets
-// by a renewal, under the old fence, what the life before held. So before a renewal the directory
-// must have had the time to tell of a new life.
+// It prevents two faults when a server crashes and restarts under the same name without its state.
 //
-// A life whose server has a name of its own needs no proof: the next one does not answer to it.
-func (lm *Manager) awaitVerified(ctx context.Context, server string, openedAt clock.Instant, first bool) error {
+// First, the server releases keys that move away and crashes, and an instance that has missed the move renews
+// the old lease at the new incarnation, so that two servers hold the keys. But the release came before the
+// crash, and the crash before the connection to the new incarnation. If the view was current after
+// that connection was opened, the instance knows of the move. On a connection to the old incarnation
+// the server itself refuses the grant.
+//
+// Second, the server crashes, and by a renewal with the old fence the new incarnation gets the keys of the old
+// one. So a renewal also waits until the directory would list a new incarnation.
+//
+// If each incarnation has a name of its own there is nothing to verify: it rejects requests to another one.
+func (lm *Manager) awaitVerified(ctx context.Context, server string, openedAt clock.Instant, firstGrant bool) error {
 	if !lm.guards.verifyConnection || rules.NameOf(server) == server {
 		return nil
 	}
-	askAt := openedAt
-	if !first {
-		askAt = openedAt.Add(lm.EntryDelay)
+	rereadAt := openedAt
+	if !firstGrant {
+		rereadAt = openedAt.Add(lm.EntryDelay)
 	}
-	for asked := false; !lm.viewCurrentAt(openedAt) || !first && !lm.directoryCurrentAt(openedAt); {
-		if !asked && lm.Clock.Now() >= askAt {
-			asked = true
+	for reread := false; !lm.viewCurrentAt(openedAt) || !firstGrant && !lm.directoryCurrentAt(openedAt); {
+		if !reread && lm.Clock.Now() >= rereadAt {
+			reread = true
 			lm.RereadOwners()
-			if !first {
+			if !firstGrant {
 				lm.ReadDirectory()
 			}
 		}
@@ -41,28 +44,29 @@
 			return ErrUnverified
 		}
 	}
-	if _, there := lm.Servers()[server]; !there {
+	if _, found := lm.Servers()[server]; !found {
 		return ErrServerGone
 	}
 	return nil
 }
 
-// viewCurrentAt reports whether what is known of the owners is known to have been the newest at an instant:
-// from the store, or because all others have said since that they know of nothing newer. Whoever
-// decides something is registered, and knows it. The latter bridges outages of the store for all, in
-// which nothing is decided, but servers change hands between instances that stop and start.
+// viewCurrentAt reports whether the view is known to have been the newest at an instant: from the store, or
+// because all other instances have since reported that they know of nothing newer. That suffices because an
+// instance that decides about owners is registered and knows its own decisions. It bridges outages of the
+// store for all instances, in which nothing is decided but the responsibility for servers still passes between
+// instances that stop and start.
 func (lm *Manager) viewCurrentAt(at clock.Instant) bool {
 	return lm.view.currentAt(at) || lm.Roster.Agreed(int64(at), lm.view.get().End, time.Now())
 }
 
-// directoryCurrentAt reports whether a server that had started by an instant would be known by now.
+// directoryCurrentAt reports whether the directory would by now list a server that had started by an instant.
 func (lm *Manager) directoryCurrentAt(at clock.Instant) bool {
 	return lm.Clock.Now().Add(-lm.DirectoryAge()) >= at.Add(lm.EntryDelay)
 }
 
-// currentAt reports whether the owners are known to have been the newest at an instant.
-func (k *localView) currentAt(at clock.Instant) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.loaded && k.currentAsOf >= at
+// currentAt reports whether the view is known to have been the newest at an instant.
+func (v *localView) currentAt(at clock.Instant) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.loaded && v.currentAsOf >= at
 }
--- a/internal/holder/view.go
+++ b/internal/holder/view.go
@@ -12,38 +12,39 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// localView is what the instance knows of the owners and since when. Its methods may be called
-// from any goroutine.
+// localView holds this instance's current view and the time as of which it is known to be the newest.
+// Its methods are safe for concurrent use.
 type localView struct {
 	mu      sync.Mutex
 	current *View
-	// currentAsOf is a time at which nothing newer than owners had been acknowledged.
+	// currentAsOf is a time at which no record after current had been acknowledged by the store.
 	currentAsOf clock.Instant
-	loaded      bool
+	// loaded is set once an update has given a value to currentAsOf.
+	loaded bool
 }
 
 func newLocalView() *localView {
 	return &localView{current: &View{Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}}
 }
 
-// get returns the owners. They are never changed, only replaced.
+// get returns the current view, which is replaced on changes and never modified.
 func (v *localView) get() *View {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.current
 }
 
-// fresh reports whether the owners may be acted on: for contactTime, or for knowledgeTime where contact
-// says that the instance hears a majority of the others.
-func (v *localView) fresh(now clock.Instant, contactTime time.Duration, contact func() bool) bool {
+// fresh reports whether the view may be acted on: until its age is contactTimeout, or maxViewAge if
+// inContact reports contact with a majority of the other instances.
+func (v *localView) fresh(now clock.Instant, contactTimeout time.Duration, inContact func() bool) bool {
 	v.mu.Lock()
-	age, read := now.Sub(v.currentAsOf), v.loaded
+	age, loaded := now.Sub(v.currentAsOf), v.loaded
 	v.mu.Unlock()
-	return read && (age < contactTime || age < maxViewAge && contact())
+	return loaded && (age < contactTimeout || age < maxViewAge && inContact())
 }
 
-// confirmCurrent takes in the word of another instance: at a time that is not before echo, its
-// knowledge that nothing follows a record was of the given age.
+// confirmCurrent takes in the statement of another instance that, at some time not before echo, its view up to
+// offset known was of the given age. It counts only if this instance knows the same records.
 func (v *localView) confirmCurrent(known int64, echo clock.Instant, age time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -53,14 +54,14 @@
 	}
 }
 
-// age returns how old the knowledge is.
+// age returns the age of the view.
 func (v *localView) age(now clock.Instant) clock.Instant {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return now - v.currentAsOf
 }
 
-// The keys of records: the owners of a service, or the registration of an instance.
+// The prefixes of record keys: the owners of a service, or the registration of an instance.
 const (
 	keyService  = "service/"
 	keyInstance = "instance/"
@@ -69,8 +70,8 @@
 // InstanceKey returns the key of the record of an instance.
 func InstanceKey(name string) string { return keyInstance + name }
 
-// applyUpdate takes in an update of the topic. It reports whether anything is new, and the errors of
-// records that cannot be read.
+// applyUpdate applies an update that was read from the store. It reports whether the view changed, and
+// returns the errors of malformed records, which are skipped.
 func (v *localView) applyUpdate(u follow.Update) (changed bool, faults []error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -92,15 +93,15 @@
 		changed = true
 	}
 	v.current = next
-	// An update that ends before what is known is an old one, and one that was cut short has no time up to which it is
-	// complete: neither proves anything.
+	// An update that ends before the view is outdated, and one that was cut short has no CurrentAsOf. Neither
+	// proves that the view is current.
 	if u.End >= next.End && u.CurrentAsOf > v.currentAsOf {
 		v.currentAsOf, v.loaded = u.CurrentAsOf, true
 	}
 	return changed, faults
 }
 
-// put takes in a record.
+// put applies one record: the owners of a service or the registration of an instance.
 func (v *View) put(r follow.Record) error {
 	if name, found := strings.CutPrefix(r.Key, keyInstance); found {
 		if len(r.Value) == 0 {
@@ -122,24 +123,25 @@
 	return nil
 }
 
-// removeMissingInstances removes the instances that are not among all records there are.
-func (v *View) removeMissingInstances(all []follow.Record) {
-	there := make(map[string]bool, len(all))
-	for _, r := range all {
-		there[r.Key] = len(r.Value) > 0
+// removeMissingInstances removes the instances that have no record in snapshot, which holds the newest
+// record of every key.
+func (v *View) removeMissingInstances(snapshot []follow.Record) {
+	present := make(map[string]bool, len(snapshot))
+	for _, r := range snapshot {
+		present[r.Key] = len(r.Value) > 0
 	}
-	maps.DeleteFunc(v.Instances, func(name string, _ roster.Entry) bool { return !there[InstanceKey(name)] })
+	maps.DeleteFunc(v.Instances, func(name string, _ roster.Entry) bool { return !present[InstanceKey(name)] })
 }
 
-// registered reports whether a life of an instance is registered.
+// registered reports whether an incarnation of an instance is registered, and neither removed nor ended.
 func (v *View) registered(name string, incarnation uint64) bool {
 	e, found := v.Instances[name]
 	return found && e.Incarnation == incarnation && !e.Removed && !e.Ended
 }
 
-// applyOwnerChange takes in a record that another instance wrote, ahead of the next read. It returns
-// false unless the record follows what is known. The record is in the store, so acting by it
-// is right; that nothing follows it is known only from a read.
+// applyOwnerChange applies a record of owners that another instance appended, ahead of the next read. It
+// returns false unless the record directly follows the view. The record is in the store, so it may be
+// acted on; only a read can tell whether anything follows it, so currentAsOf stays.
 func (v *localView) applyOwnerChange(service string, offset int64, fence uint64, changes []shard.Range) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -160,8 +162,8 @@
 	return true
 }
 
-// applyRegister takes in records of the register that another instance read, ahead of the next read. It returns false
-// unless they follow what is known, and takes in none if one is malformed.
+// applyRegister applies records of the register that another instance read, ahead of the next read. It
+// returns false unless they continue the view without a gap, and applies none if one is malformed.
 func (v *localView) applyRegister(records []follow.Record) (follows bool, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -188,8 +190,8 @@
 	return true, nil
 }
 
-// replace takes in all that another instance knows, if that is more. It is what the store held up to
-// an offset, so acting by it is right; that nothing follows it is known only from a read.
+// replace takes over the view of another instance if that one is newer. It is what the store held up to
+// an offset, so it may be acted on; only a read can tell whether anything follows it.
 func (v *localView) replace(peer *View) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
