--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock reads the clock that leases are kept on, and compares times.
+// Package clock provides the clock by which leases are timed, and helpers for times.
 package clock
 
 import (
@@ -9,12 +9,11 @@
 
 // Instant is a time on the boot clock, in nanoseconds since the machine started.
 //
-// The boot clock goes on while the machine is suspended. A lease kept on the monotonic clock
-// would seem valid after a suspension, and its holder would act on a right that others took
-// over meanwhile.
+// The boot clock also advances while the machine is suspended. A lease timed by the monotonic clock
+// would seem valid after a suspension, although others might have taken it over meanwhile.
 type Instant int64
 
-// Clock tells the time for leases.
+// Clock returns the current time of the clock by which leases are timed.
 type Clock interface {
 	Now() Instant
 }
@@ -26,28 +25,28 @@
 func (Boot) Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Kernels without this clock cannot suspend a machine unseen.
+		// Without the boot clock, use the monotonic clock: kernels without a boot clock cannot suspend a machine unnoticed.
 		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	}
 	return Instant(t.Nano())
 }
 
-// Add returns the instant a duration later.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from another instant to this one.
+// Sub returns the duration i-o.
 func (i Instant) Sub(o Instant) time.Duration { return time.Duration(i - o) }
 
-// Before reports whether this instant is earlier.
+// Before reports whether i is earlier than o.
 func (i Instant) Before(o Instant) bool { return i < o }
 
-// Fake is a clock for tests.
+// Fake is a clock for tests, which set the time in At.
 type Fake struct{ At Instant }
 
 // Now implements Clock.
 func (f *Fake) Now() Instant { return f.At }
 
-// Earlier returns the earlier of two times of day.
+// Earlier returns the earlier of two times.
 func Earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps a copy of a topic of the shared store: the newest record of each key,
-// and how old the knowledge is that nothing else was written.
+// Package follow keeps the local copy of a topic of the shared store up to date, and tracks as of when
+// the copy is known to be complete.
 package follow
 
 import (
@@ -14,199 +14,208 @@
 	"example.org/mustardring/internal/clock"
 )
 
-// The errors of a Store. What is neither ErrConflict nor ErrNotDone may have been done, or may
-// be done later.
+// The errors of a Store. After any error other than ErrConflict and ErrNotDone the call may have been carried
+// out, or may still be carried out later.
 var (
-	ErrConflict = errors.New("follow: the topic ends elsewhere")
-	ErrNotDone  = errors.New("follow: refused by the store")
-	ErrUnknown  = errors.New("follow: outcome unknown")
-	// ErrExpired says that the records asked for are kept no longer.
+	// ErrConflict means that the topic did not end at the expected offset.
+	ErrConflict = errors.New("follow: topic does not end at the expected offset")
+	// ErrNotDone means that the store refused the call, which has had no effect.
+	ErrNotDone = errors.New("follow: call refused by the store")
+	// ErrUnknown means that the call may or may not have been carried out.
+	ErrUnknown = errors.New("follow: outcome unknown")
+	// ErrExpired means that the store no longer keeps the requested records.
 	ErrExpired = errors.New("follow: records expired")
 )
 
-// Record is one record of a topic. An empty value removes the key.
+// Record is one record of a topic. An empty value deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Batch is a run of records and the end of the topic when they were read.
+// Batch holds records of a topic in the order of their offsets, and the offset after the last record of the
+// topic when they were read.
 type Batch struct {
 	Records []Record
 	End     int64
 }
 
-// Store is the shared store.
+// Store is a client of the shared store, which holds topics of records with keys and offsets.
 type Store interface {
-	// Append writes a record if the topic ends at asOf, or in any case if that is negative. It
-	// returns the record's offset.
-	Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error)
-	// Read waits for records from an offset on.
+	// Append appends a record if the topic ends at expectedEnd, or in any case if that is negative. It
+	// returns the offset of the record.
+	Append(ctx context.Context, topic, key string, value []byte, expectedEnd int64) (int64, error)
+	// Read returns the records from an offset on. If there are none it waits for some, at most for wait.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (Batch, error)
 	// Newest returns the newest record of each key.
 	Newest(ctx context.Context, topic string) (Batch, error)
 }
 
-// Reason says why the store was read. Calls are dear, so that each one names its own.
+// Reason says why the store was read. Calls to the store are expensive, so they are counted by reason.
 type Reason string
 
-// The reasons.
+// The reasons of reads.
 const (
-	// ReasonStarted is the first read of a process, Gone one after the store forgot what comes next.
+	// ReasonStarted is for the first read of a process, ReasonExpired for a read after the store has
+	// dropped the records that come next.
 	ReasonStarted Reason = "started"
 	ReasonExpired Reason = "records-gone"
-	// ReasonReader is a read of the instance that reads for the others.
+	// ReasonReader is for reads of an instance that reads for the others.
 	ReasonReader Reason = "in-charge"
-	// ReasonOverdue says that no word came that nothing is missing, Asked that a peer knows more, Gap that news
-	// of a peer left out a part.
+	// ReasonOverdue is for a read because no confirmation came in time that the copy is complete, ReasonBehind
+	// because another instance knows more, ReasonGap because an update of another instance left out records.
 	ReasonOverdue Reason = "word-overdue"
 	ReasonBehind  Reason = "behind-peer"
 	ReasonGap     Reason = "news-missing"
 )
 
-// AnswerTimeout is how long a Store waits for each part of an answer, beyond the time for which a read waits for news,
-// before it takes the call for lost. A fault that ends while a call waits costs what is left of it, and the
-// pause after it: both together are well below the time in which news must be in force.
+// AnswerTimeout is how long a Store waits for each part of an answer, after the time for which a read waits
+// for records, before it fails the call. When a fault ends while a call is pending, the rest of this timeout
+// and the retry delay pass before the next call. Their sum must be well below the time within which
+// changes must take effect.
 const AnswerTimeout = 700 * time.Millisecond
 
-// Update is news of a topic.
+// Update holds what was learned about a topic by a read or from another instance.
 type Update struct {
 	Topic string
 	Batch
-	// Reason is why the topic was read, empty for what came from another instance.
+	// Reason is why the topic was read, empty for an update of another instance.
 	Reason Reason
-	// Snapshot says that the records are all there are: other keys are gone.
+	// Snapshot means that Records holds the newest record of every key: other keys are deleted.
 	Snapshot bool
-	// From is the offset that was read from.
+	// From is the offset from which the topic was read.
 	From int64
-	// StartedAt is when the read began: nothing that was acknowledged before is missing. It is
-	// zero for what came from another instance.
+	// StartedAt is when the read started: no record that was acknowledged before is missing. It is zero for
+	// an update of another instance.
 	StartedAt clock.Instant
-	// WaitDeadline is when the store was to answer at the latest, with or without news, and EndedAt when the
-	// read ended. Both are zero for what came from another instance.
+	// WaitDeadline is when the store was to answer at the latest, with or without records, and EndedAt when the
+	// read ended. Both are zero for an update of another instance.
 	WaitDeadline clock.Instant
 	EndedAt      clock.Instant
-	// WrittenAfter is the time after which the records were written; zero if that is not known.
+	// WrittenAfter is a time after which the records were written; zero if that is not known.
 	WrittenAfter clock.Instant
-	// CurrentAsOf is a time up to which nothing is missing before End; zero if that is not known.
+	// CurrentAsOf is a time up to which the topic had no records from End on, so that none was missing; zero if
+	// there is no known one.
 	CurrentAsOf clock.Instant
-	// Overdue says that this instance read because no word came that nothing is missing: the
-	// others may not have heard either.
+	// Overdue means that this instance read because no confirmation came in time that its copy is complete.
+	// The other instances may not have had one either.
 	Overdue bool
-	// Err is why the topic could not be read, nil if it was.
+	// Err is why the read failed, nil if it succeeded.
 	Err error
 }
 
-// PeerUpdate is a part of a topic that another instance read.
+// PeerUpdate is a part of a topic that another instance read and passed on. It is encoded by position, so the
+// order of its fields must not change.
 type PeerUpdate struct {
-	// From is the offset that the other instance read from.
+	// From is the offset from which the other instance read.
 	From int64
-	// RecordAge is how long ago the oldest of the records can have been written when the news was sent, and
-	// Complete how old the knowledge was then that nothing is missing before End, in milliseconds;
-	// Complete is negative for none.
+	// RecordAge is the maximum age of the oldest record, and Staleness the age of the sender's copy up to End,
+	// both when the update was sent and in milliseconds. A negative Staleness means unknown.
 	RecordAge int64
 	Staleness int64
 	Batch
-	// Snapshot says that the records are all there are before End: other keys are gone.
+	// Snapshot means that Records holds the newest record of every key before End: other keys are deleted.
 	Snapshot bool
-	// SentAt is the earliest time at which it can have been sent, by the receiver's clock; zero if that
-	// is not known. The receiver sets it.
+	// SentAt is the earliest time at which the update can have been sent, by the receiver's clock; zero if
+	// that is not known. It is not transmitted; the receiver sets it.
 	SentAt clock.Instant `msgpack:"-"`
 }
 
-// Watch follows one topic. Calls to the store are dear where there are many instances, so that
-// most of them do not read: they take the news that others have read, and read for themselves
-// when a part is missing or a peer knows more.
+// Watch keeps the local copy of one topic up to date. With many instances calls to the store are expensive, so
+// most instances do not read: they take the updates that others have read, and read only when records
+// are missing or another instance knows more.
 type Watch struct {
 	Store Store
 	Topic string
 	Clock clock.Clock
-	// ReadsStore reports whether this instance reads the store by itself.
+	// ReadsStore reports whether this instance reads the store regularly.
 	ReadsStore func() bool
-	// PollTimeout returns how long a read waits for news. A read whose answer is lost shows only when
-	// that time is over: the store goes on holding its connection.
+	// PollTimeout returns how long a read waits for records. A lost answer is detected only after that
+	// time, because the store keeps the connection open.
 	PollTimeout func() time.Duration
-	// ReadInterval returns, if it is not nil, the pause between two reads; they do not wait for news
-	// then. That costs fewer calls where news comes another way.
+	// ReadInterval, if not nil, returns the delay between two reads, which then do not wait for records. That
+	// takes fewer calls where updates also come another way.
 	ReadInterval func() time.Duration
-	// CatchUpFromSnapshot says that only the newest records count: to catch up, what lies between is not
-	// read. Twenty versions of a large configuration take a second on a link of 10 Mbit/s.
+	// CatchUpFromSnapshot means that the instance reads only the newest records to catch up, and not those in
+	// between. Twenty versions of a large configuration take a second on a link of 10 Mbit/s.
 	CatchUpFromSnapshot bool
-	// BatchDelay returns the pause after news before the next read. It joins changes that come close
-	// together into one call.
+	// BatchDelay returns the delay before the next read after one that returned records. Changes that come
+	// shortly after each other then take one call.
 	BatchDelay func() time.Duration
-	// Out takes the updates.
+	// Out receives the updates.
 	Out chan<- Update
-	// ReadNow asks for a new read at once: a peer knows more.
+	// ReadNow asks for a read at once because another instance knows more.
 	ReadNow <-chan struct{}
-	// PeerUpdates takes what other instances read; it may be nil.
+	// PeerUpdates delivers what other instances have read; it may be nil.
 	PeerUpdates <-chan PeerUpdate
-	// RetryDelay returns the pause after a read that failed.
+	// RetryDelay returns the delay after a failed read.
 	RetryDelay func() time.Duration
-	// MaxStaleness returns the age of the knowledge that nothing is missing from which on this
-	// instance reads, whoever else should; it may be nil.
+	// MaxStaleness returns the age of the copy from which on this instance reads, whether or not it should
+	// read regularly; it may be nil.
 	//
-	// It guards against the loss of all readers at one time, as when they are cut off from the store: the
-	// directory would stay as it was, and requests go to servers that have left.
+	// It covers the loss of all readers at the same time, for example when they are cut off from the store:
+	// otherwise the directory would not change, and requests would go to servers that have left.
 	MaxStaleness func() time.Duration
 
-	// readCurrentAsOf is the time up to which nothing is missing of what was read, zero if never.
+	// readCurrentAsOf is a time up to which the topic had no records from nextOffset on, zero if there is no known
+	// one.
 	readCurrentAsOf atomic.Int64
-	// lastReadFailed says that the last read had no answer.
+	// lastReadFailed tells whether the last read failed.
 	lastReadFailed atomic.Bool
 
-	// The next five belong to the goroutine of Run. Next is the offset behind what is known, missing an end that
-	// another instance knows of. Until pauseUntil this instance reads only if it is asked.
+	// The next five fields are used by the goroutine of Run only. nextOffset is the offset after the last known
+	// record, peerEnd the end of the topic known to another instance. Until pauseUntil this instance reads only
+	// when asked to.
 	nextOffset int64
 	peerEnd    int64
 	pauseUntil time.Time
-	// needsSnapshot says that everything is to be read, reason why.
+	// needsSnapshot means that the next read is of a snapshot, lastReason is the reason of the last read.
 	needsSnapshot bool
 	lastReason    Reason
 
-	// mu guards what follows: the end of what the owner of Out acts by, and the time up to which
-	// nothing is missing before that end, zero if never. They belong together: an end from before an
-	// update with a time from after it says of the update's records that they were not written.
+	// mu guards appliedEnd, the end of what the receiver of Out acts by, and appliedAsOf, a time up to which the
+	// topic had no records from there on, zero if there is no known one. They are updated together: an end from
+	// before an update with a time from after it would state that the records of the update do not exist.
 	mu          sync.Mutex
 	appliedEnd  int64
 	appliedAsOf clock.Instant
 }
 
-// checkInterval is how often an instance that does not read looks whether it should.
+// checkInterval is the time between two checks whether a read is due.
 const checkInterval = 100 * time.Millisecond
 
-// The times of answers of the store.
+// The response times of the store.
 const (
-	// maxAnswerDelay is how long an answer is on its way at most while the store is calm, also to an instance
-	// with a small part of a core.
+	// maxAnswerDelay is the maximum time for which an answer is in transit while the store is healthy, also to an
+	// instance with a small share of a CPU core.
 	maxAnswerDelay = 150 * time.Millisecond
-	// minHeldTime is the time from which on an answer is known to have been waited for at the store.
+	// minHeldTime is the time from which on an answer must have been held by the store to wait for records.
 	minHeldTime = 250 * time.Millisecond
 )
 
-// Age returns how old the knowledge is that nothing is missing of what the owner of Out acts by.
+// Age returns the age of what the receiver of Out acts by, or the maximum duration if it is unknown.
 func (w *Watch) Age() time.Duration {
-	_, complete := w.Known()
-	return w.staleness(complete)
+	_, asOf := w.Known()
+	return w.staleness(asOf)
 }
 
-func (w *Watch) staleness(complete clock.Instant) time.Duration {
-	if complete == 0 {
+func (w *Watch) staleness(asOf clock.Instant) time.Duration {
+	if asOf == 0 {
 		return math.MaxInt64
 	}
-	return w.Clock.Now().Sub(complete)
+	return w.Clock.Now().Sub(asOf)
 }
 
-// Known returns the end of what the owner of Out acts by, and a time up to which nothing is missing
-// before it, zero if there is none.
-func (w *Watch) Known() (end int64, complete clock.Instant) {
+// Known returns the end of what the receiver of Out acts by, and a time up to which the topic had no records
+// from there on, zero if there is no known one.
+func (w *Watch) Known() (end int64, asOf clock.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.appliedEnd, w.appliedAsOf
 }
 
-// MarkApplied takes in that the owner of Out acts by an update.
+// MarkApplied records that the receiver of Out acts by an update.
 func (w *Watch) MarkApplied(u Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -214,32 +223,32 @@
 	w.appliedAsOf = max(w.appliedAsOf, u.CurrentAsOf)
 }
 
-// ConfirmCurrent takes in the word of another instance that nothing was missing before an end up to a time.
-// It says nothing to who acts by less.
-func (w *Watch) ConfirmCurrent(end int64, until clock.Instant) {
+// ConfirmCurrent takes in the statement of another instance that up to asOf the topic had no records from end
+// on. It is ignored unless this instance acts by all records before end.
+func (w *Watch) ConfirmCurrent(end int64, asOf clock.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if end <= w.appliedEnd {
-		w.appliedAsOf = max(w.appliedAsOf, until)
+		w.appliedAsOf = max(w.appliedAsOf, asOf)
 	}
 }
 
-// currentAsOf returns the time up to which nothing is missing before the next offset to read: the news to
-// come was written after it.
+// currentAsOf returns a time up to which the topic had no records from nextOffset on: the records that come next
+// were written after it.
 func (w *Watch) currentAsOf() clock.Instant {
-	_, complete := w.Known()
-	return max(complete, clock.Instant(w.readCurrentAsOf.Load()))
+	_, asOf := w.Known()
+	return max(asOf, clock.Instant(w.readCurrentAsOf.Load()))
 }
 
-// LastReadFailed reports whether the last read had no answer.
+// LastReadFailed reports whether the last read failed.
 func (w *Watch) LastReadFailed() bool { return w.lastReadFailed.Load() }
 
-// isOverdue reports whether this instance should read although others do.
+// isOverdue reports whether this instance must read because its copy is older than MaxStaleness.
 func (w *Watch) isOverdue() bool {
 	return w.MaxStaleness != nil && w.staleness(w.currentAsOf()) > w.MaxStaleness()
 }
 
-// Run follows the topic until the context ends.
+// Run keeps the topic up to date until ctx is done.
 func (w *Watch) Run(ctx context.Context) error {
 	w.needsSnapshot = true
 	for reason := ReasonStarted; ; {
@@ -260,7 +269,7 @@
 	}
 }
 
-// finishRead passes on how a read ended, and sets the pause before the next one.
+// finishRead passes on the result of a read, and sets the time before which no other read is due.
 func (w *Watch) finishRead(ctx context.Context, u Update) {
 	w.lastReadFailed.Store(u.Err != nil)
 	if u.Err != nil {
@@ -274,11 +283,11 @@
 	w.pauseFor(w.pauseAfter(u))
 }
 
-// pauseAfter returns the pause after a read that was answered.
+// pauseAfter returns the delay after a successful read.
 func (w *Watch) pauseAfter(u Update) time.Duration {
 	pause := time.Duration(0)
 	if u.CurrentAsOf == 0 {
-		// The answer was cut short.
+		// The answer was cut short, so read on at once.
 		return pause
 	}
 	if len(u.Records) > 0 {
@@ -292,7 +301,7 @@
 
 func (w *Watch) pauseFor(d time.Duration) { w.pauseUntil = time.Now().Add(d) }
 
-// dropKnown leaves out of a read what news brought in while the read was in progress.
+// dropKnown removes from a read what updates of other instances delivered while the read was in progress.
 func (w *Watch) dropKnown(u Update) Update {
 	if u.Snapshot && u.End >= w.nextOffset {
 		return u
@@ -312,7 +321,7 @@
 	}
 }
 
-// awaitReadDue takes in news until a read is due, and returns why it is.
+// awaitReadDue applies updates of other instances until a read is due, and returns the reason of the read.
 func (w *Watch) awaitReadDue(ctx context.Context) Reason {
 	for ctx.Err() == nil {
 		if reason, due := w.readDue(); due {
@@ -320,8 +329,8 @@
 		}
 		timer := time.NewTimer(w.timeToCheck())
 		select {
-		case n := <-w.PeerUpdates:
-			w.applyPeerUpdate(ctx, n)
+		case p := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, p)
 		case <-w.ReadNow:
 			timer.Stop()
 			return w.requestedRead(ReasonBehind)
@@ -333,7 +342,7 @@
 	return ""
 }
 
-// timeToCheck returns the time to the next look whether a read is due.
+// timeToCheck returns the time until the next check whether a read is due.
 func (w *Watch) timeToCheck() time.Duration {
 	if left := time.Until(w.pauseUntil); left > 0 && left < checkInterval {
 		return left
@@ -341,7 +350,7 @@
 	return checkInterval
 }
 
-// readDue reports whether and why this instance should read without being asked.
+// readDue reports whether and why this instance should read although ReadNow does not ask for it.
 func (w *Watch) readDue() (Reason, bool) {
 	switch {
 	case time.Now().Before(w.pauseUntil):
@@ -358,7 +367,7 @@
 	return "", false
 }
 
-// requestedRead returns the reason of a read that another instance gives rise to.
+// requestedRead returns the reason of a read that another instance causes, and decides whether it reads a snapshot.
 func (w *Watch) requestedRead(reason Reason) Reason {
 	if w.ReadsStore() {
 		return ReasonReader
@@ -367,68 +376,68 @@
 	return reason
 }
 
-// applyPeerUpdate takes in what another instance read, or notes that a part before it is missing: then a pause is over, since
-// the store has answered that one.
+// applyPeerUpdate passes on what another instance read. If records before it are missing it only makes a read due,
+// and ends a pause, since the store has answered the other instance.
 //
-// Its receipt proves nothing: what was written while it was on its way is not in it. Dated by receipt,
-// it would make instances tell one another that nothing is missing while it is, and the words of servers
-// that leave, read later, seem younger than they are.
-func (w *Watch) applyPeerUpdate(ctx context.Context, n PeerUpdate) {
-	if n.End <= w.nextOffset {
+// The time of receipt proves nothing, because records that were written while the update was in transit are
+// not in it. If updates were dated by receipt, instances would confirm each other's copies as complete while
+// records were missing, and the entries of leaving servers, read later, would seem newer than they are.
+func (w *Watch) applyPeerUpdate(ctx context.Context, p PeerUpdate) {
+	if p.End <= w.nextOffset {
 		return
 	}
-	if n.From > w.nextOffset {
-		w.peerEnd, w.pauseUntil = max(w.peerEnd, n.End), time.Time{}
+	if p.From > w.nextOffset {
+		w.peerEnd, w.pauseUntil = max(w.peerEnd, p.End), time.Time{}
 		return
 	}
-	u := Update{Topic: w.Topic, Batch: Batch{End: n.End}, WrittenAfter: w.currentAsOf(), Snapshot: n.Snapshot}
-	if n.SentAt != 0 {
-		u.WrittenAfter = max(u.WrittenAfter, n.SentAt.Add(-time.Duration(n.RecordAge)*time.Millisecond))
+	u := Update{Topic: w.Topic, Batch: Batch{End: p.End}, WrittenAfter: w.currentAsOf(), Snapshot: p.Snapshot}
+	if p.SentAt != 0 {
+		u.WrittenAfter = max(u.WrittenAfter, p.SentAt.Add(-time.Duration(p.RecordAge)*time.Millisecond))
 	}
-	if n.SentAt != 0 && n.Staleness >= 0 {
-		u.CurrentAsOf = n.SentAt.Add(-time.Duration(n.Staleness) * time.Millisecond)
+	if p.SentAt != 0 && p.Staleness >= 0 {
+		u.CurrentAsOf = p.SentAt.Add(-time.Duration(p.Staleness) * time.Millisecond)
 	}
-	for _, r := range n.Records {
-		if r.Offset >= w.nextOffset || n.Snapshot {
+	for _, r := range p.Records {
+		if r.Offset >= w.nextOffset || p.Snapshot {
 			u.Records = append(u.Records, r)
 		}
 	}
 	if w.emit(ctx, u) {
-		w.nextOffset = n.End
+		w.nextOffset = p.End
 		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(u.CurrentAsOf)))
 	}
 }
 
-// readOnce reads once, and takes in news meanwhile: while the store does not answer, another instance may have
-// what is missing. It returns false if it ended the read, for another one.
+// readOnce reads once. Meanwhile it applies updates of other instances, which may have what is missing while the
+// store does not answer. It returns false if it canceled the read in favor of another one.
 //
-// A read that waits for news ends when a peer knows more, or when the word that nothing is missing is overdue: its
-// answer may be lost.
+// A read that waits for records is canceled when another instance knows more, or when the copy becomes
+// older than MaxStaleness: its answer may be lost.
 func (w *Watch) readOnce(ctx context.Context, reason Reason) (Update, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.lastReason = reason
 	u := Update{Topic: w.Topic, Reason: reason, StartedAt: w.Clock.Now(), From: w.nextOffset, Snapshot: w.needsSnapshot, Overdue: w.isOverdue()}
-	wait, again := time.Duration(0), (<-chan struct{})(nil)
-	waits := w.ReadInterval == nil && w.ReadsStore() && !u.Snapshot && !u.Overdue
-	if waits {
-		wait, again = w.PollTimeout(), w.ReadNow
+	pollTimeout, readNow := time.Duration(0), (<-chan struct{})(nil)
+	polls := w.ReadInterval == nil && w.ReadsStore() && !u.Snapshot && !u.Overdue
+	if polls {
+		pollTimeout, readNow = w.PollTimeout(), w.ReadNow
 	}
-	u.WaitDeadline = u.StartedAt.Add(wait)
+	u.WaitDeadline = u.StartedAt.Add(pollTimeout)
 	ended := make(chan Update, 1)
-	go func() { ended <- w.read(ctx, u, wait) }()
+	go func() { ended <- w.read(ctx, u, pollTimeout) }()
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case u := <-ended:
 			return u, true
-		case n := <-w.PeerUpdates:
-			w.applyPeerUpdate(ctx, n)
+		case p := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, p)
 			continue
-		case <-again:
+		case <-readNow:
 		case <-ticker.C:
-			if !waits || !w.isOverdue() {
+			if !polls || !w.isOverdue() {
 				continue
 			}
 		}
@@ -438,12 +447,12 @@
 	}
 }
 
-// read carries out a read, and dates what it brings.
-func (w *Watch) read(ctx context.Context, u Update, wait time.Duration) Update {
+// read carries out a read and sets the times of the update.
+func (w *Watch) read(ctx context.Context, u Update, pollTimeout time.Duration) Update {
 	if u.Snapshot {
 		u.Batch, u.Err = w.Store.Newest(ctx, w.Topic)
 	} else {
-		u.Batch, u.Err = w.Store.Read(ctx, w.Topic, u.From, wait)
+		u.Batch, u.Err = w.Store.Read(ctx, w.Topic, u.From, pollTimeout)
 	}
 	u.EndedAt = w.Clock.Now()
 	if u.Err != nil {
@@ -454,35 +463,34 @@
 		end := max(u.End, u.From)
 		u.End = end
 		if n > 0 {
-			// The answer may be cut short of the end: the next read goes on behind it.
+			// The answer may be cut short before the end. The next read continues after it.
 			u.End = u.Records[n-1].Offset + 1
 		}
 		reachesEnd = u.End >= end
 	}
-	w.setTimes(&u, wait, reachesEnd)
+	w.setTimes(&u, pollTimeout, reachesEnd)
 	return u
 }
 
-// setTimes notes since when the records of an update may have been there, and, if the update reaches the
-// end of the topic, up to when nothing is missing. Wait is how long the store was to wait for news.
+// setTimes sets WrittenAfter and, if the update reaches the end of the topic, CurrentAsOf. pollTimeout is how long the store may have waited.
 //
-// An answer says what was there when it was made. It may have been made as soon as the read began,
-// unless it took so long that the store must have held it.
-func (w *Watch) setTimes(u *Update, wait time.Duration, reachesEnd bool) {
+// An answer reflects the topic at the time when the store made it. That may have been as soon as the read
+// started, unless the read took so long that the store must have held it.
+func (w *Watch) setTimes(u *Update, pollTimeout time.Duration, reachesEnd bool) {
 	now := u.EndedAt
 	took := now.Sub(u.StartedAt)
 	u.WrittenAfter = w.currentAsOf()
-	madeAt := u.StartedAt
+	answeredAt := u.StartedAt
 	switch {
-	case wait == 0 || took < minHeldTime:
+	case pollTimeout == 0 || took < minHeldTime:
 	case len(u.Records) > 0:
-		madeAt = now.Add(-maxAnswerDelay)
-		u.WrittenAfter = max(u.WrittenAfter, madeAt)
-	case took >= wait:
-		madeAt = u.StartedAt.Add(wait)
+		answeredAt = now.Add(-maxAnswerDelay)
+		u.WrittenAfter = max(u.WrittenAfter, answeredAt)
+	case took >= pollTimeout:
+		answeredAt = u.StartedAt.Add(pollTimeout)
 	}
 	if reachesEnd {
-		u.CurrentAsOf = madeAt
-		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(madeAt)))
+		u.CurrentAsOf = answeredAt
+		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(answeredAt)))
 	}
 }
