--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps the local copy of a topic of the shared store up to date, and tracks as of when
-// the copy is known to be complete.
+// Package follow delivers the records of a topic of the shared store, from which the receiver keeps a copy of
+// the topic, and tracks as of when that copy is known to be complete.
 package follow
 
 import (
@@ -122,7 +122,7 @@
 	SentAt clock.Instant `msgpack:"-"`
 }
 
-// Watch keeps the local copy of one topic up to date. With many instances calls to the store are expensive, so
+// Watch delivers the records of one topic, by which the receiver of Out keeps its copy up to date. With many instances calls to the store are expensive, so
 // most instances do not read: they take the updates that others have read, and read only when records
 // are missing or another instance knows more.
 type Watch struct {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,7 +13,7 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// fakeStore is a topic whose reads may hang, fail or have expired.
+// fakeStore is a store with one topic, whose reads can hang or find their records expired.
 type fakeStore struct {
 	mu        sync.Mutex
 	records   []follow.Record
@@ -68,7 +68,7 @@
 	for {
 		s.mu.Lock()
 		b := follow.Batch{End: int64(len(s.records)), Records: s.records[min(from, int64(len(s.records))):]}
-		// An answer that was lost does not come later.
+		// A lost answer does not arrive later either.
 		hung = hung || s.hang
 		expired := s.expired
 		s.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// testClock is a clock that goes on with the time of the test.
+// testClock follows the time of the test, which synctest fakes.
 type testClock struct{}
 
 func (testClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
@@ -95,33 +95,33 @@
 
 func (fixedClock) Now() clock.Instant { return 1 }
 
-// runWatch runs a topic and returns what it says, in order. All of it is acted by at once.
-func runWatch(t *testing.T, topic *follow.Watch) <-chan follow.Update {
-	said, out := make(chan follow.Update), make(chan follow.Update, 64)
-	topic.Topic, topic.Out = "topic", said
-	if topic.Clock == nil {
-		topic.Clock = fixedClock{}
+// runWatch runs a watch and returns its updates in order, each of which is marked as applied at once.
+func runWatch(t *testing.T, watch *follow.Watch) <-chan follow.Update {
+	emitted, out := make(chan follow.Update), make(chan follow.Update, 64)
+	watch.Topic, watch.Out = "topic", emitted
+	if watch.Clock == nil {
+		watch.Clock = fixedClock{}
 	}
-	if topic.BatchDelay == nil {
-		topic.BatchDelay = func() time.Duration { return 0 }
+	if watch.BatchDelay == nil {
+		watch.BatchDelay = func() time.Duration { return 0 }
 	}
-	if topic.RetryDelay == nil {
-		topic.RetryDelay = func() time.Duration { return time.Second }
+	if watch.RetryDelay == nil {
+		watch.RetryDelay = func() time.Duration { return time.Second }
 	}
-	if topic.PollTimeout == nil {
-		topic.PollTimeout = func() time.Duration { return 20 * time.Second }
+	if watch.PollTimeout == nil {
+		watch.PollTimeout = func() time.Duration { return 20 * time.Second }
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() {
-		_ = topic.Run(ctx)
+		_ = watch.Run(ctx)
 		ended <- struct{}{}
 	}()
 	go func() {
 		for ctx.Err() == nil {
 			select {
-			case u := <-said:
-				topic.MarkApplied(u)
+			case u := <-emitted:
+				watch.MarkApplied(u)
 				out <- u
 			case <-ctx.Done():
 			}
@@ -140,15 +140,15 @@
 
 func never() bool { return false }
 
-// Two of eight instances kept a configuration for eleven seconds that was no longer in force.
-// The answer to their read, which waited for news, was lost, and the connection stayed open.
+// The answer to a read that waits for records is lost while its connection stays open. The watch must read again when
+// asked to: two of eight instances kept an outdated configuration for eleven seconds.
 func TestHungRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("config", "1")
-		again := make(chan struct{}, 1)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: again})
+		readNow := make(chan struct{}, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: readNow})
 		is.Equal(string((<-out).Records[0].Value), "1")
 		s.set(func() { s.hang = true })
 		time.Sleep(time.Second)
@@ -156,7 +156,7 @@
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0) // the read hangs
 		s.set(func() { s.hang = false })
-		again <- struct{}{} // a heartbeat told of version 2
+		readNow <- struct{}{} // a heartbeat named version 2
 		is.Equal(string((<-out).Records[0].Value), "2")
 	})
 }
@@ -176,108 +176,108 @@
 	})
 }
 
-// Most instances must not read the store: they hear of news, and read only what they miss.
+// Most instances must not read the store: they apply the updates of others, and read only what is missing.
 func TestPeerUpdatesReplaceReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.PeerUpdate, 4)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates})
 		<-out
 		record := func(offset int64) follow.Record { return follow.Record{Key: "a", Value: []byte("x"), Offset: offset} }
 		s.put("a", "1")
-		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
 		is.Equal((<-out).End, int64(2))
-		news <- follow.PeerUpdate{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
+		updates <- follow.PeerUpdate{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
 		time.Sleep(time.Minute)
 		is.Equal(len(out), 0) // nothing new
 		is.Equal(s.reads, 0)
 		s.put("a", "2")
 		s.put("a", "3")
-		news <- follow.PeerUpdate{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
+		updates <- follow.PeerUpdate{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
 		u := <-out
-		is.Equal(u.From, int64(2)) // the part between was read
+		is.Equal(u.From, int64(2)) // the records in between were read
 		is.Equal(u.End, int64(4))
 	})
 }
 
-// Guards against news of all there is that leaves out what was known before: it would seem to be gone.
+// Guards against a snapshot of another instance that leaves out records known before: they would seem deleted.
 func TestPeerSnapshotKeepsKnownRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.PeerUpdate, 4)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates})
 		<-out
 		all := []follow.Record{{Key: "a", Value: []byte("0"), Offset: 0}, {Key: "b", Value: []byte("1"), Offset: 2}}
-		news <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all, End: 3}}
+		updates <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all, End: 3}}
 		u := <-out
 		is.True(u.Snapshot)
 		is.Equal(len(u.Records), 2)
-		news <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
+		updates <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
 }
 
-// A configuration with 1,400 routes was too large to be passed on in a message. The others learnt
-// of it from the second heartbeat that named it, half a second later. Word without the records
-// makes them read at once.
+// A configuration with 1,400 routes was too large for a message, and the other instances learned of it only from
+// the second heartbeat that named its offset, half a second later. An update without records must make
+// them read at once.
 func TestPeerUpdateWithoutRecordsCausesRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("config", "1")
-		news := make(chan follow.PeerUpdate, 4)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: updates})
 		<-out
 		s.put("config", "2")
-		began := time.Now()
-		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
+		startedAt := time.Now()
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		u := <-out
 		is.Equal(string(u.Records[0].Value), "2")
-		is.True(time.Since(began) < 50*time.Millisecond)
-		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}} // known by now
+		is.True(time.Since(startedAt) < 50*time.Millisecond)
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}} // already known
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
 }
 
-// An instance on a thin link read twenty versions of a large configuration to come to the last
-// one, ran out of time, and began anew, for five seconds.
+// An instance on a slow link must not read all versions to catch up. One that read twenty versions of a large
+// configuration ran out of time and started again, for five seconds.
 func TestCatchUpFromSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("config", "1")
-		again := make(chan struct{}, 1)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: again})
+		readNow := make(chan struct{}, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: readNow})
 		<-out
 		for range 20 {
 			s.put("config", "n")
 		}
-		again <- struct{}{}
+		readNow <- struct{}{}
 		is.Equal(len((<-out).Records), 1)
 		is.Equal(s.reads, 0)
 	})
 }
 
-// Four of eleven instances were cut off from the store, the leader and all that read for the
-// others among them. The others went on with what they knew for 2.1 seconds: they wait for news,
-// and took the silence for calm.
+// All instances that read for others can be cut off from the store at once. When this happened to four of eleven,
+// the leader among them, the others went on with outdated copies for 2.1 seconds: they waited for updates, and
+// took the lack of updates for a lack of changes.
 func TestReadsWhenOverdue(t *testing.T) {
 	overdue := func() time.Duration { return 1200 * time.Millisecond }
 	tests := map[string]struct {
-		direct func() bool
-		// refreshed says that heartbeats go on saying that nothing is missing.
-		refreshed bool
+		readsStore func() bool
+		// confirmed means that heartbeats continue to confirm the copy.
+		confirmed bool
 		within    time.Duration
 	}{
-		"others read, and fall silent": {never, false, 1400 * time.Millisecond},
-		"its own read hangs":           {always, false, 1400 * time.Millisecond},
-		"others say that all is well":  {never, true, time.Hour},
+		"others read, and stop":   {never, false, 1400 * time.Millisecond},
+		"its own read hangs":      {always, false, 1400 * time.Millisecond},
+		"others confirm the copy": {never, true, time.Hour},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -285,34 +285,34 @@
 				is := is.New(t)
 				s := &fakeStore{}
 				s.put("a", "1")
-				topic := &follow.Watch{Store: s, ReadsStore: test.direct, Clock: testClock{}, MaxStaleness: overdue}
-				out := runWatch(t, topic)
+				watch := &follow.Watch{Store: s, ReadsStore: test.readsStore, Clock: testClock{}, MaxStaleness: overdue}
+				out := runWatch(t, watch)
 				<-out
-				began := time.Now()
+				startedAt := time.Now()
 				s.set(func() { s.hang = true })
 				time.Sleep(20 * time.Millisecond)
 				s.put("a", "2")
 				time.AfterFunc(500*time.Millisecond, func() { s.set(func() { s.hang = false }) })
-				for len(out) == 0 && time.Since(began) < 10*time.Second {
-					if test.refreshed {
-						topic.ConfirmCurrent(1, testClock{}.Now().Add(-100*time.Millisecond))
+				for len(out) == 0 && time.Since(startedAt) < 10*time.Second {
+					if test.confirmed {
+						watch.ConfirmCurrent(1, testClock{}.Now().Add(-100*time.Millisecond))
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
-				if test.refreshed {
+				if test.confirmed {
 					is.Equal(s.reads, 0)
 					return
 				}
 				u := <-out
 				is.True(u.Overdue)
-				is.True(time.Since(began) <= test.within)
+				is.True(time.Since(startedAt) <= test.within)
 				is.True(u.StartedAt.Sub(u.WrittenAfter) >= time.Second) // it may have been written that long ago
 			})
 		})
 	}
 }
 
-// The store is down for all. Each instance asks again at intervals, not at once.
+// While the store is down for all, each instance must retry at intervals, not at once.
 func TestOverdueReadsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -328,16 +328,16 @@
 	})
 }
 
-// failingStore is a store that can be read as a whole only.
+// failingStore is a store of which only snapshots can be read.
 type failingStore struct{ *fakeStore }
 
 func (*failingStore) Read(context.Context, string, int64, time.Duration) (follow.Batch, error) {
 	return follow.Batch{}, follow.ErrNotDone
 }
 
-// A record that a read waited for was written just before its answer; one that was there when
-// the read began may be as old as the last read.
-func TestSince(t *testing.T) {
+// A record that a read waited for was written shortly before the answer. One that was there when the
+// read started may be as old as the previous read.
+func TestWrittenAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
@@ -352,84 +352,84 @@
 	})
 }
 
-// Several servers said within 6 ms that they leave. The leader read the word of the first, and its
-// message to another instance took 170 ms over full links. That instance believed from then on, and
-// told the others, that nothing written before the message came was missing. So the words of the
-// rest, read 0.7 seconds later, seemed 170 ms younger than they were, and requests reached servers
-// beyond their time. A log of all instances showed it: 0.785 seconds passed, an age of 0.630 was told.
+// An update of another instance must not be dated by its receipt. Several servers reported within 6 ms that they
+// were leaving. The leader read the entry of the first, and its message to another instance took 170 ms over busy
+// links. If that instance takes its copy for complete as of the receipt, and tells others so, the entries of the
+// other servers, read 0.7 seconds later, seem 170 ms newer than they are, and requests reach the servers after
+// their deadline: the entries were 0.785 seconds old and were taken for 0.630 seconds old.
 func TestPeerUpdateIsNotDatedByReceipt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.PeerUpdate, 1)
-		again := make(chan struct{}, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, ReadNow: again, Clock: testClock{}}
-		out := runWatch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		readNow := make(chan struct{}, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates, ReadNow: readNow, Clock: testClock{}}
+		out := runWatch(t, watch)
 		<-out
 		time.Sleep(time.Second)
 		written := testClock{}.Now()
 		s.put("a", "leaves")
 		s.put("b", "leaves")
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.PeerUpdate{From: 1, RecordAge: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, RecordAge: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
 		<-out
 		synctest.Wait()
-		is.True(topic.Age() >= testClock{}.Now().Sub(written)) // the word of b is missing since then
+		is.True(watch.Age() >= testClock{}.Now().Sub(written)) // record b has been missing since then
 		time.Sleep(700 * time.Millisecond)
-		again <- struct{}{}
+		readNow <- struct{}{}
 		u := <-out
 		is.Equal(len(u.Records), 1)
 		is.True(u.WrittenAfter <= written)
 	})
 }
 
-// The same with an echo that bounds when the message was sent: its words are as old as they are, not older.
+// The same with an echo that bounds the send time: the records are taken for as old as they are, and no older.
 func TestPeerUpdateIsDatedBySendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.PeerUpdate, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, Clock: testClock{}}
-		out := runWatch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates, Clock: testClock{}}
+		out := runWatch(t, watch)
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "leaves")
 		sentAt := testClock{}.Now().Add(20 * time.Millisecond)
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.PeerUpdate{
+		updates <- follow.PeerUpdate{
 			From: 1, RecordAge: 20, Staleness: 5, SentAt: sentAt,
 			Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2},
 		}
 		u := <-out
 		synctest.Wait()
 		is.Equal(testClock{}.Now().Sub(u.WrittenAfter), 170*time.Millisecond)
-		is.Equal(topic.Age(), 155*time.Millisecond)
+		is.Equal(watch.Age(), 155*time.Millisecond)
 	})
 }
 
-// A busy instance found the answer of the store after 0.2 seconds, and took it for one that had been
-// waited for there: the word in it, as old as the pause before the read, seemed to be new.
+// An answer that arrives slowly must not be taken for one that the store held. A busy instance got an answer after
+// 0.2 seconds, and took a record that was as old as the delay before the read for a new one.
 func TestSlowAnswerIsNotDatedAsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &slowStore{fakeStore: &fakeStore{}}
 		s.put("a", "0")
-		news := make(chan follow.PeerUpdate, 1)
-		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: news, Clock: testClock{}})
+		updates := make(chan follow.PeerUpdate, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: updates, Clock: testClock{}})
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "1")
 		<-out
 		written := testClock{}.Now()
-		s.put("a", "2") // while the answer is on its way
+		s.put("a", "2") // while the answer is in transit
 		u := <-out
 		is.True(u.WrittenAfter <= written)
 	})
 }
 
-// slowStore is a store whose answers are read 0.2 seconds late.
+// slowStore is a store whose answers arrive 0.2 seconds late.
 type slowStore struct{ *fakeStore }
 
 func (s *slowStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
@@ -438,70 +438,71 @@
 	return b, err
 }
 
-// An instance had read a record and was about to act by it. Its heartbeat said with the time of the new
-// read and the end of before that nothing was missing: others believed that the record did not exist.
+// The end and the time that a watch reports must belong together. A heartbeat that combines the time of a new
+// read with the end before it, while the instance is about to apply the record that it read, makes others
+// believe that the record does not exist.
 func TestAppliedEndAndTimeStayConsistent(t *testing.T) {
 	is := is.New(t)
-	topic := &follow.Watch{Clock: fixedClock{}}
-	topic.MarkApplied(follow.Update{Batch: follow.Batch{End: 5}, CurrentAsOf: 100})
-	topic.ConfirmCurrent(5, 150)
-	topic.ConfirmCurrent(6, 300) // who knows more says nothing of what is missing here
-	end, until := topic.Known()
+	watch := &follow.Watch{Clock: fixedClock{}}
+	watch.MarkApplied(follow.Update{Batch: follow.Batch{End: 5}, CurrentAsOf: 100})
+	watch.ConfirmCurrent(5, 150)
+	watch.ConfirmCurrent(6, 300) // an instance that knows more cannot confirm this copy
+	end, until := watch.Known()
 	is.Equal(end, int64(5))
 	is.Equal(until, clock.Instant(150))
-	topic.MarkApplied(follow.Update{Batch: follow.Batch{End: 6}, CurrentAsOf: 120})
-	end, until = topic.Known()
+	watch.MarkApplied(follow.Update{Batch: follow.Batch{End: 6}, CurrentAsOf: 120})
+	end, until = watch.Known()
 	is.Equal(end, int64(6))
-	is.Equal(until, clock.Instant(150)) // the word of who knew less counts on
+	is.Equal(until, clock.Instant(150)) // the earlier confirmation still holds
 }
 
-// Guards against news that waits until a read ends to which the store does not answer.
+// Guards against updates of other instances that are delayed until a read ends that the store does not answer.
 func TestPeerUpdateDuringUnansweredRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "1")
-		news := make(chan follow.PeerUpdate, 1)
-		topic := &follow.Watch{Store: s, ReadsStore: never, Clock: testClock{}, PeerUpdates: news, MaxStaleness: func() time.Duration { return time.Second }}
-		out := runWatch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, Clock: testClock{}, PeerUpdates: updates, MaxStaleness: func() time.Duration { return time.Second }}
+		out := runWatch(t, watch)
 		<-out
 		s.set(func() { s.hang = true })
 		time.Sleep(2 * time.Second)
-		s.set(func() { is.Equal(s.reads, 1) }) // overdue, and without an answer
-		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		s.set(func() { is.Equal(s.reads, 1) }) // MaxStaleness is exceeded, and the read has no answer
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
 	})
 }
 
-// Guards against news that waits until the pause after a failed read is over.
+// Guards against updates of other instances that are delayed until the retry delay after a failed read is over.
 func TestPeerUpdateDuringRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "1")
-		news := make(chan follow.PeerUpdate, 1)
-		topic := &follow.Watch{
-			Store: &failingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, PeerUpdates: news,
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{
+			Store: &failingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, PeerUpdates: updates,
 		}
-		out := runWatch(t, topic)
+		out := runWatch(t, watch)
 		<-out
 		for range 5 {
 			is.True((<-out).Err != nil)
 		}
-		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
 	})
 }
 
-// Guards against an answer of the store that undoes what news told while it was on its way.
+// Guards against an answer of the store that reverts an update of another instance that arrived before it.
 func TestReadOvertakenByPeerUpdate(t *testing.T) {
 	removed := follow.Record{Key: "a", Offset: 1}
 	again := follow.Record{Key: "a", Value: []byte("2"), Offset: 2}
-	tests := map[string]bool{"records": false, "everything": true}
+	tests := map[string]bool{"records": false, "snapshot": true}
 	for name, whole := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -509,16 +510,16 @@
 				s := &fakeStore{}
 				s.put("a", "1")
 				held := &delayedStore{fakeStore: s}
-				news, asked := make(chan follow.PeerUpdate, 1), make(chan struct{}, 1)
-				out := runWatch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: testClock{}, PeerUpdates: news, ReadNow: asked})
+				updates, readNow := make(chan follow.PeerUpdate, 1), make(chan struct{}, 1)
+				out := runWatch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: testClock{}, PeerUpdates: updates, ReadNow: readNow})
 				<-out
 				s.set(func() {
 					s.records = append(s.records, removed)
 					held.delay = time.Second
 				})
-				asked <- struct{}{}
-				time.Sleep(500 * time.Millisecond) // the answer is made, and on its way
-				news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
+				readNow <- struct{}{}
+				time.Sleep(500 * time.Millisecond) // the answer has been made and is in transit
+				updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
 				is.Equal((<-out).End, int64(3))
 				u := <-out
 				is.Equal(len(u.Records), 0)
@@ -529,7 +530,7 @@
 	}
 }
 
-// delayedStore is a store whose answers are on their way for some time.
+// delayedStore is a store whose answers are in transit for some time.
 type delayedStore struct {
 	*fakeStore
 	delay time.Duration
@@ -553,28 +554,28 @@
 	time.Sleep(delay)
 }
 
-// Guards against records that are read an interval late since the answer before was cut short.
+// Guards against records that are read a ReadInterval late because the previous answer was cut short.
 func TestTruncatedReadContinuesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "1")
-		asked := make(chan struct{}, 1)
+		readNow := make(chan struct{}, 1)
 		out := runWatch(t, &follow.Watch{
-			Store: &truncatingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, ReadNow: asked, ReadInterval: func() time.Duration { return time.Minute },
+			Store: &truncatingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, ReadNow: readNow, ReadInterval: func() time.Duration { return time.Minute },
 		})
 		<-out
 		s.put("a", "2")
 		s.put("a", "3")
-		asked <- struct{}{}
-		is.Equal((<-out).CurrentAsOf, clock.Instant(0)) // more was there
-		began := time.Now()
+		readNow <- struct{}{}
+		is.Equal((<-out).CurrentAsOf, clock.Instant(0)) // the answer was cut short
+		startedAt := time.Now()
 		is.True((<-out).CurrentAsOf != 0)
-		is.True(time.Since(began) < time.Second)
+		is.True(time.Since(startedAt) < time.Second)
 	})
 }
 
-// truncatingStore is a store that answers with one record at most.
+// truncatingStore is a store that answers with at most one record.
 type truncatingStore struct{ *fakeStore }
 
 func (s *truncatingStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
@@ -583,7 +584,7 @@
 	return batch, err
 }
 
-// Guards against a leader that reads late since it looks only now and then whether its pause is over.
+// Guards against a leader that reads late because it checks only at intervals whether its pause is over.
 func TestPauseEndsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -593,30 +594,30 @@
 		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: testClock{}, BatchDelay: func() time.Duration { return pause }})
 		<-out
 		s.put("a", "2")
-		began := time.Now()
+		startedAt := time.Now()
 		is.Equal((<-out).End, int64(2))
-		is.True(time.Since(began) <= pause+10*time.Millisecond)
+		is.True(time.Since(startedAt) <= pause+10*time.Millisecond)
 	})
 }
 
-// Guards against a large change that waits for the end of a pause although another instance has read it.
+// Guards against a large change that waits for the end of a retry delay although another instance has read it.
 func TestPeerUpdateWithoutRecordsEndsRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{}
 		s.put("a", "1")
 		down := &failingStore{fakeStore: s}
-		news := make(chan follow.PeerUpdate, 1)
+		updates := make(chan follow.PeerUpdate, 1)
 		out := runWatch(t, &follow.Watch{
-			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: testClock{}, PeerUpdates: news,
+			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: testClock{}, PeerUpdates: updates,
 			MaxStaleness: func() time.Duration { return time.Second }, RetryDelay: func() time.Duration { return time.Minute },
 		})
 		<-out
 		is.True((<-out).Err != nil)
 		s.put("a", "2")
-		began := time.Now()
-		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
+		startedAt := time.Now()
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		is.Equal((<-out).End, int64(2))
-		is.True(time.Since(began) < time.Second)
+		is.True(time.Since(startedAt) < time.Second)
 	})
 }
--- a/internal/holder/cluster_test.go
+++ b/internal/holder/cluster_test.go
@@ -21,13 +21,13 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// The world of the random schedules: real holders, readers of the store and rosters, against
-// a naive store and naive servers, on the fake clock of testing/synctest.
+// The cluster of the random schedules: real managers, watches of the store and rosters, with a simple fake store
+// and simple fake servers, on the fake clock of testing/synctest.
 
 const (
 	service     = "books"
 	ownersTopic = "owners"
-	// keySpacing is the distance of the keys that are checked.
+	// keySpacing is the distance between the keys that are checked.
 	keySpacing = 256
 )
 
@@ -44,18 +44,18 @@
 	down   bool
 }
 
-func (s *fakeStore) append(topic, key string, value []byte, asOf int64) (int64, error) {
+func (s *fakeStore) append(topic, key string, value []byte, expectedEnd int64) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	end := int64(len(s.topics[topic]))
-	if asOf >= 0 && asOf != end {
+	if expectedEnd >= 0 && expectedEnd != end {
 		return 0, follow.ErrConflict
 	}
 	s.topics[topic] = append(s.topics[topic], follow.Record{Key: key, Value: value, Offset: end})
 	return end, nil
 }
 
-// storeClient is the store as one instance reaches it.
+// storeClient is the store as one instance reaches it, with delays and faults.
 type storeClient struct {
 	cluster *testCluster
 	name    string
@@ -71,7 +71,7 @@
 	return s.down
 }
 
-func (c *storeClient) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
+func (c *storeClient) Append(ctx context.Context, topic, key string, value []byte, expectedEnd int64) (int64, error) {
 	c.cluster.delay()
 	if c.cut() {
 		duty.Pause(ctx, c.cluster.appendTimeout)
@@ -80,10 +80,10 @@
 	if topic == ownersTopic && c.cluster.chance(c.cluster.lostAppends) {
 		// The answer is lost, and the record may be written seconds later.
 		later := c.cluster.randomDuration(0, 6*time.Second)
-		c.cluster.after(later, func() { _, _ = c.cluster.store.append(topic, key, value, asOf) })
+		c.cluster.after(later, func() { _, _ = c.cluster.store.append(topic, key, value, expectedEnd) })
 		return 0, follow.ErrUnknown
 	}
-	offset, err := c.cluster.store.append(topic, key, value, asOf)
+	offset, err := c.cluster.store.append(topic, key, value, expectedEnd)
 	c.cluster.delay()
 	return offset, err
 }
@@ -116,7 +116,7 @@
 	return batch, err
 }
 
-// testCluster holds everything; mu guards it.
+// testCluster holds the state of the cluster, guarded by mu.
 type testCluster struct {
 	mu            sync.Mutex
 	random        *rand.Rand
@@ -130,26 +130,26 @@
 	delayedGrants float64
 	lostAppends   float64
 	lostMessages  float64
-	// appendTimeout is how long the store, while it is down, lets a call to append wait.
+	// appendTimeout is how long an append blocks while the store is down.
 	appendTimeout time.Duration
-	// viewSharing is the chance that an instance which is behind is told all by one that is not.
+	// viewSharing is the probability that an instance with a newer view sends it along with a heartbeat.
 	viewSharing float64
-	// load returns the requests in a second for each key as an instance knows them; it may be nil.
+	// load returns the requests per second for each key as an instance knows them; it may be nil.
 	load func(name string) []float64
-	// namedRestarts says that servers state when they started, and keep their names when they start again.
-	// Entries holds what they stated last, by name.
+	// namedRestarts means that servers state their start time, and keep their names when they restart.
+	// directory then holds their last directory entries, by name.
 	namedRestarts bool
 	directory     map[string]rules.Server
-	// endedFences holds the fences with which lives that have ended had keys, by name and checked key.
+	// endedFences holds the highest fences of the leases of ended incarnations, by name and checked key.
 	endedFences map[string][]uint64
 	violations  []string
 	moved       int
-	// refusals counts the orders that servers without keys refused.
+	// refusals counts the requests that servers without keys refused.
 	refusals int
 	guards   guards
 }
 
-// traceOutput returns where the instances log to: MUSTARDRING_TRACE asks for the lines of a schedule.
+// traceOutput returns where the instances log to: stderr if MUSTARDRING_TRACE is set, otherwise nowhere.
 func (tc *testCluster) traceOutput() io.Writer {
 	if os.Getenv("MUSTARDRING_TRACE") != "" {
 		return os.Stderr
@@ -157,7 +157,7 @@
 	return io.Discard
 }
 
-// loadAt returns the load as an instance knows it.
+// loadAt returns the load as the named instance knows it.
 func (tc *testCluster) loadAt(name string) []float64 {
 	tc.mu.Lock()
 	load := tc.load
@@ -174,17 +174,17 @@
 	return tc.random.Float64() < p
 }
 
-func (tc *testCluster) randomDuration(least, most time.Duration) time.Duration {
+func (tc *testCluster) randomDuration(minDelay, maxDelay time.Duration) time.Duration {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
-	return least + time.Duration(tc.random.Int64N(int64(most-least)+1))
+	return minDelay + time.Duration(tc.random.Int64N(int64(maxDelay-minDelay)+1))
 }
 
 func (tc *testCluster) delay() {
 	time.Sleep(tc.randomDuration(100*time.Microsecond, 3*time.Millisecond))
 }
 
-// after does something later, unless the world ends before.
+// after calls do after a delay, unless the cluster is shut down before.
 func (tc *testCluster) after(d time.Duration, do func()) {
 	tc.pending.Add(1)
 	go func() {
@@ -210,9 +210,9 @@
 	for _, s := range tc.directory {
 		out[s.ID] = s
 	}
-	for id, b := range tc.servers {
-		if now, there := tc.directory[rules.NameOf(id)]; !tc.namedRestarts || there && now.ID == id {
-			out[id] = b.Server
+	for id, server := range tc.servers {
+		if listed, found := tc.directory[rules.NameOf(id)]; !tc.namedRestarts || found && listed.ID == id {
+			out[id] = server.Server
 		}
 	}
 	return out
@@ -229,7 +229,7 @@
 	done    chan struct{}
 }
 
-// startInstance starts an instance, with nothing in memory.
+// startInstance starts an instance without any state, unless one of that name is running.
 func (tc *testCluster) startInstance(name, domain string) {
 	ctx, cancel := context.WithCancel(tc.ctx)
 	incarnation := uint64(time.Since(tc.start)) + 1
@@ -284,19 +284,19 @@
 		}
 		return ctx.Err()
 	}
-	topic := follow.Watch{
+	watch := follow.Watch{
 		Store: client, Topic: ownersTopic, Clock: fakeClock{n.cluster.start}, Out: n.manager.StoreUpdates(), ReadNow: n.reread,
 		ReadsStore:   func() bool { return n.manager.Leads() || n.manager.Age() > 5*time.Second },
 		ReadInterval: func() time.Duration { return time.Second }, BatchDelay: func() time.Duration { return 0 }, RetryDelay: func() time.Duration { return 300 * time.Millisecond },
 	}
-	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context) error{n.manager.Events.Run, n.manager.Run, topic.Run, n.heartbeatLoop(entry.Incarnation), enroll} {
-		duties.Go(func() { _ = duty(ctx) })
+	var loops sync.WaitGroup
+	for _, loop := range []func(context.Context) error{n.manager.Events.Run, n.manager.Run, watch.Run, n.heartbeatLoop(entry.Incarnation), enroll} {
+		loops.Go(func() { _ = loop(ctx) })
 	}
-	duties.Wait()
+	loops.Wait()
 }
 
-// broadcastRegister sends records of the register to the others. A message may be lost.
+// broadcastRegister sends records of the register to the other instances. Messages may be lost.
 func (n *instance) broadcastRegister(records []follow.Record) {
 	n.toOthers(func(o *instance) {
 		select {
@@ -306,7 +306,7 @@
 	})
 }
 
-// heartbeatLoop sends heartbeats, some of which are lost.
+// heartbeatLoop returns a loop that sends heartbeats, some of which are lost.
 func (n *instance) heartbeatLoop(incarnation uint64) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for duty.Pause(ctx, 100*time.Millisecond) {
@@ -325,9 +325,9 @@
 					b.EchoAt = echoes[o.name]
 					o.roster.Heard(b, time.Now())
 					o.manager.HandleHeartbeat(b)
-					if known := n.manager.View(); known.End > o.manager.View().End && n.cluster.chance(n.cluster.viewSharing) {
+					if view := n.manager.View(); view.End > o.manager.View().End && n.cluster.chance(n.cluster.viewSharing) {
 						select {
-						case o.manager.PeerViews() <- known:
+						case o.manager.PeerViews() <- view:
 						default:
 						}
 					}
@@ -347,7 +347,7 @@
 	})
 }
 
-// toOthers does something at each other instance that a message reaches.
+// toOthers calls do for each other instance that a message reaches.
 func (n *instance) toOthers(do func(o *instance)) {
 	for _, o := range n.cluster.others(n.name) {
 		if !n.cluster.isCut(n.name, o.name) && !n.cluster.chance(n.cluster.lostMessages) {
@@ -380,7 +380,7 @@
 	}
 }
 
-// shutDown ends all instances, and what is still to come.
+// shutDown stops all instances and cancels pending events.
 func (tc *testCluster) shutDown(cancel context.CancelFunc) {
 	cancel()
 	for _, n := range tc.others("") {
--- a/internal/holder/faults_test.go
+++ b/internal/holder/faults_test.go
@@ -30,7 +30,7 @@
 	return tc
 }
 
-// runInCluster plays a test in such a world, and expects that no key had two owners.
+// runInCluster runs a test in a newTestCluster, and expects that no key ever had two owners.
 func runInCluster(t *testing.T, play func(is *is.I, tc *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,14 +43,14 @@
 	})
 }
 
-// cutServer cuts a server off from all instances, for good.
+// cutServer cuts a server off from all instances for good.
 func (tc *testCluster) cutServer(address string) {
 	for i := range 4 {
 		tc.cut(fmt.Sprintf("i%d", i), address, time.Hour)
 	}
 }
 
-// cutDomain cuts failure domain d1 off from the other one and from the store.
+// cutDomain cuts failure domain d1 off from the other domain and from the store.
 func (tc *testCluster) cutDomain(d time.Duration) {
 	for i := range 4 {
 		if i%2 == 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// ownedBy counts the ranges that belong to a failure domain, as an instance knows it.
+// ownedBy returns the number of ranges that belong to a failure domain, as an instance knows it.
 func (tc *testCluster) ownedBy(instance, domain string) int {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -89,9 +89,10 @@
 	return n
 }
 
-// A failure domain was cut off for six seconds. Its keys were given to servers elsewhere, and came
-// there when the cut ended: for five seconds two in three requests were refused at these servers,
-// while those of the domain had nothing to do. A domain that stays away does lose its keys.
+// A failure domain that is cut off for six seconds must keep its keys, and one that stays away must lose them.
+// When keys of a domain that was cut off for six seconds were given to servers elsewhere, they got there only as
+// the cut ended: for five seconds two in three requests at these servers were refused, while the servers of
+// the domain were idle.
 func TestCutOffDomainKeepsItsKeys(t *testing.T) {
 	tests := map[string]struct {
 		cut   time.Duration
@@ -120,9 +121,9 @@
 	}
 }
 
-// Servers are replaced one after the other: the new one starts, then the old one says that it
-// leaves. Keys of the old one went to others that were busy, and three seconds later, when the new
-// one was warm, on to that one: each key moved twice, and the new server stood idle meanwhile.
+// Servers are replaced one by one: the new one starts, then the old one reports that it is leaving. The
+// keys must go to the new server at once. When they went to other, busy servers first, and to the new one
+// only when it was warm three seconds later, each key moved twice and the new server was idle meanwhile.
 func TestKeysGoToTheNewServerAtOnce(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(5 * time.Second)
@@ -139,15 +140,14 @@
 		}
 		tc.mu.Unlock()
 		is.Equal(owners["s0"], 0)
-		// It can do half of what the others can while it is cold, and gets half of what s0 had.
+		// A cold server has half the capacity of the others, so it gets half of what s0 had.
 		is.True(owners["new"] >= (1<<16)/6*9/10/2)
 	})
 }
 
-// The store refused one of four instances, which went on hearing the others. A record was written
-// that no message tells of; from then on it could not follow, did not confirm what came later, and a
-// server that fell silent kept its keys without service for fourteen seconds. It is told all by one
-// that knows more.
+// The store refuses one of four instances, which is still in contact with the others. Another instance must send
+// it a newer view. Otherwise, after a record that no message carries, it cannot apply later ones and
+// does not confirm them, and a server that stops answering keeps its keys for fourteen seconds.
 func TestInstanceWithoutStoreGetsPeerView(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		tc.viewSharing = 1
@@ -166,10 +166,10 @@
 	})
 }
 
-// A server and an instance were lost for good within the same second. The instance confirmed nothing
-// any more, and for fourteen seconds nobody could be sure that it did not renew the server's keys:
-// on one day an eighth of all requests was refused for want of an owner. An instance that hears no
-// majority of the others stops sooner, so that those who are one need not wait for it.
+// A server and an instance are lost for good within the same second. For fourteen seconds it could not be
+// excluded that the instance, which confirmed nothing more, renewed the leases of the server, and an eighth of
+// all requests were refused because their keys had no owner. An instance without contact to a majority of
+// the others stops earlier, so that the majority need not wait for it.
 func TestServerAndInstanceLost(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(15 * time.Second)
@@ -177,7 +177,7 @@
 		tc.stopInstance("i1")
 		tc.cutServer("server-0")
 		lostAt := time.Now()
-		time.Sleep(2500 * time.Millisecond) // its last lease has run out
+		time.Sleep(2500 * time.Millisecond) // its last lease has expired
 		for tc.servedKeys() < 256 {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -186,9 +186,9 @@
 	})
 }
 
-// A server was lost for good, and its address went to a server of another service, which refused the
-// order to give up keys. The order was sent again every 0.15 seconds for each range until the lease of
-// the last instance that might renew had run out: three in four arrivals at that service were orders.
+// A server is lost for good, and its address goes to a server of another service, which refuses to release keys.
+// When the release was retried every 0.15 seconds for each range until the last lease that an instance might
+// have renewed had expired, three in four requests at that service were releases.
 func TestReleaseEndsAtReassignedAddress(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(5 * time.Second)
@@ -198,14 +198,14 @@
 		tc.servers["other"] = &fakeServer{Server: rules.Server{ID: "other", Service: "desk", Address: gone.Address, Slots: 2}, up: true, noKeys: true}
 		tc.mu.Unlock()
 		time.Sleep(time.Second)
-		is.Equal(tc.servedKeys(), 256) // nobody waited for a lease
+		is.Equal(tc.servedKeys(), 256) // the move did not wait for a lease to expire
 		tc.mu.Lock()
 		is.True(tc.refusals > 0 && tc.refusals <= 20) // once for each of its ranges
 		tc.mu.Unlock()
 	})
 }
 
-// Guards against leases that run out since the instance that renews them waits for the store.
+// Guards against leases that expire because the instance that renews them waits for the store.
 func TestRenewalsDoNotWaitForTheStore(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		const keys = shard.Keys / keySpacing
@@ -214,7 +214,7 @@
 		tc.appendTimeout = 3 * time.Second
 		tc.outage(6 * time.Second)
 		tc.mu.Lock()
-		tc.servers["s0"].Draining = true // a change to write down
+		tc.servers["s0"].Draining = true // causes a record to be written
 		tc.mu.Unlock()
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
@@ -223,7 +223,7 @@
 	})
 }
 
-// evacuate changes whether the servers of a failure domain are evacuated.
+// evacuate sets whether the servers of a failure domain, or of all if it is empty, are evacuated.
 func (tc *testCluster) evacuate(domain string, evacuated bool) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -234,19 +234,19 @@
 	}
 }
 
-// Guards against keys that stay in a failure domain that is evacuated, also if the leader is lost meanwhile, and against
-// keys that are lost to all when there is nowhere else for them.
+// Guards against keys that stay in an evacuated failure domain, also when the leader is lost meanwhile, and against
+// keys that lose their owner when there is no other domain for them.
 func TestEvacuatedDomainGivesUpItsKeys(t *testing.T) {
 	tests := map[string]struct {
 		domain string
-		lost   string // the instance that is lost as the evacuation begins
-		left   bool   // whether the domain keeps its keys
+		lost   string // the instance that is lost when the evacuation begins
+		keeps  bool   // whether the domain keeps its keys
 	}{
-		"calm":            {"d0", "", false},
-		"leader lost":     {"d0", "i0", false},
-		"all of them":     {"", "", true},
-		"another domain":  {"d1", "", false},
-		"another is lost": {"d1", "i1", false},
+		"no instance lost":    {"d0", "", false},
+		"leader lost":         {"d0", "i0", false},
+		"all domains":         {"", "", true},
+		"other domain":        {"d1", "", false},
+		"other instance lost": {"d1", "i1", false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -262,7 +262,7 @@
 				if domain == "" {
 					domain = "d0"
 				}
-				is.Equal(tc.ownedBy("i3", domain) > 0, test.left)
+				is.Equal(tc.ownedBy("i3", domain) > 0, test.keeps)
 				is.Equal(tc.servedKeys(), 256)
 				tc.evacuate(test.domain, false)
 				time.Sleep(6 * time.Second)
@@ -272,7 +272,7 @@
 	}
 }
 
-// overloadOf returns a load of which the keys of one server get most: plans take some of them from it.
+// overloadOf returns a load that is concentrated on the keys of one server, so that plans move some of them away.
 func (tc *testCluster) overloadOf(server string) []float64 {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -301,15 +301,15 @@
 	return n
 }
 
-// Guards against plans that take keys from servers behind a cut: nobody can, and until the cut ends callers on both sides
-// find no owner.
+// Guards against plans that take keys from servers in a domain that is cut off. Such a move cannot complete, and until
+// the cut ends callers on both sides find no owner.
 func TestPlansLeaveACutOffDomainAlone(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
 		time.Sleep(8 * time.Second)
 		is.Equal(tc.servedKeys(), 256)
 		tc.cutDomain(6 * time.Second)
 		time.Sleep(2 * time.Second)
-		busy := tc.overloadOf("s1") // a server behind the cut
+		busy := tc.overloadOf("s1") // a server in the domain that is cut off
 		tc.mu.Lock()
 		tc.load = func(string) []float64 { return busy }
 		tc.mu.Unlock()
--- a/internal/holder/fenced_test.go
+++ b/internal/holder/fenced_test.go
@@ -14,9 +14,10 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// A plan moved keys while its record was still on its way to some of 295 instances. They renewed by the record
-// before, were refused for a higher fence twice within a millisecond, and said that the servers do not answer.
-// These lost all their keys, and the plans for those keys made others refuse renewals in turn.
+// Guards against servers that are taken for lost because they refuse outdated renewals. A plan moved keys while its
+// record was still on the way to some of 295 instances. They renewed by the previous record, were refused
+// twice within a millisecond because of the higher fence, and reported the servers as failing. These
+// lost all their keys, and the plans for those keys made further servers refuse renewals.
 func TestFencedServerIsNotFailing(t *testing.T) {
 	is := is.New(t)
 	now := &clock.Fake{At: clock.Instant(time.Hour)}
@@ -28,13 +29,13 @@
 	r.dueAt = time.Now()
 	knowAsOf(now.At)
 	for range 10 {
-		is.True(r.recordResult(ErrFenced)) // the round goes on: the server answers
+		is.True(r.recordResult(ErrFenced)) // the round continues, since the server answers
 		now.At = now.At.Add(50 * time.Millisecond)
 	}
 	is.True(!r.failing(time.Now()))
 	now.At = now.At.Add(time.Minute)
-	is.True(r.recordResult(ErrFenced)) // whatever time passes, while nothing newer is known
-	// What is known now is younger by more than a record needs, and the server still refuses.
+	is.True(r.recordResult(ErrFenced)) // regardless of time, as long as the view is not newer
+	// The view is now newer than maxRecordDelay after the first refusal, and the server still refuses.
 	knowAsOf(now.At)
 	for range maxRenewalFailures {
 		r.recordResult(ErrFenced)
@@ -42,5 +43,5 @@
 	is.True(r.failing(time.Now()))
 	r.recordResult(nil)
 	is.True(!r.failing(time.Now()))
-	is.True(r.recordResult(ErrFenced)) // an answer in between starts the time anew
+	is.True(r.recordResult(ErrFenced)) // an answer in between restarts the delay
 }
--- a/internal/holder/grant_test.go
+++ b/internal/holder/grant_test.go
@@ -16,7 +16,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// cancelFirstGrant is orders of which the first is ended, as by a later record.
+// cancelFirstGrant is a LeaseClient whose first grant is canceled, as by a later record.
 type cancelFirstGrant struct{ grants int }
 
 func (o *cancelFirstGrant) Grant(context.Context, shard.Holder, Grant, GrantCheck) error {
@@ -31,8 +31,9 @@
 	return "", nil
 }
 
-// Plans followed one another so closely that one move in eight was ended on its way by the next record, which
-// changed other keys of the same server. Its keys then waited for 150 ms until they were granted again.
+// Guards against keys without an owner after a canceled grant. When plans followed closely, the next record changed
+// other keys of the same server and so canceled the grants of one move in eight. Their keys then waited
+// 150 ms for the next attempt.
 func TestCanceledGrantIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -16,7 +16,7 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// silentStore answers no append.
+// silentStore does not answer appends.
 type silentStore struct {
 	follow.Store
 	appends int
@@ -28,7 +28,7 @@
 	return 0, follow.ErrUnknown
 }
 
-// Guards against decisions that wait for a silent store once for each service, while news of owners waits for them.
+// Guards against decisions that wait for a store without answers once per service, which delays updates of the owners.
 func TestUnansweredWriteEndsDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,7 +52,7 @@
 			CurrentAsOf: lm.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
 		})
 		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
-		lm.lead(t.Context(), time.Now()) // servers of new services are awaited
+		lm.lead(t.Context(), time.Now()) // waits for more servers of the new services
 		time.Sleep(firstDivisionDelay)
 		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		lm.lead(t.Context(), time.Now())
--- a/internal/holder/register_test.go
+++ b/internal/holder/register_test.go
@@ -17,21 +17,21 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// newTestView returns the knowledge of an instance that has read the store up to an offset.
+// newTestView returns the view of an instance that has read the store up to an offset.
 func newTestView(end int64) *localView {
 	v := newLocalView()
 	v.applyUpdate(follow.Update{StartedAt: clock.Instant(time.Second), CurrentAsOf: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Snapshot: true})
 	return v
 }
 
-// registerRecords returns records of the register from an offset on: a name and an incarnation, or only a name if the
-// record was deleted.
+// registerRecords returns records of the register with consecutive offsets. Each is given by a name and an
+// incarnation, or only by a name if the record was deleted.
 func registerRecords(offset int64, records ...string) []follow.Record {
 	var out []follow.Record
 	for i, record := range records {
-		name, incarnation, there := strings.Cut(record, " ")
+		name, incarnation, found := strings.Cut(record, " ")
 		r := follow.Record{Key: InstanceKey(name), Offset: offset + int64(i)}
-		if there {
+		if found {
 			r.Value = fmt.Appendf(nil, `{"incarnation":%s}`, incarnation)
 		}
 		out = append(out, r)
@@ -39,13 +39,14 @@
 	return out
 }
 
-// newTestManager returns a holder that tells of the register.
-func newTestManager(tell func([]follow.Record)) *Manager {
-	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), BroadcastRegister: tell})
+// newTestManager returns a Manager that broadcasts records of the register by the given function.
+func newTestManager(broadcast func([]follow.Record)) *Manager {
+	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), BroadcastRegister: broadcast})
 }
 
-// In a roll 295 instances stopped and started. None was told of their records, so that each of 294 others read
-// the store for the next record of owners, which did not follow what it knew: 86,000 reads.
+// Guards against reads of the store by all instances after each registration. When 295 instances were restarted
+// in a rolling upgrade and their records were not broadcast, the next record of owners did not follow the view
+// of the 294 others, and each read the store: 86,000 reads.
 func TestRegisterUpdateIsApplied(t *testing.T) {
 	is := is.New(t)
 	v := newTestView(5)
@@ -66,10 +67,10 @@
 		end    int64
 	}{
 		"follows":                     {5, true, 8},
-		"overlaps what is known":      {3, true, 6},
-		"a record before is missing":  {6, false, 5},
-		"says nothing that is new":    {1, true, 5},
-		"ends where knowledge begins": {2, true, 5},
+		"overlaps the view":           {3, true, 6},
+		"leaves a gap":                {6, false, 5},
+		"already known":               {1, true, 5},
+		"ends at the end of the view": {2, true, 5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -85,11 +86,11 @@
 	is := is.New(t)
 	follows, err := newLocalView().applyRegister(registerRecords(0, "i1 1"))
 	is.NoErr(err)
-	is.True(!follows) // who has read nothing cannot know that nothing is missing
+	is.True(!follows) // without a read nothing shows that no record is missing
 }
 
-// The leader tells of what it reads, up to a record of owners that another instance wrote: who takes that for
-// told would act by owners of before.
+// The leader broadcasts the register records that it reads, up to a record of owners that another instance wrote.
+// An instance that took that record for broadcast as well would act by outdated owners.
 func TestLeaderBroadcastsRegister(t *testing.T) {
 	entry, err := roster.Entry{Incarnation: 3}.Encode()
 	if err != nil {
@@ -103,11 +104,11 @@
 		whole   bool
 		want    string
 	}{
-		"instances":             {[]follow.Record{record(4, "instance/a", entry), record(5, "instance/b", nil)}, false, "4:[a b]"},
-		"what is known already": {[]follow.Record{record(2, "instance/a", entry), record(3, "instance/b", entry)}, false, "3:[b]"},
-		"owners of another":     {[]follow.Record{record(3, "instance/a", entry), record(4, "service/x", nil), record(5, "instance/b", entry)}, false, "3:[a]"},
-		"malformed":             {[]follow.Record{record(3, "instance/a", []byte("{")), record(4, "instance/b", entry)}, false, ""},
-		"the newest of each":    {[]follow.Record{record(3, "instance/a", entry)}, true, ""},
+		"instances":        {[]follow.Record{record(4, "instance/a", entry), record(5, "instance/b", nil)}, false, "4:[a b]"},
+		"already known":    {[]follow.Record{record(2, "instance/a", entry), record(3, "instance/b", entry)}, false, "3:[b]"},
+		"record of owners": {[]follow.Record{record(3, "instance/a", entry), record(4, "service/x", nil), record(5, "instance/b", entry)}, false, "3:[a]"},
+		"malformed":        {[]follow.Record{record(3, "instance/a", []byte("{")), record(4, "instance/b", entry)}, false, ""},
+		"snapshot":         {[]follow.Record{record(3, "instance/a", entry)}, true, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// A message that holds anything but the register must change nothing: owners that come this way would be acted on
-// without the record before them.
+// A register update that holds any other record must change nothing. Owners from such an update would be acted
+// on without the records before them.
 func TestRegisterUpdateRejectsOtherRecords(t *testing.T) {
 	for name, record := range map[string]follow.Record{
 		"owners":    {Key: keyService + "books", Offset: 6},
@@ -145,7 +146,7 @@
 	}
 }
 
-// Guards against two owners of a key: the answer to a read was cut short, and passed for all that there was.
+// Guards against two owners of a key, which an answer that was cut short can cause if it is taken for complete.
 func TestTruncatedReadProvesNothing(t *testing.T) {
 	is := is.New(t)
 	const before, later = clock.Instant(time.Second), clock.Instant(5 * time.Second)
--- a/internal/holder/schedule_test.go
+++ b/internal/holder/schedule_test.go
@@ -16,8 +16,8 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// defaultSchedules is the number of random schedules of an ordinary run; MUSTARDRING_SCHEDULES asks
-// for more.
+// defaultSchedules is the number of random schedules that a test plays, unless MUSTARDRING_SCHEDULES
+// sets another one.
 const defaultSchedules = 12
 
 func scheduleCount() uint64 {
@@ -27,16 +27,17 @@
 	return defaultSchedules
 }
 
-// playSchedule runs one random schedule and returns the faults that were found. Stated says that servers state
-// when they started, and keep their names when they start again.
-func playSchedule(t *testing.T, seed uint64, off func(*guards), stated bool) (faults []string, moved, served int) {
+// playSchedule plays one random schedule. It returns the violations, how often a checked key got a new fence, and
+// how many checked keys have an owner at the end. off turns guards off. With namedRestarts servers state their
+// start time, and keep their names when they restart.
+func playSchedule(t *testing.T, seed uint64, off func(*guards), namedRestarts bool) (violations []string, moved, served int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		tc := &testCluster{
 			random: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, start: time.Now(), store: newFakeStore(),
 			servers: map[string]*fakeServer{}, instances: map[string]*instance{}, cuts: map[string]bool{},
 			delayedGrants: 0.05, lostAppends: 0.1, lostMessages: 0.1, viewSharing: 0.2, guards: allGuards,
-			namedRestarts: stated, directory: map[string]rules.Server{}, endedFences: map[string][]uint64{},
+			namedRestarts: namedRestarts, directory: map[string]rules.Server{}, endedFences: map[string][]uint64{},
 		}
 		off(&tc.guards)
 		for i := range 5 {
@@ -54,14 +55,14 @@
 		time.Sleep(45 * time.Second)
 		served = tc.servedKeys()
 		tc.shutDown(cancel)
-		faults, moved = tc.violations, tc.moved
+		violations, moved = tc.violations, tc.moved
 	})
-	return faults, moved, served
+	return violations, moved, served
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{topics: map[string][]follow.Record{}} }
 
-// injectFault does one random thing.
+// injectFault injects one random fault.
 func (tc *testCluster) injectFault() {
 	node := fmt.Sprintf("i%d", tc.pick(4))
 	server := tc.randomServer()
@@ -74,7 +75,7 @@
 	case 2:
 		tc.cut(node, server.Address, tc.randomDuration(time.Second, 8*time.Second))
 	case 3:
-		// A server that no instance reaches any more goes on serving.
+		// A server that no instance reaches continues to serve.
 		for i := range 4 {
 			tc.cut(fmt.Sprintf("i%d", i), server.Address, tc.randomDuration(3*time.Second, 20*time.Second))
 		}
@@ -89,7 +90,7 @@
 	case 7:
 		tc.restartServer(server.ID)
 	case 8:
-		// One instance is alone with one server: it reaches neither store nor peers.
+		// One instance reaches only one server, and neither the store nor other instances.
 		tc.cut(node, "store", 18*time.Second)
 		for i := range 4 {
 			tc.cut(node, fmt.Sprintf("i%d", i), 18*time.Second)
@@ -112,8 +113,8 @@
 	defer tc.mu.Unlock()
 	ids := make([]string, 0, len(tc.servers))
 	for i := range 100 {
-		for life := range 50 {
-			if id := tc.incarnationID(i, life); tc.servers[id] != nil {
+		for incarnation := range 50 {
+			if id := tc.incarnationID(i, incarnation); tc.servers[id] != nil {
 				ids = append(ids, id)
 			}
 		}
@@ -124,11 +125,11 @@
 	return *tc.servers[ids[tc.random.IntN(len(ids))]]
 }
 
-func serverID(i, life int) string {
-	if life == 0 {
+func serverID(i, incarnation int) string {
+	if incarnation == 0 {
 		return fmt.Sprintf("s%d", i)
 	}
-	return fmt.Sprintf("s%d-%d", i, life)
+	return fmt.Sprintf("s%d-%d", i, incarnation)
 }
 
 func (tc *testCluster) cut(a, b string, d time.Duration) {
@@ -153,7 +154,7 @@
 	})
 }
 
-// drain lets a server report that it leaves; it goes on for some seconds.
+// drain makes a server report that it is leaving. It continues for some seconds and then restarts.
 func (tc *testCluster) drain(id string) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -165,69 +166,69 @@
 
 func (tc *testCluster) availableServers() int {
 	n := 0
-	for _, b := range tc.servers {
-		if b.up && !b.Draining {
+	for _, s := range tc.servers {
+		if s.up && !s.Draining {
 			n++
 		}
 	}
 	return n
 }
 
-// restartServer ends a server and starts its next life at the same address.
+// restartServer ends a server and starts its next incarnation, at the same address unless namedRestarts is set.
 func (tc *testCluster) restartServer(id string) {
 	tc.mu.Lock()
-	b := tc.servers[id]
+	s := tc.servers[id]
 	delete(tc.servers, id)
 	tc.mu.Unlock()
-	if b == nil {
+	if s == nil {
 		return
 	}
 	if tc.namedRestarts {
 		tc.mu.Lock()
-		tc.servers[id] = b
+		tc.servers[id] = s
 		tc.mu.Unlock()
 		tc.restartUnderName(id)
 		return
 	}
-	var i, life int
-	if n, _ := fmt.Sscanf(id, "s%d-%d", &i, &life); n < 2 {
-		life = 0
+	var i, incarnation int
+	if n, _ := fmt.Sscanf(id, "s%d-%d", &i, &incarnation); n < 2 {
+		incarnation = 0
 	}
-	tc.addServer(serverID(i, life+1), b.Address, b.Domain)
+	tc.addServer(serverID(i, incarnation+1), s.Address, s.Domain)
 }
 
-// incarnationID returns the id of a life of a server.
-func (tc *testCluster) incarnationID(i, life int) string {
+// incarnationID returns the id of an incarnation of a server.
+func (tc *testCluster) incarnationID(i, incarnation int) string {
 	if tc.namedRestarts {
-		return rules.LifeID(fmt.Sprintf("s%d", i), int64(life+1))
+		return rules.LifeID(fmt.Sprintf("s%d", i), int64(incarnation+1))
 	}
-	return serverID(i, life)
+	return serverID(i, incarnation)
 }
 
-// restartUnderName ends a server and starts it again under its name, now and then at another address.
+// restartUnderName ends a server and starts it again under the same name, sometimes at another address.
 func (tc *testCluster) restartUnderName(id string) {
 	tc.mu.Lock()
-	b := tc.servers[id]
+	s := tc.servers[id]
 	delete(tc.servers, id)
 	tc.mu.Unlock()
-	if b == nil {
+	if s == nil {
 		return
 	}
 	name := rules.NameOf(id)
 	tc.mu.Lock()
 	if tc.endedFences[name] == nil {
-		tc.endedFences[name] = make([]uint64, len(b.leases))
+		tc.endedFences[name] = make([]uint64, len(s.leases))
 	}
-	for i, h := range b.leases {
-		tc.endedFences[name][i] = max(tc.endedFences[name][i], h.fence)
+	for i, lease := range s.leases {
+		tc.endedFences[name][i] = max(tc.endedFences[name][i], lease.fence)
 	}
 	tc.mu.Unlock()
-	next := rules.LifeID(name, b.StartedAt+1)
-	address := b.Address
+	next := rules.LifeID(name, s.StartedAt+1)
+	address := s.Address
 	if tc.chance(0.2) {
 		address += "'"
 	}
-	tc.after(tc.randomDuration(5*time.Millisecond, 500*time.Millisecond), func() { tc.addServer(next, address, b.Domain) })
+	tc.after(tc.randomDuration(5*time.Millisecond, 500*time.Millisecond), func() { tc.addServer(next, address, s.Domain) })
 }
 
 func (tc *testCluster) stopFaults() {
@@ -240,74 +241,74 @@
 	tc.store.mu.Unlock()
 }
 
-// A key had two owners, and a claim was taken twice: instances were cut off from the store,
-// from servers and from each other, orders were carried out seconds late, answers of the store
-// were lost, and servers and instances were restarted, all at once.
+// Guards against keys with two owners and claims that are accepted twice, while all faults happen at once: instances
+// are cut off from the store, from servers and from each other, requests arrive seconds late, answers of the store
+// are lost, and servers and instances restart.
 func TestSchedules(t *testing.T) { checkSchedules(t, false) }
 
-// Servers crashed and came back in a moment under their names, as when they are restarted in place,
-// while orders were late, the store was away and keys moved. An instance that had missed a move
-// renewed the grant of before at the new life, which had forgotten that it had given the keys away:
-// two servers had them.
+// The same with servers that crash and restart in place under the same name. An instance that has missed a move
+// could renew the old lease at the new incarnation, which does not know that the keys were
+// released, so that two servers hold them.
 func TestSchedulesWithNamedRestarts(t *testing.T) { checkSchedules(t, true) }
 
-// checkSchedules plays schedules, and expects no fault, and an owner of each key in the end.
-func checkSchedules(t *testing.T, stated bool) {
+// checkSchedules plays schedules, and expects no violation, and an owner of each key at the end.
+func checkSchedules(t *testing.T, namedRestarts bool) {
 	is := is.New(t)
 	total := 0
 	first, _ := strconv.ParseUint(os.Getenv("MUSTARDRING_SEED"), 10, 64)
 	for seed := first; seed < first+scheduleCount(); seed++ {
-		faults, moved, served := playSchedule(t, seed, func(*guards) {}, stated)
-		if len(faults) > 0 {
-			t.Fatalf("seed %d: %d faults, first: %s", seed, len(faults), faults[0])
+		violations, moved, served := playSchedule(t, seed, func(*guards) {}, namedRestarts)
+		if len(violations) > 0 {
+			t.Fatalf("seed %d: %d violations, first: %s", seed, len(violations), violations[0])
 		}
 		if served != 256 {
-			t.Fatalf("seed %d: %d of 256 keys have an owner after 45 s of calm", seed, served)
+			t.Fatalf("seed %d: %d of 256 keys have an owner 45 s after the last fault", seed, served)
 		}
 		total += moved
 	}
 	is.True(total > 0) // keys moved
 }
 
-// Without the proof that a grant still stands some schedule has a double owner.
+// Without the verification of grants some schedule has a key with two owners.
 func TestVerificationIsNeeded(t *testing.T) {
 	expectViolation(t, func(g *guards) { g.verifyConnection = false }, maxSearchedSchedules, true)
 }
 
-// maxSearchedSchedules is how many schedules are looked at for one that needs a guard. The order of goroutines that are
-// due at the same instant is not fixed, so that the first such schedule differs by run: for the names of
-// lives, about one in 170 (2, 35, 42, 61, 83, 143, 208, 276, 313, 331, 356, and twice none in 400). With
-// 4,000 the verdict is by chance once in 10^10 runs, and as fast: the search ends with the first.
+// maxSearchedSchedules is how many schedules are searched for one that needs a guard. The order of goroutines that
+// are due at the same instant is not fixed, so the first such schedule differs between runs. For checkIncarnation it
+// is about one schedule in 170: the first was 2, 35, 42, 61, 83, 143, 208, 276, 313, 331 or 356, and twice none was
+// among 400. With 4,000 the test fails by chance once in 10^10 runs. The search stops at the first such schedule,
+// so a high bound does not slow it down.
 const maxSearchedSchedules = 4000
 
-// expectViolation expects a double owner in one of the schedules that are played without a guard.
-func expectViolation(t *testing.T, off func(*guards), most uint64, stated bool) {
+// expectViolation expects a key with two owners in one of the schedules that are played without a guard.
+func expectViolation(t *testing.T, off func(*guards), maxSchedules uint64, namedRestarts bool) {
 	t.Helper()
-	for seed := range most {
-		if faults, _, _ := playSchedule(t, seed, off, stated); len(faults) > 0 {
-			t.Logf("double owner after %d schedules: %s", seed+1, faults[0])
+	for seed := range maxSchedules {
+		if violations, _, _ := playSchedule(t, seed, off, namedRestarts); len(violations) > 0 {
+			t.Logf("key with two owners after %d schedules: %s", seed+1, violations[0])
 			return
 		}
 	}
-	t.Errorf("no double owner in %d schedules", most)
+	t.Errorf("no key with two owners in %d schedules", maxSchedules)
 }
 
-// Each guard is switched off in turn; without it some schedule has a double owner. A guard that
-// no schedule needs would be one that is not understood.
+// Each guard is turned off in turn, and some schedule must then have a key with two owners. Otherwise the guard
+// would not be needed, or the schedules would not cover what it is for.
 func TestGuardsAreNeeded(t *testing.T) {
 	tests := map[string]struct {
-		off  func(*guards)
-		most uint64
+		off          func(*guards)
+		maxSchedules uint64
 	}{
-		"ending":     {func(g *guards) { g.endOldLeases = false }, 20},
-		"confirming": {func(g *guards) { g.awaitConfirmation = false }, maxSearchedSchedules},
-		"lapsing":    {func(g *guards) { g.awaitExpiry = false }, maxSearchedSchedules},
-		"knowing":    {func(g *guards) { g.requireFreshView = false }, maxSearchedSchedules},
-		"naming":     {func(g *guards) { g.checkIncarnation = false }, maxSearchedSchedules},
-		"condition":  {func(g *guards) { g.conditionalAppend = false }, maxSearchedSchedules},
-		"contact":    {func(g *guards) { g.requireMajority = false }, maxSearchedSchedules},
+		"endOldLeases":      {func(g *guards) { g.endOldLeases = false }, 20},
+		"awaitConfirmation": {func(g *guards) { g.awaitConfirmation = false }, maxSearchedSchedules},
+		"awaitExpiry":       {func(g *guards) { g.awaitExpiry = false }, maxSearchedSchedules},
+		"requireFreshView":  {func(g *guards) { g.requireFreshView = false }, maxSearchedSchedules},
+		"checkIncarnation":  {func(g *guards) { g.checkIncarnation = false }, maxSearchedSchedules},
+		"conditionalAppend": {func(g *guards) { g.conditionalAppend = false }, maxSearchedSchedules},
+		"requireMajority":   {func(g *guards) { g.requireMajority = false }, maxSearchedSchedules},
 	}
 	for name, test := range tests {
-		t.Run(name, func(t *testing.T) { expectViolation(t, test.off, test.most, false) })
+		t.Run(name, func(t *testing.T) { expectViolation(t, test.off, test.maxSchedules, false) })
 	}
 }
