--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,7 +25,7 @@
 func (Boot) Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Without the boot clock, use the monotonic clock: kernels without a boot clock cannot suspend a machine unnoticed.
+		// Without a boot clock the monotonic clock will do: such kernels cannot suspend a machine unnoticed.
 		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	}
 	return Instant(t.Nano())
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -122,9 +122,9 @@
 	SentAt clock.Instant `msgpack:"-"`
 }
 
-// Watch delivers the records of one topic, by which the receiver of Out keeps its copy up to date. With many instances calls to the store are expensive, so
-// most instances do not read: they take the updates that others have read, and read only when records
-// are missing or another instance knows more.
+// Watch delivers the records of one topic, by which the receiver of Out keeps its copy up to date. With many
+// instances calls to the store are expensive, so most instances do not read: they take the updates that others
+// have read, and read only when records are missing or another instance knows more.
 type Watch struct {
 	Store Store
 	Topic string
@@ -472,7 +472,8 @@
 	return u
 }
 
-// setTimes sets WrittenAfter and, if the update reaches the end of the topic, CurrentAsOf. pollTimeout is how long the store may have waited.
+// setTimes sets WrittenAfter and, if the update reaches the end of the topic, CurrentAsOf. pollTimeout is how long
+// the store may have waited for records.
 //
 // An answer reflects the topic at the time when the store made it. That may have been as soon as the read
 // started, unless the read took so long that the store must have held it.
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -121,7 +121,7 @@
 	// removalTimeout is how long an instance may be without heartbeats before it is marked as removed. It is
 	// longer than cutOffHoldTime, because cut-off domains are found by their registered instances.
 	removalTimeout = 8 * time.Second
-	// maxLeftServers bounds the number of servers that are remembered after they left.
+	// maxLeftServers bounds the number of servers that are remembered after they left. Beyond it all are forgotten.
 	maxLeftServers = 4096
 )
 
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -62,8 +62,8 @@
 
 // pruneMoves cancels the moves that are overtaken or complete. An instance that stops leading continues
 // the others: they are right as long as their record is the newest, and while the store is down no other
-// instance can take them over. Without that, keys that have reached their new owner would lose it after a
-// lease, since only the instance that moved them knows that they did.
+// instance can take them over. If they were canceled, keys that have reached their new owner would lose it after
+// a lease, since only this instance knows that they have.
 func (lm *Manager) pruneMoves(view *View) {
 	if len(lm.moves)+len(lm.decidedMoves) == 0 {
 		return
@@ -244,8 +244,9 @@
 
 // awaitExpiry blocks until every grant that was sent because of an older record has expired, and reports
 // whether it did so before ctx was done. That is one lease after the last instance has confirmed the record
-// or may no longer act on an older view. Once at least half of the instances have confirmed the record,
-// the others may act on an older view for the contact timeout of the roster only.
+// or may no longer act on an older view. Once at least half of the instances, in all and in each failure
+// domain, have confirmed the record, the others may act on an older view for the contact timeout of the
+// roster only.
 func (lm *Manager) awaitExpiry(ctx context.Context, p pendingMove) bool {
 	staleUntil := p.firstSeen.Add(maxViewAge)
 	for lm.Clock.Now().Before(staleUntil) {
@@ -319,7 +320,7 @@
 	}
 }
 
-// isCurrent reports whether the newest record still asks for a move.
+// isCurrent reports whether the view still gives a range to the same owner with the same fence.
 func (lm *Manager) isCurrent(service string, r shard.Range) bool {
 	m := lm.view.get().Maps[service]
 	if m == nil {
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -20,10 +20,14 @@
 	// sending holds one element while a grant is being sent, and until it is answered or canceled.
 	sending chan struct{}
 
-	mu       sync.Mutex
-	cancel   context.CancelFunc
-	busy     bool
-	dueAt    time.Time
+	// mu guards the fields below.
+	mu sync.Mutex
+	// cancel cancels the last grant, nil before the first one.
+	cancel context.CancelFunc
+	// busy means that a round of renewals is running, dueAt is when the next one is due.
+	busy  bool
+	dueAt time.Time
+	// failures is the number of consecutive failed renewals.
 	failures int
 	// fencedSince is when the server began to answer that it has seen a higher fence, zero if it does not.
 	fencedSince clock.Instant
@@ -59,7 +63,8 @@
 	return true
 }
 
-// renewAll renews all leases of the server once, unless one fails.
+// renewAll renews all leases of the server once. It stops early if the server counts as failing, or if this
+// instance may not renew.
 func (r *renewer) renewAll(ctx context.Context) {
 	defer func() {
 		r.mu.Lock()
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -43,6 +43,9 @@
 	stopping        bool
 
 	// The fields below are used by the goroutine of Run only.
+
+	// moves holds the moves that are being carried out, decidedMoves those that this instance decided but has not
+	// started, and completedMoves those whose completion has not been written yet.
 	moves          map[moveKey]*runningMove
 	decidedMoves   map[moveKey]struct{}
 	completedMoves []completedMove
