--- a/internal/holder/cluster_test.go
+++ b/internal/holder/cluster_test.go
@@ -310,20 +310,20 @@
 func (n *instance) heartbeatLoop(incarnation uint64) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for duty.Pause(ctx, 100*time.Millisecond) {
-			b := roster.Beat{
+			b := roster.Heartbeat{
 				Name: n.name, Incarnation: incarnation, Confirmed: n.manager.ConfirmedOffset(), Known: n.manager.View().End,
 				StoreOK: n.manager.StoreOK(), Failing: n.manager.Failing(),
 				SentAt: int64(n.manager.Clock.Now()), KnownAge: n.manager.Age().Milliseconds() + 1,
 			}
-			n.roster.Heard(b, time.Now())
+			n.roster.RecordHeartbeat(b, time.Now())
 			echoes := map[string]int64{}
 			for _, p := range n.roster.Others() {
-				echoes[p.Name] = p.Beat.SentAt
+				echoes[p.Name] = p.Heartbeat.SentAt
 			}
 			for _, o := range n.cluster.others(n.name) {
 				if !n.cluster.isCut(n.name, o.name) && !n.cluster.chance(n.cluster.lostMessages) {
 					b.EchoAt = echoes[o.name]
-					o.roster.Heard(b, time.Now())
+					o.roster.RecordHeartbeat(b, time.Now())
 					o.manager.HandleHeartbeat(b)
 					if view := n.manager.View(); view.End > o.manager.View().End && n.cluster.chance(n.cluster.viewSharing) {
 						select {
--- a/internal/holder/faults_test.go
+++ b/internal/holder/faults_test.go
@@ -208,7 +208,7 @@
 // Guards against leases that expire because the instance that renews them waits for the store.
 func TestRenewalsDoNotWaitForTheStore(t *testing.T) {
 	runInCluster(t, func(is *is.I, tc *testCluster) {
-		const keys = shard.Keys / keySpacing
+		const keys = shard.NumKeys / keySpacing
 		time.Sleep(8 * time.Second)
 		is.Equal(tc.servedKeys(), keys)
 		tc.appendTimeout = 3 * time.Second
@@ -276,9 +276,9 @@
 func (tc *testCluster) overloadOf(server string) []float64 {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	m := tc.instances["i0"].manager.View().Maps[service]
-	for _, r := range m.Of(server) {
+	for _, r := range m.RangesOf(server) {
 		for key := int(r.From); key <= int(r.To); key++ {
 			load[key] = 6 / float64(r.Len())
 		}
@@ -292,7 +292,7 @@
 	defer tc.mu.Unlock()
 	n := 0
 	for _, r := range tc.instances[name].manager.View().Maps[service].Ranges {
-		for _, b := range r.Before {
+		for _, b := range r.FormerOwners {
 			if s := tc.servers[b.Server]; s != nil && s.Domain == domain {
 				n += r.Len()
 			}
--- a/internal/holder/grant_test.go
+++ b/internal/holder/grant_test.go
@@ -19,7 +19,7 @@
 // cancelFirstGrant is a LeaseClient whose first grant is canceled, as by a later record.
 type cancelFirstGrant struct{ grants int }
 
-func (o *cancelFirstGrant) Grant(context.Context, shard.Holder, Grant, GrantCheck) error {
+func (o *cancelFirstGrant) Grant(context.Context, shard.Owner, Grant, GrantCheck) error {
 	o.grants++
 	if o.grants == 1 {
 		return context.Canceled
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func (o *cancelFirstGrant) Release(context.Context, shard.Holder, Grant) (string, error) {
+func (o *cancelFirstGrant) Release(context.Context, shard.Owner, Grant) (string, error) {
 	return "", nil
 }
 
@@ -46,7 +46,7 @@
 			Servers: func() map[string]rules.Server { return map[string]rules.Server{"s": s} },
 		})
 		lm.guards = guards{}
-		r := shard.Range{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1, Before: []shard.Holder{{Server: "o"}}}
+		r := shard.Range{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1, FormerOwners: []shard.Owner{{Server: "o"}}}
 		data, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{r}}).Encode()
 		is.NoErr(err)
 		lm.view.applyUpdate(follow.Update{Batch: follow.Batch{End: 1, Records: []follow.Record{{Key: keyService + service, Value: data}}}})
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -146,10 +146,10 @@
 	// Grant gives keys to a server, or renews its lease. It names the incarnation of the server that is
 	// meant, and sends nothing on a connection for which check fails: a restarted server has lost the
 	// fences that it had seen, and would accept an old grant.
-	Grant(ctx context.Context, to shard.Holder, g Grant, check GrantCheck) error
+	Grant(ctx context.Context, to shard.Owner, g Grant, check GrantCheck) error
 	// Release ends a lease. It returns the handover for the next owner once the work in progress
 	// has ended.
-	Release(ctx context.Context, to shard.Holder, g Grant) (string, error)
+	Release(ctx context.Context, to shard.Owner, g Grant) (string, error)
 }
 
 // View is what an instance believes about the owners of all services and the registered instances.
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -25,7 +25,7 @@
 	if leads != lm.leads {
 		lm.leads = leads
 		lm.leading.Store(leads)
-		lm.Roster.Lead(leads, now)
+		lm.Roster.SetLeading(leads, now)
 		lm.LeadershipChanged(leads)
 		lm.Events.Note(event.Belief, "leading", "leads", leads, "offset", lm.view.get().End)
 	}
@@ -65,10 +65,10 @@
 	}
 	lm.registerCheckedAt = now
 	for _, p := range lm.Roster.Others() {
-		if p.Silent(now) < removalTimeout {
+		if p.SinceHeartbeat(now) < removalTimeout {
 			continue
 		}
-		lm.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.Silent(now))
+		lm.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
 		e := p.Entry
 		e.Removed = true
 		if value, err := e.Encode(); err == nil {
@@ -76,7 +76,7 @@
 		}
 		return
 	}
-	for _, name := range lm.Roster.Removed(now.Add(-maxViewAge - leaseDuration)) {
+	for _, name := range lm.Roster.RemovedBefore(now.Add(-maxViewAge - leaseDuration)) {
 		lm.append(ctx, InstanceKey(name), nil)
 		return
 	}
@@ -128,11 +128,11 @@
 		lm.writeOwners(ctx, service, current, takenOver)
 		return
 	}
-	if len(current.Ranges) == 0 && !lm.readyToDivide(service, len(in.Members), now) {
+	if len(current.Ranges) == 0 && !lm.readyToDivide(service, len(in.Servers), now) {
 		return
 	}
-	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Members, func(m shard.Member) bool {
-		return m.Lost && len(current.Of(m.ID)) > 0
+	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Servers, func(m shard.ServerState) bool {
+		return m.Lost && len(current.RangesOf(m.ID)) > 0
 	}) || lm.hasOrphans(in, current)
 	if urgent || now.Sub(lm.plannedAt) >= balanceInterval {
 		if completed != nil {
@@ -159,7 +159,7 @@
 	startedAt := time.Now()
 	next := shard.Plan(in)
 	if next != nil {
-		took, uses := time.Since(startedAt), shard.Uses(in)
+		took, uses := time.Since(startedAt), shard.ServerLoads(in)
 		lm.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
 			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), maxLoggedServers)]))
 	}
@@ -186,8 +186,8 @@
 
 // hasOrphans reports whether keys belong to servers that are not in the input of the plan.
 func (lm *Manager) hasOrphans(in shard.Input, m *shard.Map) bool {
-	known := make(map[string]bool, len(in.Members))
-	for _, s := range in.Members {
+	known := make(map[string]bool, len(in.Servers))
+	for _, s := range in.Servers {
 		known[s.ID] = true
 	}
 	return slices.ContainsFunc(m.Ranges, func(r shard.Range) bool { return !known[r.Server] })
@@ -205,7 +205,7 @@
 			next = m.Clone()
 		}
 		if i := next.Find(c.from); i >= 0 && next.Ranges[i].Fence == c.fence && next.Ranges[i].From == c.from {
-			next.Ranges[i].Before = nil
+			next.Ranges[i].FormerOwners = nil
 		}
 	}
 	if next == nil || slices.EqualFunc(next.Ranges, m.Ranges, sameLease) {
@@ -218,7 +218,7 @@
 func (lm *Manager) planInput(service string, m *shard.Map, now time.Time) shard.Input {
 	servers, capacities := lm.Servers(), lm.Capacities(service)
 	in := shard.Input{
-		Map: m, Target: lm.TargetLatency(service).Seconds(), Addresses: map[string]string{}, Reborn: restarted(servers, m),
+		Map: m, TargetLatency: lm.TargetLatency(service).Seconds(), Addresses: map[string]string{}, Restarted: restarted(servers, m),
 	}
 	average, n := 0.0, 0
 	for _, c := range capacities {
@@ -248,20 +248,20 @@
 				capacity, capped = min(capacity, coldLoadFactor*s.ColdRate), true
 			}
 		}
-		in.Members = append(in.Members, shard.Member{
-			ID: id, Address: s.Address, Power: capacity, Slots: s.Slots, Usable: !lost && (s.Domain == lm.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
+		in.Servers = append(in.Servers, shard.ServerState{
+			ID: id, Address: s.Address, Capacity: capacity, Slots: s.Slots, Usable: !lost && (s.Domain == lm.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
 		})
 		in.Addresses[id] = s.Address
 	}
 	lm.rememberServers(servers)
 	for id, s := range lm.leftServers {
 		in.Addresses[id] = s.Address
-		if in.Reborn[id] == "" && s.Service == service && lm.Roster.CutOff(s.Domain, cutOffHoldTime, now) {
+		if in.Restarted[id] == "" && s.Service == service && lm.Roster.CutOff(s.Domain, cutOffHoldTime, now) {
 			// It may only seem to have left, so it keeps its keys for now.
-			in.Members = append(in.Members, shard.Member{ID: id, Address: s.Address, Slots: s.Slots})
+			in.Servers = append(in.Servers, shard.ServerState{ID: id, Address: s.Address, Slots: s.Slots})
 		}
 	}
-	for old, id := range in.Reborn {
+	for old, id := range in.Restarted {
 		in.Addresses[old] = servers[id].Address
 	}
 	return in
@@ -326,7 +326,7 @@
 func (lm *Manager) failingServers(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, reporter := range lm.Roster.Alive(now) {
-		for _, id := range reporter.Beat.Failing {
+		for _, id := range reporter.Heartbeat.Failing {
 			s, found := servers[id]
 			if !found || out[id] {
 				continue
@@ -334,7 +334,7 @@
 			responsible := lm.Roster.Rank(id, s.Domain, now)
 			responsible = responsible[:min(requiredReporters, len(responsible))]
 			out[id] = !slices.ContainsFunc(responsible, func(p roster.Peer) bool {
-				return !slices.Contains(p.Beat.Failing, id)
+				return !slices.Contains(p.Heartbeat.Failing, id)
 			})
 		}
 	}
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -51,10 +51,10 @@
 		lm.applyUpdate(follow.Update{
 			CurrentAsOf: lm.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
 		})
-		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		lm.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		lm.lead(t.Context(), time.Now()) // waits for more servers of the new services
 		time.Sleep(firstDivisionDelay)
-		lm.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		lm.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		lm.lead(t.Context(), time.Now())
 		is.Equal(s.appends, 1)
 	})
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -38,7 +38,7 @@
 // fences of these moves unless this one has done so.
 func (lm *Manager) recordDecided(service string, from, to *shard.Map) {
 	for _, r := range to.Ranges {
-		if r.Fence > from.Fence && len(r.Before) > 0 {
+		if r.Fence > from.Fence && len(r.FormerOwners) > 0 {
 			lm.decidedMoves[moveKey{service, r.From, r.Fence}] = struct{}{}
 		}
 	}
@@ -52,7 +52,7 @@
 	out := map[moveKey]pendingMove{}
 	for service, m := range view.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) > 0 {
+			if len(r.FormerOwners) > 0 {
 				out[moveKey{service, r.From, r.Fence}] = pendingMove{service: service, Range: r, offset: view.End - 1}
 			}
 		}
@@ -91,13 +91,13 @@
 	now := lm.Clock.Now()
 	for i, r := range m.Ranges {
 		key := moveKey{service, r.From, r.Fence}
-		if len(r.Before) == 0 || lm.mayCarryOut(key, r) || now.Sub(lm.firstSeen[key]) < takeOverDelay {
+		if len(r.FormerOwners) == 0 || lm.mayCarryOut(key, r) || now.Sub(lm.firstSeen[key]) < takeOverDelay {
 			continue
 		}
 		if next == nil {
 			next = m.Clone()
 		}
-		next.Move(i, r.Server, append(slices.Clone(r.Before), shard.Holder{Server: r.Server, Address: addresses[r.Server]}))
+		next.Reassign(i, r.Server, append(slices.Clone(r.FormerOwners), shard.Owner{Server: r.Server, Address: addresses[r.Server]}))
 	}
 	return next
 }
@@ -151,7 +151,7 @@
 	handover := ""
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, former := range r.Before {
+	for _, former := range r.FormerOwners {
 		if !lm.guards.endOldLeases {
 			continue
 		}
@@ -184,7 +184,7 @@
 
 // endLease blocks until a former owner cannot hold the range any more: it has released the range or its
 // lease has expired. It also returns when ctx is done because the move was overtaken.
-func (lm *Manager) endLease(ctx context.Context, former shard.Holder, p pendingMove) (handover, how string) {
+func (lm *Manager) endLease(ctx context.Context, former shard.Owner, p pendingMove) (handover, how string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	expired := make(chan struct{})
@@ -218,7 +218,7 @@
 // The address of an ended server may be reassigned to a server of a service without keys, which refuses a
 // release with status 400, not 421. Without addressReassigned the release of each of some hundred ranges
 // would be retried, and releases would be most of the requests to that server.
-func (lm *Manager) release(ctx context.Context, former shard.Holder, r shard.Range, released chan<- string) {
+func (lm *Manager) release(ctx context.Context, former shard.Owner, r shard.Range, released chan<- string) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		handover, err := lm.LeaseClient.Release(callCtx, former, Grant{From: r.From, To: r.To, Fence: r.Fence})
@@ -233,7 +233,7 @@
 
 // addressReassigned reports whether another server has the address of a former owner. A server that holds
 // keys never refuses a release, and an address is reassigned only after its server has ended.
-func (lm *Manager) addressReassigned(former shard.Holder) bool {
+func (lm *Manager) addressReassigned(former shard.Owner) bool {
 	for id, s := range lm.Servers() {
 		if s.Address == former.Address && rules.NameOf(id) != rules.NameOf(former.Server) {
 			return true
@@ -255,8 +255,8 @@
 			staleUntil = lm.Clock.Now()
 			break
 		}
-		if lm.Roster.Confirmed(p.offset, since) {
-			staleUntil = min(staleUntil, lm.Clock.Now().Add(time.Duration(float64(lm.Roster.ContactTime())*maxClockDrift)))
+		if lm.Roster.HalfConfirmed(p.offset, since) {
+			staleUntil = min(staleUntil, lm.Clock.Now().Add(time.Duration(float64(lm.Roster.ContactTimeout())*maxClockDrift)))
 		}
 		if !duty.Pause(ctx, tickInterval) {
 			return false
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		for _, keyRange := range m.Ranges {
-			if keyRange.Server == r.server.ID && len(keyRange.Before) == 0 && !renewed[keyRange.From] {
+			if keyRange.Server == r.server.ID && len(keyRange.FormerOwners) == 0 && !renewed[keyRange.From] {
 				return service, keyRange, true
 			}
 		}
@@ -137,7 +137,7 @@
 		}
 		return nil
 	}
-	return r.manager.LeaseClient.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, check)
+	return r.manager.LeaseClient.Grant(ctx, shard.Owner{Server: r.server.ID, Address: r.server.Address}, g, check)
 }
 
 // mayAct reports whether the instance may act on its view of the owners: it is registered, and the
@@ -149,9 +149,9 @@
 	if !lm.guards.requireFreshView {
 		return true
 	}
-	now, contactTimeout := lm.Clock.Now(), lm.Roster.ContactTime()
+	now, contactTimeout := lm.Clock.Now(), lm.Roster.ContactTimeout()
 	return lm.view.fresh(now, contactTimeout, func() bool {
-		return !lm.guards.requireMajority || lm.Roster.Contact(int64(now.Add(-contactTimeout)), lm.view.get().End)
+		return !lm.guards.requireMajority || lm.Roster.MajorityAgrees(int64(now.Add(-contactTimeout)), lm.view.get().End)
 	})
 }
 
@@ -163,7 +163,7 @@
 	}
 	i := m.Find(keyRange.From)
 	return i >= 0 && m.Ranges[i].Server == keyRange.Server && m.Ranges[i].Fence == keyRange.Fence &&
-		m.Ranges[i].To == keyRange.To && len(m.Ranges[i].Before) == 0
+		m.Ranges[i].To == keyRange.To && len(m.Ranges[i].FormerOwners) == 0
 }
 
 // cancelAndWait cancels the grant that is being sent, and waits until it has ended.
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		now := time.Now()
-		if up := now.Sub(lm.startedAt); up >= maxListenTime || up >= minListenTime && lm.Roster.HeardHalf() {
+		if up := now.Sub(lm.startedAt); up >= maxListenTime || up >= minListenTime && lm.Roster.HalfOfDomainAlive() {
 			lm.lead(ctx, now)
 		}
 	}
@@ -217,7 +217,7 @@
 	firstSeen := make(map[moveKey]clock.Instant)
 	for service, m := range view.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) == 0 {
+			if len(r.FormerOwners) == 0 {
 				continue
 			}
 			key := moveKey{service, r.From, r.Fence}
@@ -283,7 +283,7 @@
 }
 
 // HandleHeartbeat uses the statement of another instance that its view is the newest.
-func (lm *Manager) HandleHeartbeat(b roster.Beat) {
+func (lm *Manager) HandleHeartbeat(b roster.Heartbeat) {
 	if b.KnownAge >= 0 && b.EchoAt > 0 {
 		lm.view.confirmCurrent(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
 	}
@@ -322,13 +322,13 @@
 
 // sameLease reports whether two ranges are the same lease, in the same state of a move.
 func sameLease(a, b shard.Range) bool {
-	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.Before) == len(b.Before)
+	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.FormerOwners) == len(b.FormerOwners)
 }
 
 // rangesOf returns the ranges of a server.
 func rangesOf(v *View, s rules.Server) []shard.Range {
 	if m := v.Maps[s.Service]; m != nil {
-		return m.Of(s.ID)
+		return m.RangesOf(s.ID)
 	}
 	return nil
 }
@@ -372,7 +372,7 @@
 }
 
 func (lm *Manager) currentInputs(view *View, now time.Time) renewalInputs {
-	return renewalInputs{view: view, directoryVersion: lm.DirectoryVersion(), rankVersion: lm.Roster.ChargeVersion(now)}
+	return renewalInputs{view: view, directoryVersion: lm.DirectoryVersion(), rankVersion: lm.Roster.RankVersion(now)}
 }
 
 // responsibleRenewers returns the renewers of the servers that this instance is responsible for, and deletes idle
@@ -383,7 +383,7 @@
 	for service, m := range view.Maps {
 		for id := range ownersOf(m) {
 			s, found := servers[id]
-			if found && s.Service == service && lm.Roster.Charged(s.ID, s.Domain, now) {
+			if found && s.Service == service && lm.Roster.Responsible(s.ID, s.Domain, now) {
 				out = append(out, lm.renewer(s))
 			}
 		}
--- a/internal/holder/schedule_test.go
+++ b/internal/holder/schedule_test.go
@@ -200,7 +200,7 @@
 // incarnationID returns the id of an incarnation of a server.
 func (tc *testCluster) incarnationID(i, incarnation int) string {
 	if tc.namedRestarts {
-		return rules.LifeID(fmt.Sprintf("s%d", i), int64(incarnation+1))
+		return rules.IncarnationID(fmt.Sprintf("s%d", i), int64(incarnation+1))
 	}
 	return serverID(i, incarnation)
 }
@@ -223,7 +223,7 @@
 		tc.endedFences[name][i] = max(tc.endedFences[name][i], lease.fence)
 	}
 	tc.mu.Unlock()
-	next := rules.LifeID(name, s.StartedAt+1)
+	next := rules.IncarnationID(name, s.StartedAt+1)
 	address := s.Address
 	if tc.chance(0.2) {
 		address += "'"
--- a/internal/holder/server_test.go
+++ b/internal/holder/server_test.go
@@ -53,7 +53,7 @@
 	openedAt clock.Instant
 }
 
-func (lc *fakeLeaseClient) Grant(ctx context.Context, to shard.Holder, g Grant, check GrantCheck) error {
+func (lc *fakeLeaseClient) Grant(ctx context.Context, to shard.Owner, g Grant, check GrantCheck) error {
 	address := to.Address
 	lc.cluster.delay()
 	if ctx.Err() != nil {
@@ -86,7 +86,7 @@
 }
 
 // conn returns the connection to an incarnation of a server. It fails once after the server has ended.
-func (lc *fakeLeaseClient) conn(to shard.Holder) (*fakeConn, error) {
+func (lc *fakeLeaseClient) conn(to shard.Owner) (*fakeConn, error) {
 	lc.cluster.mu.Lock()
 	server := lc.cluster.serverAt(to.Address)
 	lc.cluster.mu.Unlock()
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-func (lc *fakeLeaseClient) Release(ctx context.Context, to shard.Holder, g Grant) (string, error) {
+func (lc *fakeLeaseClient) Release(ctx context.Context, to shard.Owner, g Grant) (string, error) {
 	address := to.Address
 	lc.cluster.delay()
 	if lc.cluster.isCut(lc.name, address) {
@@ -122,7 +122,7 @@
 
 // grant carries out a grant and checks that no two servers hold a key. If target is not nil, only that
 // incarnation accepts the grant: a delayed grant is lost when the server that received it ends.
-func (tc *testCluster) grant(to shard.Holder, g Grant, arrivedAt time.Time, target *fakeServer) error {
+func (tc *testCluster) grant(to shard.Owner, g Grant, arrivedAt time.Time, target *fakeServer) error {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	s := tc.serverAt(to.Address)
@@ -178,7 +178,7 @@
 	}
 }
 
-func (tc *testCluster) release(to shard.Holder, g Grant) error {
+func (tc *testCluster) release(to shard.Owner, g Grant) error {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	s := tc.serverAt(to.Address)
@@ -213,7 +213,7 @@
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	n := 0
-	for i := range shard.Keys / keySpacing {
+	for i := range shard.NumKeys / keySpacing {
 		for _, s := range tc.servers {
 			if s.up && !s.noKeys && s.leases[i].granted && time.Now().Before(s.leases[i].expiresAt) {
 				n++
@@ -230,7 +230,7 @@
 	defer tc.mu.Unlock()
 	s := &fakeServer{
 		Server: rules.Server{ID: id, Service: service, Address: address, Domain: domain, Slots: 2, StartedAt: startTimeOf(id)}, up: true,
-		seenFences: make([]uint64, shard.Keys/keySpacing), leases: make([]heldLease, shard.Keys/keySpacing),
+		seenFences: make([]uint64, shard.NumKeys/keySpacing), leases: make([]heldLease, shard.NumKeys/keySpacing),
 	}
 	tc.servers[id] = s
 	if tc.namedRestarts {
--- a/internal/holder/verify.go
+++ b/internal/holder/verify.go
@@ -56,7 +56,7 @@
 // store for all instances, in which nothing is decided but the responsibility for servers still passes between
 // instances that stop and start.
 func (lm *Manager) viewCurrentAt(at clock.Instant) bool {
-	return lm.view.currentAt(at) || lm.Roster.Agreed(int64(at), lm.view.get().End, time.Now())
+	return lm.view.currentAt(at) || lm.Roster.AllAgree(int64(at), lm.view.get().End, time.Now())
 }
 
 // directoryCurrentAt reports whether the directory would by now list a server that had started by an instant.
--- a/internal/holder/view.go
+++ b/internal/holder/view.go
@@ -152,7 +152,7 @@
 	if m == nil {
 		m = &shard.Map{}
 	}
-	next, err := m.With(fence, changes)
+	next, err := m.WithChanges(fence, changes)
 	if err != nil {
 		return false
 	}
--- a/internal/node/adopt.go
+++ b/internal/node/adopt.go
@@ -90,6 +90,6 @@
 	select {
 	case n.holder.RegisterUpdates() <- m.Records:
 	default:
-		n.readAgain(n.around.Owners)
+		n.readAgain(n.around.OwnersTopic)
 	}
 }
--- a/internal/node/beats_test.go
+++ b/internal/node/beats_test.go
@@ -29,7 +29,7 @@
 			is := is.New(t)
 			config, servers := &follow.Watch{}, &follow.Watch{}
 			n := &Node{
-				around: Surroundings{Config: "config", Servers: "servers"},
+				around: Platform{ConfigTopic: "config", ServersTopic: "servers"},
 				topics: map[string]*follow.Watch{"config": config, "servers": servers},
 			}
 			config.MarkApplied(follow.Update{Batch: follow.Batch{End: 3}, CurrentAsOf: test.config})
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -24,7 +24,7 @@
 	if _, err := fmt.Sscan(string(data), &state, &s.StartedAt, &s.Sequence); err != nil {
 		return s, errors.New("malformed")
 	}
-	s.ID, s.Draining = rules.LifeID(name, s.StartedAt), state == "draining"
+	s.ID, s.Draining = rules.IncarnationID(name, s.StartedAt), state == "draining"
 	return s, nil
 }
 
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -195,7 +195,7 @@
 
 // leftAt returns what is left at the servers of a domain.
 func (n *Node) leftAt(domain string) left {
-	l := left{requests: n.edge.Running(domain)}
+	l := left{requests: n.edge.InFlight(domain)}
 	servers := n.world.servers()
 	for service, m := range n.holder.View().Maps {
 		for _, r := range m.Ranges {
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -120,7 +120,7 @@
 // Guards against an evacuation that instances miss since only the newest configuration was told them.
 func TestConfigurationIsToldWithEvacuations(t *testing.T) {
 	is := is.New(t)
-	leader := &Node{around: Surroundings{ConfigKey: "config"}, world: newZonedWorld()}
+	leader := &Node{around: Platform{ConfigKey: "config"}, world: newZonedWorld()}
 	leader.world.operate(false, 0, "evacuate/north", "{}", "evacuate/south", "{}", "evacuate/south", "")
 	told := leader.withEvacuations(follow.Update{Batch: follow.Batch{End: 9, Records: []follow.Record{{Key: "config", Value: []byte("new"), Offset: 8}}}})
 	is.True(told.Snapshot)
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -78,7 +78,7 @@
 func newFollower(s follow.Store, others int) *Node {
 	n := &Node{
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
-		around:   Surroundings{Store: s, Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners"},
+		around:   Platform{Store: s, ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners"},
 		roster:   roster.New("i0", "a"), updates: make(chan follow.Update, 64),
 		again: map[string]chan struct{}{}, news: map[string]chan follow.PeerUpdate{},
 	}
@@ -102,7 +102,7 @@
 func (n *Node) hearOthers(ctx context.Context) error {
 	for duty.Pause(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 	}
 	return ctx.Err()
@@ -157,7 +157,7 @@
 		const others, draws = 299, 1000
 		n := newFollower(&silentStore{}, others)
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 		sum := time.Duration(0)
 		for range draws {
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -38,9 +38,9 @@
 func (n *Node) newTopics() map[string]*follow.Watch {
 	calm := func() time.Duration { return configPause }
 	out := map[string]*follow.Watch{
-		n.around.Config:  {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: calm, CatchUpFromSnapshot: true, MaxStaleness: n.overdue},
-		n.around.Servers: {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: n.settle, MaxStaleness: n.overdue},
-		n.around.Owners:  {ReadsStore: n.readsOwners, ReadInterval: n.ownersEvery, BatchDelay: calm},
+		n.around.ConfigTopic:  {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: calm, CatchUpFromSnapshot: true, MaxStaleness: n.overdue},
+		n.around.ServersTopic: {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: n.settle, MaxStaleness: n.overdue},
+		n.around.OwnersTopic:  {ReadsStore: n.readsOwners, ReadInterval: n.ownersEvery, BatchDelay: calm},
 	}
 	for name, t := range out {
 		t.Store, t.Topic, t.Clock, t.Out = n.around.Store, name, clock.Boot{}, n.updates
@@ -52,7 +52,7 @@
 func (n *Node) follow(duties *duty.Group) {
 	for name, t := range n.topics {
 		duties.Go("follow-"+name, func(ctx context.Context) error {
-			if name == n.around.Owners && !n.awaitRegistration(ctx) {
+			if name == n.around.OwnersTopic && !n.awaitRegistration(ctx) {
 				return ctx.Err()
 			}
 			return t.Run(ctx)
@@ -98,7 +98,7 @@
 func (n *Node) overdue() time.Duration {
 	spread := min(overdueSpread, time.Duration(n.instances())*overdueEach)
 	part := float64(xxhash.Sum64String(n.settings.Name)>>11) / (1 << 53)
-	return n.pollLeader() + n.roster.LeaderEvery() + overdueSlack + time.Duration(part*float64(spread))
+	return n.pollLeader() + n.roster.LeaderHeartbeatInterval() + overdueSlack + time.Duration(part*float64(spread))
 }
 
 // retryPause returns the pause after a read that failed. It varies by a half each way, so that instances that lost the
@@ -137,7 +137,7 @@
 	if c := n.settings.Bounds.ConfigSeconds; c > 0 {
 		bound = min(bound, c)
 	}
-	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderEvery()
+	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderHeartbeatInterval()
 	return min(max(wait, pollLeast), pollMost)
 }
 
--- a/internal/node/tell.go
+++ b/internal/node/tell.go
@@ -119,7 +119,7 @@
 		// The others wait for the same word.
 		n.announceToAll()
 	}
-	if len(u.Records) == 0 || u.Snapshot && u.Topic != n.around.Config {
+	if len(u.Records) == 0 || u.Snapshot && u.Topic != n.around.ConfigTopic {
 		return
 	}
 	if u.Snapshot {
--- a/internal/node/tell_test.go
+++ b/internal/node/tell_test.go
@@ -79,8 +79,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		settings := config.Serve{Name: "i0", Domain: "d0", IP: "127.0.0.1", PeerPorts: []int{0}, LinkMbps: 20}
-		n, err := New(settings, Surroundings{
-			Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners", DecodeServer: decodeServer,
+		n, err := New(settings, Platform{
+			ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners", DecodeServer: decodeServer,
 			DecodeConfig:     func([]byte) (*rules.Config, error) { return &rules.Config{Version: 1}, nil },
 			DecodeEvacuation: func(string) (string, bool) { return "", false },
 		}, event.New(io.Discard, log.InfoLevel))
--- a/internal/node/world.go
+++ b/internal/node/world.go
@@ -89,9 +89,9 @@
 	least := time.Duration(0)
 	for _, routes := range w.config.Load().Hosts {
 		for _, r := range routes {
-			for _, p := range r.Parts {
-				if p.Service == service && r.Target > 0 && (least == 0 || r.Target < least) {
-					least = r.Target
+			for _, p := range r.Services {
+				if p.Service == service && r.TargetLatency > 0 && (least == 0 || r.TargetLatency < least) {
+					least = r.TargetLatency
 				}
 			}
 		}
