--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps a copy of a topic of the shared store: the newest record of each key,
-// and how old the knowledge is that nothing else was written.
+// Package follow delivers the records of a topic of the shared store, from which the receiver keeps a copy of
+// the topic, and tracks as of when that copy is known to be complete.
 package follow
 
 import (
@@ -14,315 +14,326 @@
 	"example.org/mustardring/internal/clock"
 )
 
-// The errors of a Store. What is neither ErrConflict nor ErrNotDone may have been done, or may
-// be done later.
+// The errors of a Store. After any error other than ErrConflict and ErrNotDone the call may have been carried
+// out, or may still be carried out later.
 var (
-	ErrConflict = errors.New("follow: the topic ends elsewhere")
-	ErrNotDone  = errors.New("follow: refused by the store")
-	ErrUnknown  = errors.New("follow: outcome unknown")
-	// ErrExpired says that the records asked for are kept no longer.
+	// ErrConflict means that the topic did not end at the expected offset.
+	ErrConflict = errors.New("follow: topic does not end at the expected offset")
+	// ErrNotDone means that the store refused the call, which has had no effect.
+	ErrNotDone = errors.New("follow: call refused by the store")
+	// ErrUnknown means that the call may or may not have been carried out.
+	ErrUnknown = errors.New("follow: outcome unknown")
+	// ErrExpired means that the store no longer keeps the requested records.
 	ErrExpired = errors.New("follow: records expired")
 )
 
-// Record is one record of a topic. An empty value removes the key.
+// Record is one record of a topic. An empty value deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Batch is a run of records and the end of the topic when they were read.
+// Batch holds records of a topic in the order of their offsets, and the offset after the last record of the
+// topic when they were read.
 type Batch struct {
 	Records []Record
 	End     int64
 }
 
-// Store is the shared store.
+// Store is a client of the shared store, which holds topics of records with keys and offsets.
 type Store interface {
-	// Append writes a record if the topic ends at asOf, or in any case if that is negative. It
-	// returns the record's offset.
-	Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error)
-	// Read waits for records from an offset on.
+	// Append appends a record if the topic ends at expectedEnd, or in any case if that is negative. It
+	// returns the offset of the record.
+	Append(ctx context.Context, topic, key string, value []byte, expectedEnd int64) (int64, error)
+	// Read returns the records from an offset on. If there are none it waits for some, at most for wait.
 	Read(ctx context.Context, topic string, from int64, wait time.Duration) (Batch, error)
 	// Newest returns the newest record of each key.
 	Newest(ctx context.Context, topic string) (Batch, error)
 }
 
-// Reason says why the store was read. Calls are dear, so that each one names its own.
+// Reason says why the store was read. Calls to the store are expensive, so they are counted by reason.
 type Reason string
 
-// The reasons.
+// The reasons of reads.
 const (
-	// Started is the first read of a process, Gone one after the store forgot what comes next.
-	Started Reason = "started"
-	Gone    Reason = "records-gone"
-	// Charged is a read of the instance that reads for the others.
-	Charged Reason = "in-charge"
-	// Late says that no word came that nothing is missing, Asked that a peer knows more, Gap that news
-	// of a peer left out a part.
-	Late  Reason = "word-overdue"
-	Asked Reason = "behind-peer"
-	Gap   Reason = "news-missing"
+	// ReasonStarted is for the first read of a process, ReasonExpired for a read after the store has
+	// dropped the records that come next.
+	ReasonStarted Reason = "started"
+	ReasonExpired Reason = "records-gone"
+	// ReasonReader is for reads of an instance that reads for the others.
+	ReasonReader Reason = "in-charge"
+	// ReasonOverdue is for a read because no confirmation came in time that the copy is complete, ReasonBehind
+	// because another instance knows more, ReasonGap because an update of another instance left out records.
+	ReasonOverdue Reason = "word-overdue"
+	ReasonBehind  Reason = "behind-peer"
+	ReasonGap     Reason = "news-missing"
 )
 
-// SilenceMost is how long a Store waits for each part of an answer, beyond the time for which a read waits for news,
-// before it takes the call for lost. A fault that ends while a call waits costs what is left of it, and the
-// pause after it: both together are well below the time in which news must be in force.
-const SilenceMost = 700 * time.Millisecond
+// AnswerTimeout is how long a Store waits for each part of an answer, after the time for which a read waits
+// for records, before it fails the call. When a fault ends while a call is pending, the rest of this timeout
+// and the retry delay pass before the next call. Their sum must be well below the time within which
+// changes must take effect.
+const AnswerTimeout = 700 * time.Millisecond
 
-// Update is news of a topic.
+// Update holds what was learned about a topic by a read or from another instance.
 type Update struct {
 	Topic string
 	Batch
-	// Reason is why the topic was read, empty for what came from another instance.
+	// Reason is why the topic was read, empty for an update of another instance.
 	Reason Reason
-	// Whole says that the records are all there are: other keys are gone.
-	Whole bool
-	// From is the offset that was read from.
+	// Snapshot means that Records holds the newest record of every key: other keys are deleted.
+	Snapshot bool
+	// From is the offset from which the topic was read.
 	From int64
-	// BegunAt is when the read began: nothing that was acknowledged before is missing. It is
-	// zero for what came from another instance.
-	BegunAt clock.Instant
-	// HeldUntil is when the store was to answer at the latest, with or without news, and EndedAt when the
-	// read ended. Both are zero for what came from another instance.
-	HeldUntil clock.Instant
-	EndedAt   clock.Instant
-	// Since is the time after which the records were written; zero if that is not known.
-	Since clock.Instant
-	// Complete is a time up to which nothing is missing before End; zero if that is not known.
-	Complete clock.Instant
-	// Overdue says that this instance read because no word came that nothing is missing: the
-	// others may not have heard either.
+	// StartedAt is when the read started: no record that was acknowledged before is missing. It is zero for
+	// an update of another instance.
+	StartedAt clock.Instant
+	// WaitDeadline is when the store was to answer at the latest, with or without records, and EndedAt when the
+	// read ended. Both are zero for an update of another instance.
+	WaitDeadline clock.Instant
+	EndedAt      clock.Instant
+	// WrittenAfter is a time after which the records were written; zero if that is not known.
+	WrittenAfter clock.Instant
+	// CurrentAsOf is a time up to which the topic had no records from End on, so that none was missing; zero if
+	// there is no known one.
+	CurrentAsOf clock.Instant
+	// Overdue means that this instance read because no confirmation came in time that its copy is complete.
+	// The other instances may not have had one either.
 	Overdue bool
-	// Err is why the topic could not be read, nil if it was.
+	// Err is why the read failed, nil if it succeeded.
 	Err error
 }
 
-// News is a part of a topic that another instance read.
-type News struct {
-	// From is the offset that the other instance read from.
+// PeerUpdate is a part of a topic that another instance read and passed on. It is encoded by position, so the
+// order of its fields must not change.
+type PeerUpdate struct {
+	// From is the offset from which the other instance read.
 	From int64
-	// Age is how long ago the oldest of the records can have been written when the news was sent, and
-	// Complete how old the knowledge was then that nothing is missing before End, in milliseconds;
-	// Complete is negative for none.
-	Age      int64
-	Complete int64
+	// RecordAge is the maximum age of the oldest record, and Staleness the age of the sender's copy up to End,
+	// both when the update was sent and in milliseconds. A negative Staleness means unknown.
+	RecordAge int64
+	Staleness int64
 	Batch
-	// Whole says that the records are all there are before End: other keys are gone.
-	Whole bool
-	// SentAt is the earliest time at which it can have been sent, by the receiver's clock; zero if that
-	// is not known. The receiver sets it.
+	// Snapshot means that Records holds the newest record of every key before End: other keys are deleted.
+	Snapshot bool
+	// SentAt is the earliest time at which the update can have been sent, by the receiver's clock; zero if
+	// that is not known. It is not transmitted; the receiver sets it.
 	SentAt clock.Instant `msgpack:"-"`
 }
 
-// Topic follows one topic. Calls to the store are dear where there are many instances, so that
-// most of them do not read: they take the news that others have read, and read for themselves
-// when a part is missing or a peer knows more.
-type Topic struct {
+// Watch delivers the records of one topic, by which the receiver of Out keeps its copy up to date. With many
+// instances calls to the store are expensive, so most instances do not read: they take the updates that others
+// have read, and read only when records are missing or another instance knows more.
+type Watch struct {
 	Store Store
-	Name  string
+	Topic string
 	Clock clock.Clock
-	// Direct reports whether this instance reads the store by itself.
-	Direct func() bool
-	// Wait returns how long a read waits for news. A read whose answer is lost shows only when
-	// that time is over: the store goes on holding its connection.
-	Wait func() time.Duration
-	// Every returns, if it is not nil, the pause between two reads; they do not wait for news
-	// then. That costs fewer calls where news comes another way.
-	Every func() time.Duration
-	// Latest says that only the newest records count: to catch up, what lies between is not
-	// read. Twenty versions of a large configuration take a second on a link of 10 Mbit/s.
-	Latest bool
-	// Settle returns the pause after news before the next read. It joins changes that come close
-	// together into one call.
-	Settle func() time.Duration
-	// Out takes the updates.
+	// ReadsStore reports whether this instance reads the store regularly.
+	ReadsStore func() bool
+	// PollTimeout returns how long a read waits for records. A lost answer is detected only after that
+	// time, because the store keeps the connection open.
+	PollTimeout func() time.Duration
+	// ReadInterval, if not nil, returns the delay between two reads, which then do not wait for records. That
+	// takes fewer calls where updates also come another way.
+	ReadInterval func() time.Duration
+	// CatchUpFromSnapshot means that the instance reads only the newest records to catch up, and not those in
+	// between. Twenty versions of a large configuration take a second on a link of 10 Mbit/s.
+	CatchUpFromSnapshot bool
+	// BatchDelay returns the delay before the next read after one that returned records. Changes that come
+	// shortly after each other then take one call.
+	BatchDelay func() time.Duration
+	// Out receives the updates.
 	Out chan<- Update
-	// Again asks for a new read at once: a peer knows more.
-	Again <-chan struct{}
-	// News takes what other instances read; it may be nil.
-	News <-chan News
-	// Retry returns the pause after a read that failed.
-	Retry func() time.Duration
-	// Overdue returns the age of the knowledge that nothing is missing from which on this
-	// instance reads, whoever else should; it may be nil.
+	// ReadNow asks for a read at once because another instance knows more.
+	ReadNow <-chan struct{}
+	// PeerUpdates delivers what other instances have read; it may be nil.
+	PeerUpdates <-chan PeerUpdate
+	// RetryDelay returns the delay after a failed read.
+	RetryDelay func() time.Duration
+	// MaxStaleness returns the age of the copy from which on this instance reads, whether or not it should
+	// read regularly; it may be nil.
 	//
-	// It guards against the loss of all readers at one time, as when they are cut off from the store: the
-	// directory would stay as it was, and requests go to servers that have left.
-	Overdue func() time.Duration
-
-	// readUntil is the time up to which nothing is missing of what was read, zero if never.
-	readUntil atomic.Int64
-	// failed says that the last read had no answer.
-	failed atomic.Bool
-
-	// The next five belong to the goroutine of Run. Next is the offset behind what is known, missing an end that
-	// another instance knows of. Until pauseUntil this instance reads only if it is asked.
-	next       int64
-	missing    int64
+	// It covers the loss of all readers at the same time, for example when they are cut off from the store:
+	// otherwise the directory would not change, and requests would go to servers that have left.
+	MaxStaleness func() time.Duration
+
+	// readCurrentAsOf is a time up to which the topic had no records from nextOffset on, zero if there is no known
+	// one.
+	readCurrentAsOf atomic.Int64
+	// lastReadFailed tells whether the last read failed.
+	lastReadFailed atomic.Bool
+
+	// The next five fields are used by the goroutine of Run only. nextOffset is the offset after the last known
+	// record, peerEnd the end of the topic known to another instance. Until pauseUntil this instance reads only
+	// when asked to.
+	nextOffset int64
+	peerEnd    int64
 	pauseUntil time.Time
-	// whole says that everything is to be read, reason why.
-	whole  bool
-	reason Reason
-
-	// mu guards what follows: the end of what the owner of Out acts by, and the time up to which
-	// nothing is missing before that end, zero if never. They belong together: an end from before an
-	// update with a time from after it says of the update's records that they were not written.
-	mu       sync.Mutex
-	end      int64
-	complete clock.Instant
+	// needsSnapshot means that the next read is of a snapshot, lastReason is the reason of the last read.
+	needsSnapshot bool
+	lastReason    Reason
+
+	// mu guards appliedEnd, the end of what the receiver of Out acts by, and appliedAsOf, a time up to which the
+	// topic had no records from there on, zero if there is no known one. They are updated together: an end from
+	// before an update with a time from after it would state that the records of the update do not exist.
+	mu          sync.Mutex
+	appliedEnd  int64
+	appliedAsOf clock.Instant
 }
 
-// directEvery is how often an instance that does not read looks whether it should.
-const directEvery = 100 * time.Millisecond
+// checkInterval is the time between two checks whether a read is due.
+const checkInterval = 100 * time.Millisecond
 
-// The times of answers of the store.
+// The response times of the store.
 const (
-	// answerTime is how long an answer is on its way at most while the store is calm, also to an instance
-	// with a small part of a core.
-	answerTime = 150 * time.Millisecond
-	// heldTime is the time from which on an answer is known to have been waited for at the store.
-	heldTime = 250 * time.Millisecond
+	// maxAnswerDelay is the maximum time for which an answer is in transit while the store is healthy, also to an
+	// instance with a small share of a CPU core.
+	maxAnswerDelay = 150 * time.Millisecond
+	// minHeldTime is the time from which on an answer must have been held by the store to wait for records.
+	minHeldTime = 250 * time.Millisecond
 )
 
-// Age returns how old the knowledge is that nothing is missing of what the owner of Out acts by.
-func (t *Topic) Age() time.Duration {
-	_, complete := t.Known()
-	return t.age(complete)
+// Age returns the age of what the receiver of Out acts by, or the maximum duration if it is unknown.
+func (w *Watch) Age() time.Duration {
+	_, asOf := w.Known()
+	return w.staleness(asOf)
 }
 
-func (t *Topic) age(complete clock.Instant) time.Duration {
-	if complete == 0 {
+func (w *Watch) staleness(asOf clock.Instant) time.Duration {
+	if asOf == 0 {
 		return math.MaxInt64
 	}
-	return t.Clock.Now().Sub(complete)
+	return w.Clock.Now().Sub(asOf)
 }
 
-// Known returns the end of what the owner of Out acts by, and a time up to which nothing is missing
-// before it, zero if there is none.
-func (t *Topic) Known() (end int64, complete clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.end, t.complete
+// Known returns the end of what the receiver of Out acts by, and a time up to which the topic had no records
+// from there on, zero if there is no known one.
+func (w *Watch) Known() (end int64, asOf clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.appliedEnd, w.appliedAsOf
 }
 
-// Applied takes in that the owner of Out acts by an update.
-func (t *Topic) Applied(u Update) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.end = max(t.end, u.End)
-	t.complete = max(t.complete, u.Complete)
+// MarkApplied records that the receiver of Out acts by an update.
+func (w *Watch) MarkApplied(u Update) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.appliedEnd = max(w.appliedEnd, u.End)
+	w.appliedAsOf = max(w.appliedAsOf, u.CurrentAsOf)
 }
 
-// Refresh takes in the word of another instance that nothing was missing before an end up to a time.
-// It says nothing to who acts by less.
-func (t *Topic) Refresh(end int64, until clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if end <= t.end {
-		t.complete = max(t.complete, until)
+// ConfirmCurrent takes in the statement of another instance that up to asOf the topic had no records from end
+// on. It is ignored unless this instance acts by all records before end.
+func (w *Watch) ConfirmCurrent(end int64, asOf clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if end <= w.appliedEnd {
+		w.appliedAsOf = max(w.appliedAsOf, asOf)
 	}
 }
 
-// until returns the time up to which nothing is missing before the next offset to read: the news to
-// come was written after it.
-func (t *Topic) until() clock.Instant {
-	_, complete := t.Known()
-	return max(complete, clock.Instant(t.readUntil.Load()))
+// currentAsOf returns a time up to which the topic had no records from nextOffset on: the records that come next
+// were written after it.
+func (w *Watch) currentAsOf() clock.Instant {
+	_, asOf := w.Known()
+	return max(asOf, clock.Instant(w.readCurrentAsOf.Load()))
 }
 
-// Unanswered reports whether the last read had no answer.
-func (t *Topic) Unanswered() bool { return t.failed.Load() }
+// LastReadFailed reports whether the last read failed.
+func (w *Watch) LastReadFailed() bool { return w.lastReadFailed.Load() }
 
-// overdue reports whether this instance should read although others do.
-func (t *Topic) overdue() bool { return t.Overdue != nil && t.age(t.until()) > t.Overdue() }
+// isOverdue reports whether this instance must read because its copy is older than MaxStaleness.
+func (w *Watch) isOverdue() bool {
+	return w.MaxStaleness != nil && w.staleness(w.currentAsOf()) > w.MaxStaleness()
+}
 
-// Run follows the topic until the context ends.
-func (t *Topic) Run(ctx context.Context) error {
-	t.whole = true
-	for reason := Started; ; {
-		u, done := t.readOnce(ctx, reason)
+// Run keeps the topic up to date until ctx is done.
+func (w *Watch) Run(ctx context.Context) error {
+	w.needsSnapshot = true
+	for reason := ReasonStarted; ; {
+		u, done := w.readOnce(ctx, reason)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case !done:
 		case errors.Is(u.Err, ErrExpired):
-			t.whole, reason = true, Gone
+			w.needsSnapshot, reason = true, ReasonExpired
 			continue
 		default:
-			t.finish(ctx, u)
+			w.finishRead(ctx, u)
 		}
-		if reason = t.await(ctx); ctx.Err() != nil {
+		if reason = w.awaitReadDue(ctx); ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-// finish passes on how a read ended, and sets the pause before the next one.
-func (t *Topic) finish(ctx context.Context, u Update) {
-	t.failed.Store(u.Err != nil)
+// finishRead passes on the result of a read, and sets the time before which no other read is due.
+func (w *Watch) finishRead(ctx context.Context, u Update) {
+	w.lastReadFailed.Store(u.Err != nil)
 	if u.Err != nil {
-		t.emit(ctx, u)
-		t.pause(t.Retry())
+		w.emit(ctx, u)
+		w.pauseFor(w.RetryDelay())
 		return
 	}
-	u = t.rebase(u)
-	t.emit(ctx, u)
-	t.next, t.whole = u.End, false
-	t.pause(t.pauseAfter(u))
+	u = w.dropKnown(u)
+	w.emit(ctx, u)
+	w.nextOffset, w.needsSnapshot = u.End, false
+	w.pauseFor(w.pauseAfter(u))
 }
 
-// pauseAfter returns the pause after a read that was answered.
-func (t *Topic) pauseAfter(u Update) time.Duration {
+// pauseAfter returns the delay after a successful read.
+func (w *Watch) pauseAfter(u Update) time.Duration {
 	pause := time.Duration(0)
-	if u.Complete == 0 {
-		// The answer was cut short.
+	if u.CurrentAsOf == 0 {
+		// The answer was cut short, so read on at once.
 		return pause
 	}
 	if len(u.Records) > 0 {
-		pause += t.Settle()
+		pause += w.BatchDelay()
 	}
-	if t.Every != nil {
-		pause += t.Every()
+	if w.ReadInterval != nil {
+		pause += w.ReadInterval()
 	}
 	return pause
 }
 
-func (t *Topic) pause(d time.Duration) { t.pauseUntil = time.Now().Add(d) }
+func (w *Watch) pauseFor(d time.Duration) { w.pauseUntil = time.Now().Add(d) }
 
-// rebase leaves out of a read what news brought in while the read was in progress.
-func (t *Topic) rebase(u Update) Update {
-	if u.Whole && u.End >= t.next {
+// dropKnown removes from a read what updates of other instances delivered while the read was in progress.
+func (w *Watch) dropKnown(u Update) Update {
+	if u.Snapshot && u.End >= w.nextOffset {
 		return u
 	}
-	u.Whole = false
-	u.Records = slices.DeleteFunc(u.Records, func(r Record) bool { return r.Offset < t.next })
-	u.End = max(u.End, t.next)
+	u.Snapshot = false
+	u.Records = slices.DeleteFunc(u.Records, func(r Record) bool { return r.Offset < w.nextOffset })
+	u.End = max(u.End, w.nextOffset)
 	return u
 }
 
-func (t *Topic) emit(ctx context.Context, u Update) bool {
+func (w *Watch) emit(ctx context.Context, u Update) bool {
 	select {
-	case t.Out <- u:
+	case w.Out <- u:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// await takes in news until a read is due, and returns why it is.
-func (t *Topic) await(ctx context.Context) Reason {
+// awaitReadDue applies updates of other instances until a read is due, and returns the reason of the read.
+func (w *Watch) awaitReadDue(ctx context.Context) Reason {
 	for ctx.Err() == nil {
-		if reason, due := t.due(); due {
+		if reason, due := w.readDue(); due {
 			return reason
 		}
-		timer := time.NewTimer(t.untilDue())
+		timer := time.NewTimer(w.timeToCheck())
 		select {
-		case n := <-t.News:
-			t.take(ctx, n)
-		case <-t.Again:
+		case p := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, p)
+		case <-w.ReadNow:
 			timer.Stop()
-			return t.ask(Asked)
+			return w.requestedRead(ReasonBehind)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -331,102 +342,102 @@
 	return ""
 }
 
-// untilDue returns the time to the next look whether a read is due.
-func (t *Topic) untilDue() time.Duration {
-	if left := time.Until(t.pauseUntil); left > 0 && left < directEvery {
+// timeToCheck returns the time until the next check whether a read is due.
+func (w *Watch) timeToCheck() time.Duration {
+	if left := time.Until(w.pauseUntil); left > 0 && left < checkInterval {
 		return left
 	}
-	return directEvery
+	return checkInterval
 }
 
-// due reports whether and why this instance should read without being asked.
-func (t *Topic) due() (Reason, bool) {
+// readDue reports whether and why this instance should read although ReadNow does not ask for it.
+func (w *Watch) readDue() (Reason, bool) {
 	switch {
-	case time.Now().Before(t.pauseUntil):
+	case time.Now().Before(w.pauseUntil):
 		return "", false
-	case t.whole:
-		return t.reason, true
-	case t.Direct():
-		return Charged, true
-	case t.missing > t.next:
-		return t.ask(Gap), true
-	case t.overdue():
-		return Late, true
+	case w.needsSnapshot:
+		return w.lastReason, true
+	case w.ReadsStore():
+		return ReasonReader, true
+	case w.peerEnd > w.nextOffset:
+		return w.requestedRead(ReasonGap), true
+	case w.isOverdue():
+		return ReasonOverdue, true
 	}
 	return "", false
 }
 
-// ask returns the reason of a read that another instance gives rise to.
-func (t *Topic) ask(reason Reason) Reason {
-	if t.Direct() {
-		return Charged
+// requestedRead returns the reason of a read that another instance causes, and decides whether it reads a snapshot.
+func (w *Watch) requestedRead(reason Reason) Reason {
+	if w.ReadsStore() {
+		return ReasonReader
 	}
-	t.whole = t.whole || t.Latest
+	w.needsSnapshot = w.needsSnapshot || w.CatchUpFromSnapshot
 	return reason
 }
 
-// take takes in what another instance read, or notes that a part before it is missing: then a pause is over, since
-// the store has answered that one.
+// applyPeerUpdate passes on what another instance read. If records before it are missing it only makes a read due,
+// and ends a pause, since the store has answered the other instance.
 //
-// Its receipt proves nothing: what was written while it was on its way is not in it. Dated by receipt,
-// it would make instances tell one another that nothing is missing while it is, and the words of servers
-// that leave, read later, seem younger than they are.
-func (t *Topic) take(ctx context.Context, n News) {
-	if n.End <= t.next {
+// The time of receipt proves nothing, because records that were written while the update was in transit are
+// not in it. If updates were dated by receipt, instances would confirm each other's copies as complete while
+// records were missing, and the entries of leaving servers, read later, would seem newer than they are.
+func (w *Watch) applyPeerUpdate(ctx context.Context, p PeerUpdate) {
+	if p.End <= w.nextOffset {
 		return
 	}
-	if n.From > t.next {
-		t.missing, t.pauseUntil = max(t.missing, n.End), time.Time{}
+	if p.From > w.nextOffset {
+		w.peerEnd, w.pauseUntil = max(w.peerEnd, p.End), time.Time{}
 		return
 	}
-	u := Update{Topic: t.Name, Batch: Batch{End: n.End}, Since: t.until(), Whole: n.Whole}
-	if n.SentAt != 0 {
-		u.Since = max(u.Since, n.SentAt.Add(-time.Duration(n.Age)*time.Millisecond))
+	u := Update{Topic: w.Topic, Batch: Batch{End: p.End}, WrittenAfter: w.currentAsOf(), Snapshot: p.Snapshot}
+	if p.SentAt != 0 {
+		u.WrittenAfter = max(u.WrittenAfter, p.SentAt.Add(-time.Duration(p.RecordAge)*time.Millisecond))
 	}
-	if n.SentAt != 0 && n.Complete >= 0 {
-		u.Complete = n.SentAt.Add(-time.Duration(n.Complete) * time.Millisecond)
+	if p.SentAt != 0 && p.Staleness >= 0 {
+		u.CurrentAsOf = p.SentAt.Add(-time.Duration(p.Staleness) * time.Millisecond)
 	}
-	for _, r := range n.Records {
-		if r.Offset >= t.next || n.Whole {
+	for _, r := range p.Records {
+		if r.Offset >= w.nextOffset || p.Snapshot {
 			u.Records = append(u.Records, r)
 		}
 	}
-	if t.emit(ctx, u) {
-		t.next = n.End
-		t.readUntil.Store(max(t.readUntil.Load(), int64(u.Complete)))
+	if w.emit(ctx, u) {
+		w.nextOffset = p.End
+		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(u.CurrentAsOf)))
 	}
 }
 
-// readOnce reads once, and takes in news meanwhile: while the store does not answer, another instance may have
-// what is missing. It returns false if it ended the read, for another one.
+// readOnce reads once. Meanwhile it applies updates of other instances, which may have what is missing while the
+// store does not answer. It returns false if it canceled the read in favor of another one.
 //
-// A read that waits for news ends when a peer knows more, or when the word that nothing is missing is overdue: its
-// answer may be lost.
-func (t *Topic) readOnce(ctx context.Context, reason Reason) (Update, bool) {
+// A read that waits for records is canceled when another instance knows more, or when the copy becomes
+// older than MaxStaleness: its answer may be lost.
+func (w *Watch) readOnce(ctx context.Context, reason Reason) (Update, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t.reason = reason
-	u := Update{Topic: t.Name, Reason: reason, BegunAt: t.Clock.Now(), From: t.next, Whole: t.whole, Overdue: t.overdue()}
-	wait, again := time.Duration(0), (<-chan struct{})(nil)
-	waits := t.Every == nil && t.Direct() && !u.Whole && !u.Overdue
-	if waits {
-		wait, again = t.Wait(), t.Again
+	w.lastReason = reason
+	u := Update{Topic: w.Topic, Reason: reason, StartedAt: w.Clock.Now(), From: w.nextOffset, Snapshot: w.needsSnapshot, Overdue: w.isOverdue()}
+	pollTimeout, readNow := time.Duration(0), (<-chan struct{})(nil)
+	polls := w.ReadInterval == nil && w.ReadsStore() && !u.Snapshot && !u.Overdue
+	if polls {
+		pollTimeout, readNow = w.PollTimeout(), w.ReadNow
 	}
-	u.HeldUntil = u.BegunAt.Add(wait)
+	u.WaitDeadline = u.StartedAt.Add(pollTimeout)
 	ended := make(chan Update, 1)
-	go func() { ended <- t.read(ctx, u, wait) }()
-	ticker := time.NewTicker(directEvery)
+	go func() { ended <- w.read(ctx, u, pollTimeout) }()
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case u := <-ended:
 			return u, true
-		case n := <-t.News:
-			t.take(ctx, n)
+		case p := <-w.PeerUpdates:
+			w.applyPeerUpdate(ctx, p)
 			continue
-		case <-again:
+		case <-readNow:
 		case <-ticker.C:
-			if !waits || !t.overdue() {
+			if !polls || !w.isOverdue() {
 				continue
 			}
 		}
@@ -436,51 +447,51 @@
 	}
 }
 
-// read carries out a read, and dates what it brings.
-func (t *Topic) read(ctx context.Context, u Update, wait time.Duration) Update {
-	if u.Whole {
-		u.Batch, u.Err = t.Store.Newest(ctx, t.Name)
+// read carries out a read and sets the times of the update.
+func (w *Watch) read(ctx context.Context, u Update, pollTimeout time.Duration) Update {
+	if u.Snapshot {
+		u.Batch, u.Err = w.Store.Newest(ctx, w.Topic)
 	} else {
-		u.Batch, u.Err = t.Store.Read(ctx, t.Name, u.From, wait)
+		u.Batch, u.Err = w.Store.Read(ctx, w.Topic, u.From, pollTimeout)
 	}
-	u.EndedAt = t.Clock.Now()
+	u.EndedAt = w.Clock.Now()
 	if u.Err != nil {
 		return u
 	}
 	reachesEnd := true
-	if n := len(u.Records); !u.Whole {
+	if n := len(u.Records); !u.Snapshot {
 		end := max(u.End, u.From)
 		u.End = end
 		if n > 0 {
-			// The answer may be cut short of the end: the next read goes on behind it.
+			// The answer may be cut short before the end. The next read continues after it.
 			u.End = u.Records[n-1].Offset + 1
 		}
 		reachesEnd = u.End >= end
 	}
-	t.date(&u, wait, reachesEnd)
+	w.setTimes(&u, pollTimeout, reachesEnd)
 	return u
 }
 
-// date notes since when the records of an update may have been there, and, if the update reaches the
-// end of the topic, up to when nothing is missing. Wait is how long the store was to wait for news.
+// setTimes sets WrittenAfter and, if the update reaches the end of the topic, CurrentAsOf. pollTimeout is how long
+// the store may have waited for records.
 //
-// An answer says what was there when it was made. It may have been made as soon as the read began,
-// unless it took so long that the store must have held it.
-func (t *Topic) date(u *Update, wait time.Duration, reachesEnd bool) {
+// An answer reflects the topic at the time when the store made it. That may have been as soon as the read
+// started, unless the read took so long that the store must have held it.
+func (w *Watch) setTimes(u *Update, pollTimeout time.Duration, reachesEnd bool) {
 	now := u.EndedAt
-	took := now.Sub(u.BegunAt)
-	u.Since = t.until()
-	madeAt := u.BegunAt
+	took := now.Sub(u.StartedAt)
+	u.WrittenAfter = w.currentAsOf()
+	answeredAt := u.StartedAt
 	switch {
-	case wait == 0 || took < heldTime:
+	case pollTimeout == 0 || took < minHeldTime:
 	case len(u.Records) > 0:
-		madeAt = now.Add(-answerTime)
-		u.Since = max(u.Since, madeAt)
-	case took >= wait:
-		madeAt = u.BegunAt.Add(wait)
+		answeredAt = now.Add(-maxAnswerDelay)
+		u.WrittenAfter = max(u.WrittenAfter, answeredAt)
+	case took >= pollTimeout:
+		answeredAt = u.StartedAt.Add(pollTimeout)
 	}
 	if reachesEnd {
-		u.Complete = madeAt
-		t.readUntil.Store(max(t.readUntil.Load(), int64(madeAt)))
+		u.CurrentAsOf = answeredAt
+		w.readCurrentAsOf.Store(max(w.readCurrentAsOf.Load(), int64(answeredAt)))
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -13,39 +13,41 @@
 	"example.org/mustardring/internal/follow"
 )
 
-// store is a topic whose reads may hang, fail or have expired.
-type store struct {
-	mu      sync.Mutex
-	records []follow.Record
-	hang    bool
-	expired bool
-	reads   int
-	whole   int
+// fakeStore is a store with one topic, whose reads can hang or find their records expired.
+type fakeStore struct {
+	mu        sync.Mutex
+	records   []follow.Record
+	hang      bool
+	expired   bool
+	reads     int
+	snapshots int
 }
 
-func (s *store) put(key, value string) {
+func (s *fakeStore) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = append(s.records, follow.Record{Key: key, Value: []byte(value), Offset: int64(len(s.records))})
 }
 
-func (s *store) set(do func()) {
+func (s *fakeStore) set(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 }
 
-func (s *store) Append(context.Context, string, string, []byte, int64) (int64, error) { return 0, nil }
+func (s *fakeStore) Append(context.Context, string, string, []byte, int64) (int64, error) {
+	return 0, nil
+}
 
-func (s *store) Newest(context.Context, string) (follow.Batch, error) {
+func (s *fakeStore) Newest(context.Context, string) (follow.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole++
+	s.snapshots++
 	s.expired = false
 	return s.newest(), nil
 }
 
-func (s *store) newest() follow.Batch {
+func (s *fakeStore) newest() follow.Batch {
 	last := map[string]int{}
 	for i, r := range s.records {
 		last[r.Key] = i
@@ -59,14 +61,14 @@
 	return b
 }
 
-func (s *store) Read(ctx context.Context, _ string, from int64, wait time.Duration) (follow.Batch, error) {
+func (s *fakeStore) Read(ctx context.Context, _ string, from int64, wait time.Duration) (follow.Batch, error) {
 	deadline := time.Now().Add(wait)
 	s.set(func() { s.reads++ })
 	hung := false
 	for {
 		s.mu.Lock()
 		b := follow.Batch{End: int64(len(s.records)), Records: s.records[min(from, int64(len(s.records))):]}
-		// An answer that was lost does not come later.
+		// A lost answer does not arrive later either.
 		hung = hung || s.hang
 		expired := s.expired
 		s.mu.Unlock()
@@ -84,42 +86,42 @@
 	}
 }
 
-// running is a clock that goes on with the time of the test.
-type running struct{}
+// testClock follows the time of the test, which synctest fakes.
+type testClock struct{}
 
-func (running) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
+func (testClock) Now() clock.Instant { return clock.Instant(time.Now().UnixNano()) }
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() clock.Instant { return 1 }
+func (fixedClock) Now() clock.Instant { return 1 }
 
-// watch runs a topic and returns what it says, in order. All of it is acted by at once.
-func watch(t *testing.T, topic *follow.Topic) <-chan follow.Update {
-	said, out := make(chan follow.Update), make(chan follow.Update, 64)
-	topic.Name, topic.Out = "topic", said
-	if topic.Clock == nil {
-		topic.Clock = still{}
+// runWatch runs a watch and returns its updates in order, each of which is marked as applied at once.
+func runWatch(t *testing.T, watch *follow.Watch) <-chan follow.Update {
+	emitted, out := make(chan follow.Update), make(chan follow.Update, 64)
+	watch.Topic, watch.Out = "topic", emitted
+	if watch.Clock == nil {
+		watch.Clock = fixedClock{}
 	}
-	if topic.Settle == nil {
-		topic.Settle = func() time.Duration { return 0 }
+	if watch.BatchDelay == nil {
+		watch.BatchDelay = func() time.Duration { return 0 }
 	}
-	if topic.Retry == nil {
-		topic.Retry = func() time.Duration { return time.Second }
+	if watch.RetryDelay == nil {
+		watch.RetryDelay = func() time.Duration { return time.Second }
 	}
-	if topic.Wait == nil {
-		topic.Wait = func() time.Duration { return 20 * time.Second }
+	if watch.PollTimeout == nil {
+		watch.PollTimeout = func() time.Duration { return 20 * time.Second }
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
 	go func() {
-		_ = topic.Run(ctx)
+		_ = watch.Run(ctx)
 		ended <- struct{}{}
 	}()
 	go func() {
 		for ctx.Err() == nil {
 			select {
-			case u := <-said:
-				topic.Applied(u)
+			case u := <-emitted:
+				watch.MarkApplied(u)
 				out <- u
 			case <-ctx.Done():
 			}
@@ -138,15 +140,15 @@
 
 func never() bool { return false }
 
-// Two of eight instances kept a configuration for eleven seconds that was no longer in force.
-// The answer to their read, which waited for news, was lost, and the connection stayed open.
+// The answer to a read that waits for records is lost while its connection stays open. The watch must read again when
+// asked to: two of eight instances kept an outdated configuration for eleven seconds.
 func TestHungRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
-		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Again: again})
+		readNow := make(chan struct{}, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: readNow})
 		is.Equal(string((<-out).Records[0].Value), "1")
 		s.set(func() { s.hang = true })
 		time.Sleep(time.Second)
@@ -154,7 +156,7 @@
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0) // the read hangs
 		s.set(func() { s.hang = false })
-		again <- struct{}{} // a heartbeat told of version 2
+		readNow <- struct{}{} // a heartbeat named version 2
 		is.Equal(string((<-out).Records[0].Value), "2")
 	})
 }
@@ -162,163 +164,163 @@
 func TestExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always})
 		<-out
 		s.set(func() { s.expired = true })
 		s.put("b", "2")
 		u := <-out
-		is.True(u.Whole)
+		is.True(u.Snapshot)
 		is.Equal(len(u.Records), 2)
 	})
 }
 
-// Most instances must not read the store: they hear of news, and read only what they miss.
-func TestNewsInsteadOfReads(t *testing.T) {
+// Most instances must not read the store: they apply the updates of others, and read only what is missing.
+func TestPeerUpdatesReplaceReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, News: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates})
 		<-out
 		record := func(offset int64) follow.Record { return follow.Record{Key: "a", Value: []byte("x"), Offset: offset} }
 		s.put("a", "1")
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
 		is.Equal((<-out).End, int64(2))
-		news <- follow.News{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
+		updates <- follow.PeerUpdate{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
 		time.Sleep(time.Minute)
 		is.Equal(len(out), 0) // nothing new
 		is.Equal(s.reads, 0)
 		s.put("a", "2")
 		s.put("a", "3")
-		news <- follow.News{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
+		updates <- follow.PeerUpdate{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
 		u := <-out
-		is.Equal(u.From, int64(2)) // the part between was read
+		is.Equal(u.From, int64(2)) // the records in between were read
 		is.Equal(u.End, int64(4))
 	})
 }
 
-// Guards against news of all there is that leaves out what was known before: it would seem to be gone.
-func TestNewsOfAllKeepsWhatIsKnown(t *testing.T) {
+// Guards against a snapshot of another instance that leaves out records known before: they would seem deleted.
+func TestPeerSnapshotKeepsKnownRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, News: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates})
 		<-out
 		all := []follow.Record{{Key: "a", Value: []byte("0"), Offset: 0}, {Key: "b", Value: []byte("1"), Offset: 2}}
-		news <- follow.News{From: 0, Whole: true, Batch: follow.Batch{Records: all, End: 3}}
+		updates <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all, End: 3}}
 		u := <-out
-		is.True(u.Whole)
+		is.True(u.Snapshot)
 		is.Equal(len(u.Records), 2)
-		news <- follow.News{From: 0, Whole: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
+		updates <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
 }
 
-// A configuration with 1,400 routes was too large to be passed on in a message. The others learnt
-// of it from the second heartbeat that named it, half a second later. Word without the records
-// makes them read at once.
-func TestNewsWithoutRecords(t *testing.T) {
+// A configuration with 1,400 routes was too large for a message, and the other instances learned of it only from
+// the second heartbeat that named its offset, half a second later. An update without records must make
+// them read at once.
+func TestPeerUpdateWithoutRecordsCausesRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, Latest: true, News: news})
+		updates := make(chan follow.PeerUpdate, 4)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: updates})
 		<-out
 		s.put("config", "2")
-		began := time.Now()
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}}
+		startedAt := time.Now()
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		u := <-out
 		is.Equal(string(u.Records[0].Value), "2")
-		is.True(time.Since(began) < 50*time.Millisecond)
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}} // known by now
+		is.True(time.Since(startedAt) < 50*time.Millisecond)
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}} // already known
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
 }
 
-// An instance on a thin link read twenty versions of a large configuration to come to the last
-// one, ran out of time, and began anew, for five seconds.
-func TestLatest(t *testing.T) {
+// An instance on a slow link must not read all versions to catch up. One that read twenty versions of a large
+// configuration ran out of time and started again, for five seconds.
+func TestCatchUpFromSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("config", "1")
-		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, Latest: true, Again: again})
+		readNow := make(chan struct{}, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: readNow})
 		<-out
 		for range 20 {
 			s.put("config", "n")
 		}
-		again <- struct{}{}
+		readNow <- struct{}{}
 		is.Equal(len((<-out).Records), 1)
 		is.Equal(s.reads, 0)
 	})
 }
 
-// Four of eleven instances were cut off from the store, the leader and all that read for the
-// others among them. The others went on with what they knew for 2.1 seconds: they wait for news,
-// and took the silence for calm.
-func TestReadsWhenWordIsOverdue(t *testing.T) {
+// All instances that read for others can be cut off from the store at once. When this happened to four of eleven,
+// the leader among them, the others went on with outdated copies for 2.1 seconds: they waited for updates, and
+// took the lack of updates for a lack of changes.
+func TestReadsWhenOverdue(t *testing.T) {
 	overdue := func() time.Duration { return 1200 * time.Millisecond }
 	tests := map[string]struct {
-		direct func() bool
-		// refreshed says that heartbeats go on saying that nothing is missing.
-		refreshed bool
+		readsStore func() bool
+		// confirmed means that heartbeats continue to confirm the copy.
+		confirmed bool
 		within    time.Duration
 	}{
-		"others read, and fall silent": {never, false, 1400 * time.Millisecond},
-		"its own read hangs":           {always, false, 1400 * time.Millisecond},
-		"others say that all is well":  {never, true, time.Hour},
+		"others read, and stop":   {never, false, 1400 * time.Millisecond},
+		"its own read hangs":      {always, false, 1400 * time.Millisecond},
+		"others confirm the copy": {never, true, time.Hour},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &store{}
+				s := &fakeStore{}
 				s.put("a", "1")
-				topic := &follow.Topic{Store: s, Direct: test.direct, Clock: running{}, Overdue: overdue}
-				out := watch(t, topic)
+				watch := &follow.Watch{Store: s, ReadsStore: test.readsStore, Clock: testClock{}, MaxStaleness: overdue}
+				out := runWatch(t, watch)
 				<-out
-				began := time.Now()
+				startedAt := time.Now()
 				s.set(func() { s.hang = true })
 				time.Sleep(20 * time.Millisecond)
 				s.put("a", "2")
 				time.AfterFunc(500*time.Millisecond, func() { s.set(func() { s.hang = false }) })
-				for len(out) == 0 && time.Since(began) < 10*time.Second {
-					if test.refreshed {
-						topic.Refresh(1, running{}.Now().Add(-100*time.Millisecond))
+				for len(out) == 0 && time.Since(startedAt) < 10*time.Second {
+					if test.confirmed {
+						watch.ConfirmCurrent(1, testClock{}.Now().Add(-100*time.Millisecond))
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
-				if test.refreshed {
+				if test.confirmed {
 					is.Equal(s.reads, 0)
 					return
 				}
 				u := <-out
 				is.True(u.Overdue)
-				is.True(time.Since(began) <= test.within)
-				is.True(u.BegunAt.Sub(u.Since) >= time.Second) // it may have been written that long ago
+				is.True(time.Since(startedAt) <= test.within)
+				is.True(u.StartedAt.Sub(u.WrittenAfter) >= time.Second) // it may have been written that long ago
 			})
 		})
 	}
 }
 
-// The store is down for all. Each instance asks again at intervals, not at once.
+// While the store is down for all, each instance must retry at intervals, not at once.
 func TestOverdueReadsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{
-			Store: &failing{store: s}, Direct: never, Clock: running{},
-			Overdue: func() time.Duration { return time.Second },
+		out := runWatch(t, &follow.Watch{
+			Store: &failingStore{fakeStore: s}, ReadsStore: never, Clock: testClock{},
+			MaxStaleness: func() time.Duration { return time.Second },
 		})
 		<-out
 		time.Sleep(11 * time.Second)
@@ -326,295 +328,296 @@
 	})
 }
 
-// failing is a store that can be read as a whole only.
-type failing struct{ *store }
+// failingStore is a store of which only snapshots can be read.
+type failingStore struct{ *fakeStore }
 
-func (*failing) Read(context.Context, string, int64, time.Duration) (follow.Batch, error) {
+func (*failingStore) Read(context.Context, string, int64, time.Duration) (follow.Batch, error) {
 	return follow.Batch{}, follow.ErrNotDone
 }
 
-// A record that a read waited for was written just before its answer; one that was there when
-// the read began may be as old as the last read.
-func TestSince(t *testing.T) {
+// A record that a read waited for was written shortly before the answer. One that was there when the
+// read started may be as old as the previous read.
+func TestWrittenAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Clock: running{}})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: testClock{}})
 		<-out
 		time.Sleep(5 * time.Second)
 		s.put("a", "2")
 		u := <-out
-		is.True(running{}.Now().Sub(u.Since) <= 150*time.Millisecond)
+		is.True(testClock{}.Now().Sub(u.WrittenAfter) <= 150*time.Millisecond)
 		is.True(!u.Overdue)
 	})
 }
 
-// Several servers said within 6 ms that they leave. The leader read the word of the first, and its
-// message to another instance took 170 ms over full links. That instance believed from then on, and
-// told the others, that nothing written before the message came was missing. So the words of the
-// rest, read 0.7 seconds later, seemed 170 ms younger than they were, and requests reached servers
-// beyond their time. A log of all instances showed it: 0.785 seconds passed, an age of 0.630 was told.
-func TestNewsUnderWayProvesNothing(t *testing.T) {
+// An update of another instance must not be dated by its receipt. Several servers reported within 6 ms that they
+// were leaving. The leader read the entry of the first, and its message to another instance took 170 ms over busy
+// links. If that instance takes its copy for complete as of the receipt, and tells others so, the entries of the
+// other servers, read 0.7 seconds later, seem 170 ms newer than they are, and requests reach the servers after
+// their deadline: the entries were 0.785 seconds old and were taken for 0.630 seconds old.
+func TestPeerUpdateIsNotDatedByReceipt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
-		again := make(chan struct{}, 1)
-		topic := &follow.Topic{Store: s, Direct: never, News: news, Again: again, Clock: running{}}
-		out := watch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		readNow := make(chan struct{}, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates, ReadNow: readNow, Clock: testClock{}}
+		out := runWatch(t, watch)
 		<-out
 		time.Sleep(time.Second)
-		written := running{}.Now()
+		written := testClock{}.Now()
 		s.put("a", "leaves")
 		s.put("b", "leaves")
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.News{From: 1, Age: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, RecordAge: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
 		<-out
 		synctest.Wait()
-		is.True(topic.Age() >= running{}.Now().Sub(written)) // the word of b is missing since then
+		is.True(watch.Age() >= testClock{}.Now().Sub(written)) // record b has been missing since then
 		time.Sleep(700 * time.Millisecond)
-		again <- struct{}{}
+		readNow <- struct{}{}
 		u := <-out
 		is.Equal(len(u.Records), 1)
-		is.True(u.Since <= written)
+		is.True(u.WrittenAfter <= written)
 	})
 }
 
-// The same with an echo that bounds when the message was sent: its words are as old as they are, not older.
-func TestNewsIsDatedByItsSending(t *testing.T) {
+// The same with an echo that bounds the send time: the records are taken for as old as they are, and no older.
+func TestPeerUpdateIsDatedBySendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{Store: s, Direct: never, News: news, Clock: running{}}
-		out := watch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: updates, Clock: testClock{}}
+		out := runWatch(t, watch)
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "leaves")
-		sentAt := running{}.Now().Add(20 * time.Millisecond)
+		sentAt := testClock{}.Now().Add(20 * time.Millisecond)
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.News{
-			From: 1, Age: 20, Complete: 5, SentAt: sentAt,
+		updates <- follow.PeerUpdate{
+			From: 1, RecordAge: 20, Staleness: 5, SentAt: sentAt,
 			Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2},
 		}
 		u := <-out
 		synctest.Wait()
-		is.Equal(running{}.Now().Sub(u.Since), 170*time.Millisecond)
-		is.Equal(topic.Age(), 155*time.Millisecond)
+		is.Equal(testClock{}.Now().Sub(u.WrittenAfter), 170*time.Millisecond)
+		is.Equal(watch.Age(), 155*time.Millisecond)
 	})
 }
 
-// A busy instance found the answer of the store after 0.2 seconds, and took it for one that had been
-// waited for there: the word in it, as old as the pause before the read, seemed to be new.
-func TestAnswerThatComesSlowlyIsNoNewWord(t *testing.T) {
+// An answer that arrives slowly must not be taken for one that the store held. A busy instance got an answer after
+// 0.2 seconds, and took a record that was as old as the delay before the read for a new one.
+func TestSlowAnswerIsNotDatedAsNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &slow{store: &store{}}
+		s := &slowStore{fakeStore: &fakeStore{}}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: always, News: news, Clock: running{}})
+		updates := make(chan follow.PeerUpdate, 1)
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: updates, Clock: testClock{}})
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "1")
 		<-out
-		written := running{}.Now()
-		s.put("a", "2") // while the answer is on its way
+		written := testClock{}.Now()
+		s.put("a", "2") // while the answer is in transit
 		u := <-out
-		is.True(u.Since <= written)
+		is.True(u.WrittenAfter <= written)
 	})
 }
 
-// slow is a store whose answers are read 0.2 seconds late.
-type slow struct{ *store }
+// slowStore is a store whose answers arrive 0.2 seconds late.
+type slowStore struct{ *fakeStore }
 
-func (s *slow) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	b, err := s.store.Read(ctx, topic, from, wait)
+func (s *slowStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	b, err := s.fakeStore.Read(ctx, topic, from, wait)
 	time.Sleep(200 * time.Millisecond)
 	return b, err
 }
 
-// An instance had read a record and was about to act by it. Its heartbeat said with the time of the new
-// read and the end of before that nothing was missing: others believed that the record did not exist.
-func TestEndAndTimeBelongTogether(t *testing.T) {
+// The end and the time that a watch reports must belong together. A heartbeat that combines the time of a new
+// read with the end before it, while the instance is about to apply the record that it read, makes others
+// believe that the record does not exist.
+func TestAppliedEndAndTimeStayConsistent(t *testing.T) {
 	is := is.New(t)
-	topic := &follow.Topic{Clock: still{}}
-	topic.Applied(follow.Update{Batch: follow.Batch{End: 5}, Complete: 100})
-	topic.Refresh(5, 150)
-	topic.Refresh(6, 300) // who knows more says nothing of what is missing here
-	end, until := topic.Known()
+	watch := &follow.Watch{Clock: fixedClock{}}
+	watch.MarkApplied(follow.Update{Batch: follow.Batch{End: 5}, CurrentAsOf: 100})
+	watch.ConfirmCurrent(5, 150)
+	watch.ConfirmCurrent(6, 300) // an instance that knows more cannot confirm this copy
+	end, until := watch.Known()
 	is.Equal(end, int64(5))
 	is.Equal(until, clock.Instant(150))
-	topic.Applied(follow.Update{Batch: follow.Batch{End: 6}, Complete: 120})
-	end, until = topic.Known()
+	watch.MarkApplied(follow.Update{Batch: follow.Batch{End: 6}, CurrentAsOf: 120})
+	end, until = watch.Known()
 	is.Equal(end, int64(6))
-	is.Equal(until, clock.Instant(150)) // the word of who knew less counts on
+	is.Equal(until, clock.Instant(150)) // the earlier confirmation still holds
 }
 
-// Guards against news that waits until a read ends to which the store does not answer.
-func TestNewsIsTakenWhileTheStoreIsSilent(t *testing.T) {
+// Guards against updates of other instances that are delayed until a read ends that the store does not answer.
+func TestPeerUpdateDuringUnansweredRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{Store: s, Direct: never, Clock: running{}, News: news, Overdue: func() time.Duration { return time.Second }}
-		out := watch(t, topic)
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{Store: s, ReadsStore: never, Clock: testClock{}, PeerUpdates: updates, MaxStaleness: func() time.Duration { return time.Second }}
+		out := runWatch(t, watch)
 		<-out
 		s.set(func() { s.hang = true })
 		time.Sleep(2 * time.Second)
-		s.set(func() { is.Equal(s.reads, 1) }) // overdue, and without an answer
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		s.set(func() { is.Equal(s.reads, 1) }) // MaxStaleness is exceeded, and the read has no answer
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
 	})
 }
 
-// Guards against news that waits until the pause after a failed read is over.
-func TestNewsIsTakenInThePauseAfterAFailedRead(t *testing.T) {
+// Guards against updates of other instances that are delayed until the retry delay after a failed read is over.
+func TestPeerUpdateDuringRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{
-			Store: &failing{store: s}, Direct: always, Clock: running{}, News: news,
+		updates := make(chan follow.PeerUpdate, 1)
+		watch := &follow.Watch{
+			Store: &failingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, PeerUpdates: updates,
 		}
-		out := watch(t, topic)
+		out := runWatch(t, watch)
 		<-out
 		for range 5 {
 			is.True((<-out).Err != nil)
 		}
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
 	})
 }
 
-// Guards against an answer of the store that undoes what news told while it was on its way.
-func TestReadOvertakenByNews(t *testing.T) {
+// Guards against an answer of the store that reverts an update of another instance that arrived before it.
+func TestReadOvertakenByPeerUpdate(t *testing.T) {
 	removed := follow.Record{Key: "a", Offset: 1}
 	again := follow.Record{Key: "a", Value: []byte("2"), Offset: 2}
-	tests := map[string]bool{"records": false, "everything": true}
+	tests := map[string]bool{"records": false, "snapshot": true}
 	for name, whole := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &store{}
+				s := &fakeStore{}
 				s.put("a", "1")
-				held := &late{store: s}
-				news, asked := make(chan follow.News, 1), make(chan struct{}, 1)
-				out := watch(t, &follow.Topic{Store: held, Direct: never, Latest: whole, Clock: running{}, News: news, Again: asked})
+				held := &delayedStore{fakeStore: s}
+				updates, readNow := make(chan follow.PeerUpdate, 1), make(chan struct{}, 1)
+				out := runWatch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: testClock{}, PeerUpdates: updates, ReadNow: readNow})
 				<-out
 				s.set(func() {
 					s.records = append(s.records, removed)
 					held.delay = time.Second
 				})
-				asked <- struct{}{}
-				time.Sleep(500 * time.Millisecond) // the answer is made, and on its way
-				news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
+				readNow <- struct{}{}
+				time.Sleep(500 * time.Millisecond) // the answer has been made and is in transit
+				updates <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
 				is.Equal((<-out).End, int64(3))
 				u := <-out
 				is.Equal(len(u.Records), 0)
 				is.Equal(u.End, int64(3))
-				is.True(!u.Whole)
+				is.True(!u.Snapshot)
 			})
 		})
 	}
 }
 
-// late is a store whose answers are on their way for some time.
-type late struct {
-	*store
+// delayedStore is a store whose answers are in transit for some time.
+type delayedStore struct {
+	*fakeStore
 	delay time.Duration
 }
 
-func (s *late) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	batch, err := s.store.Read(ctx, topic, from, wait)
+func (s *delayedStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	batch, err := s.fakeStore.Read(ctx, topic, from, wait)
 	s.hold()
 	return batch, err
 }
 
-func (s *late) Newest(ctx context.Context, topic string) (follow.Batch, error) {
-	batch, err := s.store.Newest(ctx, topic)
+func (s *delayedStore) Newest(ctx context.Context, topic string) (follow.Batch, error) {
+	batch, err := s.fakeStore.Newest(ctx, topic)
 	s.hold()
 	return batch, err
 }
 
-func (s *late) hold() {
+func (s *delayedStore) hold() {
 	var delay time.Duration
 	s.set(func() { delay = s.delay })
 	time.Sleep(delay)
 }
 
-// Guards against records that are read an interval late since the answer before was cut short.
-func TestAnswerCutShortIsReadOn(t *testing.T) {
+// Guards against records that are read a ReadInterval late because the previous answer was cut short.
+func TestTruncatedReadContinuesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		asked := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{
-			Store: &brief{store: s}, Direct: always, Clock: running{}, Again: asked, Every: func() time.Duration { return time.Minute },
+		readNow := make(chan struct{}, 1)
+		out := runWatch(t, &follow.Watch{
+			Store: &truncatingStore{fakeStore: s}, ReadsStore: always, Clock: testClock{}, ReadNow: readNow, ReadInterval: func() time.Duration { return time.Minute },
 		})
 		<-out
 		s.put("a", "2")
 		s.put("a", "3")
-		asked <- struct{}{}
-		is.Equal((<-out).Complete, clock.Instant(0)) // more was there
-		began := time.Now()
-		is.True((<-out).Complete != 0)
-		is.True(time.Since(began) < time.Second)
+		readNow <- struct{}{}
+		is.Equal((<-out).CurrentAsOf, clock.Instant(0)) // the answer was cut short
+		startedAt := time.Now()
+		is.True((<-out).CurrentAsOf != 0)
+		is.True(time.Since(startedAt) < time.Second)
 	})
 }
 
-// brief is a store that answers with one record at most.
-type brief struct{ *store }
+// truncatingStore is a store that answers with at most one record.
+type truncatingStore struct{ *fakeStore }
 
-func (s *brief) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
-	batch, err := s.store.Read(ctx, topic, from, wait)
+func (s *truncatingStore) Read(ctx context.Context, topic string, from int64, wait time.Duration) (follow.Batch, error) {
+	batch, err := s.fakeStore.Read(ctx, topic, from, wait)
 	batch.Records = batch.Records[:min(len(batch.Records), 1)]
 	return batch, err
 }
 
-// Guards against a leader that reads late since it looks only now and then whether its pause is over.
-func TestPauseEndsInTime(t *testing.T) {
+// Guards against a leader that reads late because it checks only at intervals whether its pause is over.
+func TestPauseEndsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const pause = 30 * time.Millisecond
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Clock: running{}, Settle: func() time.Duration { return pause }})
+		out := runWatch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: testClock{}, BatchDelay: func() time.Duration { return pause }})
 		<-out
 		s.put("a", "2")
-		began := time.Now()
+		startedAt := time.Now()
 		is.Equal((<-out).End, int64(2))
-		is.True(time.Since(began) <= pause+10*time.Millisecond)
+		is.True(time.Since(startedAt) <= pause+10*time.Millisecond)
 	})
 }
 
-// Guards against a large change that waits for the end of a pause although another instance has read it.
-func TestNewsWithoutRecordsEndsThePause(t *testing.T) {
+// Guards against a large change that waits for the end of a retry delay although another instance has read it.
+func TestPeerUpdateWithoutRecordsEndsRetryDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{}
+		s := &fakeStore{}
 		s.put("a", "1")
-		down := &failing{store: s}
-		news := make(chan follow.News, 1)
-		out := watch(t, &follow.Topic{
-			Store: down, Direct: never, Latest: true, Clock: running{}, News: news,
-			Overdue: func() time.Duration { return time.Second }, Retry: func() time.Duration { return time.Minute },
+		down := &failingStore{fakeStore: s}
+		updates := make(chan follow.PeerUpdate, 1)
+		out := runWatch(t, &follow.Watch{
+			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: testClock{}, PeerUpdates: updates,
+			MaxStaleness: func() time.Duration { return time.Second }, RetryDelay: func() time.Duration { return time.Minute },
 		})
 		<-out
 		is.True((<-out).Err != nil)
 		s.put("a", "2")
-		began := time.Now()
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}}
+		startedAt := time.Now()
+		updates <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		is.Equal((<-out).End, int64(2))
-		is.True(time.Since(began) < time.Second)
+		is.True(time.Since(startedAt) < time.Second)
 	})
 }
--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -121,7 +121,7 @@
 		Topic  string
 		Sender string
 		SentAt int64
-		follow.News
+		follow.PeerUpdate
 	}
 	// CompletedMoves announces ranges whose move to a new owner is complete, before a record in the store
 	// says so.
--- a/internal/holder/guards.go
+++ b/internal/holder/guards.go
@@ -1,30 +1,33 @@
 package holder
 
-// guards are the rules that keep a key with one owner. All are in force always; tests switch
-// one off at a time, to show that it is needed.
+// guards are the rules that keep each key with at most one owner. All of them are always on; tests turn
+// one off at a time to show that it is needed.
 type guards struct {
-	// condition writes owners only behind the record that they were decided from.
-	condition bool
-	// ending waits for the right of the old owner to end before the new one gets the keys.
-	ending bool
-	// confirming waits for the instances to act by the new record, or to be too old.
-	confirming bool
-	// lapsing waits for the last lease to run out.
-	lapsing bool
-	// knowing renews only by knowledge that is fresh.
-	knowing bool
-	// contact acts on knowledge of some age only while a majority of the others is heard.
-	contact bool
-	// stopping ends the orders on their way before a record is confirmed.
-	stopping bool
-	// naming says in each order which life of a server is meant.
-	naming bool
-	// proving sends grants only on connections that are older than the proof that they stand.
-	proving bool
-	// registering acts only while the register is known to hold the instance.
-	registering bool
+	// conditionalAppend appends records of owners only directly behind the record that they were decided from.
+	conditionalAppend bool
+	// endOldLeases waits until the lease of the former owner has ended before the new owner gets the keys.
+	endOldLeases bool
+	// awaitConfirmation waits until every instance acts by the new record or its view is too old to act on.
+	awaitConfirmation bool
+	// awaitExpiry waits until the last lease that may have been granted has expired.
+	awaitExpiry bool
+	// requireFreshView renews only while the view is fresh.
+	requireFreshView bool
+	// requireMajority acts on a view that is no longer fresh by itself only in contact with a majority of the instances.
+	requireMajority bool
+	// stopStaleGrants cancels grants that are being sent before the record that contradicts them is confirmed.
+	stopStaleGrants bool
+	// checkIncarnation rejects requests that are meant for another incarnation of a server. Only the fake servers
+	// of the tests read it: a LeaseClient always states the incarnation.
+	checkIncarnation bool
+	// verifyConnection sends grants only on connections that were opened before the time as of which the grants
+	// are known to be current.
+	verifyConnection bool
+	// requireRegistration acts only while the view contains the registration of this instance.
+	requireRegistration bool
 }
 
+// allGuards has every guard on.
 var allGuards = guards{
-	condition: true, ending: true, confirming: true, lapsing: true, knowing: true, stopping: true, registering: true, naming: true, proving: true, contact: true,
+	conditionalAppend: true, endOldLeases: true, awaitConfirmation: true, awaitExpiry: true, requireFreshView: true, stopStaleGrants: true, requireRegistration: true, checkIncarnation: true, verifyConnection: true, requireMajority: true,
 }
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -16,175 +16,176 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// lead decides about owners, if this instance is the one to do so.
-func (h *Holder) lead(ctx context.Context, now time.Time) {
-	leader, found := h.Roster.Leader(now)
-	h.noteLeader(leader.Name)
-	leads := found && leader.Name == h.Name && h.reached.Load() && h.entitled()
-	if leads != h.leads {
-		h.leads = leads
-		h.leading.Store(leads)
-		h.Roster.SetLeading(leads, now)
-		h.Leading(leads)
-		h.Events.Note(event.Belief, "leading", "leads", leads, "offset", h.know.get().End)
-	}
-	h.prune(h.know.get())
+// lead updates whether this instance leads. If it does, it decides about owners, cleans the register and
+// starts moves.
+func (lm *Manager) lead(ctx context.Context, now time.Time) {
+	leader, found := lm.Roster.Leader(now)
+	lm.logLeader(leader.Name)
+	leads := found && leader.Name == lm.Name && lm.storeReachable.Load() && lm.mayAct()
+	if leads != lm.leads {
+		lm.leads = leads
+		lm.leading.Store(leads)
+		lm.Roster.SetLeading(leads, now)
+		lm.LeadershipChanged(leads)
+		lm.Events.Note(event.Belief, "leading", "leads", leads, "offset", lm.view.get().End)
+	}
+	lm.pruneMoves(lm.view.get())
 	if !leads {
 		return
 	}
-	h.clear(ctx, now)
-	if now.Before(h.pauseUntil) {
+	lm.clear(ctx, now)
+	if now.Before(lm.nextWriteAt) {
 		return
 	}
-	for _, service := range h.Services() {
-		if time.Now().Before(h.pauseUntil) {
+	for _, service := range lm.Services() {
+		if time.Now().Before(lm.nextWriteAt) {
 			break
 		}
-		h.decide(ctx, service, now)
+		lm.decideOwners(ctx, service, now)
 	}
-	h.move(ctx)
+	lm.startMoves(ctx)
 }
 
-// noteLeader logs whom this instance takes for the leader, when that changes, and what it lacks to lead
-// itself. The name is empty if no instance says that it reaches the store.
-func (h *Holder) noteLeader(name string) {
-	if name == h.leader {
+// logLeader logs a change of the instance that this one takes for the leader, and the conditions for leading
+// itself. The name is empty if no instance reports that it reaches the store.
+func (lm *Manager) logLeader(name string) {
+	if name == lm.knownLeader {
 		return
 	}
-	h.leader = name
-	h.Events.Note(event.Belief, "leader", "instance", name, "store-reached", h.reached.Load(), "entitled", h.entitled(),
-		"knowledge-age", time.Duration(h.know.age(h.Clock.Now())))
+	lm.knownLeader = name
+	lm.Events.Note(event.Belief, "leader", "instance", name, "store-reached", lm.storeReachable.Load(), "entitled", lm.mayAct(),
+		"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 }
 
-// clear marks the instances that have been silent for long as removed, and deletes the records
-// of those that were marked for so long that nothing they know is fresh.
-func (h *Holder) clear(ctx context.Context, now time.Time) {
-	if now.Sub(h.clearedAt) < clearEvery {
+// clear marks one instance without heartbeats for removalTimeout as removed. If there is none, it deletes the record
+// of an instance that has been marked for so long that its view and its leases have expired.
+func (lm *Manager) clear(ctx context.Context, now time.Time) {
+	if now.Sub(lm.registerCheckedAt) < cleanInterval {
 		return
 	}
-	h.clearedAt = now
-	for _, p := range h.Roster.Others() {
-		if p.SinceHeartbeat(now) < registerSilence {
+	lm.registerCheckedAt = now
+	for _, p := range lm.Roster.Others() {
+		if p.SinceHeartbeat(now) < removalTimeout {
 			continue
 		}
-		h.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
+		lm.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
 		e := p.Entry
 		e.Removed = true
 		if value, err := e.Encode(); err == nil {
-			h.append(ctx, InstanceKey(p.Name), value)
+			lm.append(ctx, InstanceKey(p.Name), value)
 		}
 		return
 	}
-	for _, name := range h.Roster.RemovedBefore(now.Add(-knowledgeTime - leaseTime)) {
-		h.append(ctx, InstanceKey(name), nil)
+	for _, name := range lm.Roster.RemovedBefore(now.Add(-maxViewAge - leaseDuration)) {
+		lm.append(ctx, InstanceKey(name), nil)
 		return
 	}
 }
 
-// clearEvery is how often the leader looks for instances that are gone. Each finding is one
-// call to the store.
-const clearEvery = 500 * time.Millisecond
+// cleanInterval is the minimum time between two checks for such instances. Each check
+// appends at most one record.
+const cleanInterval = 500 * time.Millisecond
 
-// append writes a record behind what is known, and takes it in.
-func (h *Holder) append(ctx context.Context, key string, value []byte) bool {
-	end := h.know.get().End
-	if !h.guards.condition {
+// append appends a record directly behind the view and applies it. It reports whether the record was appended.
+func (lm *Manager) append(ctx context.Context, key string, value []byte) bool {
+	end := lm.view.get().End
+	if !lm.guards.conditionalAppend {
 		end = -1
 	}
-	begun := h.Clock.Now()
-	offset, err := h.Store.Append(ctx, h.Topic, key, value, end)
+	startedAt := lm.Clock.Now()
+	offset, err := lm.Store.Append(ctx, lm.Topic, key, value, end)
 	if err != nil {
-		h.Events.Note(event.Belief, "owners-not-written", "key", key, "as-of", end, "error", err)
-		h.pauseUntil = time.Now().Add(writePause)
+		lm.Events.Note(event.Belief, "owners-not-written", "key", key, "as-of", end, "error", err)
+		lm.nextWriteAt = time.Now().Add(writeRetryDelay)
 		if !errors.Is(err, follow.ErrConflict) {
-			h.reached.Store(false)
-			h.Announce()
+			lm.storeReachable.Store(false)
+			lm.SendHeartbeat()
 		}
-		h.Again()
+		lm.RereadOwners()
 		return false
 	}
-	h.fold(follow.Update{
-		Topic: h.Topic, BegunAt: begun, Complete: begun,
+	lm.applyUpdate(follow.Update{
+		Topic: lm.Topic, StartedAt: startedAt, CurrentAsOf: startedAt,
 		Batch: follow.Batch{End: offset + 1, Records: []follow.Record{{Key: key, Value: value, Offset: offset}}},
 	})
 	return true
 }
 
-// decide writes the next owners of a service, if they should change.
-func (h *Holder) decide(ctx context.Context, service string, now time.Time) {
-	known := h.know.get()
-	current := known.Maps[service]
+// decideOwners appends the next owners of a service if they should change.
+func (lm *Manager) decideOwners(ctx context.Context, service string, now time.Time) {
+	view := lm.view.get()
+	current := view.Maps[service]
 	if current == nil {
 		current = &shard.Map{}
 	}
 	var next *shard.Map
-	settled := h.settle(service, current)
-	if settled != nil && !now.Before(h.settleAt) {
-		next = settled
+	completed := lm.withoutCompleted(service, current)
+	if completed != nil && !now.Before(lm.completionDueAt) {
+		next = completed
 	}
-	in := h.input(service, current, now)
-	if adopted := h.adoptMoves(service, current, in.Addresses); adopted != nil {
-		h.write(ctx, service, current, adopted)
+	in := lm.planInput(service, current, now)
+	if takenOver := lm.takeOverMoves(service, current, in.Addresses); takenOver != nil {
+		lm.writeOwners(ctx, service, current, takenOver)
 		return
 	}
-	if len(current.Ranges) == 0 && !h.gathered(service, len(in.Servers), now) {
+	if len(current.Ranges) == 0 && !lm.readyToDivide(service, len(in.Servers), now) {
 		return
 	}
 	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Servers, func(m shard.ServerState) bool {
 		return m.Lost && len(current.RangesOf(m.ID)) > 0
-	}) || h.orphans(in, current)
-	if urgent || now.Sub(h.plannedAt) >= balanceEvery {
-		if settled != nil {
-			in.Map = settled
+	}) || lm.hasOrphans(in, current)
+	if urgent || now.Sub(lm.plannedAt) >= balanceInterval {
+		if completed != nil {
+			in.Map = completed
 		}
 		if !urgent {
-			h.plannedAt = now
+			lm.plannedAt = now
 		}
-		in.Load = h.Load(service)
-		if planned := h.plan(service, in); planned != nil {
+		in.Load = lm.Load(service)
+		if planned := lm.plan(service, in); planned != nil {
 			next = planned
 		}
 	}
 	if next != nil {
-		h.write(ctx, service, current, next)
+		lm.writeOwners(ctx, service, current, next)
 	}
 }
 
-// usesLogged is the number of servers, those that lose most, that a line about a plan names.
-const usesLogged = 6
+// maxLoggedServers is the number of servers, the most overloaded ones, in the log line of a plan.
+const maxLoggedServers = 6
 
-// plan returns the owners that should follow, nil if they stay, and logs what that rests on.
-func (h *Holder) plan(service string, in shard.Input) *shard.Map {
-	begun := time.Now()
+// plan returns the next owners of a service, or nil if they stay, and logs the loads that it used.
+func (lm *Manager) plan(service string, in shard.Input) *shard.Map {
+	startedAt := time.Now()
 	next := shard.Plan(in)
 	if next != nil {
-		took, uses := time.Since(begun), shard.ServerLoads(in)
-		h.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
-			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), usesLogged)]))
+		took, uses := time.Since(startedAt), shard.ServerLoads(in)
+		lm.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
+			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), maxLoggedServers)]))
 	}
 	return next
 }
 
-// gathered reports whether the servers of a new service have stopped coming, so that its keys
-// are divided among all of them at once. The first to come would get every key, and giving
-// them away one range after the other takes tens of seconds.
-func (h *Holder) gathered(service string, members int, now time.Time) bool {
-	g := h.gathering[service]
-	if g.members != members {
-		g = gathering{members: members, since: now}
-		h.gathering[service] = g
-	}
-	return members > 0 && now.Sub(g.since) >= gatherTime
+// readyToDivide reports whether the number of servers of a new service has stopped changing, so that its
+// keys are divided among all of them at once. Otherwise the first server would get every key, and moving
+// them to the others range by range takes tens of seconds.
+func (lm *Manager) readyToDivide(service string, servers int, now time.Time) bool {
+	c := lm.serverCounts[service]
+	if c.servers != servers {
+		c = serverCount{servers: servers, since: now}
+		lm.serverCounts[service] = c
+	}
+	return servers > 0 && now.Sub(c.since) >= firstDivisionDelay
 }
 
-// gathering is the number of servers of a service that has no owners yet.
-type gathering struct {
-	members int
+// serverCount is the number of servers of a service that has no owners yet, and since when it is unchanged.
+type serverCount struct {
+	servers int
 	since   time.Time
 }
 
-// orphans reports whether keys belong to servers that are not there.
-func (h *Holder) orphans(in shard.Input, m *shard.Map) bool {
+// hasOrphans reports whether keys belong to servers that are not in the input of the plan.
+func (lm *Manager) hasOrphans(in shard.Input, m *shard.Map) bool {
 	known := make(map[string]bool, len(in.Servers))
 	for _, s := range in.Servers {
 		known[s.ID] = true
@@ -192,145 +193,147 @@
 	return slices.ContainsFunc(m.Ranges, func(r shard.Range) bool { return !known[r.Server] })
 }
 
-// settle returns the map without the owners of old whose moves are complete, nil if there are
-// none.
-func (h *Holder) settle(service string, m *shard.Map) *shard.Map {
+// withoutCompleted returns the map without the former owners of ranges whose moves are complete, or nil if
+// that changes nothing.
+func (lm *Manager) withoutCompleted(service string, m *shard.Map) *shard.Map {
 	var next *shard.Map
-	for _, s := range h.finished {
-		if s.service != service {
+	for _, c := range lm.completedMoves {
+		if c.service != service {
 			continue
 		}
 		if next == nil {
 			next = m.Clone()
 		}
-		if i := next.Find(s.from); i >= 0 && next.Ranges[i].Fence == s.fence && next.Ranges[i].From == s.from {
+		if i := next.Find(c.from); i >= 0 && next.Ranges[i].Fence == c.fence && next.Ranges[i].From == c.from {
 			next.Ranges[i].FormerOwners = nil
 		}
 	}
-	if next == nil || slices.EqualFunc(next.Ranges, m.Ranges, sameRight) {
+	if next == nil || slices.EqualFunc(next.Ranges, m.Ranges, sameLease) {
 		return nil
 	}
 	return next
 }
 
-// input gathers what a plan is made from.
-func (h *Holder) input(service string, m *shard.Map, now time.Time) shard.Input {
-	servers, powers := h.Servers(), h.Powers(service)
+// planInput returns the input of a plan.
+func (lm *Manager) planInput(service string, m *shard.Map, now time.Time) shard.Input {
+	servers, capacities := lm.Servers(), lm.Capacities(service)
 	in := shard.Input{
-		Map: m, TargetLatency: h.Target(service).Seconds(), Addresses: map[string]string{}, Restarted: reborn(servers, m),
+		Map: m, TargetLatency: lm.TargetLatency(service).Seconds(), Addresses: map[string]string{}, Restarted: restarted(servers, m),
 	}
-	usual, n := 0.0, 0
-	for _, p := range powers {
-		usual, n = usual+p, n+1
+	average, n := 0.0, 0
+	for _, c := range capacities {
+		average, n = average+c, n+1
 	}
 	if n > 0 {
-		usual /= float64(n)
+		average /= float64(n)
 	}
-	failing := h.failing(servers, now)
-	cutOff := h.cutOff(servers, now)
+	failing := lm.failingServers(servers, now)
+	cutOff := lm.cutOffDomains(servers, now)
 	for id, s := range servers {
 		if s.Service != service {
 			continue
 		}
-		power := powers[id]
-		if power == 0 {
-			power = max(usual, float64(s.Slots))
-			if usual > 0 {
-				power = usual
+		capacity := capacities[id]
+		if capacity == 0 {
+			capacity = max(average, float64(s.Slots))
+			if average > 0 {
+				capacity = average
 			}
 		}
 		lost := s.Leaving() || failing[id] && !cutOff[s.Domain]
 		capped := false
 		if now.Before(s.WarmAt) {
-			power *= coldPower
+			capacity *= coldCapacityFactor
 			if s.ColdRate > 0 {
-				power, capped = min(power, coldShare*s.ColdRate), true
+				capacity, capped = min(capacity, coldLoadFactor*s.ColdRate), true
 			}
 		}
 		in.Servers = append(in.Servers, shard.ServerState{
-			ID: id, Address: s.Address, Capacity: power, Slots: s.Slots, Usable: !lost && (s.Domain == h.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
+			ID: id, Address: s.Address, Capacity: capacity, Slots: s.Slots, Usable: !lost && (s.Domain == lm.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
 		})
 		in.Addresses[id] = s.Address
 	}
-	h.remember(servers)
-	for id, s := range h.left {
+	lm.rememberServers(servers)
+	for id, s := range lm.leftServers {
 		in.Addresses[id] = s.Address
-		if in.Restarted[id] == "" && s.Service == service && h.Roster.CutOff(s.Domain, holdTime, now) {
-			// It may only seem to have left: it keeps its keys for now.
+		if in.Restarted[id] == "" && s.Service == service && lm.Roster.CutOff(s.Domain, cutOffHoldTime, now) {
+			// It may only seem to have left, so it keeps its keys for now.
 			in.Servers = append(in.Servers, shard.ServerState{ID: id, Address: s.Address, Slots: s.Slots})
 		}
 	}
-	for before, id := range in.Restarted {
-		in.Addresses[before] = servers[id].Address
+	for old, id := range in.Restarted {
+		in.Addresses[old] = servers[id].Address
 	}
 	return in
 }
 
-// cutOff returns the failure domains that are cut off. No key can be taken from the servers of others than the own one, or
-// given to them: planned all the same, such a move leaves keys without an owner that are served behind the cut.
+// cutOffDomains reports which failure domains are cut off. Keys of servers in another domain that is cut off
+// cannot be moved, nor can its servers get keys: such a move would leave keys without an owner that are
+// served within the domain.
 //
-// The own domain seems cut off, too, while this instance has just stood still.
-func (h *Holder) cutOff(servers map[string]rules.Server, now time.Time) map[string]bool {
+// The own domain may also be reported, for a while after this process was paused.
+func (lm *Manager) cutOffDomains(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers {
 		if _, known := out[s.Domain]; !known {
-			out[s.Domain] = h.Roster.CutOff(s.Domain, holdTime, now)
+			out[s.Domain] = lm.Roster.CutOff(s.Domain, cutOffHoldTime, now)
 		}
 	}
 	return out
 }
 
-// reborn returns the lives of today of the servers that own keys in the name of an earlier one.
-// An earlier life gets its orders at the address of the new one: nobody else can answer for it.
-func reborn(servers map[string]rules.Server, m *shard.Map) map[string]string {
-	gone := owners(m)
-	maps.DeleteFunc(gone, func(id string, _ struct{}) bool { _, there := servers[id]; return there })
-	if len(gone) == 0 {
+// restarted maps the ended incarnations that still own keys to the current incarnation of the same server.
+// Requests to an ended incarnation go to the address of the current one, which alone can answer for it.
+func restarted(servers map[string]rules.Server, m *shard.Map) map[string]string {
+	ended := ownersOf(m)
+	maps.DeleteFunc(ended, func(id string, _ struct{}) bool { _, found := servers[id]; return found })
+	if len(ended) == 0 {
 		return nil
 	}
-	lives := make(map[string]string, len(servers))
+	incarnations := make(map[string]string, len(servers))
 	for id := range servers {
-		lives[rules.NameOf(id)] = id
+		incarnations[rules.NameOf(id)] = id
 	}
 	out := map[string]string{}
-	for id := range gone {
-		if now, there := lives[rules.NameOf(id)]; there {
-			out[id] = now
+	for id := range ended {
+		if current, found := incarnations[rules.NameOf(id)]; found {
+			out[id] = current
 		}
 	}
 	return out
 }
 
-// remember keeps what is known of servers that left.
-func (h *Holder) remember(servers map[string]rules.Server) {
-	for id, s := range h.present {
-		if _, there := servers[id]; !there {
-			h.left[id] = s
+// rememberServers keeps the entries of servers that left the directory.
+func (lm *Manager) rememberServers(servers map[string]rules.Server) {
+	for id, s := range lm.presentServers {
+		if _, found := servers[id]; !found {
+			lm.leftServers[id] = s
 		}
 	}
 	for id := range servers {
-		delete(h.left, id)
+		delete(lm.leftServers, id)
 	}
-	h.present = servers
-	if len(h.left) > leftMost {
-		clear(h.left)
+	lm.presentServers = servers
+	if len(lm.leftServers) > maxLeftServers {
+		clear(lm.leftServers)
 	}
 }
 
-// failing returns the servers that those in charge of them do not reach. Others may have lost their
-// own way to a server: when a cut between two failure domains ended, the instances of one still
-// took the servers of the other for silent, though these had been renewed all the while.
-func (h *Holder) failing(servers map[string]rules.Server, now time.Time) map[string]bool {
+// failingServers returns the servers that are reported as failing by all of the first requiredReporters
+// instances responsible for them. Reports of other instances do not count, as they may have lost their own
+// connection: when a cut between two failure domains ended, the instances of one still reported the
+// servers of the other as failing, though these had been renewed all the time.
+func (lm *Manager) failingServers(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	for _, reporter := range h.Roster.Alive(now) {
+	for _, reporter := range lm.Roster.Alive(now) {
 		for _, id := range reporter.Heartbeat.Failing {
-			s, there := servers[id]
-			if !there || out[id] {
+			s, found := servers[id]
+			if !found || out[id] {
 				continue
 			}
-			charged := h.Roster.Rank(id, s.Domain, now)
-			charged = charged[:min(witnesses, len(charged))]
-			out[id] = !slices.ContainsFunc(charged, func(p roster.Peer) bool {
+			responsible := lm.Roster.Rank(id, s.Domain, now)
+			responsible = responsible[:min(requiredReporters, len(responsible))]
+			out[id] = !slices.ContainsFunc(responsible, func(p roster.Peer) bool {
 				return !slices.Contains(p.Heartbeat.Failing, id)
 			})
 		}
@@ -338,30 +341,31 @@
 	return out
 }
 
-// write appends the next owners of a service behind those they were decided from.
-func (h *Holder) write(ctx context.Context, service string, from, to *shard.Map) {
+// writeOwners appends the next owners of a service directly behind the view that they were decided from.
+func (lm *Manager) writeOwners(ctx context.Context, service string, from, to *shard.Map) {
 	value, err := to.Encode()
 	if err != nil {
-		h.Events.Note(event.Belief, "owners-not-written", "service", service, "error", err)
+		lm.Events.Note(event.Belief, "owners-not-written", "service", service, "error", err)
 		return
 	}
-	h.plannedAt = time.Now()
-	if !h.append(ctx, keyService+service, value) {
+	lm.plannedAt = time.Now()
+	if !lm.append(ctx, keyService+service, value) {
 		return
 	}
-	h.own(service, from, to)
-	offset := h.know.get().End - 1
-	h.Tell(service, offset, to.Fence, to.Changes(from))
-	h.Events.Note(event.Belief, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
-		"ranges", len(to.Ranges), "changes", describe(from, to))
-	h.finished = slices.DeleteFunc(h.finished, func(s settlement) bool { return s.service == service })
+	lm.recordDecided(service, from, to)
+	offset := lm.view.get().End - 1
+	lm.BroadcastOwners(service, offset, to.Fence, to.Changes(from))
+	lm.Events.Note(event.Belief, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
+		"ranges", len(to.Ranges), "changes", describeChanges(from, to))
+	lm.completedMoves = slices.DeleteFunc(lm.completedMoves, func(c completedMove) bool { return c.service == service })
 }
 
-// writePause is the time between attempts to write the owners: some fifty answers of the store.
-const writePause = 200 * time.Millisecond
+// writeRetryDelay is the delay before the next write of owners after a failed one: some fifty times the
+// response time of the store.
+const writeRetryDelay = 200 * time.Millisecond
 
-// describe lists the changes of owners, for the log.
-func describe(from, to *shard.Map) string {
+// describeChanges lists the changed owners, cut off after some 200 bytes, for the log.
+func describeChanges(from, to *shard.Map) string {
 	var b strings.Builder
 	for _, r := range to.Ranges {
 		i := from.Find(r.From)
--- /dev/null
+++ b/internal/holder/register.go
@@ -0,0 +1,66 @@
+package holder
+
+import (
+	"errors"
+	"strings"
+
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/roster"
+)
+
+// errNotRegisterRecord is the error for any other record in a register update of another instance.
+var errNotRegisterRecord = errors.New("holder: not a record of the register")
+
+// RegisterUpdates takes the records of the register that the leader broadcasts, in the order of their offsets.
+//
+// Records of owners are broadcast as changes against the previous record, so an instance that misses
+// a record of the topic must read the store. If only records of owners were broadcast, each start or stop of
+// an instance would make all others read, at the next move at the latest: the number of reads would grow with
+// the square of the number of instances.
+func (lm *Manager) RegisterUpdates() chan<- []follow.Record { return lm.registerUpdates }
+
+// applyRegister applies records of the register that the leader broadcast.
+func (lm *Manager) applyRegister(records []follow.Record) {
+	before := lm.view.get()
+	if n := len(records); n == 0 || records[n-1].Offset < before.End {
+		return
+	}
+	follows, err := lm.view.applyRegister(records)
+	switch {
+	case err != nil:
+		lm.Events.Note(event.Belief, "register-malformed", "offset", records[0].Offset, "error", err)
+	case !follows:
+		lm.RereadOwners()
+	default:
+		lm.viewChanged(before)
+	}
+}
+
+// isRegisterRecord reports whether a record belongs to the register.
+func isRegisterRecord(r follow.Record) bool { return strings.HasPrefix(r.Key, keyInstance) }
+
+// broadcastRegister sends the records of the register in an update to the other instances, starting at offset
+// from. It stops before a record of owners, which another instance wrote and which must be read.
+func (lm *Manager) broadcastRegister(from int64, u follow.Update) {
+	if u.Snapshot {
+		return
+	}
+	var records []follow.Record
+	for _, r := range u.Records {
+		if r.Offset < from {
+			continue
+		}
+		if !isRegisterRecord(r) {
+			break
+		}
+		if _, err := roster.Decode(r.Value); len(r.Value) > 0 && err != nil {
+			lm.Events.Note(event.Belief, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
+			break
+		}
+		records = append(records, r)
+	}
+	if len(records) > 0 {
+		lm.BroadcastRegister(records)
+	}
+}
--- /dev/null
+++ b/internal/holder/register_test.go
@@ -0,0 +1,158 @@
+package holder
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/charmbracelet/log"
+	"github.com/matryer/is"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/event"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/roster"
+	"example.org/mustardring/internal/shard"
+)
+
+// newTestView returns the view of an instance that has read the store up to an offset.
+func newTestView(end int64) *localView {
+	v := newLocalView()
+	v.applyUpdate(follow.Update{StartedAt: clock.Instant(time.Second), CurrentAsOf: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Snapshot: true})
+	return v
+}
+
+// registerRecords returns records of the register with consecutive offsets. Each is given by a name and an
+// incarnation, or only by a name if the record was deleted.
+func registerRecords(offset int64, records ...string) []follow.Record {
+	var out []follow.Record
+	for i, record := range records {
+		name, incarnation, found := strings.Cut(record, " ")
+		r := follow.Record{Key: InstanceKey(name), Offset: offset + int64(i)}
+		if found {
+			r.Value = fmt.Appendf(nil, `{"incarnation":%s}`, incarnation)
+		}
+		out = append(out, r)
+	}
+	return out
+}
+
+// newTestManager returns a Manager that broadcasts records of the register by the given function.
+func newTestManager(broadcast func([]follow.Record)) *Manager {
+	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), BroadcastRegister: broadcast})
+}
+
+// Guards against reads of the store by all instances after each registration. When 295 instances were restarted
+// in a rolling upgrade and their records were not broadcast, the next record of owners did not follow the view
+// of the 294 others, and each read the store: 86,000 reads.
+func TestRegisterUpdateIsApplied(t *testing.T) {
+	is := is.New(t)
+	v := newTestView(5)
+	follows, err := v.applyRegister(registerRecords(5, "i1 7", "i2 8", "i1"))
+	is.NoErr(err)
+	is.True(follows)
+	is.Equal(v.get().End, int64(8))
+	is.Equal(len(v.get().Instances), 1)
+	is.True(v.applyOwnerChange("books", 8, 1, []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1}}))
+	is.True(!v.get().registered("i1", 7))
+	is.True(v.get().registered("i2", 8))
+}
+
+func TestRegisterUpdateMustBeContiguous(t *testing.T) {
+	tests := map[string]struct {
+		offset int64
+		taken  bool
+		end    int64
+	}{
+		"follows":                     {5, true, 8},
+		"overlaps the view":           {3, true, 6},
+		"leaves a gap":                {6, false, 5},
+		"already known":               {1, true, 5},
+		"ends at the end of the view": {2, true, 5},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			v := newTestView(5)
+			follows, err := v.applyRegister(registerRecords(test.offset, "i1 1", "i2 1", "i3 1"))
+			is.NoErr(err)
+			is.Equal(follows, test.taken)
+			is.Equal(v.get().End, test.end)
+			is.Equal(len(v.get().Instances), int(test.end-5))
+		})
+	}
+	is := is.New(t)
+	follows, err := newLocalView().applyRegister(registerRecords(0, "i1 1"))
+	is.NoErr(err)
+	is.True(!follows) // without a read nothing shows that no record is missing
+}
+
+// The leader broadcasts the register records that it reads, up to a record of owners that another instance wrote.
+// An instance that took that record for broadcast as well would act by outdated owners.
+func TestLeaderBroadcastsRegister(t *testing.T) {
+	entry, err := roster.Entry{Incarnation: 3}.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	record := func(offset int64, key string, value []byte) follow.Record {
+		return follow.Record{Offset: offset, Key: key, Value: value}
+	}
+	tests := map[string]struct {
+		records []follow.Record
+		whole   bool
+		want    string
+	}{
+		"instances":        {[]follow.Record{record(4, "instance/a", entry), record(5, "instance/b", nil)}, false, "4:[a b]"},
+		"already known":    {[]follow.Record{record(2, "instance/a", entry), record(3, "instance/b", entry)}, false, "3:[b]"},
+		"record of owners": {[]follow.Record{record(3, "instance/a", entry), record(4, "service/x", nil), record(5, "instance/b", entry)}, false, "3:[a]"},
+		"malformed":        {[]follow.Record{record(3, "instance/a", []byte("{")), record(4, "instance/b", entry)}, false, ""},
+		"snapshot":         {[]follow.Record{record(3, "instance/a", entry)}, true, ""},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			got := ""
+			lm := newTestManager(func(records []follow.Record) {
+				names := []string{}
+				for _, r := range records {
+					names = append(names, strings.TrimPrefix(r.Key, keyInstance))
+				}
+				got = fmt.Sprintf("%d:%v", records[0].Offset, names)
+			})
+			lm.broadcastRegister(3, follow.Update{Batch: follow.Batch{Records: test.records}, Snapshot: test.whole})
+			is.Equal(got, test.want)
+		})
+	}
+}
+
+// A register update that holds any other record must change nothing. Owners from such an update would be acted
+// on without the records before them.
+func TestRegisterUpdateRejectsOtherRecords(t *testing.T) {
+	for name, record := range map[string]follow.Record{
+		"owners":    {Key: keyService + "books", Offset: 6},
+		"malformed": {Key: InstanceKey("i2"), Value: []byte("{"), Offset: 6},
+		"no key":    {Offset: 6},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			v := newTestView(5)
+			_, err := v.applyRegister(append(registerRecords(5, "i1 1"), record))
+			is.True(err != nil)
+			is.Equal(v.get().End, int64(5))
+			is.Equal(len(v.get().Instances), 0)
+		})
+	}
+}
+
+// Guards against two owners of a key, which an answer that was cut short can cause if it is taken for complete.
+func TestTruncatedReadProvesNothing(t *testing.T) {
+	is := is.New(t)
+	const before, later = clock.Instant(time.Second), clock.Instant(5 * time.Second)
+	v := newTestView(5)
+	v.applyUpdate(follow.Update{StartedAt: later, Batch: follow.Batch{Records: registerRecords(5, "i1 7"), End: 6}})
+	is.Equal(v.get().End, int64(6))
+	is.True(v.currentAt(before))
+	is.True(!v.currentAt(later))
+}
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -17,83 +17,92 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// Holder is the duty that keeps rights.
-type Holder struct {
+// Manager renews the leases of servers and, while this instance leads, decides about owners.
+type Manager struct {
 	Deps
-	guards   guards
-	know     *knowledge
-	updates  chan follow.Update
-	written  chan Written
-	enrolled chan []follow.Record
-	adopted  chan *Owners
-	// settled takes moves that are complete.
-	settled chan settlement
-	jobs    sync.WaitGroup
-
-	reached atomic.Bool
-	leading atomic.Bool
-
-	mu        sync.Mutex
-	renewers  map[string]*renewer
-	confirmed int64
-	stopping  bool
-
-	// The rest belongs to the goroutine of Run.
-	moves    map[moveKey]*move
-	owned    map[moveKey]struct{}
-	finished []settlement
-	// seen holds since when the moves in progress are known.
-	seen      map[moveKey]clock.Instant
-	settleAt  time.Time
-	startedAt time.Time
-	clearedAt time.Time
-	plannedAt time.Time
-	leads     bool
-	// leader is the instance that was last taken for the leader, empty for none.
-	leader    string
-	gathering map[string]gathering
-	// pauseUntil keeps a failed write from being repeated at once.
-	pauseUntil time.Time
-	// present holds the servers as of the last decision, left those that were there before.
-	present map[string]rules.Server
-	left    map[string]rules.Server
+	guards          guards
+	view            *localView
+	storeUpdates    chan follow.Update
+	ownerChanges    chan OwnerChange
+	registerUpdates chan []follow.Record
+	peerViews       chan *View
+	// completions takes the moves whose new owner has its first grant.
+	completions chan completedMove
+	// jobs counts the goroutines that Run waits for.
+	jobs sync.WaitGroup
+
+	// storeReachable tells whether the last call to the store about owners was answered, leading whether this
+	// instance decides about owners.
+	storeReachable atomic.Bool
+	leading        atomic.Bool
+
+	// mu guards renewers, confirmedOffset and stopping.
+	mu              sync.Mutex
+	renewers        map[string]*renewer
+	confirmedOffset int64
+	stopping        bool
+
+	// The fields below are used by the goroutine of Run only.
+
+	// moves holds the moves that are being carried out, decidedMoves those that this instance decided but has not
+	// started, and completedMoves those whose completion has not been written yet.
+	moves          map[moveKey]*runningMove
+	decidedMoves   map[moveKey]struct{}
+	completedMoves []completedMove
+	// firstSeen holds the time since which each move in progress is known.
+	firstSeen map[moveKey]clock.Instant
+	// completionDueAt is when the completion of completedMoves is written at the latest.
+	completionDueAt   time.Time
+	startedAt         time.Time
+	registerCheckedAt time.Time
+	plannedAt         time.Time
+	leads             bool
+	// knownLeader is the last known leader, empty for none.
+	knownLeader  string
+	serverCounts map[string]serverCount
+	// nextWriteAt delays the next write after a failed one.
+	nextWriteAt time.Time
+	// presentServers holds the servers of the directory at the last decision, leftServers those that have left it.
+	presentServers map[string]rules.Server
+	leftServers    map[string]rules.Server
 }
 
-// New returns a holder.
-func New(d Deps) *Holder {
-	return &Holder{
-		Deps: d, guards: allGuards, know: newKnowledge(), updates: make(chan follow.Update, 16),
-		written: make(chan Written, 64), enrolled: make(chan []follow.Record, 64), adopted: make(chan *Owners, 4), settled: make(chan settlement, 256), renewers: map[string]*renewer{},
-		moves: map[moveKey]*move{}, owned: map[moveKey]struct{}{}, gathering: map[string]gathering{}, left: map[string]rules.Server{},
+// New returns a Manager that is not running.
+func New(d Deps) *Manager {
+	return &Manager{
+		Deps: d, guards: allGuards, view: newLocalView(), storeUpdates: make(chan follow.Update, 16),
+		ownerChanges: make(chan OwnerChange, 64), registerUpdates: make(chan []follow.Record, 64), peerViews: make(chan *View, 4), completions: make(chan completedMove, 256), renewers: map[string]*renewer{},
+		moves: map[moveKey]*runningMove{}, decidedMoves: map[moveKey]struct{}{}, serverCounts: map[string]serverCount{}, leftServers: map[string]rules.Server{},
 	}
 }
 
-// Updates takes the updates of the topic of owners.
-func (h *Holder) Updates() chan<- follow.Update { return h.updates }
+// StoreUpdates takes the updates of Deps.Topic that were read from the store.
+func (lm *Manager) StoreUpdates() chan<- follow.Update { return lm.storeUpdates }
 
-// Owners returns what is known of the owners.
-func (h *Holder) Owners() *Owners { return h.know.get() }
+// View returns what this instance believes about the owners. It must not be modified.
+func (lm *Manager) View() *View { return lm.view.get() }
 
-// Confirmed returns the offset that a heartbeat confirms.
-func (h *Holder) Confirmed() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.confirmed
+// ConfirmedOffset returns the offset up to which this instance acts by the records of owners: no grant that
+// is based on an older view is being sent any more. Heartbeats carry it.
+func (lm *Manager) ConfirmedOffset() int64 {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	return lm.confirmedOffset
 }
 
 // StoreOK reports whether the store answered the last call about owners.
-func (h *Holder) StoreOK() bool { return h.reached.Load() }
+func (lm *Manager) StoreOK() bool { return lm.storeReachable.Load() }
 
 // Leads reports whether this instance decides about owners.
-func (h *Holder) Leads() bool { return h.leading.Load() }
+func (lm *Manager) Leads() bool { return lm.leading.Load() }
 
-// Failing returns the servers that do not answer renewals.
-func (h *Holder) Failing() []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Failing returns the ids of the servers that do not answer renewals, sorted.
+func (lm *Manager) Failing() []string {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
 	now := time.Now()
 	var out []string
-	for id, r := range h.renewers {
+	for id, r := range lm.renewers {
 		if r.failing(now) {
 			out = append(out, id)
 		}
@@ -102,293 +111,295 @@
 	return out
 }
 
-// Stop ends renewals: the instance is about to end, and others take over.
-func (h *Holder) Stop() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.stopping = true
+// Stop ends renewals and decisions because the instance is about to stop. Others take over.
+func (lm *Manager) Stop() {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	lm.stopping = true
 }
 
-func (h *Holder) stopped() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.stopping
+func (lm *Manager) isStopping() bool {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	return lm.stopping
 }
 
-// Run keeps rights until the context ends.
-func (h *Holder) Run(ctx context.Context) (err error) {
-	ticker := time.NewTicker(tickEvery)
+// Run renews leases and decides about owners until ctx is done.
+func (lm *Manager) Run(ctx context.Context) (err error) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	renewals := duty.New(ctx, 1)
-	renewals.Go("renewals", h.keepRenewing)
-	defer h.jobs.Wait()
+	renewals.Go("renewals", lm.renewLoop)
+	defer lm.jobs.Wait()
 	defer func() { err = errors.Join(err, renewals.Wait(0)) }()
-	h.startedAt = time.Now()
+	lm.startedAt = time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case u := <-h.updates:
-			h.fold(u)
-		case e := <-h.written:
-			h.extend(e)
-		case e := <-h.enrolled:
-			h.enroll(e)
-		case o := <-h.adopted:
-			h.adopt(o)
-		case s := <-h.settled:
-			h.finish(s)
+		case u := <-lm.storeUpdates:
+			lm.applyUpdate(u)
+		case c := <-lm.ownerChanges:
+			lm.applyOwnerChange(c)
+		case records := <-lm.registerUpdates:
+			lm.applyRegister(records)
+		case peer := <-lm.peerViews:
+			lm.applyPeerView(peer)
+		case m := <-lm.completions:
+			lm.recordCompletion(m)
 		case <-ticker.C:
 		}
-		if h.stopped() {
+		if lm.isStopping() {
 			continue
 		}
 		now := time.Now()
-		if up := now.Sub(h.startedAt); up >= listenMost || up >= listenTime && h.Roster.HalfOfDomainAlive() {
-			h.lead(ctx, now)
+		if up := now.Sub(lm.startedAt); up >= maxListenTime || up >= minListenTime && lm.Roster.HalfOfDomainAlive() {
+			lm.lead(ctx, now)
 		}
 	}
 }
 
-// Written is a record that another instance wrote.
-type Written struct {
+// OwnerChange is a record of owners that another instance appended, as the changes against the previous one.
+type OwnerChange struct {
 	Service string
 	Offset  int64
 	Fence   uint64
 	Changes []shard.Range
 }
 
-// Written takes the records that other instances wrote.
-func (h *Holder) Written() chan<- Written { return h.written }
+// OwnerChanges takes the records of owners that other instances appended.
+func (lm *Manager) OwnerChanges() chan<- OwnerChange { return lm.ownerChanges }
 
-// extend takes in a record that another instance wrote.
-func (h *Holder) extend(w Written) {
-	before := h.know.get()
-	if w.Offset < before.End {
+// applyOwnerChange applies a record of owners that another instance appended.
+func (lm *Manager) applyOwnerChange(c OwnerChange) {
+	before := lm.view.get()
+	if c.Offset < before.End {
 		return
 	}
-	if !h.know.extend(w.Service, w.Offset, w.Fence, w.Changes) {
-		h.Again()
+	if !lm.view.applyOwnerChange(c.Service, c.Offset, c.Fence, c.Changes) {
+		lm.RereadOwners()
 		return
 	}
-	h.follow(before)
+	lm.viewChanged(before)
 }
 
-// follow does what follows from knowing more than before.
-func (h *Holder) follow(before *Owners) {
-	after := h.know.get()
-	h.see(after)
-	h.enlist(before, after)
-	h.Changed()
-	h.confirm(before, after)
+// viewChanged updates everything that depends on the view. before is the previous view.
+func (lm *Manager) viewChanged(before *View) {
+	after := lm.view.get()
+	lm.trackMoves(after)
+	lm.updateRoster(before, after)
+	lm.OwnersChanged()
+	lm.confirmView(before, after)
 }
 
-// Adopted takes all that another instance knows of the owners.
+// PeerViews takes views of other instances.
 //
-// An instance that the store refuses hears of owners by message only. Once a message was missing, or
-// a record was written that no message tells of, it stayed behind until the store let it in again:
-// requests for moved keys failed there, and each move from a silent server waited twelve seconds for
-// it. So it asks one that knows more.
-func (h *Holder) Adopted() chan<- *Owners { return h.adopted }
-
-// adopt takes in all that another instance knows.
-func (h *Holder) adopt(o *Owners) {
-	before := h.know.get()
-	if !h.know.adopt(o) {
+// An instance that cannot reach the store learns about owners from messages only. After a lost message, or a
+// record that no message carries, it would stay behind until it reached the store again: requests for
+// moved keys would fail there, and each move from a server that does not answer would wait twelve seconds for it.
+// So it asks an instance with a newer view.
+func (lm *Manager) PeerViews() chan<- *View { return lm.peerViews }
+
+// applyPeerView takes over the view of another instance if that one is newer.
+func (lm *Manager) applyPeerView(peer *View) {
+	before := lm.view.get()
+	if !lm.view.replace(peer) {
 		return
 	}
-	h.Events.Note(event.Belief, "owners-adopted", "offset", o.End, "known-before", before.End)
-	h.follow(before)
+	lm.Events.Note(event.Belief, "owners-adopted", "offset", peer.End, "known-before", before.End)
+	lm.viewChanged(before)
 }
 
-// see notes since when each move is known. Its record was in the store by then, so that the
-// time after which nobody can act on an older one counts from there, whoever leads meanwhile.
-func (h *Holder) see(known *Owners) {
-	now := h.Clock.Now()
-	seen := make(map[moveKey]clock.Instant)
-	for service, m := range known.Maps {
+// trackMoves records since when each move is known. Its record was in the store by then, so the time
+// until no instance can act on an older record counts from there, also if the leader changes.
+func (lm *Manager) trackMoves(view *View) {
+	now := lm.Clock.Now()
+	firstSeen := make(map[moveKey]clock.Instant)
+	for service, m := range view.Maps {
 		for _, r := range m.Ranges {
 			if len(r.FormerOwners) == 0 {
 				continue
 			}
 			key := moveKey{service, r.From, r.Fence}
-			since, before := h.seen[key]
-			if !before {
+			since, known := lm.firstSeen[key]
+			if !known {
 				since = now
 			}
-			seen[key] = since
+			firstSeen[key] = since
 		}
 	}
-	h.seen = seen
+	lm.firstSeen = firstSeen
 }
 
-// finish takes in that a move is complete.
-func (h *Holder) finish(s settlement) {
-	if len(h.finished) == 0 {
-		h.settleAt = time.Now().Add(settleTime)
+// recordCompletion records that the new owner of a move has its first grant.
+func (lm *Manager) recordCompletion(m completedMove) {
+	if len(lm.completedMoves) == 0 {
+		lm.completionDueAt = time.Now().Add(maxCompletionDelay)
 	}
-	h.finished = append(h.finished, s)
-	h.Settled(s.service, s.from, s.fence)
+	lm.completedMoves = append(lm.completedMoves, m)
+	lm.MoveCompleted(m.service, m.from, m.fence)
 }
 
-// fold takes in news of the owners.
-func (h *Holder) fold(u follow.Update) {
-	if (u.Err == nil) != h.reached.Load() {
-		h.reached.Store(u.Err == nil)
+// applyUpdate applies an update that was read from the store.
+func (lm *Manager) applyUpdate(u follow.Update) {
+	if (u.Err == nil) != lm.storeReachable.Load() {
+		lm.storeReachable.Store(u.Err == nil)
 		if u.Err == nil {
-			h.Events.Note(event.Belief, "owners-regained", "offset", u.End)
+			lm.Events.Note(event.Belief, "owners-regained", "offset", u.End)
 		} else {
-			h.Events.Note(event.Belief, "owners-unread", "error", u.Err, "knowledge-age", time.Duration(h.know.age(h.Clock.Now())))
+			lm.Events.Note(event.Belief, "owners-unread", "error", u.Err, "knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 		}
 	}
 	if u.Err != nil {
 		return
 	}
-	before := h.know.get()
-	changed, faults := h.know.fold(u)
+	before := lm.view.get()
+	changed, faults := lm.view.applyUpdate(u)
 	for _, err := range faults {
-		h.Events.Note(event.Belief, "owners-malformed", "error", err)
+		lm.Events.Note(event.Belief, "owners-malformed", "error", err)
 	}
 	if !changed {
 		return
 	}
-	h.follow(before)
-	if h.leads {
-		h.tellRegister(before.End, u)
+	lm.viewChanged(before)
+	if lm.leads {
+		lm.broadcastRegister(before.End, u)
 	}
 }
 
-// enlist brings the roster up to the register.
-func (h *Holder) enlist(before, after *Owners) {
+// updateRoster applies changes of the register to the roster.
+func (lm *Manager) updateRoster(before, after *View) {
 	now := time.Now()
 	for name, e := range after.Instances {
 		if old, known := before.Instances[name]; !known || old != e {
-			h.Roster.Put(name, e, now)
+			lm.Roster.Put(name, e, now)
 		}
 	}
 	for name := range before.Instances {
-		if _, there := after.Instances[name]; !there {
-			h.Roster.Remove(name, now)
+		if _, found := after.Instances[name]; !found {
+			lm.Roster.Remove(name, now)
 		}
 	}
 }
 
-// Hear takes in the word of another instance that nothing follows the newest record it knows.
-func (h *Holder) Hear(b roster.Heartbeat) {
+// HandleHeartbeat uses the statement of another instance that its view is the newest.
+func (lm *Manager) HandleHeartbeat(b roster.Heartbeat) {
 	if b.KnownAge >= 0 && b.EchoAt > 0 {
-		h.know.refresh(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
+		lm.view.confirmCurrent(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
 	}
 }
 
-// Age returns how old the knowledge is that no owner has changed.
-func (h *Holder) Age() time.Duration { return time.Duration(h.know.age(h.Clock.Now())) }
+// Age returns the age of the view.
+func (lm *Manager) Age() time.Duration { return time.Duration(lm.view.age(lm.Clock.Now())) }
 
-// Registered reports whether this life of the instance stands in the register, as far as is
-// known.
-func (h *Holder) Registered() bool { return h.know.get().registered(h.Name, h.Incarnation) }
+// Registered reports whether this incarnation of the instance is registered, according to the view.
+func (lm *Manager) Registered() bool { return lm.view.get().registered(lm.Name, lm.Incarnation) }
 
-// confirm ends the orders that the new record contradicts, and then lets the heartbeat say so.
-func (h *Holder) confirm(before, after *Owners) {
+// confirmView cancels the grants that the new view contradicts, and then raises the confirmed offset.
+func (lm *Manager) confirmView(before, after *View) {
 	var stale []*renewer
-	h.mu.Lock()
-	for id, r := range h.renewers {
-		if !slices.EqualFunc(ranges(before, r.server), ranges(after, r.server), sameRight) {
-			stale = append(stale, h.renewers[id])
+	lm.mu.Lock()
+	for id, r := range lm.renewers {
+		if !slices.EqualFunc(rangesOf(before, r.server), rangesOf(after, r.server), sameLease) {
+			stale = append(stale, lm.renewers[id])
 		}
 	}
-	h.mu.Unlock()
-	h.jobs.Add(1)
+	lm.mu.Unlock()
+	lm.jobs.Add(1)
 	go func() {
-		defer h.jobs.Done()
+		defer lm.jobs.Done()
 		for _, r := range stale {
-			if h.guards.stopping {
-				r.stop()
+			if lm.guards.stopStaleGrants {
+				r.cancelAndWait()
 			}
 		}
-		h.mu.Lock()
-		h.confirmed = max(h.confirmed, after.End)
-		h.mu.Unlock()
-		h.Announce()
+		lm.mu.Lock()
+		lm.confirmedOffset = max(lm.confirmedOffset, after.End)
+		lm.mu.Unlock()
+		lm.SendHeartbeat()
 	}()
 }
 
-// sameRight reports whether two ranges are the same right.
-func sameRight(a, b shard.Range) bool {
+// sameLease reports whether two ranges are the same lease, in the same state of a move.
+func sameLease(a, b shard.Range) bool {
 	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.FormerOwners) == len(b.FormerOwners)
 }
 
-func ranges(o *Owners, s rules.Server) []shard.Range {
-	if m := o.Maps[s.Service]; m != nil {
+// rangesOf returns the ranges of a server.
+func rangesOf(v *View, s rules.Server) []shard.Range {
+	if m := v.Maps[s.Service]; m != nil {
 		return m.RangesOf(s.ID)
 	}
 	return nil
 }
 
-// charges are the servers that fall to this instance, as of a time and of what decides it.
-type charges struct {
-	renewers []*renewer
-	rest     basis
-	at       time.Time
+// renewalSet holds the renewers of the servers that this instance is responsible for, and the inputs and the
+// time that it was computed from.
+type renewalSet struct {
+	renewers   []*renewer
+	inputs     renewalInputs
+	computedAt time.Time
 }
 
-// keepRenewing starts renewals until the context ends. It is a duty of its own: a decision about owners waits for the
-// store to write it down, and leases would run out meanwhile.
-func (h *Holder) keepRenewing(ctx context.Context) error {
-	var c charges
-	for duty.Pause(ctx, tickEvery) {
-		if !h.stopped() {
-			h.renew(ctx, &c, time.Now())
+// renewLoop starts renewals until ctx is done. It runs in a goroutine of its own because decisions about owners
+// wait for the store, and leases would expire meanwhile.
+func (lm *Manager) renewLoop(ctx context.Context) error {
+	var set renewalSet
+	for duty.Pause(ctx, tickInterval) {
+		if !lm.isStopping() {
+			lm.startDueRenewals(ctx, &set, time.Now())
 		}
 	}
 	return ctx.Err()
 }
 
-// renew starts the renewals that are due and fall to this instance.
-func (h *Holder) renew(ctx context.Context, c *charges, now time.Time) {
-	owners := h.know.get()
-	if rest := h.chargesRestOn(owners, now); rest != c.rest && (owners != c.rest.owners || now.Sub(c.at) >= chargeEvery) {
-		*c = charges{renewers: h.charge(owners, now), rest: rest, at: now}
+// startDueRenewals starts the due renewals of the servers that this instance is responsible for.
+func (lm *Manager) startDueRenewals(ctx context.Context, set *renewalSet, now time.Time) {
+	view := lm.view.get()
+	if inputs := lm.currentInputs(view, now); inputs != set.inputs && (view != set.inputs.view || now.Sub(set.computedAt) >= renewalSetInterval) {
+		*set = renewalSet{renewers: lm.responsibleRenewers(view, now), inputs: inputs, computedAt: now}
 	}
-	for _, r := range c.renewers {
-		r.start(ctx, now)
+	for _, r := range set.renewers {
+		r.startIfDue(ctx, now)
 	}
 }
 
-// basis is what decides which servers fall to this instance.
-type basis struct {
-	owners    *Owners
-	directory uint64
-	ranks     uint64
+// renewalInputs is what decides which servers this instance is responsible for.
+type renewalInputs struct {
+	view             *View
+	directoryVersion uint64
+	rankVersion      uint64
 }
 
-func (h *Holder) chargesRestOn(owners *Owners, now time.Time) basis {
-	return basis{owners: owners, directory: h.Directory(), ranks: h.Roster.RankVersion(now)}
+func (lm *Manager) currentInputs(view *View, now time.Time) renewalInputs {
+	return renewalInputs{view: view, directoryVersion: lm.DirectoryVersion(), rankVersion: lm.Roster.RankVersion(now)}
 }
 
-// charge returns the renewers of the servers that fall to this instance.
-func (h *Holder) charge(known *Owners, now time.Time) []*renewer {
-	servers := h.Servers()
+// responsibleRenewers returns the renewers of the servers that this instance is responsible for, and deletes idle
+// renewers of servers that have left the directory.
+func (lm *Manager) responsibleRenewers(view *View, now time.Time) []*renewer {
+	servers := lm.Servers()
 	var out []*renewer
-	for service, m := range known.Maps {
-		for id := range owners(m) {
+	for service, m := range view.Maps {
+		for id := range ownersOf(m) {
 			s, found := servers[id]
-			if found && s.Service == service && h.Roster.Responsible(s.ID, s.Domain, now) {
-				out = append(out, h.renewer(s))
+			if found && s.Service == service && lm.Roster.Responsible(s.ID, s.Domain, now) {
+				out = append(out, lm.renewer(s))
 			}
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for id, r := range h.renewers {
-		if _, there := servers[id]; !there && r.idle() {
-			delete(h.renewers, id)
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	for id, r := range lm.renewers {
+		if _, listed := servers[id]; !listed && r.idle() {
+			delete(lm.renewers, id)
 		}
 	}
 	return out
 }
 
-// owners returns the servers of a map.
-func owners(m *shard.Map) map[string]struct{} {
+// ownersOf returns the ids of the servers that own keys in a map.
+func ownersOf(m *shard.Map) map[string]struct{} {
 	out := map[string]struct{}{}
 	for _, r := range m.Ranges {
 		out[r.Server] = struct{}{}
@@ -396,25 +407,26 @@
 	return out
 }
 
-func (h *Holder) renewer(s rules.Server) *renewer {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r := h.renewers[s.ID]
+// renewer returns the renewer of a server, which it creates if there is none for its address.
+func (lm *Manager) renewer(s rules.Server) *renewer {
+	lm.mu.Lock()
+	defer lm.mu.Unlock()
+	r := lm.renewers[s.ID]
 	if r == nil || r.server.Address != s.Address {
-		r = &renewer{holder: h, server: s, sending: make(chan struct{}, 1), renewedAt: time.Now()}
-		h.renewers[s.ID] = r
+		r = &renewer{manager: lm, server: s, sending: make(chan struct{}, 1), answeredAt: time.Now()}
+		lm.renewers[s.ID] = r
 	}
 	return r
 }
 
-// start begins a round if one is due.
-func (r *renewer) start(ctx context.Context, now time.Time) {
-	if !r.due(now) {
+// startIfDue starts a round of renewals if one is due.
+func (r *renewer) startIfDue(ctx context.Context, now time.Time) {
+	if !r.tryBegin(now) {
 		return
 	}
-	r.holder.jobs.Add(1)
+	r.manager.jobs.Add(1)
 	go func() {
-		defer r.holder.jobs.Done()
-		r.round(ctx)
+		defer r.manager.jobs.Done()
+		r.renewAll(ctx)
 	}()
 }
--- /dev/null
+++ b/internal/holder/server_test.go
@@ -0,0 +1,258 @@
+package holder
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/rules"
+	"example.org/mustardring/internal/shard"
+)
+
+// heldLease is the lease of a server on one key.
+type heldLease struct {
+	fence     uint64
+	granted   bool
+	expiresAt time.Time
+}
+
+// fakeServer is a server with the highest fence that it has seen and the lease that it has for each checked key.
+type fakeServer struct {
+	rules.Server
+	up bool
+	// noKeys means that the server's service has no keys: it refuses grants and releases.
+	noKeys     bool
+	seenFences []uint64
+	leases     []heldLease
+}
+
+func (s *fakeServer) eachKey(from, to uint16, do func(i int)) {
+	for i := range s.leases {
+		if key := i * keySpacing; key >= int(from) && key <= int(to) {
+			do(i)
+		}
+	}
+}
+
+// fakeLeaseClient sends grants and releases of one instance to the fake servers, with delays and faults.
+type fakeLeaseClient struct {
+	cluster *testCluster
+	name    string
+
+	mu    sync.Mutex
+	conns map[string]*fakeConn
+}
+
+// fakeConn is a connection to one incarnation of a server, and is useless after that has ended.
+type fakeConn struct {
+	server   *fakeServer
+	openedAt clock.Instant
+}
+
+func (lc *fakeLeaseClient) Grant(ctx context.Context, to shard.Owner, g Grant, check GrantCheck) error {
+	address := to.Address
+	lc.cluster.delay()
+	if ctx.Err() != nil {
+		return errCut
+	}
+	if lc.cluster.isCut(lc.name, address) {
+		<-ctx.Done()
+		return errCut
+	}
+	var server *fakeServer
+	if lc.cluster.namedRestarts {
+		c, err := lc.conn(to)
+		if err != nil {
+			return err
+		}
+		if err := check(ctx, c.openedAt); err != nil {
+			return err
+		}
+		server = c.server
+	}
+	arrivedAt := time.Now()
+	if lc.cluster.chance(lc.cluster.delayedGrants) {
+		lc.cluster.after(lc.cluster.randomDuration(2*time.Second, 12*time.Second), func() { _ = lc.cluster.grant(to, g, arrivedAt, server) })
+		<-ctx.Done()
+		return errCut
+	}
+	err := lc.cluster.grant(to, g, arrivedAt, server)
+	lc.cluster.delay()
+	return err
+}
+
+// conn returns the connection to an incarnation of a server. It fails once after the server has ended.
+func (lc *fakeLeaseClient) conn(to shard.Owner) (*fakeConn, error) {
+	lc.cluster.mu.Lock()
+	server := lc.cluster.serverAt(to.Address)
+	lc.cluster.mu.Unlock()
+	lc.mu.Lock()
+	defer lc.mu.Unlock()
+	// Incarnations at the same address have different ids, as in the requests.
+	c := lc.conns[to.Server]
+	switch {
+	case server == nil || c != nil && c.server != server:
+		delete(lc.conns, to.Server)
+		return nil, errCut
+	case c == nil:
+		c = &fakeConn{server: server, openedAt: fakeClock{lc.cluster.start}.Now()}
+		lc.conns[to.Server] = c
+	}
+	return c, nil
+}
+
+func (lc *fakeLeaseClient) Release(ctx context.Context, to shard.Owner, g Grant) (string, error) {
+	address := to.Address
+	lc.cluster.delay()
+	if lc.cluster.isCut(lc.name, address) {
+		<-ctx.Done()
+		return "", errCut
+	}
+	// The answer comes when the work in progress has ended.
+	if err := lc.cluster.release(to, g); err != nil {
+		return "", err
+	}
+	time.Sleep(lc.cluster.randomDuration(0, 300*time.Millisecond))
+	return "handover", nil
+}
+
+// grant carries out a grant and checks that no two servers hold a key. If target is not nil, only that
+// incarnation accepts the grant: a delayed grant is lost when the server that received it ends.
+func (tc *testCluster) grant(to shard.Owner, g Grant, arrivedAt time.Time, target *fakeServer) error {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	s := tc.serverAt(to.Address)
+	if s == nil || target != nil && s != target {
+		return errCut
+	}
+	if s.noKeys {
+		tc.refusals++
+		return ErrRefused
+	}
+	if rules.NameOf(s.ID) != rules.NameOf(to.Server) && tc.guards.checkIncarnation {
+		return ErrServerGone
+	}
+	refused := false
+	s.eachKey(g.From, g.To, func(i int) { refused = refused || g.Fence < s.seenFences[i] })
+	if refused {
+		return ErrFenced
+	}
+	tc.checkRestart(s, g)
+	// The clock that measures the lease runs 2% slow.
+	expiresAt := arrivedAt.Add(time.Duration(float64(g.Lease) * 1.02))
+	s.eachKey(g.From, g.To, func(i int) {
+		if s.leases[i].fence != g.Fence {
+			tc.moved++
+		}
+		s.seenFences[i] = g.Fence
+		s.leases[i] = heldLease{fence: g.Fence, granted: true, expiresAt: expiresAt}
+		tc.checkSingleOwner(i, s)
+	})
+	return nil
+}
+
+// checkRestart records a violation if an earlier incarnation of a server held the keys with the same fence or
+// a higher one.
+func (tc *testCluster) checkRestart(s *fakeServer, g Grant) {
+	for i, fence := range tc.endedFences[rules.NameOf(s.ID)] {
+		if key := i * keySpacing; tc.namedRestarts && key >= int(g.From) && key <= int(g.To) && fence >= g.Fence && s.seenFences[i] < g.Fence {
+			tc.violations = append(tc.violations, fmt.Sprintf("%v key %d: %s got it with fence %d, a previous incarnation had it with %d",
+				time.Since(tc.start), key, s.ID, g.Fence, fence))
+		}
+	}
+}
+
+// checkSingleOwner records a violation if another server holds a key that s got.
+func (tc *testCluster) checkSingleOwner(i int, s *fakeServer) {
+	now := time.Now()
+	for _, o := range tc.servers {
+		if o == s || !o.up || o.noKeys || !o.leases[i].granted || !now.Before(o.leases[i].expiresAt) || !now.Before(s.leases[i].expiresAt) {
+			continue
+		}
+		tc.violations = append(tc.violations, fmt.Sprintf("%v key %d: %s holds it with fence %d until %v, %s got it with fence %d",
+			now.Sub(tc.start), i*keySpacing, o.ID, o.leases[i].fence, o.leases[i].expiresAt.Sub(tc.start), s.ID, s.leases[i].fence))
+	}
+}
+
+func (tc *testCluster) release(to shard.Owner, g Grant) error {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	s := tc.serverAt(to.Address)
+	if s == nil {
+		return errCut
+	}
+	if s.noKeys {
+		tc.refusals++
+		return ErrRefused
+	}
+	if rules.NameOf(s.ID) != rules.NameOf(to.Server) && tc.guards.checkIncarnation {
+		return ErrServerGone
+	}
+	s.eachKey(g.From, g.To, func(i int) {
+		s.seenFences[i] = max(s.seenFences[i], g.Fence)
+		s.leases[i].granted = false
+	})
+	return nil
+}
+
+func (tc *testCluster) serverAt(address string) *fakeServer {
+	for _, s := range tc.servers {
+		if s.up && s.Address == address {
+			return s
+		}
+	}
+	return nil
+}
+
+// servedKeys returns the number of checked keys that some server holds.
+func (tc *testCluster) servedKeys() int {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	n := 0
+	for i := range shard.NumKeys / keySpacing {
+		for _, s := range tc.servers {
+			if s.up && !s.noKeys && s.leases[i].granted && time.Now().Before(s.leases[i].expiresAt) {
+				n++
+				break
+			}
+		}
+	}
+	return n
+}
+
+// addServer starts a server.
+func (tc *testCluster) addServer(id, address, domain string) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	s := &fakeServer{
+		Server: rules.Server{ID: id, Service: service, Address: address, Domain: domain, Slots: 2, StartedAt: startTimeOf(id)}, up: true,
+		seenFences: make([]uint64, shard.NumKeys/keySpacing), leases: make([]heldLease, shard.NumKeys/keySpacing),
+	}
+	tc.servers[id] = s
+	if tc.namedRestarts {
+		// The directory lists the previous incarnation until the entry of the new one is read.
+		tc.after(tc.directoryDelay(), func() {
+			tc.mu.Lock()
+			defer tc.mu.Unlock()
+			if tc.servers[id] == s {
+				tc.directory[rules.NameOf(id)] = s.Server
+			}
+		})
+	}
+}
+
+// directoryDelay returns how long it takes until the entry of a new incarnation is read; tc.mu must be held.
+func (tc *testCluster) directoryDelay() time.Duration {
+	return time.Duration(tc.random.Int64N(int64(time.Second)))
+}
+
+// startTimeOf returns the start time in the id of an incarnation, zero if there is none.
+func startTimeOf(id string) int64 {
+	_, start, _ := strings.Cut(id, "~")
+	n, _ := strconv.ParseInt(start, 36, 64)
+	return n
+}
--- /dev/null
+++ b/internal/holder/view.go
@@ -0,0 +1,203 @@
+package holder
+
+import (
+	"maps"
+	"strings"
+	"sync"
+	"time"
+
+	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/follow"
+	"example.org/mustardring/internal/roster"
+	"example.org/mustardring/internal/shard"
+)
+
+// localView holds this instance's current view and the time as of which it is known to be the newest.
+// Its methods are safe for concurrent use.
+type localView struct {
+	mu      sync.Mutex
+	current *View
+	// currentAsOf is a time at which no record after current had been acknowledged by the store.
+	currentAsOf clock.Instant
+	// loaded is set once an update has given a value to currentAsOf.
+	loaded bool
+}
+
+func newLocalView() *localView {
+	return &localView{current: &View{Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}}
+}
+
+// get returns the current view, which is replaced on changes and never modified.
+func (v *localView) get() *View {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.current
+}
+
+// fresh reports whether the view may be acted on: until its age is contactTimeout, or maxViewAge if
+// inContact reports contact with a majority of the other instances.
+func (v *localView) fresh(now clock.Instant, contactTimeout time.Duration, inContact func() bool) bool {
+	v.mu.Lock()
+	age, loaded := now.Sub(v.currentAsOf), v.loaded
+	v.mu.Unlock()
+	return loaded && (age < contactTimeout || age < maxViewAge && inContact())
+}
+
+// confirmCurrent takes in the statement of another instance that, at some time not before echo, its view up to
+// offset known was of the given age. It counts only if this instance knows the same records.
+func (v *localView) confirmCurrent(known int64, echo clock.Instant, age time.Duration) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	asOf := echo.Add(-time.Duration(float64(age) * maxClockDrift))
+	if v.loaded && known == v.current.End && asOf > v.currentAsOf {
+		v.currentAsOf = asOf
+	}
+}
+
+// age returns the age of the view.
+func (v *localView) age(now clock.Instant) clock.Instant {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return now - v.currentAsOf
+}
+
+// The prefixes of record keys: the owners of a service, or the registration of an instance.
+const (
+	keyService  = "service/"
+	keyInstance = "instance/"
+)
+
+// InstanceKey returns the key of the record of an instance.
+func InstanceKey(name string) string { return keyInstance + name }
+
+// applyUpdate applies an update that was read from the store. It reports whether the view changed, and
+// returns the errors of malformed records, which are skipped.
+func (v *localView) applyUpdate(u follow.Update) (changed bool, faults []error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	next := &View{Maps: maps.Clone(v.current.Maps), Instances: maps.Clone(v.current.Instances), End: v.current.End}
+	for _, r := range u.Records {
+		if r.Offset < v.current.End {
+			continue
+		}
+		if err := next.put(r); err != nil {
+			faults = append(faults, err)
+		}
+		changed = true
+	}
+	if u.End >= next.End && u.Snapshot {
+		next.removeMissingInstances(u.Records)
+	}
+	if u.End > next.End {
+		next.End = u.End
+		changed = true
+	}
+	v.current = next
+	// An update that ends before the view is outdated, and one that was cut short has no CurrentAsOf. Neither
+	// proves that the view is current.
+	if u.End >= next.End && u.CurrentAsOf > v.currentAsOf {
+		v.currentAsOf, v.loaded = u.CurrentAsOf, true
+	}
+	return changed, faults
+}
+
+// put applies one record: the owners of a service or the registration of an instance.
+func (v *View) put(r follow.Record) error {
+	if name, found := strings.CutPrefix(r.Key, keyInstance); found {
+		if len(r.Value) == 0 {
+			delete(v.Instances, name)
+			return nil
+		}
+		e, err := roster.Decode(r.Value)
+		if err != nil {
+			return err
+		}
+		v.Instances[name] = e
+		return nil
+	}
+	m, err := shard.Decode(r.Value)
+	if err != nil {
+		return err
+	}
+	v.Maps[strings.TrimPrefix(r.Key, keyService)] = m
+	return nil
+}
+
+// removeMissingInstances removes the instances that have no record in snapshot, which holds the newest
+// record of every key.
+func (v *View) removeMissingInstances(snapshot []follow.Record) {
+	present := make(map[string]bool, len(snapshot))
+	for _, r := range snapshot {
+		present[r.Key] = len(r.Value) > 0
+	}
+	maps.DeleteFunc(v.Instances, func(name string, _ roster.Entry) bool { return !present[InstanceKey(name)] })
+}
+
+// registered reports whether an incarnation of an instance is registered, and neither removed nor ended.
+func (v *View) registered(name string, incarnation uint64) bool {
+	e, found := v.Instances[name]
+	return found && e.Incarnation == incarnation && !e.Removed && !e.Ended
+}
+
+// applyOwnerChange applies a record of owners that another instance appended, ahead of the next read. It
+// returns false unless the record directly follows the view. The record is in the store, so it may be
+// acted on; only a read can tell whether anything follows it, so currentAsOf stays.
+func (v *localView) applyOwnerChange(service string, offset int64, fence uint64, changes []shard.Range) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if !v.loaded || offset != v.current.End {
+		return false
+	}
+	m := v.current.Maps[service]
+	if m == nil {
+		m = &shard.Map{}
+	}
+	next, err := m.WithChanges(fence, changes)
+	if err != nil {
+		return false
+	}
+	all := maps.Clone(v.current.Maps)
+	all[service] = next
+	v.current = &View{Maps: all, Instances: v.current.Instances, End: offset + 1}
+	return true
+}
+
+// applyRegister applies records of the register that another instance read, ahead of the next read. It
+// returns false unless they continue the view without a gap, and applies none if one is malformed.
+func (v *localView) applyRegister(records []follow.Record) (follows bool, err error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if !v.loaded {
+		return false, nil
+	}
+	next := &View{Maps: v.current.Maps, Instances: maps.Clone(v.current.Instances), End: v.current.End}
+	for _, r := range records {
+		if r.Offset < next.End {
+			continue
+		}
+		if r.Offset > next.End {
+			return false, nil
+		}
+		if !isRegisterRecord(r) {
+			return false, errNotRegisterRecord
+		}
+		if err := next.put(r); err != nil {
+			return false, err
+		}
+		next.End++
+	}
+	v.current = next
+	return true, nil
+}
+
+// replace takes over the view of another instance if that one is newer. It is what the store held up to
+// an offset, so it may be acted on; only a read can tell whether anything follows it.
+func (v *localView) replace(peer *View) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if peer.End <= v.current.End {
+		return false
+	}
+	v.current = peer
+	return true
+}
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -113,34 +113,34 @@
 
 // broadcastUpdate broadcasts what this instance has read, if it reads for the others or they may lack it as well.
 func (n *Node) broadcastUpdate(ctx context.Context, u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 || !u.Overdue && !n.readsStore() {
+	if u.Err != nil || u.StartedAt == 0 || !u.Overdue && !n.readsStore() {
 		return
 	}
 	if u.Overdue {
 		// The other instances lack the same confirmation.
 		n.sendHeartbeatToAll()
 	}
-	if len(u.Records) == 0 || u.Whole && u.Topic != n.platform.ConfigTopic {
+	if len(u.Records) == 0 || u.Snapshot && u.Topic != n.platform.ConfigTopic {
 		return
 	}
-	if u.Whole {
+	if u.Snapshot {
 		// A snapshot replaces all earlier records.
 		u.From = 0
 	}
 	parts := splitUpdate(u)
-	if len(parts) > maxUpdateParts || u.Whole && len(parts) > 1 || !n.canBroadcast(maxPartSize(parts)) {
+	if len(parts) > maxUpdateParts || u.Snapshot && len(parts) > 1 || !n.canBroadcast(maxPartSize(parts)) {
 		// Too large to broadcast: send only the new end of the topic, so that the others read it from the store. From
 		// heartbeats alone they would learn of it half a second later.
 		parts = []follow.Batch{{End: u.End}}
-		u.From, u.Whole = u.End, false
+		u.From, u.Snapshot = u.End, false
 	}
 	sentAt := clock.Boot{}.Now()
 	for i, part := range parts {
-		update := follow.News{From: u.From, Age: n.updateAge(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
+		update := follow.PeerUpdate{From: u.From, RecordAge: n.updateAge(u).Milliseconds() + 1, Staleness: -1, Batch: part, Snapshot: u.Snapshot}
 		if i == len(parts)-1 {
-			update.Complete = ageMillis(sentAt, u.Complete)
+			update.Staleness = ageMillis(sentAt, u.CurrentAsOf)
 		}
-		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: update})
+		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), PeerUpdate: update})
 		u.From = part.End
 		if i < len(parts)-1 {
 			// Without a pause, the next part would find the link full and be lost to all.
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -19,13 +19,13 @@
 	}
 	p, known := n.roster.Peer(name)
 	if to, ok := peerAddress(p); known && ok {
-		n.port.Send(to, gram.ViewRequest{End: n.leases.Owners().End})
+		n.port.Send(to, gram.ViewRequest{End: n.leases.View().End})
 	}
 }
 
 // sendView answers a ViewRequest with the view of this instance if that is newer than the sender's.
 func (n *Node) sendView(from netip.AddrPort, m gram.ViewRequest) {
-	view := n.leases.Owners()
+	view := n.leases.View()
 	if view.End <= m.End {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // adoptView passes the view of a peer to the lease manager.
 func (n *Node) adoptView(m gram.ViewSnapshot) {
-	view := &holder.Owners{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
+	view := &holder.View{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
 		if err != nil {
@@ -69,7 +69,7 @@
 		view.Instances[name] = entry
 	}
 	select {
-	case n.leases.Adopted() <- view:
+	case n.leases.PeerViews() <- view:
 	default:
 		// Another view is being adopted. The next heartbeat of a peer that knows more asks again.
 	}
@@ -89,7 +89,7 @@
 // queue is full, the topic is read from the store instead.
 func (n *Node) handleRegisterUpdate(m gram.RegisterUpdate) {
 	select {
-	case n.leases.Enrolled() <- m.Records:
+	case n.leases.RegisterUpdates() <- m.Records:
 	default:
 		n.requestRead(n.platform.OwnersTopic)
 	}
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -28,7 +28,7 @@
 	snapshot atomic.Pointer[map[string]rules.Server]
 	// snapshotVersion counts how often snapshot was replaced.
 	snapshotVersion atomic.Uint64
-	owners          func() *holder.Owners
+	owners          func() *holder.View
 
 	mu sync.Mutex
 	// changed is closed and replaced when the owners change.
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -28,7 +28,7 @@
 
 // applyDirectory applies one update of the directory, given as keys and values in turn.
 func (c *clusterState) applyDirectory(whole bool, pairs ...string) {
-	u := follow.Update{Whole: whole}
+	u := follow.Update{Snapshot: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1])})
 	}
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c, n := newTestState(), &Node{}
-		u := follow.Update{Whole: true, Batch: follow.Batch{Records: []follow.Record{
+		u := follow.Update{Snapshot: true, Batch: follow.Batch{Records: []follow.Record{
 			{Key: "a", Value: []byte("draining")}, {Key: "b", Value: []byte("ready")},
 		}}}
 		c.applyServers(u, n.updateAge(u), decodeServer)
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -64,7 +64,7 @@
 	if grouped {
 		d.logJoined(joined, u.End)
 	}
-	if u.Whole {
+	if u.Snapshot {
 		for _, s := range d.servers {
 			if name := rules.NameOf(s.ID); !listed[name] {
 				d.missing[name] = struct{}{}
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -82,7 +82,7 @@
 		is := is.New(t)
 		c := newTestState()
 		apply := func(whole bool, value string) {
-			u := follow.Update{Whole: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
+			u := follow.Update{Snapshot: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
 			c.applyServers(u, 0, decodeIncarnation)
 		}
 		apply(true, "ready 20 4")
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -118,7 +118,7 @@
 			changed = c.evacuations.begin(name, r, now, now.Add(c.evacuationTime-age)) || changed
 		}
 	}
-	if u.Whole {
+	if u.Snapshot {
 		for name := range maps.Clone(c.evacuations.active) {
 			if !listed[name] {
 				changed = c.evacuations.end(name, now, u.End) || changed
@@ -187,7 +187,7 @@
 		return u
 	}
 	u.Records = append(n.cluster.evacuationRecords(), u.Records[last])
-	u.Whole = true
+	u.Snapshot = true
 	return u
 }
 
@@ -198,7 +198,7 @@
 func (n *Node) remainingIn(domain string) remaining {
 	rest := remaining{requests: n.edge.InFlight(domain)}
 	servers := n.cluster.servers()
-	for service, m := range n.leases.Owners().Maps {
+	for service, m := range n.leases.View().Maps {
 		for _, r := range m.Ranges {
 			if s, found := servers[r.Server]; found && s.Service == service && s.Domain == domain {
 				rest.keys += r.Len()
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -20,7 +20,7 @@
 
 // applyOperatorRecords applies one update of ConfigTopic, given as keys and values in turn.
 func (c *clusterState) applyOperatorRecords(whole bool, age time.Duration, pairs ...string) bool {
-	u := follow.Update{Whole: whole}
+	u := follow.Update{Snapshot: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1]), Offset: int64(i)})
 	}
@@ -125,14 +125,14 @@
 	leader := &Node{platform: Platform{ConfigKey: "config"}, cluster: newTwoDomainState()}
 	leader.cluster.applyOperatorRecords(false, 0, "evacuate/north", "{}", "evacuate/south", "{}", "evacuate/south", "")
 	update := leader.withEvacuations(follow.Update{Batch: follow.Batch{End: 9, Records: []follow.Record{{Key: "config", Value: []byte("new"), Offset: 8}}}})
-	is.True(update.Whole)
+	is.True(update.Snapshot)
 	other := newTwoDomainState()
 	other.applyOperatorRecords(false, 0, "evacuate/south", "{}")
 	other.applyEvacuations(update, 0, evacuationOf)
 	is.True(other.servers()["north"].Evacuated && !other.servers()["south"].Evacuated)
 	is.Equal(update.Records[len(update.Records)-1].Key, "config")
 	alone := follow.Update{Batch: follow.Batch{End: 10, Records: []follow.Record{{Key: "evacuate/north", Offset: 9}}}}
-	is.True(!leader.withEvacuations(alone).Whole) // does not replace earlier records
+	is.True(!leader.withEvacuations(alone).Snapshot) // does not replace earlier records
 }
 
 // Guards against operators who take a domain for empty that still has requests or keys.
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -41,24 +41,24 @@
 // applyUpdate applies an update to the part that it is for, and queues it for the broadcast to peers.
 func (n *Node) applyUpdate(ctx context.Context, u follow.Update) {
 	n.logRead(u)
-	if u.Err == nil && u.BegunAt != 0 {
+	if u.Err == nil && u.StartedAt != 0 {
 		n.storeAnsweredAt.Store(int64(clock.Boot{}.Now()))
 	}
 	n.retryUnanswered(u)
 	switch u.Topic {
 	case n.platform.ConfigTopic:
 		n.applyConfigTopic(u)
-		n.watches[u.Topic].Applied(u)
+		n.watches[u.Topic].MarkApplied(u)
 		u = n.withEvacuations(u)
 	case n.platform.ServersTopic:
 		n.logDirectoryUpdate(u)
 		if n.cluster.applyServers(u, n.updateAge(u), n.platform.DecodeServer) {
 			n.serversChanged()
 		}
-		n.watches[u.Topic].Applied(u)
+		n.watches[u.Topic].MarkApplied(u)
 	case n.platform.OwnersTopic:
 		select {
-		case n.leases.Updates() <- u:
+		case n.leases.StoreUpdates() <- u:
 		case <-ctx.Done():
 		}
 	}
@@ -68,11 +68,11 @@
 // retryUnanswered asks for a read of the topics whose last read failed when the read of another topic has succeeded.
 // Each topic has its own retry delay, and an instance may lead only if all topics can be read.
 func (n *Node) retryUnanswered(u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 {
+	if u.Err != nil || u.StartedAt == 0 {
 		return
 	}
 	for name, t := range n.watches {
-		if name != u.Topic && t.Unanswered() {
+		if name != u.Topic && t.LastReadFailed() {
 			n.requestRead(name)
 		}
 	}
@@ -93,7 +93,7 @@
 		age = n.leases.Age()
 	}
 	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
-		"records", len(u.Records), "wait", u.HeldUntil.Sub(u.BegunAt), "took", u.EndedAt.Sub(u.BegunAt),
+		"records", len(u.Records), "wait", u.WaitDeadline.Sub(u.StartedAt), "took", u.EndedAt.Sub(u.StartedAt),
 		"knowledge-age", age, "error", u.Err)
 }
 
@@ -120,10 +120,10 @@
 		return
 	}
 	from, took := "instance", time.Duration(0)
-	if u.BegunAt != 0 {
-		from, took = "store", clock.Boot{}.Now().Sub(u.BegunAt)
+	if u.StartedAt != 0 {
+		from, took = "store", clock.Boot{}.Now().Sub(u.StartedAt)
 	}
-	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Whole, "overdue", u.Overdue,
+	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Snapshot, "overdue", u.Overdue,
 		"took", took, "age", n.updateAge(u), "end", u.End)
 }
 
@@ -135,16 +135,16 @@
 // An instance that has just started does not know. If it took the records for new, it would give a server that is
 // already leaving its whole drain time again.
 func (n *Node) updateAge(u follow.Update) time.Duration {
-	if u.Since == 0 {
+	if u.WrittenAfter == 0 {
 		return unknownAge
 	}
-	return max(clock.Boot{}.Now().Sub(u.Since), 0)
+	return max(clock.Boot{}.Now().Sub(u.WrittenAfter), 0)
 }
 
 // handleTopicUpdate passes on what a peer has read to the watch of the topic. If its queue is full, the update is
 // dropped, and heartbeats show later that this instance is behind.
 func (n *Node) handleTopicUpdate(m gram.TopicUpdate) {
-	update := m.News
+	update := m.PeerUpdate
 	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		update.SentAt = sentAt
 	}
@@ -252,7 +252,7 @@
 // is read from the store instead.
 func (n *Node) handleOwnerChange(m gram.OwnerChange) {
 	select {
-	case n.leases.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
+	case n.leases.OwnerChanges() <- holder.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
 		n.requestRead(n.platform.OwnersTopic)
 	}
@@ -276,7 +276,7 @@
 // although no record says so yet.
 func (n *Node) Owner(service string, key uint16) (shard.Range, bool, <-chan struct{}) {
 	changed := n.cluster.ownersChange()
-	m := n.leases.Owners().Maps[service]
+	m := n.leases.View().Maps[service]
 	if m == nil {
 		return shard.Range{}, false, changed
 	}
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -135,8 +135,8 @@
 		StoreAnswered: answeredAt != 0 && clock.Boot{}.Now().Sub(answeredAt) < n.leaderPollTimeout()+storeAnswerSlack,
 		CompleteAge:   complete,
 		SentAt:        int64(sentAt), KnownAge: age,
-		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.leases.Confirmed(),
-		Known: n.leases.Owners().End, StoreOK: reached.owners && reached.directory,
+		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.leases.ConfirmedOffset(),
+		Known: n.leases.View().End, StoreOK: reached.owners && reached.directory,
 		Stopping: n.isStopping(), Leads: n.leases.Leads(), ConfigEnd: configEnd, ServersEnd: serversEnd, Failing: n.leases.Failing(),
 	}
 }
@@ -168,8 +168,8 @@
 		return
 	}
 	until := sentAt.Add(-time.Duration(b.CompleteAge) * time.Millisecond)
-	n.watches[n.platform.ConfigTopic].Refresh(b.ConfigEnd, until)
-	n.watches[n.platform.ServersTopic].Refresh(b.ServersEnd, until)
+	n.watches[n.platform.ConfigTopic].ConfirmCurrent(b.ConfigEnd, until)
+	n.watches[n.platform.ServersTopic].ConfirmCurrent(b.ServersEnd, until)
 }
 
 // handleHeartbeat processes the heartbeat of a peer, and reads the topics of which the peer knows more.
@@ -180,8 +180,8 @@
 	if b.ReplyNow {
 		n.replyWithHeartbeat(b.Name)
 	}
-	n.leases.Hear(b)
-	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.Owners().End, now) {
+	n.leases.HandleHeartbeat(b)
+	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.View().End, now) {
 		n.requestView(b.Name)
 	}
 	configEnd, _ := n.watches[n.platform.ConfigTopic].Known()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 // Platform is what the adapter of a platform provides: the calls to outside systems and the decoders of their data.
 type Platform struct {
 	Store  follow.Store
-	Orders holder.Orders
+	Orders holder.LeaseClient
 	Wire   edge.HeaderCodec
 	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
 	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
@@ -68,7 +68,7 @@
 	port        *gram.Port
 	admissions  *admissions
 	loadTracker *loadTracker
-	leases      *holder.Holder
+	leases      *holder.Manager
 	edge        *edge.Edge
 	suspects    *edge.CrashTracker
 	meters      *edge.Meters
@@ -83,7 +83,7 @@
 	// peerUpdates, by topic, passes it what peers have read.
 	updates      chan follow.Update
 	readRequests map[string]chan struct{}
-	peerUpdates  map[string]chan follow.News
+	peerUpdates  map[string]chan follow.PeerUpdate
 	// broadcasts holds, by topic, updates of the configuration and the directory that are to be broadcast.
 	broadcasts map[string]chan follow.Update
 	// unreachableMu guards unreachableLoggedAt, which holds, by instance, when it was last logged that this controller
@@ -95,7 +95,7 @@
 	// heartbeatLeaderNow and heartbeatAllNow ask for a heartbeat at once.
 	heartbeatLeaderNow chan struct{}
 	heartbeatAllNow    chan struct{}
-	watches            map[string]*follow.Topic
+	watches            map[string]*follow.Watch
 	// storeAnsweredAt is when the store last answered a read of this instance, by the lease clock; zero for never.
 	storeAnsweredAt atomic.Int64
 	// lag holds, by topic, what detects that peers know more.
@@ -125,7 +125,7 @@
 		roster: roster.New(settings.Name, settings.Domain),
 		meters: edge.NewMeters(), suspects: edge.NewCrashTracker(), incarnation: rand.Uint64() | 1,
 		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewLatencyHistograms(),
-		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{}, broadcasts: map[string]chan follow.Update{},
+		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.PeerUpdate{}, broadcasts: map[string]chan follow.Update{},
 		lag: map[string]*lagDetector{}, completedMoves: make(chan gram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
 	n.platform.Store = &instrumentedStore{Store: platform.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
@@ -134,7 +134,7 @@
 	for _, topic := range []string{platform.ConfigTopic, platform.ServersTopic, platform.OwnersTopic} {
 		n.readRequests[topic] = make(chan struct{}, 1)
 		n.lag[topic] = &lagDetector{}
-		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
+		n.peerUpdates[topic] = make(chan follow.PeerUpdate, maxQueuedPeerUpdates)
 	}
 	for _, topic := range []string{platform.ConfigTopic, platform.ServersTopic} {
 		n.broadcasts[topic] = make(chan follow.Update, maxQueuedBroadcasts)
@@ -142,16 +142,16 @@
 	n.loadTracker = newLoadTracker()
 	n.admissions = newAdmissions(n)
 	n.leases = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, Orders: platform.Orders, Store: n.platform.Store,
+		Name: settings.Name, Domain: settings.Domain, LeaseClient: platform.Orders, Store: n.platform.Store,
 		Topic: platform.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
-		Servers: n.cluster.servers, Directory: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, Target: n.cluster.shortestTarget, Load: n.loadTracker.load, Powers: n.loadTracker.capacities,
-		Again:        func() { n.requestRead(platform.OwnersTopic) },
+		Servers: n.cluster.servers, DirectoryVersion: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, TargetLatency: n.cluster.shortestTarget, Load: n.loadTracker.load, Capacities: n.loadTracker.capacities,
+		RereadOwners: func() { n.requestRead(platform.OwnersTopic) },
 		DirectoryAge: func() time.Duration { return n.watches[platform.ServersTopic].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(platform.ServersTopic) },
-		Leading: n.leadershipChanged, Tell: n.broadcastOwnerChange, TellRegister: n.broadcastRegister, Settled: n.moveCompleted,
-		Changed: n.ownersChanged, Announce: n.sendHeartbeatToLeader,
+		EntryDelay:   entryTime(settings.EntrySeconds), ReadDirectory: func() { n.requestRead(platform.ServersTopic) },
+		LeadershipChanged: n.leadershipChanged, BroadcastOwners: n.broadcastOwnerChange, BroadcastRegister: n.broadcastRegister, MoveCompleted: n.moveCompleted,
+		OwnersChanged: n.ownersChanged, SendHeartbeat: n.sendHeartbeatToLeader,
 	})
-	n.cluster.owners = n.leases.Owners
+	n.cluster.owners = n.leases.View
 	n.watches = n.newWatches()
 	budget := edge.NewRetryBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -47,7 +47,7 @@
 
 // hang waits like a call that gets no answer, and returns the error of the context or its timeout.
 func hang(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, follow.SilenceMost)
+	ctx, cancel := context.WithTimeout(ctx, follow.AnswerTimeout)
 	defer cancel()
 	<-ctx.Done()
 	return ctx.Err()
@@ -80,11 +80,11 @@
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
 		platform: Platform{Store: s, ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners"},
 		roster:   roster.New("i0", "a"), updates: make(chan follow.Update, 64),
-		readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.News{},
+		readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.PeerUpdate{},
 	}
 	for _, topic := range []string{"config", "servers", "owners"} {
 		n.readRequests[topic] = make(chan struct{}, 1)
-		n.peerUpdates[topic] = make(chan follow.News, maxQueuedPeerUpdates)
+		n.peerUpdates[topic] = make(chan follow.PeerUpdate, maxQueuedPeerUpdates)
 	}
 	n.leases = holder.New(holder.Deps{Clock: testClock{}, Roster: n.roster})
 	for i := range others + 1 {
@@ -131,7 +131,7 @@
 						is.True(<-ended != nil)
 						is.True(<-ended != nil)
 					}()
-					watch.Applied(<-n.updates)
+					watch.MarkApplied(<-n.updates)
 					time.Sleep(5 * time.Second)
 					s.setHanging(true)
 					time.Sleep(outage)
@@ -139,7 +139,7 @@
 					s.put("config", "2")
 					changedAt := time.Now()
 					for u := range n.updates {
-						watch.Applied(u)
+						watch.MarkApplied(u)
 						if u.End == 2 {
 							break
 						}
@@ -208,7 +208,7 @@
 				regained[u.Topic] = true
 				n.retryUnanswered(u)
 			}
-			is.True(time.Since(answeredAt) <= follow.SilenceMost)
+			is.True(time.Since(answeredAt) <= follow.AnswerTimeout)
 		})
 	}
 }
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -73,7 +73,7 @@
 			}
 			following = true
 			close(n.registered)
-		case r.outcomeUnknown && !n.watches[n.platform.OwnersTopic].Unanswered():
+		case r.outcomeUnknown && !n.watches[n.platform.OwnersTopic].LastReadFailed():
 			n.requestRead(n.platform.OwnersTopic)
 		}
 	}
--- a/internal/node/watches.go
+++ b/internal/node/watches.go
@@ -35,16 +35,16 @@
 )
 
 // newWatches returns the watches of the three topics, by topic.
-func (n *Node) newWatches() map[string]*follow.Topic {
+func (n *Node) newWatches() map[string]*follow.Watch {
 	configDelay := func() time.Duration { return configBatchDelay }
-	watches := map[string]*follow.Topic{
-		n.platform.ConfigTopic:  {Direct: n.readsStore, Wait: n.pollTimeout, Settle: configDelay, Latest: true, Overdue: n.maxStaleness},
-		n.platform.ServersTopic: {Direct: n.readsStore, Wait: n.pollTimeout, Settle: n.batchDelay, Overdue: n.maxStaleness},
-		n.platform.OwnersTopic:  {Direct: n.readsOwners, Every: n.ownersReadInterval, Settle: configDelay},
+	watches := map[string]*follow.Watch{
+		n.platform.ConfigTopic:  {ReadsStore: n.readsStore, PollTimeout: n.pollTimeout, BatchDelay: configDelay, CatchUpFromSnapshot: true, MaxStaleness: n.maxStaleness},
+		n.platform.ServersTopic: {ReadsStore: n.readsStore, PollTimeout: n.pollTimeout, BatchDelay: n.batchDelay, MaxStaleness: n.maxStaleness},
+		n.platform.OwnersTopic:  {ReadsStore: n.readsOwners, ReadInterval: n.ownersReadInterval, BatchDelay: configDelay},
 	}
 	for topic, w := range watches {
-		w.Store, w.Name, w.Clock, w.Out = n.platform.Store, topic, clock.Boot{}, n.updates
-		w.Again, w.News, w.Retry = n.readRequests[topic], n.peerUpdates[topic], n.retryDelay
+		w.Store, w.Topic, w.Clock, w.Out = n.platform.Store, topic, clock.Boot{}, n.updates
+		w.ReadNow, w.PeerUpdates, w.RetryDelay = n.readRequests[topic], n.peerUpdates[topic], n.retryDelay
 	}
 	return watches
 }
