--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		now := time.Now()
-		if up := now.Sub(lm.startedAt); up >= maxListenTime || up >= minListenTime && lm.Roster.HalfOfDomainAlive() {
+		if up := now.Sub(lm.startedAt); up >= maxListenTime || up >= minListenTime && lm.Roster.HeardFromHalf() {
 			lm.lead(ctx, now)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,9 +33,9 @@
 
 // Platform is what the adapter of a platform provides: the calls to outside systems and the decoders of their data.
 type Platform struct {
-	Store  follow.Store
-	Orders holder.LeaseClient
-	Wire   edge.HeaderCodec
+	Store       follow.Store
+	LeaseClient holder.LeaseClient
+	Codec       edge.HeaderCodec
 	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
 	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
 	// the configuration in its topic.
@@ -142,7 +142,7 @@
 	n.loadTracker = newLoadTracker()
 	n.admissions = newAdmissions(n)
 	n.leases = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, LeaseClient: platform.Orders, Store: n.platform.Store,
+		Name: settings.Name, Domain: settings.Domain, LeaseClient: platform.LeaseClient, Store: n.platform.Store,
 		Topic: platform.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
 		Servers: n.cluster.servers, DirectoryVersion: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, TargetLatency: n.cluster.shortestTarget, Load: n.loadTracker.load, Capacities: n.loadTracker.capacities,
 		RereadOwners: func() { n.requestRead(platform.OwnersTopic) },
@@ -157,7 +157,7 @@
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Codec: platform.Wire, Cluster: n, Admitter: n.admissions, ConnPool: edge.NewConnPool(n.connections), RetryBudget: budget,
+		Codec: platform.Codec, Cluster: n, Admitter: n.admissions, ConnPool: edge.NewConnPool(n.connections), RetryBudget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
--- a/internal/roster/quorum.go
+++ b/internal/roster/quorum.go
@@ -102,9 +102,9 @@
 	return all, domain
 }
 
-// HalfOfDomainAlive reports whether this instance has ever received a heartbeat from at least half of the
+// HeardFromHalf reports whether this instance has ever received a heartbeat from at least half of the
 // other instances of its failure domain.
-func (r *Roster) HalfOfDomainAlive() bool {
+func (r *Roster) HeardFromHalf() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	total, heard := 0, 0
