--- a/internal/leader/measure_test.go
+++ b/internal/leader/bench_test.go
@@ -15,10 +15,10 @@
 // the metrics, not the times.
 
 const (
-	sampleEvery  = 5 * ms
-	measureSeeds = 100
-	beforeLoss   = 6000 * ms
-	afterLoss    = 9000 * ms
+	sampleInterval  = 5 * ms
+	measureSeeds    = 100
+	lossTime        = 6000 * ms
+	observationTime = 9000 * ms
 )
 
 // loss is what fails at once in a measurement.
@@ -28,8 +28,8 @@
 
 // outage is the result of one measurement of one range.
 type outage struct {
-	lasted Time
-	moved  bool
+	duration Time
+	moved    bool
 }
 
 // usable reports whether a hash has an owner that every live instance knows of, with a gate
@@ -68,16 +68,16 @@
 	return ""
 }
 
-// measure causes a loss and returns the outage of each range that it concerns.
-func measure(seed uint64, l layout, lost loss, oneWay Time) []outage {
+// measureOutages causes a loss and returns the outage of each range that it concerns.
+func measureOutages(seed uint64, l layout, lost loss, oneWay Time) []outage {
 	w := newWorld(seed, l, "")
-	w.oneWay = oneWay
+	w.oneWayDelay = oneWay
 	w.startAll()
-	w.advance(beforeLoss)
+	w.advance(lossTime)
 	if lost.logDown {
 		w.log.downTo = 1 << 60
 	}
-	w.advance(beforeLoss + 500*ms + Time(w.random.Int64N(int64(200*ms))))
+	w.advance(lossTime + 500*ms + Time(w.random.Int64N(int64(200*ms))))
 	leader := w.leading()
 	concerned, before := w.hashes, make(map[uint64]string)
 	for _, hash := range w.hashes {
@@ -86,7 +86,7 @@
 	if lost.server || lost.gate {
 		victim := w.servers[len(w.servers)-1].name
 		concerned = slices.DeleteFunc(slices.Clone(w.hashes), func(h uint64) bool { return before[h] != victim })
-		if !w.lose(victim, lost) {
+		if !w.injectLoss(victim, lost) {
 			return nil
 		}
 	}
@@ -99,8 +99,8 @@
 	return w.outages(concerned, before)
 }
 
-// lose ends a server, or its gate if that does not lead. It reports whether it did.
-func (w *world) lose(victim string, lost loss) bool {
+// injectLoss ends a server, or its gate if that does not lead. It reports whether it did.
+func (w *world) injectLoss(victim string, lost loss) bool {
 	if lost.server {
 		w.machines[victim].down = true
 		return true
@@ -117,18 +117,18 @@
 func (w *world) outages(concerned []uint64, before map[uint64]string) []outage {
 	lost := w.now
 	gone := make(map[uint64]Time)
-	for w.now < lost+afterLoss {
+	for w.now < lost+observationTime {
 		for _, hash := range concerned {
 			if !w.usable(hash) {
-				gone[hash] = w.now + sampleEvery - lost
+				gone[hash] = w.now + sampleInterval - lost
 			}
 		}
-		w.advance(w.now + sampleEvery)
+		w.advance(w.now + sampleInterval)
 	}
 	var result []outage
 	table := w.leading().core.Table()
 	for _, hash := range concerned {
-		result = append(result, outage{lasted: gone[hash], moved: ownerIn(table, hash) != before[hash]})
+		result = append(result, outage{duration: gone[hash], moved: ownerIn(table, hash) != before[hash]})
 	}
 	return result
 }
@@ -144,7 +144,7 @@
 		for name, lost := range losses {
 			b.Run(fmt.Sprintf("%s/%.1fms", name, float64(oneWay)/1e6), func(b *testing.B) {
 				for b.Loop() {
-					reportOutages(b, quiet(3, 5, 0), lost, oneWay)
+					reportOutages(b, stableLayout(3, 5, 0), lost, oneWay)
 				}
 			})
 		}
@@ -152,13 +152,13 @@
 	for _, voters := range []int{1, 2, 3} {
 		b.Run(fmt.Sprintf("restart of one of %d voters/0.5ms", voters), func(b *testing.B) {
 			for b.Loop() {
-				reportOutages(b, quiet(3, voters, 0), loss{restart: true}, 500_000)
+				reportOutages(b, stableLayout(3, voters, 0), loss{restart: true}, 500_000)
 			}
 		})
 	}
 	b.Run("gate of unchecked server/0.5ms", func(b *testing.B) {
 		for b.Loop() {
-			reportOutages(b, quiet(3, 3, 2), loss{gate: true}, 500_000)
+			reportOutages(b, stableLayout(3, 3, 2), loss{gate: true}, 500_000)
 		}
 	})
 }
@@ -167,8 +167,8 @@
 	var all []Time
 	moved := 0
 	for seed := uint64(1); seed <= measureSeeds; seed++ {
-		for _, o := range measure(seed, l, lost, oneWay) {
-			all = append(all, o.lasted)
+		for _, o := range measureOutages(seed, l, lost, oneWay) {
+			all = append(all, o.duration)
 			if o.moved {
 				moved++
 			}
@@ -190,12 +190,12 @@
 		for _, each := range []int{8, 64} {
 			b.Run(fmt.Sprintf("servers=%d/ranges=%d", servers, servers*each), func(b *testing.B) {
 				for b.Loop() {
-					w := newWorld(1, quiet(1, servers, 0), "")
+					w := newWorld(1, stableLayout(1, servers, 0), "")
 					w.hashes = nil
-					w.layout.placer = placerOf(servers * each)
+					w.layout.placer = slicePlacerOf(servers * each)
 					w.startAll()
 					w.advance(5000 * ms)
-					w.messages, w.bytes, w.count = 0, 0, true
+					w.messages, w.bytes, w.countBytes = 0, 0, true
 					w.advance(15000 * ms)
 					b.ReportMetric(0, "ns/op")
 					b.ReportMetric(float64(w.messages)/10, "messages/s")
@@ -211,13 +211,13 @@
 	events := map[string]func(w *world){
 		"start":       func(w *world) { w.startAll() },
 		"server loss": func(w *world) { w.servers[0].down = true },
-		"leader loss": func(w *world) { n := w.leading(); n.down, n.life = true, n.life+1 },
+		"leader loss": func(w *world) { n := w.leading(); n.down, n.generation = true, n.generation+1 },
 		"log back":    func(w *world) { w.log.downTo = w.now + 20_000*ms; w.servers[0].down = true },
 	}
 	for name, event := range events {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				w := newWorld(1, quiet(3, 5, 0), "")
+				w := newWorld(1, stableLayout(3, 5, 0), "")
 				if name != "start" {
 					w.startAll()
 					w.advance(6000 * ms)
@@ -252,8 +252,8 @@
 	return terms, made, bytes
 }
 
-// encoded returns the number of bytes of an exchange or answer as it is sent.
-func encoded(v any) int {
+// encodedSize returns the number of bytes of an exchange or answer as it is sent.
+func encodedSize(v any) int {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -265,9 +265,9 @@
 func BenchmarkHandle(b *testing.B) {
 	for _, servers := range []int{5, 50, 200} {
 		for _, each := range []int{8, 64} {
-			w := newWorld(1, quiet(1, servers, 0), "")
+			w := newWorld(1, stableLayout(1, servers, 0), "")
 			w.hashes = nil
-			w.layout.placer = placerOf(servers * each)
+			w.layout.placer = slicePlacerOf(servers * each)
 			w.startAll()
 			w.advance(5000 * ms)
 			n := w.leading()
@@ -278,13 +278,13 @@
 					n.core.Handle(n.clock(w.now), Ticked{})
 				}
 			})
-			h := n.core.lead.ordered()[0]
+			h := n.core.lead.sortedHolders()[0]
 			answer := w.holder(w.servers[0], h.server).exchange(w.lastExchange)
 			b.Run("answered/"+name, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					answer.Serial++
-					n.core.Handle(n.clock(w.now), Answered{Server: h.server, AskedAt: h.heardAt, Answer: answer})
+					n.core.Handle(n.clock(w.now), Answered{Server: h.server, AskedAt: h.answeredAt, Answer: answer})
 				}
 			})
 			b.Run("period/"+name, func(b *testing.B) {
@@ -297,7 +297,7 @@
 			b.Run("pass/"+name, func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					n.core.lead.dirty, n.core.lead.reconcileAt = true, 0
+					n.core.lead.rangesDirty, n.core.lead.reconcileAt = true, 0
 					n.core.lead.tableDirty, n.core.lead.publishAt = true, 0
 					n.core.Handle(n.clock(w.now), Ticked{})
 				}
@@ -306,6 +306,6 @@
 	}
 }
 
-func placerOf(slicesOf int) func(*world) place.Placer {
-	return func(*world) place.Placer { return &slicePlacer{slices: slicesOf} }
+func slicePlacerOf(slicesOf int) func(*world) place.Placer {
+	return func(*world) place.Placer { return &slicePlacer{slicesPerHome: slicesOf} }
 }
--- a/internal/leader/cold_test.go
+++ b/internal/leader/cold_test.go
@@ -8,14 +8,14 @@
 	"example.org/mustardring/internal/place"
 )
 
-// watchingPlacer keeps the view that another placer was given last.
-type watchingPlacer struct {
+// recordingPlacer keeps the view that another placer was given last.
+type recordingPlacer struct {
 	place.Placer
-	seen *place.View
+	lastView *place.View
 }
 
-func (p watchingPlacer) Place(v place.View) []place.Target {
-	*p.seen = v
+func (p recordingPlacer) Place(v place.View) []place.Target {
+	*p.lastView = v
 	return p.Placer.Place(v)
 }
 
@@ -24,8 +24,10 @@
 func TestRestartedServerIsCold(t *testing.T) {
 	is := is.New(t)
 	var seen place.View
-	l := quiet(1, 3, 0)
-	l.placer = func(*world) place.Placer { return watchingPlacer{Placer: &slicePlacer{slices: 8}, seen: &seen} }
+	l := stableLayout(1, 3, 0)
+	l.placer = func(*world) place.Placer {
+		return recordingPlacer{Placer: &slicePlacer{slicesPerHome: 8}, lastView: &seen}
+	}
 	w := newWorld(1, l, "")
 	w.startAll()
 	w.advance(6000 * ms)
--- a/internal/leader/config.go
+++ b/internal/leader/config.go
@@ -28,7 +28,7 @@
 	// DriftPerMille bounds by how much any two clocks diverge, in thousandths.
 	DriftPerMille int64
 
-	guards mutation
+	mutation mutation
 }
 
 // DefaultConfig returns the periods that the notes on ownership measure.
@@ -48,9 +48,9 @@
 	}
 }
 
-// stretch lengthens a time on another clock to the longest it may take on this one.
-func (c *Config) stretch(d Time) Time {
-	if c.without(mutStretch) {
+// withDrift lengthens a time on another clock to the longest it may take on this one.
+func (c *Config) withDrift(d Time) Time {
+	if c.mutated(mutIgnoreDrift) {
 		return d
 	}
 	return d + d*Time(c.DriftPerMille)/1000 + 1
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -18,39 +18,39 @@
 	started bool
 	effects []Effect
 
-	version     uint64
-	services    []*service
-	electorates []electorate
-	peers       map[string]peer
-	listed      map[string]bool
-	log         logView
-	// known is the highest term heard of.
-	known grant.Term
-	// hint is the newest routing table of another leader of the domain.
-	hint route.Table
+	bundleVersion   uint64
+	services        []*service
+	voterSets       []voterSet
+	peers           map[string]peer
+	listedInstances map[string]bool
+	log             logView
+	// highestTerm is the highest term heard of.
+	highestTerm grant.Term
+	// formerTable is the newest routing table of another leader of the domain.
+	formerTable route.Table
 	// gates names the gate of each server by the server's name.
 	gates map[string]string
 
-	// leaderAt is when a leader of the domain was last heard, or may be hoped for since.
-	leaderAt Time
-	leader   string
+	// leaderHeardAt is when a leader of the domain was last heard, or may be hoped for since.
+	leaderHeardAt Time
+	leader        string
 	// resigned says that the last leader said itself that it leads no more.
-	resigned bool
-	survey   *survey
-	claim    *claim
-	lead     *leadership
-	stopping bool
+	resigned  bool
+	preVote   *preVote
+	termClaim *termClaim
+	lead      *leadership
+	stopping  bool
 	// homesFence is the highest value of the homes fence that this instance knows.
 	homesFence uint64
 }
 
 // logView is what this instance knows of the log.
 type logView struct {
-	readAt   Time
-	read     bool
-	away     bool
-	term     fold.Term
-	assigned map[string]fold.Assigned
+	readAt      Time
+	everRead    bool
+	unavailable bool
+	term        fold.Term
+	assigned    map[string]fold.Assigned
 }
 
 // peer is another instance of the domain.
@@ -62,11 +62,11 @@
 // New returns a core that follows.
 func New(config Config, placer place.Placer) *Core {
 	return &Core{
-		config: config,
-		placer: placer,
-		peers:  make(map[string]peer),
-		listed: make(map[string]bool),
-		gates:  make(map[string]string),
+		config:          config,
+		placer:          placer,
+		peers:           make(map[string]peer),
+		listedInstances: make(map[string]bool),
+		gates:           make(map[string]string),
 	}
 }
 
@@ -77,34 +77,34 @@
 	c.effects = nil
 	if !c.started {
 		c.started = true
-		c.leaderAt = c.now
+		c.leaderHeardAt = c.now
 	}
-	c.checkAuthority()
+	c.checkQuorum()
 	switch ev := ev.(type) {
 	case Ticked:
 		c.tick()
 	case Configured:
 		c.configure(ev)
 	case Answered:
-		c.answered(ev)
+		c.handleAnswer(ev)
 	case Folded:
-		c.folded(ev)
+		c.handleLogRead(ev)
 	case LogFailed:
-		c.log.away = true
+		c.log.unavailable = true
 	case Appended:
-		c.appended(ev)
+		c.handleAppended(ev)
 	case PeerHeard:
-		c.peerHeard(ev)
+		c.handleHeartbeat(ev)
 	case Routed:
-		c.routed(ev)
+		c.handleTable(ev)
 	case Listed:
-		c.list(ev)
+		c.handleListed(ev)
 	case Measured:
-		c.measured(ev)
+		c.handleMeasured(ev)
 	case Stopping:
 		c.stop()
 	}
-	c.settle()
+	c.runDueWork()
 	return c.effects
 }
 
@@ -122,7 +122,7 @@
 		Name:        c.config.Name,
 		Incarnation: c.config.Incarnation,
 		Leading:     c.lead != nil && c.lead.won(),
-		Term:        c.known,
+		Term:        c.highestTerm,
 		Leaving:     c.stopping,
 	}
 }
@@ -139,22 +139,22 @@
 	c.tickLeader()
 }
 
-// settle does what the changes of one event make due.
-func (c *Core) settle() {
+// runDueWork does what the changes of one event make due.
+func (c *Core) runDueWork() {
 	l := c.lead
 	if l == nil || !l.won() {
 		return
 	}
 	c.place()
-	if l.dirty && c.now >= l.reconcileAt {
-		l.dirty = false
-		l.reconcileAt = c.now + l.spacing()
+	if l.rangesDirty && c.now >= l.reconcileAt {
+		l.rangesDirty = false
+		l.reconcileAt = c.now + l.minPassInterval()
 		c.reconcile()
 	}
 	c.exchangeDue()
-	c.exchangePrompted()
+	c.exchangeUrgent()
 	if l.tableDirty && c.now >= l.publishAt {
-		l.publishAt = c.now + l.spacing()
+		l.publishAt = c.now + l.minPassInterval()
 		c.publish()
 	}
 }
@@ -163,22 +163,22 @@
 // answer at once. With few ranges it is shorter than a round trip.
 const costPerRange = Time(2 * time.Microsecond)
 
-// spacing returns the least time between two passes over all ranges.
-func (l *leadership) spacing() Time {
+// minPassInterval returns the least time between two passes over all ranges.
+func (l *leadership) minPassInterval() Time {
 	if l.published == nil {
 		return 0
 	}
 	return costPerRange * Time(len(l.published.Owners))
 }
 
-func (c *Core) routed(ev Routed) {
-	if c.hint.Term.Compare(ev.Table.Term) <= 0 {
-		c.hint = ev.Table
+func (c *Core) handleTable(ev Routed) {
+	if c.formerTable.Term.Compare(ev.Table.Term) <= 0 {
+		c.formerTable = ev.Table
 	}
 }
 
 func (c *Core) stop() {
 	c.stopping = true
-	c.claim, c.survey = nil, nil
+	c.termClaim, c.preVote = nil, nil
 	c.stepDown(reasonStopping)
 }
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -8,11 +8,11 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// missedHeartbeats is the number of periods after which a silent peer counts as lost.
-const missedHeartbeats = 3
+// maxMissedHeartbeats is the number of periods after which a silent peer counts as lost.
+const maxMissedHeartbeats = 3
 
-// claim is a claim of a term that waits for the log.
-type claim struct {
+// termClaim is a claim of a term that waits for the log.
+type termClaim struct {
 	follows  uint64
 	deadline Time
 }
@@ -23,35 +23,35 @@
 	if c.stopping || len(c.services) == 0 {
 		return
 	}
-	if c.claim != nil {
-		if c.now >= c.claim.deadline || c.log.away {
+	if c.termClaim != nil {
+		if c.now >= c.termClaim.deadline || c.log.unavailable {
 			c.beginWithoutLog()
 		}
 		return
 	}
-	wait := missedHeartbeats*c.heartbeat() + Time(c.rank())*c.heartbeat()
-	if c.now < c.leaderAt+wait {
+	wait := maxMissedHeartbeats*c.heartbeatInterval() + Time(c.rank())*c.heartbeatInterval()
+	if c.now < c.leaderHeardAt+wait {
 		return
 	}
 	switch {
 	case c.resigned:
 		c.claimTerm()
-	case c.survey == nil || c.now >= c.survey.deadline:
-		c.beginSurvey()
+	case c.preVote == nil || c.now >= c.preVote.deadline:
+		c.startPreVote()
 	}
 }
 
 func (c *Core) claimTerm() {
-	if c.log.away || !c.log.read {
+	if c.log.unavailable || !c.log.everRead {
 		c.beginWithoutLog()
 		return
 	}
-	c.claim = &claim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimWait)}
+	c.termClaim = &termClaim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimWait)}
 	c.emit(Append{
-		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.claim.follows, c.config.Name, c.config.Incarnation),
+		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.termClaim.follows, c.config.Name, c.config.Incarnation),
 		Record: record.TermClaimed{
 			Domain:      c.config.Domain,
-			Follows:     c.claim.follows,
+			Follows:     c.termClaim.follows,
 			Instance:    c.config.Name,
 			Incarnation: c.config.Incarnation,
 		},
@@ -60,17 +60,17 @@
 
 // beginWithoutLog starts a sub-term. It is no more than a candidacy: the voters decide.
 func (c *Core) beginWithoutLog() {
-	c.begin(grant.Term{Log: c.known.Log, Sub: c.known.Sub + 1, Incarnation: c.config.Incarnation})
+	c.beginTerm(grant.Term{Log: c.highestTerm.Log, Sub: c.highestTerm.Sub + 1, Incarnation: c.config.Incarnation})
 }
 
-func (c *Core) folded(ev Folded) {
+func (c *Core) handleLogRead(ev Folded) {
 	changed := ev.Term != c.log.term
 	c.log.readAt = max(c.log.readAt, ev.ReadAt)
-	c.log.read = true
-	c.log.away = false
+	c.log.everRead = true
+	c.log.unavailable = false
 	c.log.term = ev.Term
 	c.log.assigned = ev.Assigned
-	c.know(grant.Term{Log: ev.Term.Log})
+	c.noteTerm(grant.Term{Log: ev.Term.Log})
 	if c.lead != nil {
 		c.lead.tableDirty = true
 		return
@@ -79,40 +79,40 @@
 		return
 	}
 	if ev.Term.Instance == c.config.Name && ev.Term.Incarnation == c.config.Incarnation {
-		if c.claim != nil {
-			c.begin(grant.Term{Log: ev.Term.Log, Incarnation: c.config.Incarnation})
+		if c.termClaim != nil {
+			c.beginTerm(grant.Term{Log: ev.Term.Log, Incarnation: c.config.Incarnation})
 		}
 		return
 	}
-	c.claim, c.survey = nil, nil
-	c.leaderAt = c.now
+	c.termClaim, c.preVote = nil, nil
+	c.leaderHeardAt = c.now
 }
 
-func (c *Core) know(t grant.Term) {
-	if t.Compare(c.known) > 0 {
-		c.known = t
+func (c *Core) noteTerm(t grant.Term) {
+	if t.Compare(c.highestTerm) > 0 {
+		c.highestTerm = t
 	}
 }
 
-func (c *Core) peerHeard(ev PeerHeard) {
-	c.know(ev.Term)
+func (c *Core) handleHeartbeat(ev PeerHeard) {
+	c.noteTerm(ev.Term)
 	if ev.Name == c.config.Name {
 		return
 	}
 	c.peers[ev.Name] = peer{heardAt: c.now, leaving: ev.Leaving}
 	switch {
-	case ev.Leading && ev.Term.Compare(c.known) >= 0:
+	case ev.Leading && ev.Term.Compare(c.highestTerm) >= 0:
 		c.leader = ev.Name
-		c.leaderAt = c.now
+		c.leaderHeardAt = c.now
 		c.resigned = false
-		c.claim, c.survey = nil, nil
+		c.termClaim, c.preVote = nil, nil
 		if c.lead != nil && c.lead.term.Compare(ev.Term) < 0 {
-			c.stepDown(reasonPeer)
+			c.stepDown(reasonPeerLeads)
 		}
 	case !ev.Leading && ev.Name == c.leader:
 		c.leader = ""
 		c.resigned = true
-		c.leaderAt = c.now - missedHeartbeats*c.heartbeat()
+		c.leaderHeardAt = c.now - maxMissedHeartbeats*c.heartbeatInterval()
 	}
 }
 
@@ -122,11 +122,11 @@
 		return !c.stopping
 	}
 	p, found := c.peers[name]
-	return found && !p.leaving && c.now < p.heardAt+missedHeartbeats*c.heartbeat()
+	return found && !p.leaving && c.now < p.heardAt+maxMissedHeartbeats*c.heartbeatInterval()
 }
 
-// instances returns the names of the instances that are alive, sorted.
-func (c *Core) instances() []string {
+// aliveInstances returns the names of the instances that are alive, sorted.
+func (c *Core) aliveInstances() []string {
 	var names []string
 	for name := range c.peers {
 		if c.alive(name) {
@@ -141,9 +141,9 @@
 }
 
 func (c *Core) rank() int {
-	return max(0, slices.Index(c.instances(), c.config.Name))
+	return max(0, slices.Index(c.aliveInstances(), c.config.Name))
 }
 
-func (c *Core) heartbeat() Time {
+func (c *Core) heartbeatInterval() Time {
 	return Time(c.config.Heartbeat)
 }
--- a/internal/leader/exchange.go
+++ b/internal/leader/exchange.go
@@ -9,18 +9,18 @@
 
 var zeroEpoch grant.Epoch
 
-func compareHoldings(a, b *holding) int {
-	return cmp.Or(cmp.Compare(a.server, b.server), cmp.Compare(a.via, b.via))
+func compareHolders(a, b *holder) int {
+	return cmp.Or(cmp.Compare(a.server, b.server), cmp.Compare(a.gate, b.gate))
 }
 
 func (c *Core) tickLeader() {
 	l := c.lead
 	if l.won() {
-		c.lapse()
+		c.expireHolders()
 		c.record()
 	}
-	if c.chooseGates() || c.settledNow() {
-		c.seat()
+	if c.chooseGates() || c.updateSettled() {
+		c.updateHolders()
 		c.placeSoon()
 	}
 	if !l.won() {
@@ -36,32 +36,32 @@
 
 func (c *Core) exchangeAll() {
 	c.lead.exchangeAt = c.now + Time(c.config.Exchange)
-	for _, h := range c.lead.ordered() {
-		h.prompt = false
+	for _, h := range c.lead.sortedHolders() {
+		h.urgent = false
 		c.exchange(h)
 	}
 }
 
-// exchangePrompted sends the sets that were just changed, without waiting for the period.
-func (c *Core) exchangePrompted() {
-	for _, h := range c.lead.prompted {
-		if h.prompt {
-			h.prompt = false
+// exchangeUrgent sends the sets that were just changed, without waiting for the period.
+func (c *Core) exchangeUrgent() {
+	for _, h := range c.lead.urgentHolders {
+		if h.urgent {
+			h.urgent = false
 			c.exchange(h)
 		}
 	}
-	c.lead.prompted = nil
+	c.lead.urgentHolders = nil
 }
 
 // exchange asks a holder and carries its grant.
-func (c *Core) exchange(h *holding) {
+func (c *Core) exchange(h *holder) {
 	x := grant.Exchange{Service: h.service, Server: h.server, Term: c.lead.term, Known: h.epoch, HomesFence: c.homesFence}
 	if c.lead.won() {
 		x.Grant = c.grant(h)
 	}
 	c.emit(Send{
 		Server:     h.server,
-		Via:        h.via,
+		Via:        h.gate,
 		Exchange:   x,
 		AskedAt:    c.now,
 		SendBefore: c.now + Time(c.config.Lease),
@@ -74,47 +74,47 @@
 // now: a leader that has been succeeded without knowing cannot promise anything beyond what
 // its successor waits for. It is stated on the holder's own clock, so that a late arrival
 // makes it shorter, never longer.
-func (c *Core) grant(h *holding) *grant.Grant {
+func (c *Core) grant(h *holder) *grant.Grant {
 	end := c.leaseEnd(h)
-	if !h.owns || !h.heard || end <= c.now {
+	if !h.ownsRanges || !h.answered || end <= c.now {
 		return nil
 	}
 	g := &grant.Grant{
 		Incarnation: h.incarnation,
-		Deadline:    h.clock + grant.Instant(end-h.heardAt),
+		Deadline:    h.clock + grant.Instant(end-h.answeredAt),
 	}
 	switch {
 	case h.pending != nil:
 		g.Epoch, g.Ranges = h.pending.epoch, h.pending.ranges
-	case h.live && c.now <= h.lapsesAt && !h.superseded:
+	case h.live && c.now <= h.expiresAt && !h.superseded:
 		g.Epoch, g.Renewal = h.epoch, true
 	default:
 		return nil
 	}
-	h.lapsesAt = max(h.lapsesAt, h.heardAt+c.config.stretch(end-h.heardAt))
+	h.expiresAt = max(h.expiresAt, h.answeredAt+c.config.withDrift(end-h.answeredAt))
 	return g
 }
 
 // leaseEnd returns when a grant given now ends, on this clock. A holder that does not answer
 // is given no more time, so that its ranges are free a lease after its last answer.
-func (c *Core) leaseEnd(h *holding) Time {
-	end := c.authority()
-	if c.config.without(mutBound) {
+func (c *Core) leaseEnd(h *holder) Time {
+	end := c.quorumAskedAt()
+	if c.config.mutated(mutLeaseFromNow) {
 		end = c.now
 	}
-	end = min(end, h.heardAt) + Time(c.config.Lease)
+	end = min(end, h.answeredAt) + Time(c.config.Lease)
 	s := c.serviceOf(h.service)
 	if s != nil && s.Isolation == bundle.IsolationMove {
-		end = min(end, c.moveEnd())
+		end = min(end, c.isolationEnd())
 	}
 	return end
 }
 
-// moveEnd returns until when a domain may serve a service that moves away from it when it is
+// isolationEnd returns until when a domain may serve a service that moves away from it when it is
 // isolated. A domain that never read the log does not know whether it was taken over.
-func (c *Core) moveEnd() Time {
-	if !c.log.read {
-		return never
+func (c *Core) isolationEnd() Time {
+	if !c.log.everRead {
+		return distantPast
 	}
 	return c.log.readAt + Time(c.config.MoveBound)
 }
--- a/internal/leader/gates.go
+++ b/internal/leader/gates.go
@@ -4,10 +4,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recallGates takes the gates from the table of the former leader, so that a change of leader
+// adoptFormerGates takes the gates from the table of the former leader, so that a change of leader
 // moves none.
-func (c *Core) recallGates() {
-	for _, g := range c.hint.Gates {
+func (c *Core) adoptFormerGates() {
+	for _, g := range c.formerTable.Gates {
 		c.gates[g.Server] = g.Instance
 	}
 }
@@ -15,7 +15,7 @@
 // chooseGates gives every server a gate that is alive and keeps those that are. It reports
 // whether a gate changed.
 func (c *Core) chooseGates() bool {
-	alive := c.instances()
+	alive := c.aliveInstances()
 	changed := false
 	for _, s := range c.services {
 		for _, b := range s.Servers {
@@ -49,19 +49,19 @@
 	return best
 }
 
-// list takes the platform's list. An instance that left it is gone for certain, so nothing
+// handleListed takes the platform's list. An instance that left it is gone for certain, so nothing
 // that it held back in a pause can still come; requests that it had sent may still run.
-func (c *Core) list(ev Listed) {
+func (c *Core) handleListed(ev Listed) {
 	now := make(map[string]bool, len(ev.Instances))
 	for _, name := range ev.Instances {
 		now[name] = true
 	}
-	for name := range c.listed {
+	for name := range c.listedInstances {
 		if !now[name] {
 			c.instanceGone(name)
 		}
 	}
-	c.listed = now
+	c.listedInstances = now
 	c.forgetPeers()
 }
 
@@ -71,19 +71,19 @@
 	if l == nil {
 		return
 	}
-	for at, h := range l.holdings {
-		if at.via == name && !h.checks {
+	for at, h := range l.holders {
+		if at.gate == name && !h.checksGrants {
 			c.retire(h)
-			delete(l.holdings, at)
+			delete(l.holders, at)
 		}
 	}
 	for _, h := range l.retired {
-		if s := c.serviceOf(h.service); s != nil && h.via == name {
-			h.lingers = min(h.lingers, Time(s.RequestMillis)*1e6)
+		if s := c.serviceOf(h.service); s != nil && h.gate == name {
+			h.drainTime = min(h.drainTime, Time(s.RequestMillis)*1e6)
 		}
 	}
 	c.chooseGates()
-	c.seat()
+	c.updateHolders()
 	c.placeSoon()
 }
 
@@ -91,7 +91,7 @@
 // do not add up.
 func (c *Core) forgetPeers() {
 	for name, p := range c.peers {
-		if c.now > p.heardAt+100*missedHeartbeats*c.heartbeat() {
+		if c.now > p.heardAt+100*maxMissedHeartbeats*c.heartbeatInterval() {
 			delete(c.peers, name)
 		}
 	}
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -8,26 +8,26 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// worst advances the world and returns the longest time for which a hash was not usable.
-func (w *world) worst(until Time) Time {
+// longestOutage advances the world and returns the longest time for which a hash was not usable.
+func (w *world) longestOutage(until Time) Time {
 	gone := make(map[uint64]Time)
 	worst := Time(0)
 	for w.now < until && w.failure == "" {
-		w.advance(w.now + sampleEvery)
+		w.advance(w.now + sampleInterval)
 		for _, hash := range w.hashes {
 			if w.usable(hash) {
 				gone[hash] = 0
 				continue
 			}
-			gone[hash] += sampleEvery
+			gone[hash] += sampleInterval
 			worst = max(worst, gone[hash])
 		}
 	}
 	return worst
 }
 
-// ownersBy returns the owner of each hash by the table of the leader.
-func (w *world) ownersBy() map[uint64]string {
+// tableOwners returns the owner of each hash by the table of the leader.
+func (w *world) tableOwners() map[uint64]string {
 	owners := make(map[uint64]string)
 	for _, hash := range w.hashes {
 		owners[hash] = ownerIn(w.leading().core.Table(), hash)
@@ -41,21 +41,21 @@
 // hear from a leader keep the other from beginning a term.
 func TestCutInstancesDoNotTakeTurns(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, quiet(3, 5, 0), "")
+	w := newWorld(3, stableLayout(3, 5, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	leader := w.leading()
 	term := leader.core.lead.term
 	for _, n := range w.instances {
 		if n != leader {
-			w.part(leader.name, n.name)
+			w.partition(leader.name, n.name)
 			break
 		}
 	}
 	w.advance(8000 * ms)
 	w.servers[1].down = true
 	w.advance(10_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	w.advance(20_000 * ms)
 	is.Equal(w.leading().core.lead.term, term)
 }
@@ -72,20 +72,20 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, quiet(3, 5, 0), "")
+			w := newWorld(1, stableLayout(3, 5, 0), "")
 			w.startAll()
 			w.advance(6000 * ms)
 			if tt.logDown {
 				w.log.downTo = 1 << 60
 				w.advance(7000 * ms)
 			}
-			before := w.ownersBy()
+			before := w.tableOwners()
 			old := w.leading()
-			old.event(Stopping{})
-			worst := w.worst(9000 * ms)
+			old.handle(Stopping{})
+			worst := w.longestOutage(9000 * ms)
 			is.Equal(worst, Time(0))
 			is.True(w.leading() != nil && w.leading() != old)
-			is.Equal(w.ownersBy(), before) // no churn
+			is.Equal(w.tableOwners(), before) // no churn
 			for _, g := range w.leading().core.Table().Gates {
 				is.True(g.Instance != old.name)
 			}
@@ -97,8 +97,8 @@
 // keeps none.
 func TestLeavingServerIsEmptied(t *testing.T) {
 	tests := map[string]layout{
-		"checking":     quiet(2, 4, 0),
-		"not checking": quiet(2, 3, 1),
+		"checking":     stableLayout(2, 4, 0),
+		"not checking": stableLayout(2, 3, 1),
 	}
 	for name, l := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -108,11 +108,11 @@
 			w.advance(7000 * ms)
 			w.layout.leaving = "s03"
 			for _, n := range w.instances {
-				n.event(Configured{Version: 2, Services: w.services()})
+				n.handle(Configured{Version: 2, Services: w.services()})
 			}
-			worst := w.worst(9000 * ms)
+			worst := w.longestOutage(9000 * ms)
 			is.True(worst <= 10*ms)
-			for _, server := range w.ownersBy() {
+			for _, server := range w.tableOwners() {
 				is.True(server != "" && server != "s03")
 			}
 		})
@@ -123,14 +123,14 @@
 // and are appended in one record a service when the log is back.
 func TestMovesWithoutLogAreAppendedLater(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 4, 0), "")
+	w := newWorld(1, stableLayout(2, 4, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	w.log.downTo = 3600_000 * ms
 	w.advance(7000 * ms)
 	w.servers[0].down = true
 	w.advance(10_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	provisional := 0
 	for _, o := range w.leading().core.Table().Owners {
 		if o.Offset == 0 {
@@ -165,7 +165,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := quiet(2, 3, 0)
+			l := stableLayout(2, 3, 0)
 			l.isolation = tt.isolation
 			l.config = func(c *Config) { c.MoveBound = 5_000_000_000 }
 			w := newWorld(1, l, "")
@@ -173,9 +173,9 @@
 			w.advance(6000 * ms)
 			w.log.downTo = 1 << 60
 			w.advance(10_500 * ms)
-			is.Equal(w.served(), 8)
+			is.Equal(w.countOwned(), 8)
 			w.advance(11_200 * ms)
-			is.Equal(w.served(), tt.served)
+			is.Equal(w.countOwned(), tt.served)
 		})
 	}
 }
@@ -195,12 +195,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, quiet(1, 4, 0), "")
+			w := newWorld(1, stableLayout(1, 4, 0), "")
 			w.layout.voters = func(server string) bool { return server != "s03" }
 			w.startAll()
 			w.advance(5000 * ms)
 			w.layout.voters = func(server string) bool { return server != "s00" }
-			w.instances[0].event(Configured{Version: 2, Services: w.services()})
+			w.instances[0].handle(Configured{Version: 2, Services: w.services()})
 			w.advance(6000 * ms)
 			term := w.leading().core.lead.term
 			for _, name := range tt.lost {
@@ -217,15 +217,15 @@
 // server itself refuses: its deadline is over, and the range has another owner.
 func TestFrozenServerComesBack(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 4, 0), "")
+	w := newWorld(1, stableLayout(2, 4, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	w.servers[0].pausedTo = 60_000 * ms
 	w.advance(59_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	w.advance(62_000 * ms)
 	is.Equal(w.failure, "")
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 }
 
 // A new leader is there, and a server that checks is to leave a service that has servers which
@@ -233,7 +233,7 @@
 // after a lease, not after the longest request and pause.
 func TestSeenRangesMoveBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	l := quiet(3, 3, 1)
+	l := stableLayout(3, 3, 1)
 	l.config = func(c *Config) { c.Pause = 20_000_000_000 }
 	w := newWorld(1, l, "")
 	w.startAll()
@@ -242,11 +242,11 @@
 	w.layout.leaving = "s00"
 	for _, n := range w.instances {
 		if !n.down {
-			n.event(Configured{Version: 2, Services: w.services()})
+			n.handle(Configured{Version: 2, Services: w.services()})
 		}
 	}
 	w.advance(32_000 * ms)
-	for _, server := range w.ownersBy() {
+	for _, server := range w.tableOwners() {
 		is.True(server != "s00")
 	}
 }
@@ -256,14 +256,14 @@
 // and every range of the domain would be unavailable until the next leader has waited.
 func TestVotersRestartInTurn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 3, 0), "")
+	w := newWorld(1, stableLayout(2, 3, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	term := w.leading().core.lead.term
 	for i := range 6 {
 		w.boot(w.servers[i%3])
 		w.advance(w.now + 1500*ms)
-		is.Equal(w.served(), len(w.hashes))
+		is.Equal(w.countOwned(), len(w.hashes))
 		w.advance(w.now + 1500*ms)
 	}
 	is.True(w.leading() != nil)
--- a/internal/leader/holder_test.go
+++ b/internal/leader/holder_test.go
@@ -8,10 +8,10 @@
 
 // simHolder is a real Holder in virtual time. Its mutations break one guard of the server.
 type simHolder struct {
-	w     *world
-	m     *machine
-	real  *grant.Holder
-	fence grant.Term
+	w       *world
+	process *machine
+	real    *grant.Holder
+	fence   grant.Term
 	// exchanges counts those with a grant that was accepted.
 	exchanges int
 }
@@ -24,7 +24,7 @@
 		Clock:       func() grant.Instant { return grant.Instant(m.clock(w.now)) },
 		MaxLease:    1250 * time.Millisecond,
 	}
-	return &simHolder{w: w, m: m, real: grant.NewHolder(config)}
+	return &simHolder{w: w, process: m, real: grant.NewHolder(config)}
 }
 
 func (h *simHolder) owns(hash uint64) bool {
@@ -39,18 +39,18 @@
 func (h *simHolder) exchange(x grant.Exchange) grant.Answer {
 	asked := x.Term
 	asks := x.Term == (grant.Term{})
-	if h.w.guard == mutFence && !asks && x.Term.Compare(h.fence) < 0 {
+	if h.w.mutation == mutNoFence && !asks && x.Term.Compare(h.fence) < 0 {
 		x.Term = h.fence
 	}
 	if x.Grant != nil {
 		g := *x.Grant
 		x.Grant = &g
-		switch h.w.guard {
-		case mutReceipt:
-			g.Deadline = grant.Instant(h.m.clock(h.w.now)) + grant.Instant(time.Second)
+		switch h.w.mutation {
+		case mutLeaseFromReceipt:
+			g.Deadline = grant.Instant(h.process.clock(h.w.now)) + grant.Instant(time.Second)
 			x.Grant = &g
-		case mutIncarnation:
-			g.Incarnation = h.m.incarnation
+		case mutIgnoreIncarnation:
+			g.Incarnation = h.process.incarnation
 			x.Grant = &g
 		}
 	}
@@ -59,12 +59,12 @@
 	if x.Grant != nil && a.Refusal == grant.RefusalNone {
 		h.exchanges++
 	}
-	switch h.w.guard {
-	case mutFence:
+	switch h.w.mutation {
+	case mutNoFence:
 		a.Fence = asked
-	case mutVoting:
+	case mutYoungVotes:
 		a.Voting = true
-	case mutDraining:
+	case mutHideDraining:
 		a.Draining = nil
 	}
 	return a
@@ -72,11 +72,11 @@
 
 // The mutations that break a guard of the server.
 const (
-	mutReceipt     mutation = "lease-from-receipt"
-	mutFence       mutation = "fence-not-compared"
-	mutIncarnation mutation = "incarnation-ignored"
-	mutVoting      mutation = "young-server-votes"
-	mutDraining    mutation = "drain-not-stated"
-	mutLateWork    mutation = "work-not-rechecked"
-	mutSendBefore  mutation = "send-before-not-rechecked"
+	mutLeaseFromReceipt  mutation = "lease-from-receipt"
+	mutNoFence           mutation = "fence-not-compared"
+	mutIgnoreIncarnation mutation = "incarnation-ignored"
+	mutYoungVotes        mutation = "young-server-votes"
+	mutHideDraining      mutation = "drain-not-stated"
+	mutLateWork          mutation = "work-not-rechecked"
+	mutSendBefore        mutation = "send-before-not-rechecked"
 )
--- a/internal/leader/fence.go
+++ b/internal/leader/homesfence.go
@@ -14,14 +14,14 @@
 	if c.lead == nil {
 		return c.homesFence, 0
 	}
-	taught = c.taughtOf(c.electorates[0])
-	for _, e := range c.electorates[1:] {
-		taught = min(taught, c.taughtOf(e))
+	taught = c.homesFenceQuorum(c.voterSets[0])
+	for _, e := range c.voterSets[1:] {
+		taught = min(taught, c.homesFenceQuorum(e))
 	}
 	return c.homesFence, taught
 }
 
-func (c *Core) taughtOf(e electorate) uint64 {
+func (c *Core) homesFenceQuorum(e voterSet) uint64 {
 	var known []uint64
 	for name := range e {
 		if v := c.lead.votes[name]; v != nil && v.counted {
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -14,8 +14,8 @@
 	*machine
 	w    *world
 	core *Core
-	// life counts the processes at this place, so that timers of an old one do nothing.
-	life int
+	// generation counts the processes at this place, so that timers of an old one do nothing.
+	generation int
 	// table is the newest that this instance knows.
 	table   *route.Table
 	pending map[string]record.Record
@@ -25,11 +25,11 @@
 }
 
 const (
-	tickPeriod = 20 * ms
-	readPeriod = 100 * ms
-	retryAfter = 300 * ms
-	listPeriod = 500 * ms
-	listLag    = 700 * ms
+	tickInterval = 20 * ms
+	readInterval = 100 * ms
+	retryDelay   = 300 * ms
+	listInterval = 500 * ms
+	listLag      = 700 * ms
 )
 
 func newInstance(w *world, name string) *simInstance {
@@ -39,40 +39,40 @@
 
 // start runs a new process.
 func (n *simInstance) start() {
-	n.life++
+	n.generation++
 	n.stopped = false
 	config := DefaultConfig("d", n.name, n.incarnation)
 	config.Pause = 600e6
-	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.drift)/2)
+	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.maxDriftPerMille)/2)
 	if n.w.layout.config != nil {
 		n.w.layout.config(&config)
 	}
-	config.guards = n.w.guard
+	config.mutation = n.w.mutation
 	n.pending = make(map[string]record.Record)
 	n.w.starting = n
 	n.core = New(config, n.w.layout.placer(n.w))
-	n.event(Configured{Version: 1, Services: n.services()})
-	life := n.life
-	n.every(life, tickPeriod, func() { n.event(Ticked{}) })
+	n.handle(Configured{Version: 1, Services: n.services()})
+	life := n.generation
+	n.every(life, tickInterval, func() { n.handle(Ticked{}) })
 	n.every(life, Time(config.Heartbeat), n.heartbeat)
-	n.every(life, readPeriod, n.read)
-	n.every(life, listPeriod, n.list)
+	n.every(life, readInterval, n.readLog)
+	n.every(life, listInterval, n.sendList)
 }
 
-// list passes on the platform's list as it was a while ago.
-func (n *simInstance) list() {
+// sendList passes on the platform's list as it was a while ago.
+func (n *simInstance) sendList() {
 	var names []string
 	for _, o := range n.w.instances {
 		if !o.down {
 			names = append(names, o.name)
 		}
 	}
-	life := n.life
+	life := n.generation
 	n.w.after(listLag, func() {
-		if n.life == life {
+		if n.generation == life {
 			n.w.deliver(n.name, func() {
-				if n.life == life {
-					n.event(Listed{Instances: names})
+				if n.generation == life {
+					n.handle(Listed{Instances: names})
 				}
 			})
 		}
@@ -89,7 +89,7 @@
 	phase := Time(n.w.random.Int64N(int64(period)))
 	var again func()
 	again = func() {
-		if n.life != life || n.down {
+		if n.generation != life || n.down {
 			return
 		}
 		if n.pausedTo > n.w.now {
@@ -102,12 +102,12 @@
 	n.w.after(phase, again)
 }
 
-func (n *simInstance) event(ev Event) {
+func (n *simInstance) handle(ev Event) {
 	effects := n.core.Handle(n.clock(n.w.now), ev)
 	if len(effects) == 0 {
 		return
 	}
-	life := n.life
+	life := n.generation
 	if n.w.jitter && n.w.random.IntN(400) == 0 {
 		n.pausedTo = n.w.now + 50*ms + Time(n.w.random.Int64N(int64(2500*ms)))
 		n.w.at(n.pausedTo, func() { n.apply(life, effects) })
@@ -117,7 +117,7 @@
 }
 
 func (n *simInstance) apply(life int, effects []Effect) {
-	if n.life != life || n.down {
+	if n.generation != life || n.down {
 		return
 	}
 	for _, e := range effects {
@@ -128,21 +128,21 @@
 			n.pending[e.ID] = e.Record
 			n.append(life, e.ID)
 		case Led:
-			n.w.led()
+			n.w.onElected()
 			n.w.tracef("%s leads %v", n.name, e.Term)
 		case Stepped:
 			n.w.tracef("%s steps down from %v: %s", n.name, e.Term, e.Reason)
 		case Publish:
-			n.published(e.Table)
+			n.publishTable(e.Table)
 		}
 	}
 }
 
 func (n *simInstance) sendExchange(e Send) {
-	if n.clock(n.w.now) > e.SendBefore && n.w.guard != mutSendBefore {
+	if n.clock(n.w.now) > e.SendBefore && n.w.mutation != mutSendBefore {
 		return
 	}
-	life := n.life
+	life := n.generation
 	to := e.Server
 	if e.Via != "" {
 		to = e.Via
@@ -156,69 +156,69 @@
 			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Via,
 				g.Epoch, g.Renewal, g.Incarnation, g.Ranges, answer.Refusal, Time(answer.Deadline-answer.Clock)/ms, e.Exchange.Term)
 		}
-		if n.w.count {
-			n.w.bytes += encoded(e.Exchange) + encoded(answer)
+		if n.w.countBytes {
+			n.w.bytes += encodedSize(e.Exchange) + encodedSize(answer)
 		}
 		n.w.checkSingle()
 		if n.w.observe != nil {
 			n.w.observe(n.w.now)
 		}
 		n.w.send(to, n.name, func() {
-			if n.life == life {
-				n.event(Answered{Server: e.Server, Via: e.Via, AskedAt: e.AskedAt, Answer: answer})
+			if n.generation == life {
+				n.handle(Answered{Server: e.Server, Via: e.Via, AskedAt: e.AskedAt, Answer: answer})
 			}
 		})
 	})
 }
 
 func (n *simInstance) heartbeat() {
-	if n.w.layout.rash {
+	if n.w.layout.skipPreVote {
 		n.core.resigned = true
 	}
 	beat := n.core.Heartbeat()
-	n.event(beat)
+	n.handle(beat)
 	for _, o := range n.w.instances {
 		if o == n {
 			continue
 		}
-		life := o.life
+		life := o.generation
 		n.w.send(n.name, o.name, func() {
-			if o.life == life && o.core != nil {
-				o.event(beat)
+			if o.generation == life && o.core != nil {
+				o.handle(beat)
 			}
 		})
 	}
 }
 
-// published passes the table to the peers and checks that what it calls durable is so.
-func (n *simInstance) published(t route.Table) {
+// publishTable passes the table to the peers and checks that what it calls durable is so.
+func (n *simInstance) publishTable(t route.Table) {
 	for _, o := range t.Owners {
 		if o.Offset != 0 && !n.w.log.has(o.Offset, o.Server, o.Epoch) {
 			n.w.fail("table says that offset %d acknowledges %s of %s", o.Offset, o.Epoch.Term, o.Server)
 		}
 	}
-	n.takes(t)
+	n.takeTable(t)
 	for _, o := range n.w.instances {
 		if o != n {
 			n.w.send(n.name, o.name, func() {
 				if o.core != nil {
-					o.takes(t)
-					o.event(Routed{Table: t})
+					o.takeTable(t)
+					o.handle(Routed{Table: t})
 				}
 			})
 		}
 	}
 }
 
-func (n *simInstance) takes(t route.Table) {
+func (n *simInstance) takeTable(t route.Table) {
 	if t.Newer(n.table) {
 		n.table = &t
 	}
 }
 
-// read folds the log.
-func (n *simInstance) read() {
-	life := n.life
+// readLog folds the log.
+func (n *simInstance) readLog() {
+	life := n.generation
 	begun := n.clock(n.w.now)
 	answered := false
 	n.w.send(n.name, "log", func() {
@@ -227,18 +227,18 @@
 		}
 		term, assigned := n.w.log.fold()
 		n.w.send("log", n.name, func() {
-			if n.life == life && !answered {
+			if n.generation == life && !answered {
 				answered = true
-				n.event(Folded{ReadAt: begun, Term: term, Assigned: assigned})
+				n.handle(Folded{ReadAt: begun, Term: term, Assigned: assigned})
 			}
 		})
 	})
-	n.w.after(retryAfter, func() {
-		if n.life == life && !answered {
+	n.w.after(retryDelay, func() {
+		if n.generation == life && !answered {
 			n.w.deliver(n.name, func() {
-				if n.life == life {
+				if n.generation == life {
 					answered = true
-					n.event(LogFailed{})
+					n.handle(LogFailed{})
 				}
 			})
 		}
@@ -248,7 +248,7 @@
 // append appends again and again until the log acknowledges.
 func (n *simInstance) append(life int, id string) {
 	r, waiting := n.pending[id]
-	if n.life != life || n.down || !waiting {
+	if n.generation != life || n.down || !waiting {
 		return
 	}
 	n.w.send(n.name, "log", func() {
@@ -257,14 +257,14 @@
 		}
 		offset := n.w.log.append(id, r)
 		n.w.send("log", n.name, func() {
-			if n.life != life {
+			if n.generation != life {
 				return
 			}
 			delete(n.pending, id)
-			n.event(Appended{ID: id, Offset: offset})
+			n.handle(Appended{ID: id, Offset: offset})
 		})
 	})
-	n.w.after(retryAfter, func() { n.append(life, id) })
+	n.w.after(retryDelay, func() { n.append(life, id) })
 }
 
 // simLog is the platform's log: order, ids, outages.
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -8,17 +8,17 @@
 	"example.org/mustardring/internal/place"
 )
 
-func quiet(instances, checking, unchecked int) layout {
+func stableLayout(instances, checking, unchecked int) layout {
 	return layout{
 		instances: instances,
 		checking:  checking,
 		unchecked: unchecked,
-		placer:    func(*world) place.Placer { return &slicePlacer{slices: 8} },
+		placer:    func(*world) place.Placer { return &slicePlacer{slicesPerHome: 8} },
 	}
 }
 
-// served counts the hashes that have an owner.
-func (w *world) served() int {
+// countOwned counts the hashes that have an owner.
+func (w *world) countOwned() int {
 	n := 0
 	for _, hash := range w.hashes {
 		if len(w.owners(hash)) > 0 {
@@ -36,12 +36,12 @@
 
 func TestDomainStarts(t *testing.T) {
 	tests := map[string]layout{
-		"checking":          quiet(3, 3, 0),
-		"one instance":      quiet(1, 1, 0),
-		"one voter":         quiet(2, 1, 2),
-		"none checks":       quiet(3, 0, 3),
-		"checking and not":  quiet(3, 3, 2),
-		"many of all kinds": quiet(5, 7, 5),
+		"checking":          stableLayout(3, 3, 0),
+		"one instance":      stableLayout(1, 1, 0),
+		"one voter":         stableLayout(2, 1, 2),
+		"none checks":       stableLayout(3, 0, 3),
+		"checking and not":  stableLayout(3, 3, 2),
+		"many of all kinds": stableLayout(5, 7, 5),
 	}
 	for name, l := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			w.startAll()
 			w.advance(6000 * ms)
 			is.Equal(w.failure, "")
-			is.Equal(w.served(), len(w.hashes))
+			is.Equal(w.countOwned(), len(w.hashes))
 			n := w.leading()
 			is.True(n != nil)
 			table := n.core.Table()
--- a/internal/leader/mutation.go
+++ b/internal/leader/mutation.go
@@ -6,22 +6,22 @@
 
 // The mutations that break a guard of the leader.
 const (
-	mutAnswered  mutation = "authority-by-answer-not-asking"
-	mutBound     mutation = "lease-from-now-not-authority"
-	mutSeen      mutation = "held-before-winning-counts"
-	mutWait      mutation = "no-wait-after-winning"
-	mutConfirm   mutation = "no-majority-after-lapse"
-	mutAuthority mutation = "authority-never-lapses"
-	mutAdopted   mutation = "stated-deadline-ignored"
-	mutOrder     mutation = "answers-in-any-order"
-	mutProcesses mutation = "processes-in-any-order"
-	mutStretch   mutation = "drift-ignored"
-	mutOneVote   mutation = "one-vote-enough"
-	mutLingers   mutation = "requests-end-with-lease"
-	mutPending   mutation = "unacknowledged-set-ignored"
+	mutAnswerTime     mutation = "authority-by-answer-not-asking"
+	mutLeaseFromNow   mutation = "lease-from-now-not-authority"
+	mutHeldBeforeWin  mutation = "held-before-winning-counts"
+	mutNoWait         mutation = "no-wait-after-winning"
+	mutNoConfirmation mutation = "no-majority-after-lapse"
+	mutNoQuorumCheck  mutation = "authority-never-lapses"
+	mutIgnoreDeadline mutation = "stated-deadline-ignored"
+	mutAnswerOrder    mutation = "answers-in-any-order"
+	mutProcessOrder   mutation = "processes-in-any-order"
+	mutIgnoreDrift    mutation = "drift-ignored"
+	mutOneVote        mutation = "one-vote-enough"
+	mutNoDrainTime    mutation = "requests-end-with-lease"
+	mutIgnorePending  mutation = "unacknowledged-set-ignored"
 )
 
-// without reports whether a guard is switched off.
-func (c *Config) without(m mutation) bool {
-	return c.guards == m
+// mutated reports whether a guard is switched off.
+func (c *Config) mutated(m mutation) bool {
+	return c.mutation == m
 }
--- a/internal/leader/mutation_test.go
+++ b/internal/leader/mutation_test.go
@@ -8,9 +8,9 @@
 )
 
 var (
-	searchGuard = flag.String("guard", "", "guard that TestSearch switches off")
-	searchFirst = flag.Uint64("first", 1, "first schedule of TestSearch")
-	searchCount = flag.Uint64("schedules", 0, "number of schedules that TestSearch runs")
+	searchMutation = flag.String("guard", "", "guard that TestSearch switches off")
+	searchFirst    = flag.Uint64("first", 1, "first schedule of TestSearch")
+	searchCount    = flag.Uint64("schedules", 0, "number of schedules that TestSearch runs")
 )
 
 // TestGuardsAreNeeded shows that the random schedules can fail: without a guard one of the
@@ -18,24 +18,24 @@
 // a case in TestScenarios.
 func TestGuardsAreNeeded(t *testing.T) {
 	const limit = 3000
-	is.New(t).Equal(firstFound("none", 150), uint64(0)) // the search itself finds nothing
-	for _, guard := range frequent {
+	is.New(t).Equal(firstFailure("none", 150), uint64(0)) // the search itself finds nothing
+	for _, guard := range quicklyFound {
 		t.Run(string(guard), func(t *testing.T) {
 			is := is.New(t)
-			found := firstFound(guard, limit)
+			found := firstFailure(guard, limit)
 			t.Logf("found by schedule %d", found)
 			is.True(found != 0)
 		})
 	}
 }
 
-// frequent are the guards whose absence the random schedules find soon.
-var frequent = []mutation{
-	mutReceipt, mutDraining, mutLateWork, mutBound, mutWait, mutOrder, mutOneVote,
+// quicklyFound are the guards whose absence the random schedules find soon.
+var quicklyFound = []mutation{
+	mutLeaseFromReceipt, mutHideDraining, mutLateWork, mutLeaseFromNow, mutNoWait, mutAnswerOrder, mutOneVote,
 }
 
-// firstFound returns the first schedule up to a limit on which a broken guard shows, or zero.
-func firstFound(guard mutation, limit uint64) uint64 {
+// firstFailure returns the first schedule up to a limit on which a broken guard shows, or zero.
+func firstFailure(guard mutation, limit uint64) uint64 {
 	for seed := uint64(1); seed <= limit; seed++ {
 		if runSchedule(seed, guard).failure != "" {
 			return seed
@@ -50,12 +50,12 @@
 func TestSearch(t *testing.T) {
 	found := 0
 	for seed := *searchFirst; seed < *searchFirst+*searchCount; seed++ {
-		if w := runSchedule(seed, mutation(*searchGuard)); w.failure != "" {
+		if w := runSchedule(seed, mutation(*searchMutation)); w.failure != "" {
 			found++
 			t.Logf("schedule %d: %s", seed, w.failure)
 		}
 	}
-	if found > 0 && *searchGuard == "" {
+	if found > 0 && *searchMutation == "" {
 		t.Fail()
 	}
 	t.Logf("%d of %d schedules", found, *searchCount)
--- a/internal/leader/naive_test.go
+++ b/internal/leader/naive_test.go
@@ -14,8 +14,8 @@
 }
 
 const (
-	probePeriod = 150 * ms
-	naiveSilent = 3 * probePeriod
+	probeInterval = 150 * ms
+	naiveTimeout  = 3 * probeInterval
 )
 
 func (l *naiveLeader) probe() {
@@ -31,7 +31,7 @@
 	w := l.n.w
 	var live []string
 	for _, m := range w.servers {
-		if at, heard := l.heardAt[m.name]; heard && w.now < at+naiveSilent {
+		if at, heard := l.heardAt[m.name]; heard && w.now < at+naiveTimeout {
 			live = append(live, m.name)
 		}
 	}
@@ -41,31 +41,31 @@
 	return live[i%len(live)]
 }
 
-// naiveDoubles runs the faults of a schedule under naive leaders and reports whether two
+// naiveHasTwoOwners runs the faults of a schedule under naive leaders and reports whether two
 // instances that run sent the same key to different servers at one time.
-func naiveDoubles(seed uint64) bool {
+func naiveHasTwoOwners(seed uint64) bool {
 	w := newWorld(seed, randomLayout(seed), "")
 	var leaders []*naiveLeader
 	for _, n := range w.instances {
 		l := &naiveLeader{n: n, heardAt: make(map[string]Time)}
 		leaders = append(leaders, l)
 		n.start()
-		n.every(n.life, probePeriod, l.probe)
+		n.every(n.generation, probeInterval, l.probe)
 	}
 	w.jitter = true
-	w.pace = 700 * ms
-	w.faults()
+	w.maxFaultGap = 700 * ms
+	w.scheduleFaults()
 	doubled := false
 	for w.now < faultsEnd && !doubled {
 		w.advance(w.now + 20*ms)
 		if w.now > 1000*ms {
-			doubled = disagree(leaders)
+			doubled = leadersDisagree(leaders)
 		}
 	}
 	return doubled
 }
 
-func disagree(leaders []*naiveLeader) bool {
+func leadersDisagree(leaders []*naiveLeader) bool {
 	for i := range 8 {
 		first := ""
 		for _, l := range leaders {
@@ -95,7 +95,7 @@
 		}
 		schedules++
 		is.Equal(runSchedule(seed, "").failure, "")
-		if naiveDoubles(seed) {
+		if naiveHasTwoOwners(seed) {
 			doubled++
 		}
 	}
--- a/internal/leader/placer_test.go
+++ b/internal/leader/placer_test.go
@@ -10,10 +10,10 @@
 // slicePlacer cuts each home into slices, leaves a slice where it is while its server accepts
 // and gives others to the server with the fewest. With a restless random it also moves some.
 type slicePlacer struct {
-	slices   int
-	restless *rand.Rand
-	// calm ends the moves.
-	calm func() bool
+	slicesPerHome int
+	moveRandom    *rand.Rand
+	// movesEnded ends the moves.
+	movesEnded func() bool
 }
 
 func (p *slicePlacer) Place(v place.View) []place.Target {
@@ -30,13 +30,13 @@
 	}
 	var targets []place.Target
 	for _, home := range v.Homes {
-		for _, r := range keys.Split(home, p.slices) {
+		for _, r := range keys.Split(home, p.slicesPerHome) {
 			server := ownerOf(v.Owned, r)
 			if _, fine := count[server]; !fine {
 				server = ""
 			}
-			if p.restless != nil && !p.calm() && p.restless.IntN(6) == 0 {
-				server = accepting[p.restless.IntN(len(accepting))]
+			if p.moveRandom != nil && !p.movesEnded() && p.moveRandom.IntN(6) == 0 {
+				server = accepting[p.moveRandom.IntN(len(accepting))]
 			}
 			if server != "" {
 				count[server]++
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -12,7 +12,7 @@
 // servers have answered, or two periods, so that its first table takes nothing away.
 func (c *Core) publish() {
 	l := c.lead
-	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allHeard() {
+	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allAnswered() {
 		return
 	}
 	l.tableDirty = false
@@ -22,7 +22,7 @@
 		Serial:        1,
 		Owners:        c.owners(),
 		Gates:         c.gateList(),
-		BundleVersion: c.version,
+		BundleVersion: c.bundleVersion,
 	}
 	if o := l.published; o != nil {
 		if slices.Equal(o.Owners, table.Owners) && slices.Equal(o.Gates, table.Gates) && o.BundleVersion == table.BundleVersion {
@@ -34,9 +34,9 @@
 	c.emit(Publish{Table: *table})
 }
 
-func (c *Core) allHeard() bool {
-	for _, h := range c.lead.holdings {
-		if !h.heard {
+func (c *Core) allAnswered() bool {
+	for _, h := range c.lead.holders {
+		if !h.answered {
 			return false
 		}
 	}
@@ -59,19 +59,19 @@
 	var owners []route.Owner
 	var taken []keys.Range
 	for _, b := range s.Servers {
-		h := c.lead.holdings[c.current(b)]
-		if h == nil || !h.live || h.superseded || c.now > h.lapsesAt {
+		h := c.lead.holders[c.currentHolder(b)]
+		if h == nil || !h.live || h.superseded || c.now > h.expiresAt {
 			continue
 		}
-		offset := c.offset(h)
-		for _, r := range h.set {
+		offset := c.logOffset(h)
+		for _, r := range h.ranges {
 			owners = append(owners, route.Owner{Service: s.Name, Range: r, Server: h.server, Epoch: h.epoch, Offset: offset})
 		}
-		taken = append(taken, h.set...)
+		taken = append(taken, h.ranges...)
 	}
 	if c.now <= c.settledAt(s) {
 		keys.Sort(taken)
-		for _, o := range c.remembered(s, taken) {
+		for _, o := range c.formerOwnersOfGaps(s, taken) {
 			owners = append(owners, route.Owner{Service: s.Name, Range: o.Range, Server: o.Server})
 		}
 	}
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -47,8 +47,8 @@
 	return parts
 }
 
-// join sorts disjoint ranges and merges those pieces that touch within one of the wholes.
-func join(parts, wholes []keys.Range) []keys.Range {
+// mergeWithin sorts disjoint ranges and merges those pieces that touch within one of the wholes.
+func mergeWithin(parts, wholes []keys.Range) []keys.Range {
 	keys.Sort(parts)
 	var joined []keys.Range
 	for _, p := range parts {
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -12,13 +12,13 @@
 // claim of a range by a holder, which keeps others from being granted it.
 type rangeClaim struct {
 	keys.Range
-	holder *holding
+	holder *holder
 }
 
-// claims are sorted by first hash. Reach has the highest last hash up to each index.
-type claims struct {
-	list  []rangeClaim
-	reach []uint64
+// claimIndex are sorted by first hash. Reach has the highest last hash up to each index.
+type claimIndex struct {
+	list    []rangeClaim
+	maxLast []uint64
 }
 
 // reconcile brings the sets of the holders nearer to the targets: it takes from each what
@@ -28,51 +28,51 @@
 		if !s.Divided {
 			continue
 		}
-		members := c.members(s)
-		if c.lead.adopted {
+		members := c.holdersOf(s)
+		if c.lead.sawOtherTerm {
 			markSuperseded(members)
 		}
-		if c.now <= c.movesAt() || len(c.lead.targets[s.Name]) == 0 && len(s.Homes) > 0 {
+		if c.now <= c.movesAllowedAt() || len(c.lead.targets[s.Name]) == 0 && len(s.Homes) > 0 {
 			continue
 		}
 		c.adjustAll(s, members)
 	}
-	c.lead.adopted = false
+	c.lead.sawOtherTerm = false
 }
 
 // adjustAll leaves alone the holders that have what they should, which mostly are all but a
 // few, and works out the claims only if there are others.
-func (c *Core) adjustAll(s *service, members []*holding) {
-	var all *claims
-	wanted := c.wanted(s)
+func (c *Core) adjustAll(s *service, members []*holder) {
+	var all *claimIndex
+	wanted := c.targetRanges(s)
 	for _, h := range members {
-		if slices.Equal(wanted[h.seat], h.current()) {
+		if slices.Equal(wanted[h.holderID], h.expectedRanges()) {
 			continue
 		}
 		if all == nil {
-			all = c.claimsOf(s, members)
+			all = c.indexClaims(s, members)
 		}
-		c.adjust(s, h, wanted[h.seat], all)
+		c.adjust(s, h, wanted[h.holderID], all)
 	}
 }
 
-func (c *Core) members(s *service) []*holding {
-	var members []*holding
-	for _, h := range c.lead.ordered() {
-		if h.service == s.Name && h.owns {
+func (c *Core) holdersOf(s *service) []*holder {
+	var members []*holder
+	for _, h := range c.lead.sortedHolders() {
+		if h.service == s.Name && h.ownsRanges {
 			members = append(members, h)
 		}
 	}
 	return members
 }
 
-// wanted returns the target ranges by seat.
-func (c *Core) wanted(s *service) map[seat][]keys.Range {
-	seats := make(map[string]seat, len(s.Servers))
+// targetRanges returns the target ranges by seat.
+func (c *Core) targetRanges(s *service) map[holderID][]keys.Range {
+	seats := make(map[string]holderID, len(s.Servers))
 	for _, b := range s.Servers {
-		seats[b.Name] = c.current(b)
+		seats[b.Name] = c.currentHolder(b)
 	}
-	wanted := make(map[seat][]keys.Range, len(seats))
+	wanted := make(map[holderID][]keys.Range, len(seats))
 	for _, t := range c.lead.targets[s.Name] {
 		at := seats[t.Server]
 		wanted[at] = append(wanted[at], t.Range)
@@ -82,17 +82,17 @@
 
 // adjust proposes a new set to a holder if it should change. Only one set at a time is under
 // way to a holder, so that its claims are the old and the new set.
-func (c *Core) adjust(s *service, h *holding, wanted []keys.Range, all *claims) {
-	if h.pending != nil || !h.heard || c.now > h.heardAt+Time(c.config.Lease) {
+func (c *Core) adjust(s *service, h *holder, wanted []keys.Range, all *claimIndex) {
+	if h.pending != nil || !h.answered || c.now > h.answeredAt+Time(c.config.Lease) {
 		return
 	}
-	held := h.current()
+	held := h.expectedRanges()
 	var parts []keys.Range
 	for _, w := range wanted {
 		parts = append(parts, intersect(w, held)...)
-		parts = append(parts, c.grantable(s, subtract(w, all.against(h, w)))...)
+		parts = append(parts, c.grantable(s, subtract(w, all.conflicts(h, w)))...)
 	}
-	next := join(parts, wanted)
+	next := mergeWithin(parts, wanted)
 	if slices.Equal(next, held) {
 		return
 	}
@@ -101,13 +101,13 @@
 		epoch:  grant.Epoch{Term: c.lead.term, Sequence: c.lead.sequence},
 		ranges: next,
 	}
-	h.prompt = true
-	c.lead.prompted = append(c.lead.prompted, h)
+	h.urgent = true
+	c.lead.urgentHolders = append(c.lead.urgentHolders, h)
 }
 
-func (c *Core) claimsOf(s *service, members []*holding) *claims {
-	all := new(claims)
-	pending := !c.config.without(mutPending)
+func (c *Core) indexClaims(s *service, members []*holder) *claimIndex {
+	all := new(claimIndex)
+	pending := !c.config.mutated(mutIgnorePending)
 	for _, h := range members {
 		all.add(h, pending)
 	}
@@ -120,27 +120,27 @@
 	reach := uint64(0)
 	for _, cl := range all.list {
 		reach = max(reach, cl.Last)
-		all.reach = append(all.reach, reach)
+		all.maxLast = append(all.maxLast, reach)
 	}
 	return all
 }
 
-func (a *claims) add(h *holding, pending bool) {
-	for _, r := range h.claims(pending) {
+func (a *claimIndex) add(h *holder, pending bool) {
+	for _, r := range h.possibleRanges(pending) {
 		a.list = append(a.list, rangeClaim{Range: r, holder: h})
 	}
 }
 
-// against returns, sorted, the claims on a range by all but a holder, and what the holder
+// conflicts returns, sorted, the claims on a range by all but a holder, and what the holder
 // itself has.
-func (a *claims) against(h *holding, r keys.Range) []keys.Range {
+func (a *claimIndex) conflicts(h *holder, r keys.Range) []keys.Range {
 	var taken []keys.Range
-	start := sort.Search(len(a.reach), func(i int) bool { return a.reach[i] >= r.First })
+	start := sort.Search(len(a.maxLast), func(i int) bool { return a.maxLast[i] >= r.First })
 	for _, cl := range a.list[start:] {
 		if cl.First > r.Last {
 			break
 		}
-		if cl.holder != h || keys.Find(h.current(), cl.First) >= 0 {
+		if cl.holder != h || keys.Find(h.expectedRanges(), cl.First) >= 0 {
 			taken = append(taken, cl.Range)
 		}
 	}
@@ -149,14 +149,14 @@
 
 // markSuperseded finds holders whose set overlaps a newer grant of another holder. A former
 // leader may leave that behind; the older grant is not renewed.
-func markSuperseded(members []*holding) {
+func markSuperseded(members []*holder) {
 	var live []rangeClaim
 	for _, h := range members {
 		h.superseded = false
 		if !h.live {
 			continue
 		}
-		for _, r := range h.set {
+		for _, r := range h.ranges {
 			live = append(live, rangeClaim{Range: r, holder: h})
 		}
 	}
--- a/internal/leader/record.go
+++ b/internal/leader/record.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// recordPeriod bounds the records to one a service in this time.
-	recordPeriod = Time(200 * time.Millisecond)
-	// recordRetry is when a record that the log has not acknowledged is made anew.
-	recordRetry = Time(5 * time.Second)
+	// recordInterval bounds the records to one a service in this time.
+	recordInterval = Time(200 * time.Millisecond)
+	// recordRetryDelay is when a record that the log has not acknowledged is made anew.
+	recordRetryDelay = Time(5 * time.Second)
 )
 
-// recording is a record that waits for the log, with the epochs that it acknowledges.
-type recording struct {
-	id     string
-	epochs map[string]grant.Epoch
-	retry  Time
+// pendingRecord is a record that waits for the log, with the epochs that it acknowledges.
+type pendingRecord struct {
+	id      string
+	epochs  map[string]grant.Epoch
+	retryAt Time
 }
 
 // recorded is what the log acknowledged of a server.
@@ -32,12 +32,12 @@
 // is away nothing is queued: the sets as they are then are appended when it is back.
 func (c *Core) record() {
 	l := c.lead
-	if c.log.away || !c.log.read || c.now < l.recordAt {
+	if c.log.unavailable || !c.log.everRead || c.now < l.recordAt {
 		return
 	}
-	l.recordAt = c.now + recordPeriod
+	l.recordAt = c.now + recordInterval
 	for _, s := range c.services {
-		if r, waiting := l.recording[s.Name]; waiting && c.now < r.retry {
+		if r, waiting := l.pendingRecords[s.Name]; waiting && c.now < r.retryAt {
 			continue
 		}
 		c.recordService(s)
@@ -49,43 +49,43 @@
 	made := record.AssignmentMade{Domain: c.config.Domain, Service: s.Name}
 	epochs := make(map[string]grant.Epoch)
 	for _, b := range s.Servers {
-		h := l.holdings[c.current(b)]
-		if h == nil || !h.owns || !h.live || h.epoch.IsZero() || c.offset(h) != 0 {
+		h := l.holders[c.currentHolder(b)]
+		if h == nil || !h.ownsRanges || !h.live || h.epoch.IsZero() || c.logOffset(h) != 0 {
 			continue
 		}
-		made.Assignments = append(made.Assignments, record.Assignment{Server: h.server, Epoch: h.epoch, Ranges: h.set})
-		made.Provisional = made.Provisional || h.ackedAway
+		made.Assignments = append(made.Assignments, record.Assignment{Server: h.server, Epoch: h.epoch, Ranges: h.ranges})
+		made.Provisional = made.Provisional || h.ackedWithoutLog
 		epochs[h.server] = h.epoch
 	}
-	delete(l.recording, s.Name)
+	delete(l.pendingRecords, s.Name)
 	if len(epochs) == 0 {
 		return
 	}
 	l.recordSerial++
 	id := fmt.Sprintf("assign/%s/%s/%s/%d", c.config.Domain, s.Name, l.term, l.recordSerial)
-	l.recording[s.Name] = recording{id: id, epochs: epochs, retry: c.now + recordRetry}
+	l.pendingRecords[s.Name] = pendingRecord{id: id, epochs: epochs, retryAt: c.now + recordRetryDelay}
 	c.emit(Append{ID: id, Record: made})
 }
 
-func (c *Core) appended(ev Appended) {
+func (c *Core) handleAppended(ev Appended) {
 	l := c.lead
 	if l == nil {
 		return
 	}
-	for name, r := range l.recording {
+	for name, r := range l.pendingRecords {
 		if r.id != ev.ID {
 			continue
 		}
 		for server, epoch := range r.epochs {
 			l.recorded[server] = recorded{epoch: epoch, offset: ev.Offset}
 		}
-		delete(l.recording, name)
+		delete(l.pendingRecords, name)
 		l.tableDirty = true
 	}
 }
 
-// offset returns the log offset that acknowledges the set of a holder, or zero.
-func (c *Core) offset(h *holding) uint64 {
+// logOffset returns the log offset that acknowledges the set of a holder, or zero.
+func (c *Core) logOffset(h *holder) uint64 {
 	if r := c.lead.recorded[h.server]; r.epoch == h.epoch {
 		return r.offset
 	}
--- a/internal/leader/scenario_order_test.go
+++ b/internal/leader/scenario_order_test.go
@@ -1,19 +1,19 @@
 package leader
 
-// moreScenarios are those about fences, majorities and the order of answers.
-func moreScenarios() map[string]scenario {
+// messageOrderScenarios are those about fences, majorities and the order of answers.
+func messageOrderScenarios() map[string]scenario {
 	return map[string]scenario{
 		// Two leaders share one voter. Without the fence it follows both, and each has a
 		// majority: one renews a server that the other counts as lost.
 		"voter follows two leaders": {
-			guard:  mutFence,
-			layout: scripted(2, 3, 0, reachable),
+			mutation: mutNoFence,
+			layout:   scriptedLayout(2, 3, 0, firstReachable),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i0", "i1", "s01")
-				w.part("i1", "s00")
+				w.startFirstAsLeader()
+				w.partition("i0", "i1", "s01")
+				w.partition("i1", "s00")
 				w.instance("i1").outrank()
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 3000*ms)
 			},
 		},
@@ -21,21 +21,21 @@
 		// another, which renews that server. The lease that the first had given lapses while
 		// its authority still runs; it must not move the ranges, since it cannot know.
 		"lapse without a majority after it": {
-			guard: mutConfirm,
-			layout: scripted(2, 5, 0, func(n *simInstance, _ int) string {
-				if n.name == "i0" && n.w.cuts[[2]string{"s00", "i0"}] > n.w.now {
+			mutation: mutNoConfirmation,
+			layout: scriptedLayout(2, 5, 0, func(n *simInstance, _ int) string {
+				if n.name == "i0" && n.w.cutUntil[[2]string{"s00", "i0"}] > n.w.now {
 					return "s03"
 				}
 				return "s00"
 			}),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i0", "s00")
-				w.part("i1", "s03", "s04")
+				w.startFirstAsLeader()
+				w.partition("i0", "s00")
+				w.partition("i1", "s03", "s04")
 				w.instance("i1").outrank()
 				w.advance(w.now + 400*ms)
-				w.part("i0", "i1", "s01", "s02")
-				w.deafen(w.instance("i1"))
+				w.partition("i0", "i1", "s01", "s02")
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 3000*ms)
 			},
 		},
@@ -43,19 +43,19 @@
 		// The server runs it for longer than the lease. A new gate would send the payout,
 		// which the caller repeats, a second time while the first still runs.
 		"request outlives its gate": {
-			guard:  mutLingers,
-			layout: scripted(3, 3, 1, func(*simInstance, int) string { return "s03" }),
+			mutation: mutNoDrainTime,
+			layout:   scriptedLayout(3, 3, 1, func(*simInstance, int) string { return "s03" }),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				core := w.instance("i0").core
 				core.gates["s03"] = "i1"
-				core.seat()
+				core.updateHolders()
 				core.placeSoon()
 				w.advance(w.now + 1000*ms)
 				gate := w.instance("i1").holders["s03"]
 				for _, hash := range w.hashes {
 					if _, err := gate.real.Begin(hash); err == nil {
-						w.runs = append(w.runs, run{gate: gate, server: "s03", hash: hash, until: w.now + longestRequest})
+						w.gateRequests = append(w.gateRequests, gateRequest{gate: gate, server: "s03", hash: hash, endsAt: w.now + longestRequest})
 					}
 				}
 				w.kill(w.instance("i1"))
@@ -67,31 +67,31 @@
 		// that does not check. Then the candidate wins. What it heard before is no proof that
 		// nothing lingers of the range elsewhere: a request of the old leader's gate runs.
 		"held before winning": {
-			guard: mutSeen,
-			layout: scripted(2, 3, 1, func(n *simInstance, _ int) string {
-				if n.name == "i0" && n.w.cuts[[2]string{"s00", "i0"}] > n.w.now {
+			mutation: mutHeldBeforeWin,
+			layout: scriptedLayout(2, 3, 1, func(n *simInstance, _ int) string {
+				if n.name == "i0" && n.w.cutUntil[[2]string{"s00", "i0"}] > n.w.now {
 					return "s03"
 				}
 				return "s00"
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				w.advance(w.now + 2000*ms)
 				start := w.now
-				w.part("i0", "i1", "s00")
-				w.part("i1", "s01", "s02")
+				w.partition("i0", "i1", "s00")
+				w.partition("i1", "s01", "s02")
 				w.instance("i1").outrank()
 				w.advance(start + 500*ms)
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(start + 1200*ms)
-				w.part("i0", "s01", "s02")
-				w.join("i1", "s01")
-				w.join("i1", "s02")
+				w.partition("i0", "s01", "s02")
+				w.healCut("i1", "s01")
+				w.healCut("i1", "s02")
 				w.advance(start + 1900*ms)
 				gate := w.instance("i0").holders["s03"]
 				for _, hash := range w.hashes {
 					if _, err := gate.real.Begin(hash); err == nil {
-						w.runs = append(w.runs, run{gate: gate, server: "s03", hash: hash, until: w.now + longestRequest})
+						w.gateRequests = append(w.gateRequests, gateRequest{gate: gate, server: "s03", hash: hash, endsAt: w.now + longestRequest})
 					}
 				}
 				w.advance(start + 8000*ms)
@@ -100,34 +100,34 @@
 		// A server accepts a set, but its answers are lost. The range is wanted elsewhere
 		// before the leader knows whether the set was taken.
 		"set accepted unknown to the leader": {
-			guard: mutPending,
-			layout: scripted(1, 3, 0, func(n *simInstance, _ int) string {
+			mutation: mutIgnorePending,
+			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
 				switch {
-				case n.w.marked == 0:
+				case n.w.scriptStart == 0:
 					return "s00"
-				case n.w.now < n.w.marked+300*ms:
+				case n.w.now < n.w.scriptStart+300*ms:
 					return "s01"
 				default:
 					return "s02"
 				}
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				w.cut("s01", "i0", 1<<60, false)
-				w.marked = w.now
+				w.scriptStart = w.now
 				w.leading().core.placeSoon()
-				w.advance(w.marked + 320*ms)
+				w.advance(w.scriptStart + 320*ms)
 				w.leading().core.placeSoon()
-				w.advance(w.marked + 3000*ms)
+				w.advance(w.scriptStart + 3000*ms)
 			},
 		},
 		// A server answers, restarts, and answers again; the first answer is late and comes
 		// last. The leader takes it for a newer process that holds nothing, and grants the
 		// range, which it had just moved to the present process, to a third server.
 		"answer of the process before comes last": {
-			guard: mutProcesses,
-			layout: scripted(1, 3, 0, func(n *simInstance, _ int) string {
-				switch started := n.w.marked; {
+			mutation: mutProcessOrder,
+			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
+				switch started := n.w.scriptStart; {
 				case started == 0 || n.w.now < started+340*ms:
 					return "s01"
 				case n.w.now < started+650*ms:
@@ -137,14 +137,14 @@
 				}
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				var asked, answered []Time
-				w.late = func(from, to string) Time {
+				w.extraDelay = func(from, to string) Time {
 					switch {
 					case to == "s00":
 						asked = append(asked, w.now)
 						if len(asked) == 1 {
-							w.marked = w.now
+							w.scriptStart = w.now
 							w.after(180*ms, func() { w.restart(w.servers[0]) })
 							w.after(340*ms, func() { w.leading().core.placeSoon() })
 							return 300 * ms
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -18,13 +18,13 @@
 func (p *scriptedPlacer) Place(v place.View) []place.Target {
 	var targets []place.Target
 	for i, r := range keys.Split(keys.Full, 4) {
-		targets = append(targets, place.Target{Range: r, Server: accepting(v, p.owner(i))})
+		targets = append(targets, place.Target{Range: r, Server: acceptingOr(v, p.owner(i))})
 	}
 	return targets
 }
 
-// accepting returns a server if it accepts, or else the first that does.
-func accepting(v place.View, server string) string {
+// acceptingOr returns a server if it accepts, or else the first that does.
+func acceptingOr(v place.View, server string) string {
 	first := ""
 	for _, s := range v.Servers {
 		if s.Accepting && s.Name == server {
@@ -37,8 +37,8 @@
 	return first
 }
 
-// scripted returns a layout whose slices a script places.
-func scripted(instances, checking, unchecked int, owner func(n *simInstance, slice int) string) layout {
+// scriptedLayout returns a layout whose slices a script places.
+func scriptedLayout(instances, checking, unchecked int, owner func(n *simInstance, slice int) string) layout {
 	return layout{
 		instances: instances, checking: checking, unchecked: unchecked,
 		placer: func(w *world) place.Placer {
@@ -48,35 +48,35 @@
 	}
 }
 
-// part cuts an instance or server from others in both directions, for good.
-func (w *world) part(name string, others ...string) {
+// partition cuts an instance or server from others in both directions, for good.
+func (w *world) partition(name string, others ...string) {
 	for _, o := range others {
 		w.cut(name, o, 1<<60, true)
 	}
 }
 
-// join ends a cut.
-func (w *world) join(a, b string) {
-	delete(w.cuts, [2]string{a, b})
-	delete(w.cuts, [2]string{b, a})
+// healCut ends a cut.
+func (w *world) healCut(a, b string) {
+	delete(w.cutUntil, [2]string{a, b})
+	delete(w.cutUntil, [2]string{b, a})
 }
 
 // restart starts a new process of a server whose machine, and clock, go on.
 func (w *world) restart(m *machine) {
-	offset, rate := m.offset, m.perMille
+	offset, rate := m.clockOffset, m.driftPerMille
 	w.boot(m)
-	m.offset, m.perMille = offset, rate
+	m.clockOffset, m.driftPerMille = offset, rate
 }
 
 // kill ends a process for good.
 func (w *world) kill(n *simInstance) {
 	n.down = true
-	n.life++
+	n.generation++
 }
 
 // outrank makes an instance begin its next term above those that others may begin.
 func (n *simInstance) outrank() {
-	n.event(PeerHeard{Name: n.name, Term: grant.Term{Sub: 50}})
+	n.handle(PeerHeard{Name: n.name, Term: grant.Term{Sub: 50}})
 }
 
 func (w *world) instance(name string) *simInstance {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// firstLeads starts the instances so that the first one leads, and runs until it settled.
-func (w *world) firstLeads() {
+// startFirstAsLeader starts the instances so that the first one leads, and runs until it settled.
+func (w *world) startFirstAsLeader() {
 	w.log.downTo = 1 << 60
 	first := w.instances[0]
 	first.start()
@@ -102,9 +102,9 @@
 
 // scenario is an order of events that does harm only without a guard.
 type scenario struct {
-	guard  mutation
-	layout layout
-	script func(w *world)
+	mutation mutation
+	layout   layout
+	script   func(w *world)
 }
 
 // A volunteer's batch has two owners because one guard is missing. Each case is the shortest
@@ -114,13 +114,13 @@
 		// The clock of a server is slow, that of its leader fast, and its answers are lost. The
 		// leader counts the lease as lapsed while by the server's clock it still runs.
 		"clocks diverge": {
-			guard:  mutStretch,
-			layout: scripted(1, 3, 0, func(*simInstance, int) string { return "s00" }),
+			mutation: mutIgnoreDrift,
+			layout:   scriptedLayout(1, 3, 0, func(*simInstance, int) string { return "s00" }),
 			script: func(w *world) {
-				w.layout.drift = 80
-				w.instances[0].perMille = 80
-				w.servers[0].perMille = -80
-				w.firstLeads()
+				w.layout.maxDriftPerMille = 80
+				w.instances[0].driftPerMille = 80
+				w.servers[0].driftPerMille = -80
+				w.startFirstAsLeader()
 				w.cut("s00", "i0", 1<<60, false)
 				w.advance(w.now + 3000*ms)
 			},
@@ -129,8 +129,8 @@
 		// leader hears the new process, which holds nothing, and grants the range elsewhere.
 		// Then the old grant arrives, and the new process takes it for its own.
 		"grant for the process before": {
-			guard: mutIncarnation,
-			layout: scripted(1, 3, 0, func(n *simInstance, _ int) string {
+			mutation: mutIgnoreIncarnation,
+			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
 				switch {
 				case n.w.now < 6100*ms:
 					return "s00"
@@ -142,7 +142,7 @@
 			}),
 			script: func(w *world) {
 				w.processes = map[string]uint64{"s01": w.servers[1].incarnation}
-				w.late = func(_, to string) Time {
+				w.extraDelay = func(_, to string) Time {
 					h := w.holdingOf("s01")
 					if to != "s01" || h == nil || h.incarnation != w.processes["s01"] {
 						return 0
@@ -158,7 +158,7 @@
 					}
 					return 400 * ms
 				}
-				w.firstLeads()
+				w.startFirstAsLeader()
 				w.advance(w.now + 3000*ms)
 			},
 		},
@@ -166,21 +166,21 @@
 		// leader, and arrive after; the leader renews a third server, which the newer one
 		// cannot reach, for a lease from then.
 		"answers arrive late": {
-			guard:  mutAnswered,
-			layout: scripted(2, 3, 0, reachable),
+			mutation: mutAnswerTime,
+			layout:   scriptedLayout(2, 3, 0, firstReachable),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				start := w.now
-				w.late = func(from, to string) Time {
+				w.extraDelay = func(from, to string) Time {
 					if to == "i0" && (from == "s01" || from == "s02") && w.now > start {
 						return 800 * ms
 					}
 					return 0
 				}
-				w.part("i0", "i1")
-				w.part("i1", "s00")
+				w.partition("i0", "i1")
+				w.partition("i1", "s00")
 				w.advance(start + 160*ms)
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(start + 4000*ms)
 			},
 		},
@@ -188,20 +188,20 @@
 		// instance begins a lower term, gets the vote of the young process, and renews a
 		// server whose ranges the newer leader counts as over.
 		"young process votes": {
-			guard:  mutVoting,
-			layout: scripted(3, 3, 0, reachable),
+			mutation: mutYoungVotes,
+			layout:   scriptedLayout(3, 3, 0, firstReachable),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i1", "s00", "i2", "i0")
-				w.part("i2", "s01", "s02", "i0")
+				w.startFirstAsLeader()
+				w.partition("i1", "s00", "i2", "i0")
+				w.partition("i2", "s01", "s02", "i0")
 				w.instance("i1").outrank()
 				w.kill(w.instance("i0"))
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 200*ms)
 				w.restart(w.servers[2])
-				w.part("i1", "s02")
-				w.join("i2", "s02")
-				w.deafen(w.instance("i2"))
+				w.partition("i1", "s02")
+				w.healCut("i2", "s02")
+				w.suspectLeader(w.instance("i2"))
 				w.advance(w.now + 4000*ms)
 			},
 		},
@@ -209,24 +209,24 @@
 		// once it votes again the old leader would go on where it had stopped, without the
 		// wait of a new one: requests of the successor's gate still run.
 		"old leader comes back": {
-			guard:  mutAuthority,
-			layout: scripted(2, 5, 1, func(*simInstance, int) string { return "s05" }),
+			mutation: mutNoQuorumCheck,
+			layout:   scriptedLayout(2, 5, 1, func(*simInstance, int) string { return "s05" }),
 			script: func(w *world) {
-				w.part("i0", "s03", "s04")
-				w.firstLeads()
-				w.part("i0", "i1", "s02")
-				w.part("i1", "s00", "s01")
+				w.partition("i0", "s03", "s04")
+				w.startFirstAsLeader()
+				w.partition("i0", "i1", "s02")
+				w.partition("i1", "s00", "s01")
 				w.instance("i1").outrank()
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 6000*ms)
 				w.restart(w.servers[3])
-				w.part("i1", "s03")
-				w.join("i0", "s03")
+				w.partition("i1", "s03")
+				w.healCut("i0", "s03")
 				w.advance(w.now + 700*ms)
 				gate := w.instance("i1").holders["s05"]
 				for _, hash := range w.hashes {
 					if work, err := gate.real.Begin(hash); err == nil {
-						w.runs = append(w.runs, run{gate: gate, server: "s05", hash: hash, until: w.now + longestRequest})
+						w.gateRequests = append(w.gateRequests, gateRequest{gate: gate, server: "s05", hash: hash, endsAt: w.now + longestRequest})
 						w.after(longestRequest, work.End)
 					}
 				}
@@ -237,26 +237,26 @@
 		// and forgets the fence, and the old leader, whose authority still runs, grants it
 		// again what it held.
 		"moved before the old authority ended": {
-			guard: mutWait,
-			layout: scripted(2, 3, 0, func(n *simInstance, _ int) string {
+			mutation: mutNoWait,
+			layout: scriptedLayout(2, 3, 0, func(n *simInstance, _ int) string {
 				if n.name == "i0" {
 					return "s00"
 				}
 				return "s01"
 			}),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i0", "i1", "s01", "s02")
+				w.startFirstAsLeader()
+				w.partition("i0", "i1", "s01", "s02")
 				w.instance("i1").outrank()
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 75*ms)
-				w.part("i1", "s00")
+				w.partition("i1", "s00")
 				w.restart(w.servers[0])
 				w.advance(w.now + 3000*ms)
 			},
 		},
 	}
-	for name, tt := range moreScenarios() {
+	for name, tt := range messageOrderScenarios() {
 		tests[name] = tt
 	}
 	for name, tt := range tests {
@@ -265,7 +265,7 @@
 			sound := newWorld(1, tt.layout, "")
 			tt.script(sound)
 			is.Equal(sound.failure, "")
-			broken := newWorld(1, tt.layout, tt.guard)
+			broken := newWorld(1, tt.layout, tt.mutation)
 			tt.script(broken)
 			t.Log(broken.failure)
 			is.True(broken.failure != "") // without the guard
@@ -273,20 +273,20 @@
 	}
 }
 
-// reachable places all slices on the first server, or on the second when the leader that asks
+// firstReachable places all slices on the first server, or on the second when the leader that asks
 // cannot reach the first.
-func reachable(n *simInstance, _ int) string {
-	if n.w.cuts[[2]string{"s00", n.name}] > n.w.now {
+func firstReachable(n *simInstance, _ int) string {
+	if n.w.cutUntil[[2]string{"s00", n.name}] > n.w.now {
 		return "s01"
 	}
 	return "s00"
 }
 
 // holdingOf returns what the leader knows of a server, or nil.
-func (w *world) holdingOf(server string) *holding {
+func (w *world) holdingOf(server string) *holder {
 	n := w.leading()
 	if n == nil {
 		return nil
 	}
-	return n.core.lead.holdings[seat{server: server}]
+	return n.core.lead.holders[holderID{server: server}]
 }
--- a/internal/leader/chaos_test.go
+++ b/internal/leader/schedule_test.go
@@ -13,30 +13,30 @@
 const (
 	// faultsEnd is when the faults of a random schedule end.
 	faultsEnd = 10_000 * ms
-	// recovery is the time after the last fault by which every range must be served again:
+	// recoveryTime is the time after the last fault by which every range must be served again:
 	// messages up to 2.5 s old, an election, the wait after winning, requests and pauses.
-	recovery = 8_000 * ms
+	recoveryTime = 8_000 * ms
 )
 
 // randomLayout draws the shape of a domain.
 func randomLayout(seed uint64) layout {
 	random := rand.New(rand.NewPCG(seed, 2))
 	l := layout{
-		instances: 1 + random.IntN(4),
-		checking:  random.IntN(6),
-		unchecked: random.IntN(3),
-		drift:     []int{0, 4, 40}[random.IntN(3)],
-		rash:      random.IntN(4) > 0,
+		instances:        1 + random.IntN(4),
+		checking:         random.IntN(6),
+		unchecked:        random.IntN(3),
+		maxDriftPerMille: []int{0, 4, 40}[random.IntN(3)],
+		skipPreVote:      random.IntN(4) > 0,
 	}
 	if l.checking+l.unchecked < 2 {
 		l.checking += 2
 	}
 	restless := random.IntN(3) > 0
 	l.placer = func(w *world) place.Placer {
-		p := &slicePlacer{slices: 8}
+		p := &slicePlacer{slicesPerHome: 8}
 		if restless {
-			p.restless = w.random
-			p.calm = func() bool { return !w.jitter }
+			p.moveRandom = w.random
+			p.movesEnded = func() bool { return !w.jitter }
 		}
 		return p
 	}
@@ -51,41 +51,41 @@
 func (w *world) runSchedule() *world {
 	w.startAll()
 	w.jitter = true
-	w.pace = []Time{300 * ms, 700 * ms, 2000 * ms}[w.random.IntN(3)]
-	w.faults()
-	w.requests()
+	w.maxFaultGap = []Time{300 * ms, 700 * ms, 2000 * ms}[w.random.IntN(3)]
+	w.scheduleFaults()
+	w.scheduleRequests()
 	w.advance(faultsEnd)
-	if w.failure != "" || w.guard != "" {
+	if w.failure != "" || w.mutation != "" {
 		return w
 	}
 	w.heal()
-	w.advance(faultsEnd + recovery)
+	w.advance(faultsEnd + recoveryTime)
 	if w.failure == "" {
 		w.checkRecovered()
 	}
 	return w
 }
 
-// faults plans the next fault, again and again until they end.
-func (w *world) faults() {
+// scheduleFaults plans the next fault, again and again until they end.
+func (w *world) scheduleFaults() {
 	if w.now >= faultsEnd {
 		return
 	}
 	for range 1 + w.random.IntN(2) {
-		w.fault()
+		w.injectFault()
 	}
-	w.after(Time(w.random.Int64N(int64(w.pace))), w.faults)
+	w.after(Time(w.random.Int64N(int64(w.maxFaultGap))), w.scheduleFaults)
 }
 
-func (w *world) requests() {
+func (w *world) scheduleRequests() {
 	if w.now >= faultsEnd {
 		return
 	}
-	w.request()
-	w.after(Time(w.random.Int64N(int64(40*ms))), w.requests)
+	w.startRequest()
+	w.after(Time(w.random.Int64N(int64(40*ms))), w.scheduleRequests)
 }
 
-func (w *world) fault() {
+func (w *world) injectFault() {
 	last := Time(w.random.Int64N(int64(2500 * ms)))
 	server := w.servers[w.random.IntN(len(w.servers))]
 	instance := w.instances[w.random.IntN(len(w.instances))]
@@ -109,22 +109,22 @@
 	case 10:
 		w.log.downTo = max(w.log.downTo, w.now+2*last)
 	case 11, 12:
-		w.split(last)
+		w.partitionAtRandom(last)
 	case 13:
-		w.deafen(instance)
+		w.suspectLeader(instance)
 	case 14:
-		w.split(last)
-		w.deafen(instance)
+		w.partitionAtRandom(last)
+		w.suspectLeader(instance)
 	case 15, 16:
-		w.slow[instance.name] = w.now + last
+		w.slowUntil[instance.name] = w.now + last
 	}
 }
 
-// split lets each half of the servers be reached by one half of the instances only.
-func (w *world) split(last Time) {
+// partitionAtRandom lets each half of the servers be reached by one half of the instances only.
+func (w *world) partitionAtRandom(last Time) {
 	half := func(int) bool { return w.random.IntN(2) == 0 }
 	var left, right []string
-	for i, m := range w.ordered() {
+	for i, m := range w.allMachines() {
 		if half(i) {
 			left = append(left, m.name)
 		} else {
@@ -138,16 +138,16 @@
 	}
 }
 
-// deafen lets a follower believe that its leader is lost, as when heartbeats are cut.
-func (w *world) deafen(n *simInstance) {
+// suspectLeader lets a follower believe that its leader is lost, as when heartbeats are cut.
+func (w *world) suspectLeader(n *simInstance) {
 	if !n.down && n.core.lead == nil {
-		n.core.leaderAt = n.core.now - 10*n.core.heartbeat()
+		n.core.leaderHeardAt = n.core.now - 10*n.core.heartbeatInterval()
 		n.core.resigned = true
 	}
 }
 
-// led may restart a server just after a leader won, when its fence matters most.
-func (w *world) led() {
+// onElected may restart a server just after a leader won, when its fence matters most.
+func (w *world) onElected() {
 	if w.jitter && w.now < faultsEnd && w.random.IntN(3) == 0 {
 		m := w.servers[w.random.IntN(len(w.servers))]
 		w.after(Time(w.random.Int64N(int64(400*ms))), func() { w.boot(m) })
@@ -155,7 +155,7 @@
 }
 
 func (w *world) anyName() string {
-	all := w.ordered()
+	all := w.allMachines()
 	i := w.random.IntN(len(all) + 1)
 	if i == len(all) {
 		return "log"
@@ -164,14 +164,14 @@
 }
 
 func (w *world) cut(from, to string, last Time, both bool) {
-	w.cuts[[2]string{from, to}] = w.now + last
+	w.cutUntil[[2]string{from, to}] = w.now + last
 	if both {
-		w.cuts[[2]string{to, from}] = w.now + last
+		w.cutUntil[[2]string{to, from}] = w.now + last
 	}
 }
 
 func (w *world) isolate(name string, last Time) {
-	for _, m := range w.ordered() {
+	for _, m := range w.allMachines() {
 		w.cut(name, m.name, last, true)
 	}
 	w.cut(name, "log", last, true)
@@ -194,7 +194,7 @@
 		return
 	}
 	n.down = true
-	n.life++
+	n.generation++
 	w.after(last, func() {
 		if n.down {
 			n.restart()
@@ -205,8 +205,8 @@
 // heal ends every fault. Processes that are down start again.
 func (w *world) heal() {
 	w.jitter = false
-	clear(w.cuts)
-	clear(w.slow)
+	clear(w.cutUntil)
+	clear(w.slowUntil)
 	w.log.downTo = 0
 	for _, m := range w.servers {
 		m.pausedTo = 0
@@ -255,9 +255,9 @@
 	return fmt.Sprintf("(%d instances, %d checking, %d unchecked)", w.layout.instances, w.layout.checking, w.layout.unchecked)
 }
 
-// changeVoters takes one voter away by a bundle and gives it back by the next. Instances learn
+// scheduleVoterChanges takes one voter away by a bundle and gives it back by the next. Instances learn
 // of each at different times, but of the second only when all have the first.
-func (w *world) changeVoters() {
+func (w *world) scheduleVoterChanges() {
 	out := w.servers[w.random.IntN(len(w.servers))].name
 	versions := map[Time]func(string) bool{
 		3000 * ms: func(server string) bool { return server != out },
@@ -266,18 +266,18 @@
 	for _, n := range w.instances {
 		for _, at := range []Time{3000 * ms, 6000 * ms} {
 			voters := versions[at]
-			w.at(at+Time(w.random.Int64N(int64(2000*ms))), func() { n.revote(voters) })
+			w.at(at+Time(w.random.Int64N(int64(2000*ms))), func() { n.changeVoters(voters) })
 		}
 	}
 }
 
-// revote gives an instance a bundle with other voters. It stays over a restart.
-func (n *simInstance) revote(voters func(string) bool) {
+// changeVoters gives an instance a bundle with other voters. It stays over a restart.
+func (n *simInstance) changeVoters(voters func(string) bool) {
 	n.voters = voters
-	life := n.life
+	life := n.generation
 	n.w.deliver(n.name, func() {
-		if n.life == life {
-			n.event(Configured{Version: 1, Services: n.services()})
+		if n.generation == life {
+			n.handle(Configured{Version: 1, Services: n.services()})
 		}
 	})
 }
@@ -303,7 +303,7 @@
 		l := randomLayout(seed)
 		l.checking = max(l.checking, 2)
 		w := newWorld(seed, l, "")
-		w.changeVoters()
+		w.scheduleVoterChanges()
 		w.runSchedule()
 		if w.failure != "" {
 			t.Logf("seed %d: %s", seed, w.failure)
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -12,10 +12,10 @@
 	Service
 	loads map[keys.Range]load
 	moves map[keys.Range]move
-	// hot are the hashes of keys that are hot by measurement, sorted.
-	hot []uint64
-	// unchecked says that at least one server does not check grants.
-	unchecked bool
+	// measuredHotHashes are the hashes of keys that are hot by measurement, sorted.
+	measuredHotHashes []uint64
+	// hasUnchecked says that at least one server does not check grants.
+	hasUnchecked bool
 }
 
 type load struct {
@@ -29,8 +29,8 @@
 	at     Time
 }
 
-// electorate is a set of voters, by name.
-type electorate map[string]bool
+// voterSet is a set of voters, by name.
+type voterSet map[string]bool
 
 func (c *Core) configure(ev Configured) {
 	old := c.services
@@ -39,10 +39,10 @@
 		c.services = append(c.services, newService(s, old))
 	}
 	c.changeVoters(votersOf(ev.Services))
-	c.version = ev.Version
+	c.bundleVersion = ev.Version
 	if c.lead != nil {
 		c.chooseGates()
-		c.seat()
+		c.updateHolders()
 		c.placeSoon()
 	}
 }
@@ -51,15 +51,15 @@
 	made := &service{Service: s, loads: make(map[keys.Range]load), moves: make(map[keys.Range]move)}
 	for _, o := range old {
 		if o.Name == s.Name {
-			made.loads, made.moves, made.hot = o.loads, o.moves, o.hot
+			made.loads, made.moves, made.measuredHotHashes = o.loads, o.moves, o.measuredHotHashes
 		}
 	}
-	made.unchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.Checks })
+	made.hasUnchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.Checks })
 	return made
 }
 
-func votersOf(services []Service) electorate {
-	voters := make(electorate)
+func votersOf(services []Service) voterSet {
+	voters := make(voterSet)
 	for _, s := range services {
 		for _, b := range s.Servers {
 			if b.Votes {
@@ -73,18 +73,18 @@
 // changeVoters makes a set of voters the one that counts. A leader needs from then on a
 // majority of the former sets too, as long as it leads: an instance that has not seen the
 // new bundle may win by the set before, and must then meet a voter of this leader.
-func (c *Core) changeVoters(voters electorate) {
-	if len(c.electorates) > 0 && equalVoters(c.electorates[len(c.electorates)-1], voters) {
+func (c *Core) changeVoters(voters voterSet) {
+	if len(c.voterSets) > 0 && equalVoters(c.voterSets[len(c.voterSets)-1], voters) {
 		return
 	}
 	if c.lead == nil {
-		c.electorates = []electorate{voters}
+		c.voterSets = []voterSet{voters}
 		return
 	}
-	c.electorates = append(c.electorates, voters)
+	c.voterSets = append(c.voterSets, voters)
 }
 
-func equalVoters(a, b electorate) bool {
+func equalVoters(a, b voterSet) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -96,12 +96,12 @@
 	return true
 }
 
-func (c *Core) measured(ev Measured) {
+func (c *Core) handleMeasured(ev Measured) {
 	s := c.serviceOf(ev.Service)
 	if s == nil {
 		return
 	}
-	s.hot = ev.Hot
+	s.measuredHotHashes = ev.Hot
 	clear(s.loads)
 	for _, l := range ev.Loads {
 		s.loads[l.Range] = load{value: l.Load, at: c.now}
@@ -110,7 +110,7 @@
 
 // hotHashes returns the hot keys of the bundle and of measurement, sorted.
 func (s *service) hotHashes() []uint64 {
-	all := slices.Concat(s.HotHashes, s.hot)
+	all := slices.Concat(s.HotHashes, s.measuredHotHashes)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// forgetMoves drops what is known of ranges that exist no more, when these have become many.
-func (s *service) forgetMoves(owned []place.Owned) {
+// pruneMoves drops what is known of ranges that exist no more, when these have become many.
+func (s *service) pruneMoves(owned []place.Owned) {
 	if len(s.moves) < 4*len(owned)+100 {
 		return
 	}
--- a/internal/leader/claims.go
+++ b/internal/leader/status.go
@@ -9,14 +9,14 @@
 	if s == nil || c.lead == nil {
 		return nil, false
 	}
-	for _, h := range c.lead.holdings {
+	for _, h := range c.lead.holders {
 		if h.service == service {
-			held = append(held, h.claims(true)...)
+			held = append(held, h.possibleRanges(true)...)
 		}
 	}
 	for _, h := range c.lead.retired {
 		if h.service == service {
-			held = append(held, h.claims(true)...)
+			held = append(held, h.possibleRanges(true)...)
 		}
 	}
 	return keys.Union(held, nil), c.now > c.settledAt(s)
@@ -36,5 +36,5 @@
 	if c.lead == nil || !c.lead.won() {
 		return 0, false
 	}
-	return c.authority(), true
+	return c.quorumAskedAt(), true
 }
--- a/internal/leader/settle.go
+++ b/internal/leader/takeover.go
@@ -2,19 +2,19 @@
 
 import "example.org/mustardring/pkg/keys"
 
-// movesAt returns until when leaders before this one may have grants running that nobody told
+// movesAllowedAt returns until when leaders before this one may have grants running that nobody told
 // of. Before that, sets are adopted and renewed as they stand and nothing else: a server that
 // restarts in this time forgets the fence, and an older leader may grant it again what it
 // held, until its authority ends.
-func (c *Core) movesAt() Time {
+func (c *Core) movesAllowedAt() Time {
 	l := c.lead
 	if !l.won() {
-		return forever
+		return distantFuture
 	}
-	if c.config.without(mutWait) {
+	if c.config.mutated(mutNoWait) {
 		return l.wonAt
 	}
-	return l.wonAt + c.config.stretch(Time(c.config.Lease))
+	return l.wonAt + c.config.withDrift(Time(c.config.Lease))
 }
 
 // settledAt returns until when requests may run under a former leader's grants that nobody
@@ -22,28 +22,28 @@
 // as long as their deadline and a pause of the gate allow. Before that, no range may be
 // granted that was not seen held in this term.
 func (c *Core) settledAt(s *service) Time {
-	at := c.movesAt()
-	if s.unchecked && at != forever && !c.config.without(mutWait) {
-		at += lingering(s, &c.config)
+	at := c.movesAllowedAt()
+	if s.hasUnchecked && at != distantFuture && !c.config.mutated(mutNoWait) {
+		at += drainTime(s, &c.config)
 	}
 	return at
 }
 
-// see notes the ranges of a holder that was within its lease when asked after this leader won.
+// noteConfirmedHeld notes the ranges of a holder that was within its lease when asked after this leader won.
 // No former leader can have given them on: it would have had to wait for the end of that
 // lease, and its authority ended before. So nothing of them lingers elsewhere, and they may
 // move before the service has settled.
-func (c *Core) see(h *holding, ev Answered) {
+func (c *Core) noteConfirmedHeld(h *holder, ev Answered) {
 	l := c.lead
 	s := c.serviceOf(h.service)
-	if s == nil || !s.unchecked || !h.live || h.seenEpoch == h.epoch || c.now > c.settledAt(s) {
+	if s == nil || !s.hasUnchecked || !h.live || h.confirmedEpoch == h.epoch || c.now > c.settledAt(s) {
 		return
 	}
-	if (!l.won() || ev.AskedAt < l.wonAt) && !c.config.without(mutSeen) {
+	if (!l.won() || ev.AskedAt < l.wonAt) && !c.config.mutated(mutHeldBeforeWin) {
 		return
 	}
-	h.seenEpoch = h.epoch
-	l.seen[s.Name] = keys.Union(l.seen[s.Name], h.set)
+	h.confirmedEpoch = h.epoch
+	l.confirmedHeld[s.Name] = keys.Union(l.confirmedHeld[s.Name], h.ranges)
 }
 
 // grantable returns the parts of ranges that may be granted now as far as former leaders go.
@@ -53,27 +53,27 @@
 	}
 	var parts []keys.Range
 	for _, r := range ranges {
-		parts = append(parts, intersect(r, c.lead.seen[s.Name])...)
+		parts = append(parts, intersect(r, c.lead.confirmedHeld[s.Name])...)
 	}
 	return parts
 }
 
-// forever is later than every time.
-const forever = Time(1 << 62)
+// distantFuture is later than every time.
+const distantFuture = Time(1 << 62)
 
-// lingering returns how long requests at an unchecked server may run after their gate's lease.
-func lingering(s *service, config *Config) Time {
+// drainTime returns how long requests at an unchecked server may run after their gate's lease.
+func drainTime(s *service, config *Config) Time {
 	return Time(s.RequestMillis)*1e6 + Time(config.Pause)
 }
 
-// settledNow reports whether ranges became movable or a service settled since the last call.
-func (c *Core) settledNow() bool {
+// updateSettled reports whether ranges became movable or a service settled since the last call.
+func (c *Core) updateSettled() bool {
 	l := c.lead
 	if !l.won() {
 		return false
 	}
-	any := !l.movable && c.now > c.movesAt()
-	l.movable = l.movable || any
+	any := !l.movesAllowed && c.now > c.movesAllowedAt()
+	l.movesAllowed = l.movesAllowed || any
 	for _, s := range c.services {
 		if !l.settled[s.Name] && c.now > c.settledAt(s) {
 			l.settled[s.Name] = true
--- a/internal/leader/targets.go
+++ b/internal/leader/targets.go
@@ -13,8 +13,8 @@
 // minPlacing and rangePlacing bound how often a placement is computed when servers come and
 // go: it takes some 0.8 us a range, and must not fill a core.
 const (
-	minPlacing   = Time(50 * time.Millisecond)
-	rangePlacing = Time(25 * time.Microsecond)
+	minPlacementInterval      = Time(50 * time.Millisecond)
+	placementIntervalPerRange = Time(25 * time.Microsecond)
 )
 
 // placeSoon asks for a placement as soon as the rate allows.
@@ -24,7 +24,7 @@
 	for _, targets := range l.targets {
 		ranges += len(targets)
 	}
-	l.placeAt = min(l.placeAt, max(c.now, l.placedAt+minPlacing+Time(ranges)*rangePlacing))
+	l.placeAt = min(l.placeAt, max(c.now, l.placedAt+minPlacementInterval+Time(ranges)*placementIntervalPerRange))
 }
 
 // place asks the placer for the wanted owners of the services that have settled.
@@ -36,20 +36,20 @@
 	l.placedAt = c.now
 	l.placeAt = c.now + Time(c.config.Placing)
 	for _, s := range c.services {
-		if !s.Divided || c.now <= c.movesAt() {
+		if !s.Divided || c.now <= c.movesAllowedAt() {
 			continue
 		}
-		view := c.view(s)
-		s.forgetMoves(view.Owned)
+		view := c.placerView(s)
+		s.pruneMoves(view.Owned)
 		targets := c.placer.Place(view)
 		if !slices.Equal(targets, l.targets[s.Name]) {
 			l.targets[s.Name] = targets
-			l.dirty = true
+			l.rangesDirty = true
 		}
 	}
 }
 
-func (c *Core) view(s *service) place.View {
+func (c *Core) placerView(s *service) place.View {
 	v := place.View{
 		Now:       c.now,
 		Service:   s.Name,
@@ -60,13 +60,13 @@
 	for _, b := range s.Servers {
 		if b.Slots > 0 {
 			server := place.Server{Name: b.Name, Slots: b.Slots, Accepting: c.accepts(b)}
-			if h := c.lead.holdings[c.current(b)]; h != nil {
+			if h := c.lead.holders[c.currentHolder(b)]; h != nil {
 				server.WarmAt = h.warmAt
 			}
 			v.Servers = append(v.Servers, server)
 		}
 	}
-	for _, o := range c.owned(s) {
+	for _, o := range c.currentOwners(s) {
 		o.Load, o.LoadAt = s.loads[o.Range].value, s.loads[o.Range].at
 		if m := s.moves[o.Range]; m.server == o.Server {
 			o.MovedAt = m.at
@@ -78,31 +78,31 @@
 
 // accepts reports whether a server answers and does not leave.
 func (c *Core) accepts(b Server) bool {
-	h := c.lead.holdings[c.current(b)]
-	return h != nil && h.heard && !b.Leaving && c.now <= h.heardAt+Time(c.config.Lease)
+	h := c.lead.holders[c.currentHolder(b)]
+	return h != nil && h.answered && !b.Leaving && c.now <= h.answeredAt+Time(c.config.Lease)
 }
 
-// current returns the seat at which the grant of a server should be held.
-func (c *Core) current(b Server) seat {
+// currentHolder returns the seat at which the grant of a server should be held.
+func (c *Core) currentHolder(b Server) holderID {
 	if b.Checks {
-		return seat{server: b.Name}
+		return holderID{server: b.Name}
 	}
-	return seat{server: b.Name, via: c.gates[b.Name]}
+	return holderID{server: b.Name, gate: c.gates[b.Name]}
 }
 
-// owned returns the present partition: what is held, and in the gaps what the log or the
+// currentOwners returns the present partition: what is held, and in the gaps what the log or the
 // former table says was held by servers that are there, so that they get it back.
-func (c *Core) owned(s *service) []place.Owned {
-	var held []claimed
-	for _, h := range c.lead.ordered() {
+func (c *Core) currentOwners(s *service) []place.Owned {
+	var held []ownedRange
+	for _, h := range c.lead.sortedHolders() {
 		if h.service != s.Name {
 			continue
 		}
-		for _, r := range h.current() {
-			held = append(held, claimed{Range: r, server: h.server, epoch: h.epoch})
+		for _, r := range h.expectedRanges() {
+			held = append(held, ownedRange{Range: r, server: h.server, epoch: h.epoch})
 		}
 	}
-	slices.SortFunc(held, compareClaimed)
+	slices.SortFunc(held, compareOwnedRanges)
 	var owned []place.Owned
 	var taken []keys.Range
 	for _, o := range held {
@@ -112,14 +112,14 @@
 		taken = append(taken, o.Range)
 		owned = append(owned, place.Owned{Range: o.Range, Server: o.server})
 	}
-	owned = append(owned, c.remembered(s, taken)...)
+	owned = append(owned, c.formerOwnersOfGaps(s, taken)...)
 	slices.SortFunc(owned, func(a, b place.Owned) int { return cmp.Compare(a.Range.First, b.Range.First) })
 	return owned
 }
 
-// remembered returns the gaps of a partition, which is sorted and disjoint, with the owners
+// formerOwnersOfGaps returns the gaps of a partition, which is sorted and disjoint, with the owners
 // that they had by the log or else by the former table.
-func (c *Core) remembered(s *service, taken []keys.Range) []place.Owned {
+func (c *Core) formerOwnersOfGaps(s *service, taken []keys.Range) []place.Owned {
 	var gaps []keys.Range
 	for _, home := range s.Homes {
 		gaps = append(gaps, subtract(home, taken)...)
@@ -136,13 +136,13 @@
 		for _, r := range parts {
 			owned = append(owned, place.Owned{Range: r, Server: o.server})
 		}
-		gaps = without(gaps, o.Range)
+		gaps = removeRange(gaps, o.Range)
 	}
 	return owned
 }
 
-// without returns sorted ranges less one range.
-func without(ranges []keys.Range, gone keys.Range) []keys.Range {
+// removeRange returns sorted ranges less one range.
+func removeRange(ranges []keys.Range, gone keys.Range) []keys.Range {
 	var left []keys.Range
 	for _, r := range ranges {
 		left = append(left, subtract(r, []keys.Range{gone})...)
@@ -151,35 +151,35 @@
 }
 
 // formerOwners returns recorded and published owners that accept, newest first.
-func (c *Core) formerOwners(s *service) []claimed {
-	var former []claimed
+func (c *Core) formerOwners(s *service) []ownedRange {
+	var former []ownedRange
 	for _, b := range s.Servers {
 		a, found := c.log.assigned[b.Name]
 		if !found || a.Service != s.Name || !c.accepts(b) {
 			continue
 		}
 		for _, r := range a.Assignment.Ranges {
-			former = append(former, claimed{Range: r, server: b.Name, epoch: a.Assignment.Epoch})
+			former = append(former, ownedRange{Range: r, server: b.Name, epoch: a.Assignment.Epoch})
 		}
 	}
-	for _, o := range c.hint.Owners {
+	for _, o := range c.formerTable.Owners {
 		i := slices.IndexFunc(s.Servers, func(b Server) bool { return b.Name == o.Server })
 		if o.Service == s.Name && i >= 0 && c.accepts(s.Servers[i]) {
-			former = append(former, claimed{Range: o.Range, server: o.Server, epoch: o.Epoch})
+			former = append(former, ownedRange{Range: o.Range, server: o.Server, epoch: o.Epoch})
 		}
 	}
-	slices.SortStableFunc(former, func(a, b claimed) int { return b.epoch.Compare(a.epoch) })
+	slices.SortStableFunc(former, func(a, b ownedRange) int { return b.epoch.Compare(a.epoch) })
 	return former
 }
 
-// claimed is a range with the server that has or had it.
-type claimed struct {
+// ownedRange is a range with the server that has or had it.
+type ownedRange struct {
 	Range  keys.Range
 	server string
 	epoch  grant.Epoch
 }
 
-// compareClaimed orders by first hash, and the newer epoch before the older.
-func compareClaimed(a, b claimed) int {
+// compareOwnedRanges orders by first hash, and the newer epoch before the older.
+func compareOwnedRanges(a, b ownedRange) int {
 	return cmp.Or(cmp.Compare(a.Range.First, b.Range.First), b.epoch.Compare(a.epoch))
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -11,11 +11,11 @@
 
 // The reasons for which a leadership ends.
 const (
-	reasonStopping  = "stopping"
-	reasonFenced    = "fenced"
-	reasonPeer      = "peer-leads"
-	reasonAuthority = "authority-lapsed"
-	reasonMajority  = "no-majority"
+	reasonStopping   = "stopping"
+	reasonFenced     = "fenced"
+	reasonPeerLeads  = "peer-leads"
+	reasonQuorumLost = "authority-lapsed"
+	reasonNotElected = "no-majority"
 )
 
 // leadership is one term of this instance, from its begin as a candidacy.
@@ -25,44 +25,44 @@
 	// wonAt is when a majority had first answered; zero before.
 	wonAt Time
 	votes map[string]*vote
-	// asked caches the authority; stale says that votes changed since.
-	asked Time
-	stale bool
+	// cachedQuorumAskedAt caches the authority; stale says that votes changed since.
+	cachedQuorumAskedAt Time
+	quorumStale         bool
 
-	holdings map[seat]*holding
+	holders map[holderID]*holder
 	// retired are holdings of processes that are asked no more but may still act.
-	retired    []*holding
+	retired    []*holder
 	sequence   uint64
 	exchangeAt Time
 	placeAt    Time
 	placedAt   Time
 	targets    map[string][]place.Target
-	// dirty says that sets may have to change, tableDirty that the table may have, adopted
+	// rangesDirty says that sets may have to change, tableDirty that the table may have, adopted
 	// that a set of another term was learned of.
-	dirty       bool
-	adopted     bool
-	reconcileAt Time
-	publishAt   Time
-	prompted    []*holding
-	settled     map[string]bool
-	// movable says that a lease has passed since the leader won.
-	movable bool
-	// seen are the ranges seen held in this term, by service.
-	seen         map[string][]keys.Range
-	tableDirty   bool
-	published    *route.Table
-	recording    map[string]recording
-	recordAt     Time
-	recordSerial uint64
-	recorded     map[string]recorded
+	rangesDirty   bool
+	sawOtherTerm  bool
+	reconcileAt   Time
+	publishAt     Time
+	urgentHolders []*holder
+	settled       map[string]bool
+	// movesAllowed says that a lease has passed since the leader won.
+	movesAllowed bool
+	// confirmedHeld are the ranges seen held in this term, by service.
+	confirmedHeld  map[string][]keys.Range
+	tableDirty     bool
+	published      *route.Table
+	pendingRecords map[string]pendingRecord
+	recordAt       Time
+	recordSerial   uint64
+	recorded       map[string]recorded
 }
 
 // vote is what one voter answered in this term.
 type vote struct {
 	incarnation uint64
 	askedAt     Time
-	// heardAt is when the newest answer of the process arrived.
-	heardAt Time
+	// answeredAt is when the newest answer of the process arrived.
+	answeredAt Time
 	// counted says that the voter follows.
 	counted bool
 	// homesFence is the highest value of the homes fence that the voter knows.
@@ -73,24 +73,24 @@
 	return l.wonAt != 0
 }
 
-func (c *Core) begin(t grant.Term) {
-	c.claim, c.survey, c.resigned = nil, nil, false
-	c.know(t)
+func (c *Core) beginTerm(t grant.Term) {
+	c.termClaim, c.preVote, c.resigned = nil, nil, false
+	c.noteTerm(t)
 	c.lead = &leadership{
-		term:      t,
-		startedAt: c.now,
-		votes:     make(map[string]*vote),
-		holdings:  make(map[seat]*holding),
-		targets:   make(map[string][]place.Target),
-		recording: make(map[string]recording),
-		recorded:  make(map[string]recorded),
-		settled:   make(map[string]bool),
-		seen:      make(map[string][]keys.Range),
-	}
-	c.electorates = c.electorates[len(c.electorates)-1:]
-	c.recallGates()
+		term:           t,
+		startedAt:      c.now,
+		votes:          make(map[string]*vote),
+		holders:        make(map[holderID]*holder),
+		targets:        make(map[string][]place.Target),
+		pendingRecords: make(map[string]pendingRecord),
+		recorded:       make(map[string]recorded),
+		settled:        make(map[string]bool),
+		confirmedHeld:  make(map[string][]keys.Range),
+	}
+	c.voterSets = c.voterSets[len(c.voterSets)-1:]
+	c.adoptFormerGates()
 	c.chooseGates()
-	c.seat()
+	c.updateHolders()
 	c.exchangeAll()
 }
 
@@ -98,40 +98,40 @@
 	if c.lead == nil {
 		return
 	}
-	if c.lead.won() || reason != reasonMajority {
+	if c.lead.won() || reason != reasonNotElected {
 		c.emit(Stepped{Term: c.lead.term, Reason: reason})
 	}
 	c.lead = nil
-	c.leaderAt = c.now
+	c.leaderHeardAt = c.now
 }
 
-// checkAuthority ends a leadership whose newest majority was asked too long ago. Without it
+// checkQuorum ends a leadership whose newest majority was asked too long ago. Without it
 // a leader that was outvoted could regain a majority by a voter that restarted and forgot
 // the newer term, and both would lead.
-func (c *Core) checkAuthority() {
+func (c *Core) checkQuorum() {
 	l := c.lead
 	if l == nil {
 		return
 	}
 	if !l.won() {
 		if c.now > l.startedAt+Time(c.config.Lease) {
-			c.stepDown(reasonMajority)
+			c.stepDown(reasonNotElected)
 		}
 		return
 	}
-	if c.now > c.authority()+Time(c.config.Lease) && !c.config.without(mutAuthority) {
-		c.stepDown(reasonAuthority)
+	if c.now > c.quorumAskedAt()+Time(c.config.Lease) && !c.config.mutated(mutNoQuorumCheck) {
+		c.stepDown(reasonQuorumLost)
 	}
 }
 
-// count takes the vote of an answer that follows the term.
+// countVote takes the vote of an answer that follows the term.
 //
 // A voter that restarts may have followed a higher term and forgotten it. Its new process
 // does not vote until the longest lease has passed since its start. A leader of a higher term
 // that had its vote has by then either had a newer majority, or stepped down for want of
 // one, as checkAuthority makes it; so the voter may be counted again.
-func (c *Core) count(ev Answered) {
-	if ev.Via != "" || !c.votes(ev.Server) {
+func (c *Core) countVote(ev Answered) {
+	if ev.Via != "" || !c.isVoter(ev.Server) {
 		return
 	}
 	l := c.lead
@@ -141,51 +141,51 @@
 		l.votes[ev.Server] = v
 	}
 	if v.incarnation != ev.Answer.Incarnation {
-		if ev.AskedAt <= v.heardAt {
+		if ev.AskedAt <= v.answeredAt {
 			return
 		}
 		v.incarnation, v.homesFence = ev.Answer.Incarnation, 0
 	}
-	v.heardAt = c.now
+	v.answeredAt = c.now
 	if !ev.Answer.Voting {
 		return
 	}
 	v.homesFence = max(v.homesFence, ev.Answer.HomesFence)
 	c.homesFence = max(c.homesFence, v.homesFence)
 	askedAt := ev.AskedAt
-	if c.config.without(mutAnswered) {
+	if c.config.mutated(mutAnswerTime) {
 		askedAt = c.now
 	}
 	if !v.counted || askedAt > v.askedAt {
 		v.counted = true
 		v.askedAt = askedAt
-		l.stale = true
+		l.quorumStale = true
 	}
 }
 
-func (c *Core) votes(server string) bool {
-	return slices.ContainsFunc(c.electorates, func(e electorate) bool { return e[server] })
+func (c *Core) isVoter(server string) bool {
+	return slices.ContainsFunc(c.voterSets, func(e voterSet) bool { return e[server] })
 }
 
-// authority returns the newest moment at which a majority of every electorate was asked and
+// quorumAskedAt returns the newest moment at which a majority of every electorate was asked and
 // answered following this term, or a time long ago when there is none.
-func (c *Core) authority() Time {
+func (c *Core) quorumAskedAt() Time {
 	l := c.lead
-	if !l.stale && l.asked != 0 {
-		return l.asked
+	if !l.quorumStale && l.cachedQuorumAskedAt != 0 {
+		return l.cachedQuorumAskedAt
 	}
-	l.stale = false
-	l.asked = c.authorityOf(c.electorates[0])
-	for _, e := range c.electorates[1:] {
-		l.asked = min(l.asked, c.authorityOf(e))
+	l.quorumStale = false
+	l.cachedQuorumAskedAt = c.quorumAskedAtOf(c.voterSets[0])
+	for _, e := range c.voterSets[1:] {
+		l.cachedQuorumAskedAt = min(l.cachedQuorumAskedAt, c.quorumAskedAtOf(e))
 	}
-	return l.asked
+	return l.cachedQuorumAskedAt
 }
 
-// never is earlier than every time at which something was asked.
-const never = Time(-1 << 62)
+// distantPast is earlier than every time at which something was asked.
+const distantPast = Time(-1 << 62)
 
-func (c *Core) authorityOf(e electorate) Time {
+func (c *Core) quorumAskedAtOf(e voterSet) Time {
 	var asked []Time
 	for name := range e {
 		v := c.lead.votes[name]
@@ -194,11 +194,11 @@
 		}
 	}
 	majority := len(e)/2 + 1
-	if c.config.without(mutOneVote) {
+	if c.config.mutated(mutOneVote) {
 		majority = 1
 	}
 	if len(asked) < majority {
-		return never
+		return distantPast
 	}
 	slices.Sort(asked)
 	return asked[len(asked)-majority]
--- a/internal/leader/world_test.go
+++ b/internal/leader/world_test.go
@@ -19,39 +19,39 @@
 
 // world runs cores, holders and a log in virtual time. True time is in nanoseconds.
 type world struct {
-	random *rand.Rand
-	now    Time
-	queue  schedule
-	serial int
-	layout layout
-	guard  mutation
-
-	machines  map[string]*machine
-	servers   []*machine
-	instances []*simInstance
-	log       *simLog
-	runs      []run
-	cuts      map[[2]string]Time
-	slow      map[string]Time
+	random   *rand.Rand
+	now      Time
+	queue    schedule
+	serial   int
+	layout   layout
+	mutation mutation
+
+	machines     map[string]*machine
+	servers      []*machine
+	instances    []*simInstance
+	log          *simLog
+	gateRequests []gateRequest
+	cutUntil     map[[2]string]Time
+	slowUntil    map[string]Time
 	// starting is the instance that is being started; processes are incarnations to compare.
 	starting  *simInstance
 	processes map[string]uint64
-	// marked is when a script began.
-	marked Time
-	// late, if set, returns by how much a message is late besides.
-	late func(from, to string) Time
-	// pace is the longest time between two faults.
-	pace   Time
-	hashes []uint64
-	homes  []keys.Range
-	oneWay Time
-	jitter bool
+	// scriptStart is when a script began.
+	scriptStart Time
+	// extraDelay, if set, returns by how much a message is late besides.
+	extraDelay func(from, to string) Time
+	// maxFaultGap is the longest time between two faults.
+	maxFaultGap Time
+	hashes      []uint64
+	homes       []keys.Range
+	oneWayDelay Time
+	jitter      bool
 
 	failure  string
 	messages int
 	bytes    int
-	// count says that bytes are counted too.
-	count        bool
+	// countBytes says that bytes are counted too.
+	countBytes   bool
 	lastExchange grant.Exchange
 	observe      func(at Time)
 	// trace, if set, gets a line for each step of interest.
@@ -67,36 +67,36 @@
 	isolation string
 	// voters says which servers vote; nil means those that check.
 	voters func(server string) bool
-	// drift bounds how many thousandths a clock is fast or slow.
-	drift int
-	// rash lets followers begin terms without a survey, which is for liveness only.
-	rash   bool
-	placer func(w *world) place.Placer
-	config func(c *Config)
+	// maxDriftPerMille bounds how many thousandths a clock is fast or slow.
+	maxDriftPerMille int
+	// skipPreVote lets followers begin terms without a survey, which is for liveness only.
+	skipPreVote bool
+	placer      func(w *world) place.Placer
+	config      func(c *Config)
 }
 
 // machine is a process that holds grants: a server, or an instance that is gate or voter.
 type machine struct {
-	name        string
-	incarnation uint64
-	offset      Time
-	perMille    Time
-	pausedTo    Time
-	down        bool
-	holders     map[string]*simHolder
+	name          string
+	incarnation   uint64
+	clockOffset   Time
+	driftPerMille Time
+	pausedTo      Time
+	down          bool
+	holders       map[string]*simHolder
 }
 
-// run is a request that a gate sent to a server without a check of its own. It runs on when
+// gateRequest is a request that a gate sent to a server without a check of its own. It runs on when
 // the gate is lost.
-type run struct {
+type gateRequest struct {
 	gate   *simHolder
 	server string
 	hash   uint64
-	until  Time
+	endsAt Time
 }
 
 func (m *machine) clock(now Time) Time {
-	return m.offset + now + now*m.perMille/1000
+	return m.clockOffset + now + now*m.driftPerMille/1000
 }
 
 type action struct {
@@ -124,15 +124,15 @@
 
 func newWorld(seed uint64, l layout, guard mutation) *world {
 	w := &world{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		layout:   l,
-		guard:    guard,
-		machines: make(map[string]*machine),
-		cuts:     make(map[[2]string]Time),
-		slow:     make(map[string]Time),
-		homes:    []keys.Range{keys.Full},
-		oneWay:   ms / 2,
-		now:      1,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		layout:      l,
+		mutation:    guard,
+		machines:    make(map[string]*machine),
+		cutUntil:    make(map[[2]string]Time),
+		slowUntil:   make(map[string]Time),
+		homes:       []keys.Range{keys.Full},
+		oneWayDelay: ms / 2,
+		now:         1,
 	}
 	w.log = &simLog{w: w}
 	for _, r := range keys.Split(keys.Full, 8) {
@@ -159,12 +159,12 @@
 func (w *world) boot(m *machine) {
 	m.incarnation = uint64(w.random.Uint32()) + 1
 	w.tracef("boot %s as %x", m.name, m.incarnation)
-	if m.offset == 0 || w.random.IntN(2) == 0 {
-		m.offset = Time(w.random.Int64N(int64(time.Hour)))
+	if m.clockOffset == 0 || w.random.IntN(2) == 0 {
+		m.clockOffset = Time(w.random.Int64N(int64(time.Hour)))
 	}
-	m.perMille = 0
-	if d := w.layout.drift; d > 0 {
-		m.perMille = Time(w.random.IntN(2*d+1) - d)
+	m.driftPerMille = 0
+	if d := w.layout.maxDriftPerMille; d > 0 {
+		m.driftPerMille = Time(w.random.IntN(2*d+1) - d)
 	}
 	m.holders = make(map[string]*simHolder)
 	m.pausedTo = 0
@@ -216,7 +216,7 @@
 
 // send passes a message from one machine to another: late, twice or not at all.
 func (w *world) send(from, to string, deliver func()) {
-	if w.cuts[[2]string{from, to}] > w.now {
+	if w.cutUntil[[2]string{from, to}] > w.now {
 		return
 	}
 	copies := 1
@@ -229,23 +229,23 @@
 		}
 	}
 	for range copies {
-		w.after(w.delay()+w.lag(from, to), func() { w.deliver(to, deliver) })
+		w.after(w.delay()+w.messageLag(from, to), func() { w.deliver(to, deliver) })
 	}
 }
 
-// lag returns by how much messages to a machine are late just now.
-func (w *world) lag(from, to string) Time {
-	if w.late != nil {
-		return w.late(from, to)
+// messageLag returns by how much messages to a machine are late just now.
+func (w *world) messageLag(from, to string) Time {
+	if w.extraDelay != nil {
+		return w.extraDelay(from, to)
 	}
-	if w.slow[to] > w.now {
+	if w.slowUntil[to] > w.now {
 		return 300*ms + Time(w.random.Int64N(int64(600*ms)))
 	}
 	return 0
 }
 
 func (w *world) delay() Time {
-	d := w.oneWay
+	d := w.oneWayDelay
 	if !w.jitter {
 		return d
 	}
@@ -308,19 +308,19 @@
 func (w *world) owners(hash uint64) []string {
 	var names []string
 	var gates []*simHolder
-	for _, m := range w.ordered() {
+	for _, m := range w.allMachines() {
 		if m.down {
 			continue
 		}
-		for _, name := range slices.Sorted(mapKeys(m.holders)) {
+		for _, name := range slices.Sorted(keySeq(m.holders)) {
 			if m.holders[name].owns(hash) {
 				names = append(names, name+"@"+m.name)
 				gates = append(gates, m.holders[name])
 			}
 		}
 	}
-	for _, r := range w.runs {
-		if r.hash == hash && r.until > w.now && !slices.Contains(gates, r.gate) {
+	for _, r := range w.gateRequests {
+		if r.hash == hash && r.endsAt > w.now && !slices.Contains(gates, r.gate) {
 			names = append(names, r.server+"(request)")
 			gates = append(gates, r.gate)
 		}
@@ -328,7 +328,7 @@
 	return names
 }
 
-func (w *world) ordered() []*machine {
+func (w *world) allMachines() []*machine {
 	all := slices.Clone(w.servers)
 	for _, n := range w.instances {
 		all = append(all, n.machine)
@@ -345,7 +345,7 @@
 	}
 }
 
-func mapKeys[V any](m map[string]V) func(yield func(string) bool) {
+func keySeq[V any](m map[string]V) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
