--- a/internal/leader/answer.go
+++ b/internal/leader/answer.go
@@ -4,6 +4,8 @@
 	"slices"
 )
 
+// handleAnswer takes an answer to an exchange. An answer that carries a higher term ends the
+// leadership, and one that carries a lower term is ignored.
 func (c *Core) handleAnswer(ev Answered) {
 	l := c.lead
 	if l == nil {
@@ -27,6 +29,7 @@
 	c.applyAnswer(h, ev)
 }
 
+// checkWon makes a candidate the leader once a majority of every voter set follows its term.
 func (c *Core) checkWon() {
 	l := c.lead
 	if l.won() || c.quorumAskedAt() == distantPast {
@@ -38,10 +41,9 @@
 	c.emit(Led{Term: l.term})
 }
 
-// isNewer reports whether an answer is newer than what is known of its holder. Answers may
-// arrive in another order than they were given. Of one process the serial orders them. Of
-// two processes only this is sure: what was asked after an answer had arrived was answered
-// later.
+// isNewer reports whether an answer was given later than the last one taken from its holder.
+// Answers may arrive out of order. The serial orders the answers of one process. Answers of
+// two processes are ordered only if the second was asked for after the first had arrived.
 func (c *Core) isNewer(h *holder, ev Answered) bool {
 	if !h.answered {
 		return true
@@ -56,8 +58,9 @@
 	return true
 }
 
-// handleRestart forgets the grant of a process that is gone. A server that checks took its
-// requests with it; a gate may have left requests running at the server.
+// handleRestart forgets the grant of the previous process of a holder. The requests of a
+// server that checks grants ended with its process. Requests that a gate sent may still run
+// at the server, so the ranges of a gate stay blocked until these have ended.
 func (c *Core) handleRestart(h *holder) {
 	if !h.checksGrants {
 		c.retire(h)
@@ -72,8 +75,8 @@
 	c.placeSoon()
 }
 
-// applyAnswer takes what a holder states about itself. The stated deadline may be later than any
-// that this leader gave: the former leader may have granted more.
+// applyAnswer records the state that a holder reports. The reported deadline may be later than
+// every deadline that this leader gave, since a former leader may have granted more time.
 func (c *Core) applyAnswer(h *holder, ev Answered) {
 	l := c.lead
 	a := ev.Answer
@@ -110,6 +113,7 @@
 	}
 }
 
+// noteMoves records the time at which the ranges of a holder were first seen at its server.
 func (c *Core) noteMoves(h *holder) {
 	s := c.serviceOf(h.service)
 	if s == nil {
--- a/internal/leader/config.go
+++ b/internal/leader/config.go
@@ -2,36 +2,40 @@
 
 import "time"
 
-// Config names the instance and sets the periods of the core.
+// Config has the names of the instance and its domain, and the intervals and bounds of the
+// core.
 type Config struct {
 	Domain string
-	// Name and Incarnation are those of this instance.
+	// Name and Incarnation identify the process of this instance.
 	Name        string
 	Incarnation uint64
-	// Lease is the longest time a grant is good for after its leader's authority was asked.
-	// The MaxLease of a server must exceed it by at least DriftPerMille.
+	// Lease is the maximum time from asking a majority of the voters to the end of a grant
+	// that relies on their answers. The MaxLease of a server must exceed it by at least
+	// DriftPerMille.
 	Lease time.Duration
-	// Exchange is the period in which every server is asked and its grant renewed.
+	// Exchange is the interval at which the leader asks every server and renews its grant.
 	Exchange time.Duration
-	// Heartbeat is the period in which instances hear of each other.
+	// Heartbeat is the interval at which an instance sends heartbeats to its peers.
 	Heartbeat time.Duration
-	// ClaimWait is how long a claim waits for the log before a term is begun without it.
+	// ClaimWait is how long a candidate waits for the log to accept its claim of a term
+	// before it begins a term without the log.
 	ClaimWait time.Duration
-	// Placing is the period in which a placement is reconsidered.
+	// Placing is the interval at which the leader asks the placer again.
 	Placing time.Duration
-	// Pause bounds how long an instance may be paused between checking its right and the
-	// write to a server that does not check grants.
+	// Pause is the maximum time for which a gate may be paused between checking the grant
+	// that it holds and writing the request to a server that does not check grants.
 	Pause time.Duration
-	// MoveBound is how long after its last good read of the log a domain may renew the grants
-	// of a service whose isolation rule is move.
+	// MoveBound is how long after its last successful read of the log a domain may renew the
+	// grants of a service whose isolation rule is move.
 	MoveBound time.Duration
-	// DriftPerMille bounds by how much any two clocks diverge, in thousandths.
+	// DriftPerMille is the maximum difference in rate of any two clocks, in thousandths.
 	DriftPerMille int64
 
+	// mutation is the guard that a test switches off, if any.
 	mutation mutation
 }
 
-// DefaultConfig returns the periods that the notes on ownership measure.
+// DefaultConfig returns the configuration that production instances use.
 func DefaultConfig(domain, name string, incarnation uint64) Config {
 	return Config{
 		Domain:        domain,
@@ -48,7 +52,7 @@
 	}
 }
 
-// withDrift lengthens a time on another clock to the longest it may take on this one.
+// withDrift returns the longest time that a duration on another clock may take on this one.
 func (c *Config) withDrift(d Time) Time {
 	if c.mutated(mutIgnoreDrift) {
 		return d
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -9,8 +9,9 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Core is one instance's part in leading its failure domain: a follower that watches the
-// leader, or the leader that places ranges. It is not safe for concurrent use.
+// Core is the state of one instance in the leadership of its failure domain: it follows the
+// leader and succeeds it when it is lost, or is itself a candidate or the leader, which
+// assigns ranges to servers. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	placer  place.Placer
@@ -24,17 +25,18 @@
 	peers           map[string]peer
 	listedInstances map[string]bool
 	log             logView
-	// highestTerm is the highest term heard of.
+	// highestTerm is the highest term that this instance has seen.
 	highestTerm grant.Term
 	// formerTable is the newest routing table of another leader of the domain.
 	formerTable route.Table
-	// gates names the gate of each server by the server's name.
+	// gates has the instance that is the gate of each server, by the server's name.
 	gates map[string]string
 
-	// leaderHeardAt is when a leader of the domain was last heard, or may be hoped for since.
+	// leaderHeardAt is when the leader was last heard, or when this instance last began to
+	// wait for a leader: at its start, when it stepped down, or when the log had a new term.
 	leaderHeardAt Time
 	leader        string
-	// resigned says that the last leader said itself that it leads no more.
+	// resigned says that the last leader announced that it no longer leads.
 	resigned  bool
 	preVote   *preVote
 	termClaim *termClaim
@@ -46,6 +48,7 @@
 
 // logView is what this instance knows of the log.
 type logView struct {
+	// readAt is when the newest successful read began.
 	readAt      Time
 	everRead    bool
 	unavailable bool
@@ -59,7 +62,8 @@
 	leaving bool
 }
 
-// New returns a core that follows.
+// New returns the core of an instance that follows. The placer computes the wanted owners of
+// ranges when the instance leads.
 func New(config Config, placer place.Placer) *Core {
 	return &Core{
 		config:          config,
@@ -70,8 +74,9 @@
 	}
 }
 
-// Handle takes an event that happened at a time and returns what is to be done about it, in
-// order. The effects belong to the caller. Times must not decrease.
+// Handle processes an event that happened at the time now, and returns the effects that the
+// driver must carry out, in order. The core keeps no reference to the returned slice. A time
+// before that of an earlier call counts as the latest time so far.
 func (c *Core) Handle(now Time, ev Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = nil
@@ -108,7 +113,8 @@
 	return c.effects
 }
 
-// Table returns the routing table that this instance published last as leader, or nil.
+// Table returns the routing table that this instance last published in its present term, or
+// nil if it does not lead or has published none.
 func (c *Core) Table() *route.Table {
 	if c.lead == nil || c.lead.published == nil {
 		return nil
@@ -116,7 +122,7 @@
 	return c.lead.published
 }
 
-// Heartbeat returns what this instance tells its peers about itself.
+// Heartbeat returns the heartbeat that this instance sends to its peers.
 func (c *Core) Heartbeat() PeerHeard {
 	return PeerHeard{
 		Name:        c.config.Name,
@@ -139,7 +145,8 @@
 	c.tickLeader()
 }
 
-// runDueWork does what the changes of one event make due.
+// runDueWork runs the work of a leader that has become due by the event just handled or by
+// the time that has passed.
 func (c *Core) runDueWork() {
 	l := c.lead
 	if l == nil || !l.won() {
@@ -159,11 +166,12 @@
 	}
 }
 
-// costPerRange bounds the processor time that work over all ranges takes when many servers
-// answer at once. With few ranges it is shorter than a round trip.
+// costPerRange times the number of ranges is the minimum interval between two passes over all
+// ranges. It bounds the processor time that passes take when many servers answer at once.
+// With few ranges the interval is shorter than a round trip.
 const costPerRange = Time(2 * time.Microsecond)
 
-// minPassInterval returns the least time between two passes over all ranges.
+// minPassInterval returns the minimum interval between two passes over all ranges.
 func (l *leadership) minPassInterval() Time {
 	if l.published == nil {
 		return 0
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -8,17 +8,20 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// maxMissedHeartbeats is the number of periods after which a silent peer counts as lost.
+// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a
+// peer counts as lost.
 const maxMissedHeartbeats = 3
 
-// termClaim is a claim of a term that waits for the log.
+// termClaim is a claim of the term after the log term follows. It waits for the log to accept
+// it, until the deadline.
 type termClaim struct {
 	follows  uint64
 	deadline Time
 }
 
-// tickFollower begins to succeed the leader when it was not heard for long enough. Instances
-// wait in the order of their names, so that mostly one claims.
+// tickFollower starts an election when no leader was heard for long enough. Each instance
+// waits longer than those before it in the order of names, so that usually only one claims a
+// term.
 func (c *Core) tickFollower() {
 	if c.stopping || len(c.services) == 0 {
 		return
@@ -41,6 +44,8 @@
 	}
 }
 
+// claimTerm appends a claim of the next term to the log, or begins a term without the log
+// when that is unavailable.
 func (c *Core) claimTerm() {
 	if c.log.unavailable || !c.log.everRead {
 		c.beginWithoutLog()
@@ -58,7 +63,8 @@
 	})
 }
 
-// beginWithoutLog starts a sub-term. It is no more than a candidacy: the voters decide.
+// beginWithoutLog begins a sub-term of the highest known term. This makes the instance only a
+// candidate: the voters decide.
 func (c *Core) beginWithoutLog() {
 	c.beginTerm(grant.Term{Log: c.highestTerm.Log, Sub: c.highestTerm.Sub + 1, Incarnation: c.config.Incarnation})
 }
@@ -116,7 +122,7 @@
 	}
 }
 
-// alive reports whether an instance was heard lately and is not leaving.
+// alive reports whether an instance sent a heartbeat recently and is not leaving.
 func (c *Core) alive(name string) bool {
 	if name == c.config.Name {
 		return !c.stopping
@@ -140,6 +146,7 @@
 	return names
 }
 
+// rank returns the position of this instance among the live instances, sorted by name.
 func (c *Core) rank() int {
 	return max(0, slices.Index(c.aliveInstances(), c.config.Name))
 }
--- a/internal/leader/exchange.go
+++ b/internal/leader/exchange.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// exchangeUrgent sends the sets that were just changed, without waiting for the period.
+// exchangeUrgent sends the range sets that have just changed, without waiting for the next
+// exchange interval.
 func (c *Core) exchangeUrgent() {
 	for _, h := range c.lead.urgentHolders {
 		if h.urgent {
@@ -53,7 +54,7 @@
 	c.lead.urgentHolders = nil
 }
 
-// exchange asks a holder and carries its grant.
+// exchange sends an exchange to a holder, with its grant once this instance has won.
 func (c *Core) exchange(h *holder) {
 	x := grant.Exchange{Service: h.service, Server: h.server, Term: c.lead.term, Known: h.epoch, HomesFence: c.homesFence}
 	if c.lead.won() {
@@ -68,12 +69,12 @@
 	})
 }
 
-// grant returns the grant that a holder should have now, or nil.
+// grant returns the grant to send to a holder now, or nil.
 //
-// The deadline is counted from the moment at which the newest majority was asked, not from
-// now: a leader that has been succeeded without knowing cannot promise anything beyond what
-// its successor waits for. It is stated on the holder's own clock, so that a late arrival
-// makes it shorter, never longer.
+// The lease starts when the newest majority was asked, not now: a leader that does not know
+// that it was succeeded must not grant beyond the time that its successor waits. The deadline
+// is a time of the holder's own clock, so a late arrival shortens the lease and never extends
+// it.
 func (c *Core) grant(h *holder) *grant.Grant {
 	end := c.leaseEnd(h)
 	if !h.ownsRanges || !h.answered || end <= c.now {
@@ -95,8 +96,9 @@
 	return g
 }
 
-// leaseEnd returns when a grant given now ends, on this clock. A holder that does not answer
-// is given no more time, so that its ranges are free a lease after its last answer.
+// leaseEnd returns the end of a grant given now, on this instance's clock. A holder that does
+// not answer gets no more time, so its lease ends at most one lease duration after its last
+// answer.
 func (c *Core) leaseEnd(h *holder) Time {
 	end := c.quorumAskedAt()
 	if c.config.mutated(mutLeaseFromNow) {
@@ -110,8 +112,9 @@
 	return end
 }
 
-// isolationEnd returns until when a domain may serve a service that moves away from it when it is
-// isolated. A domain that never read the log does not know whether it was taken over.
+// isolationEnd returns the time until which this domain may serve a service that moves to other
+// domains when the domain is isolated. A domain that has never read the log may not serve it
+// at all: it cannot know whether another domain has taken the service over.
 func (c *Core) isolationEnd() Time {
 	if !c.log.everRead {
 		return distantPast
--- a/internal/leader/gates.go
+++ b/internal/leader/gates.go
@@ -4,16 +4,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// adoptFormerGates takes the gates from the table of the former leader, so that a change of leader
-// moves none.
+// adoptFormerGates takes the gates from the table of the former leader, so that a change of
+// leader does not move them.
 func (c *Core) adoptFormerGates() {
 	for _, g := range c.formerTable.Gates {
 		c.gates[g.Server] = g.Instance
 	}
 }
 
-// chooseGates gives every server a gate that is alive and keeps those that are. It reports
-// whether a gate changed.
+// chooseGates keeps the gates that are alive and chooses new ones for the other servers. All
+// servers of an undivided service have the same gate. It reports whether a gate changed.
 func (c *Core) chooseGates() bool {
 	alive := c.aliveInstances()
 	changed := false
@@ -38,7 +38,8 @@
 	return changed
 }
 
-// rendezvous returns the name with the highest hash together with the subject, or "".
+// rendezvous returns the name that rendezvous hashing selects for a subject: the one with the
+// highest hash of subject and name. It returns "" if there are no names.
 func rendezvous(subject string, names []string) string {
 	best, highest := "", uint64(0)
 	for _, name := range names {
@@ -49,8 +50,8 @@
 	return best
 }
 
-// handleListed takes the platform's list. An instance that left it is gone for certain, so nothing
-// that it held back in a pause can still come; requests that it had sent may still run.
+// handleListed takes the platform's list. An instance that was removed from it has certainly
+// ended, so it can send no request after a pause. Requests that it had sent may still run.
 func (c *Core) handleListed(ev Listed) {
 	now := make(map[string]bool, len(ev.Instances))
 	for _, name := range ev.Instances {
@@ -65,6 +66,8 @@
 	c.forgetPeers()
 }
 
+// instanceGone removes an instance that has ended. Its grants as a gate still block their
+// ranges, but for no more than the time that requests may run.
 func (c *Core) instanceGone(name string) {
 	delete(c.peers, name)
 	l := c.lead
@@ -87,8 +90,8 @@
 	c.placeSoon()
 }
 
-// forgetPeers drops instances that were not heard for long, so that the instances of months
-// do not add up.
+// forgetPeers removes peers that have sent no heartbeat for long, so that the map does not
+// grow as instances are replaced over months.
 func (c *Core) forgetPeers() {
 	for name, p := range c.peers {
 		if c.now > p.heardAt+100*maxMissedHeartbeats*c.heartbeatInterval() {
--- a/internal/leader/holder.go
+++ b/internal/leader/holder.go
@@ -7,14 +7,14 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// holderID is a place at which a grant is held: a server that checks grants, or the gate that
-// holds the grant of a server which does not.
+// holderID identifies the holder of a grant: a server that checks grants, in which case gate
+// is empty, or the gate that holds the grant of a server that does not.
 type holderID struct {
 	server string
 	gate   string
 }
 
-// holder is what the leader knows of the grant at one seat.
+// holder is what the leader knows of a holder and its grant.
 type holder struct {
 	holderID
 	service      string
@@ -24,44 +24,49 @@
 
 	answered    bool
 	incarnation uint64
-	// clock is the newest reading of the holder's clock, received at heardAt.
+	// clock is the reading of the holder's clock in its newest answer, received at answeredAt.
 	clock      grant.Instant
 	answeredAt Time
-	// serial is that of the newest answer.
+	// serial is the serial of the newest answer.
 	serial uint64
-	// expiresAt is when every grant sent or stated so far has ended, on this clock.
+	// expiresAt is the latest end of all grants sent to the holder or reported by it, on this
+	// instance's clock.
 	expiresAt Time
-	// epoch and set are what the holder stated last; live says that it was within its lease.
-	epoch    grant.Epoch
-	ranges   []keys.Range
-	live     bool
+	// epoch and ranges are the grant that the holder last reported. live says that the grant
+	// had not expired then, and has not been found to have expired since.
+	epoch  grant.Epoch
+	ranges []keys.Range
+	live   bool
+	// draining are ranges that the holder has given up and in which requests still run.
 	draining []keys.Range
-	// pending is the newest set that was sent and is not acknowledged.
+	// pending is the proposed set that the holder has not acknowledged, or nil.
 	pending *proposal
-	// drainTime is how long the requests of a lapsed holder may run on.
+	// drainTime is how long requests may still run after the lease has expired. It is zero for
+	// a server that checks grants.
 	drainTime Time
-	// queriedAfterExpiry says that the lapse was followed by an exchange already.
+	// queriedAfterExpiry says that an exchange was already scheduled because the lease expired.
 	queriedAfterExpiry bool
-	// urgent asks for an exchange before the next period.
+	// urgent requests an exchange without waiting for the next exchange interval.
 	urgent bool
-	// confirmedEpoch is that of the set which was noted as seen held.
+	// confirmedEpoch is the epoch of the set that noteConfirmedHeld took in last.
 	confirmedEpoch grant.Epoch
 	// superseded says that another holder has a newer grant of one of the ranges.
 	superseded bool
-	// ackedWithoutLog says that the set was acknowledged while the log was away.
+	// ackedWithoutLog says that the set was acknowledged while the log was unavailable.
 	ackedWithoutLog bool
-	// warmAt is when the cold start of the present process ends; zero if it was there first.
+	// warmAt is when the cold start of the present process ends. It is zero for the first
+	// process that this leader has seen.
 	warmAt Time
 }
 
-// proposal is a set that may or may not have been accepted.
+// proposal is a range set that the holder may or may not have accepted.
 type proposal struct {
 	epoch  grant.Epoch
 	ranges []keys.Range
 }
 
-// possibleRanges returns every range that the holder may act on, those of a set under way included.
-// Others must not be granted them.
+// possibleRanges returns every range that the holder may act on, those of a proposed set
+// included if pending is true. No other holder must be granted any of them.
 func (h *holder) possibleRanges(pending bool) []keys.Range {
 	var all []keys.Range
 	if h.live {
@@ -74,11 +79,12 @@
 	return all
 }
 
+// idle reports whether the holder may act on no range.
 func (h *holder) idle() bool {
 	return (!h.live || len(h.ranges) == 0) && len(h.draining) == 0 && h.pending == nil
 }
 
-// expectedRanges returns the set that the holder has or is about to have.
+// expectedRanges returns the proposed set of the holder, or else the set that it has.
 func (h *holder) expectedRanges() []keys.Range {
 	switch {
 	case h.pending != nil:
@@ -90,14 +96,15 @@
 	}
 }
 
-// forgetRanges forgets what the holder held.
+// forgetRanges notes that the holder may no longer act on any range.
 func (h *holder) forgetRanges() {
 	h.live = false
 	h.draining = nil
 	h.pending = nil
 }
 
-// updateHolders makes a holding for every place that has to be asked and retires the others.
+// updateHolders adds the holders that have to be asked and retires those that no longer have
+// to be. A gate that the leader is giving up is asked until it holds nothing.
 func (c *Core) updateHolders() {
 	l := c.lead
 	wanted := make(map[holderID]bool)
@@ -123,14 +130,15 @@
 	l.tableDirty = true
 }
 
-// isConfigured reports whether the server of a holding is still configured.
+// isConfigured reports whether the server of a holder is still configured.
 func (c *Core) isConfigured(h *holder) bool {
 	s := c.serviceOf(h.service)
 	return s != nil && slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Name == h.server && b.Checks == h.checksGrants })
 }
 
-// holderIDsOf returns where the grant of a server is or may be held. After taking over, the
-// gates that the former leader chose are unknown, so every instance is asked.
+// holderIDsOf returns the holders that have or may have the grant of a server. A new leader
+// does not know which gates its predecessor chose, so it asks every instance until the
+// service has settled.
 func (c *Core) holderIDsOf(s *service, b Server) []holderID {
 	switch {
 	case b.Slots == 0 || b.Checks:
@@ -153,6 +161,8 @@
 	}
 }
 
+// ensureHolder adds the holder of a server's grant if there is none, and updates it to the
+// configuration.
 func (c *Core) ensureHolder(at holderID, s *service, b Server) {
 	h := c.lead.holders[at]
 	if h == nil {
@@ -169,7 +179,8 @@
 	}
 }
 
-// retire keeps the claims of a process that is asked no more until they have ended.
+// retire keeps a copy of a holder that is not asked any more, so that its ranges stay blocked
+// until its requests have ended.
 func (c *Core) retire(h *holder) {
 	if h.idle() {
 		return
@@ -178,8 +189,9 @@
 	c.lead.retired = append(c.lead.retired, &gone)
 }
 
-// expired reports whether everything that was ever promised to the holder is over, and no
-// other leader can have renewed it: a majority still followed this term afterwards.
+// expired reports whether all grants of the holder have expired, all requests under them have
+// ended, and no other leader can have renewed them, since a majority that was asked after the
+// expiry still followed this term.
 func (c *Core) expired(h *holder) bool {
 	end := h.expiresAt + h.drainTime
 	if c.config.mutated(mutNoDrainTime) {
@@ -189,7 +201,8 @@
 	return c.now > end && confirmed
 }
 
-// expireHolders frees the ranges of holders whose leases are over.
+// expireHolders frees the ranges of holders that have expired, and requests an exchange at
+// once with those whose lease has just ended.
 func (c *Core) expireHolders() {
 	l := c.lead
 	for _, h := range l.holders {
@@ -218,7 +231,7 @@
 	l.retired = kept
 }
 
-// sortedHolders returns the holdings in the order of their names.
+// sortedHolders returns the holders in the order of their names.
 func (l *leadership) sortedHolders() []*holder {
 	all := make([]*holder, 0, len(l.holders))
 	for _, h := range l.holders {
--- a/internal/leader/homesfence.go
+++ b/internal/leader/homesfence.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// TeachHomes makes the leader tell its voters a value of the homes fence from now on. The
-// voters remember the highest and tell it to any later leader.
+// TeachHomes raises the homes fence, which every exchange of this instance carries. Voters
+// remember the highest value and report it to later leaders.
 func (c *Core) TeachHomes(fence uint64) {
 	c.homesFence = max(c.homesFence, fence)
 }
 
 // HomesFence returns the highest value of the homes fence that this instance knows, and the
-// highest that a majority of every electorate is known to know.
+// highest that a majority of every voter set has reported to know in this term.
 func (c *Core) HomesFence() (fence, taught uint64) {
 	if c.lead == nil {
 		return c.homesFence, 0
@@ -21,6 +21,8 @@
 	return c.homesFence, taught
 }
 
+// homesFenceQuorum returns the highest value that a majority of a voter set has reported to
+// know, or zero.
 func (c *Core) homesFenceQuorum(e voterSet) uint64 {
 	var known []uint64
 	for name := range e {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,8 @@
-// Package leader is the core that places ranges on the servers of one failure domain. It
-// has no input or output: Handle takes an Event with the time and returns Effects.
+// Package leader elects a leader among the instances of one failure domain, and lets the
+// leader assign key ranges to the backend servers of the domain.
+//
+// It is a state machine without I/O: Core.Handle takes an Event with the time and returns
+// Effects. The driver, internal/entry, supplies the events and carries out the effects.
 package leader
 
 import (
@@ -15,32 +18,33 @@
 // Time is a reading of this instance's monotonic clock in nanoseconds.
 type Time = place.Time
 
-// Event is an input of the core. The set is sealed.
+// Event is an input of the core. Only types of this package implement it.
 type Event interface {
 	isEvent()
 }
 
-// Ticked says that time has passed. The shell sends it every few tens of milliseconds.
+// Ticked says that time has passed. The driver sends it every few tens of milliseconds.
 type Ticked struct{}
 
-// Configured says what the bundle in force asks of this domain.
+// Configured is the part of the bundle in force that concerns this domain.
 type Configured struct {
 	Version  uint64
 	Services []Service
 }
 
-// Service is a service as the leader of one domain sees it.
+// Service is the configuration of a service within this domain.
 type Service struct {
 	Name      string
 	Divided   bool
 	Isolation bundle.Isolation
 	Weights   bundle.Weights
 	// Homes are the parts of the hash space whose home is this domain, sorted and disjoint.
-	Homes     []keys.Range
+	Homes []keys.Range
+	// HotHashes are the hashes of the keys that the bundle lists as hot, sorted.
 	HotHashes []uint64
-	// RequestMillis is the longest request deadline in milliseconds.
+	// RequestMillis is the longest time a request may run, in milliseconds.
 	RequestMillis int64
-	// ColdStartMillis is for how long a new process of a server is cold, in milliseconds.
+	// ColdStartMillis is how long a new process of a server stays cold, in milliseconds.
 	ColdStartMillis int64
 	Servers         []Server
 }
@@ -48,37 +52,40 @@
 // Server is a backend server of the domain, or an entry instance that only votes.
 type Server struct {
 	Name string
-	// Checks says that the server itself obeys grants. The gate of a server that does not
-	// check holds the server's grant in its place.
+	// Checks says that the server itself enforces its grant. Otherwise the gate of the
+	// server holds the grant in its place.
 	Checks bool
-	// Votes says that the server is one of the voters whose majority makes a leader.
+	// Votes says that the server is one of the voters that elect the leader by majority.
 	Votes bool
-	// Slots is zero for an entry instance that only votes. It owns no ranges.
-	Slots   int
+	// Slots is how many requests the server takes at a time. It is zero for an entry
+	// instance that only votes, which owns no ranges.
+	Slots int
+	// Leaving says that the server must give up its ranges and gets no new ones.
 	Leaving bool
 }
 
-// Answered is a server's answer to an exchange that was sent at AskedAt.
+// Answered is the answer to an exchange. Server, Via and AskedAt are those of its Send.
 type Answered struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check, and
-	// empty for one that does.
+	// Via is the entry instance that holds the grant of a server that does not check grants.
+	// It is empty for a server that does.
 	Via     string
 	AskedAt Time
 	Answer  grant.Answer
 }
 
-// Folded is the state of the log as of a read that began at ReadAt.
+// Folded is the state that the records of the log add up to, as of a read that began at
+// ReadAt. Assigned has the newest recorded assignment of each server, by the server's name.
 type Folded struct {
 	ReadAt   Time
 	Term     fold.Term
 	Assigned map[string]fold.Assigned
 }
 
-// LogFailed says that the log could not be read or written just now.
+// LogFailed says that an attempt to read or write the log has failed.
 type LogFailed struct{}
 
-// Appended says that the log acknowledged an append.
+// Appended says that the log acknowledged the Append effect with the ID.
 type Appended struct {
 	ID     string
 	Offset uint64
@@ -88,33 +95,33 @@
 type PeerHeard struct {
 	Name        string
 	Incarnation uint64
-	// Leading says that the peer believes it leads, in Term.
+	// Leading says that the instance believes that it leads, in Term.
 	Leading bool
-	// Term is the highest term the peer knows.
+	// Term is the highest term the instance knows.
 	Term grant.Term
-	// Leaving says that the peer is stopping: it takes no leadership and no gate.
+	// Leaving says that the instance is stopping: it does not become leader or gate.
 	Leaving bool
 }
 
 // Routed is the newest routing table that another leader of the domain published. A new
-// leader takes it as a hint, so that gates and owners stay where they are; it trusts none
-// of it.
+// leader uses it only as a hint for keeping gates and owners where they are. It does not
+// trust the table: what servers hold is learned from their answers.
 type Routed struct {
 	Table route.Table
 }
 
-// Listed is the platform's list: the instances and servers it calls live. What was listed
-// and is so no more is gone for certain; what is listed may be dead.
+// Listed has the instances and servers that the platform lists as live. One that was listed
+// and no longer is has certainly ended. One that is listed may still have failed.
 type Listed struct {
 	Instances []string
 	Servers   []string
 }
 
-// Measured is the load of ranges, as counted by the gates.
+// Measured is the load of the ranges of a service, as counted by the gates.
 type Measured struct {
 	Service string
 	Loads   []RangeLoad
-	// Hot are the hashes of keys that are hot by measurement, sorted.
+	// Hot are the hashes of the keys that were measured to be hot, sorted.
 	Hot []uint64
 }
 
@@ -124,7 +131,7 @@
 	Load  float64
 }
 
-// Stopping says that this instance is leaving; it must hand its leadership on.
+// Stopping says that this instance is leaving. It must give up its leadership.
 type Stopping struct{}
 
 func (Ticked) isEvent()     {}
@@ -139,40 +146,45 @@
 func (Measured) isEvent()   {}
 func (Stopping) isEvent()   {}
 
-// Effect is an output of the core. The set is sealed.
+// Effect is an output of the core. Only types of this package implement it.
 type Effect interface {
 	isEffect()
 }
 
-// Send posts an exchange to a server. The answer comes back as Answered with AskedAt. The
-// shell drops the exchange if the present time is past SendBefore when it is about to write.
+// Send sends an exchange to a server, or to the instance Via. The answer comes back as
+// Answered.
 type Send struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check, and
-	// empty for one that does.
-	Via        string
-	Exchange   grant.Exchange
-	AskedAt    Time
+	// Via is the entry instance that holds the grant of a server that does not check grants.
+	// It is empty for a server that does.
+	Via      string
+	Exchange grant.Exchange
+	// AskedAt is when the core made the exchange.
+	AskedAt Time
+	// SendBefore is the last time at which the driver may begin to write the exchange. It
+	// drops the exchange after that.
 	SendBefore Time
 }
 
-// Append appends a record with the ID, again and again until the log acknowledges it.
+// Append appends a record to the log under an ID. The driver retries until the log
+// acknowledges it.
 type Append struct {
 	ID     string
 	Record record.Record
 }
 
-// Publish replaces the routing table of the domain.
+// Publish replaces the routing table of the domain with a newer one.
 type Publish struct {
 	Table route.Table
 }
 
-// Led says that this instance began to lead, for the log of events.
+// Led reports that this instance won the election of a term. It is for logs and metrics.
 type Led struct {
 	Term grant.Term
 }
 
-// Stepped says that this instance ceased to lead, and why.
+// Stepped reports that this instance ended its leadership, or its candidacy for another
+// reason than a missing majority. It is for logs and metrics.
 type Stepped struct {
 	Term   grant.Term
 	Reason string
--- a/internal/leader/mutation.go
+++ b/internal/leader/mutation.go
@@ -1,10 +1,10 @@
 package leader
 
-// mutation switches one guard off, so that tests can show that the guard is needed and that
-// the random schedules find its absence. The zero value breaks nothing.
+// mutation names a guard to switch off, so that tests can show that the guard is needed and
+// that the random schedules detect its absence. The zero value switches nothing off.
 type mutation string
 
-// The mutations that break a guard of the leader.
+// The mutations of the leader.
 const (
 	mutAnswerTime     mutation = "authority-by-answer-not-asking"
 	mutLeaseFromNow   mutation = "lease-from-now-not-authority"
@@ -21,7 +21,7 @@
 	mutIgnorePending  mutation = "unacknowledged-set-ignored"
 )
 
-// mutated reports whether a guard is switched off.
+// mutated reports whether a mutation is in force.
 func (c *Config) mutated(m mutation) bool {
 	return c.mutation == m
 }
--- a/internal/leader/prevote.go
+++ b/internal/leader/prevote.go
@@ -6,22 +6,26 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// preVote asks the voters, without a term, whether they still hear from a leader.
+// preVote asks the voters, without a term, whether they still get exchanges from a leader. It
+// corresponds to the pre-vote of Raft.
 //
-// An instance that is cut from the others but reaches the servers would otherwise take the
-// voters from a leader that serves well, lose them again, and so on: no leader would last
-// long enough to move the ranges of a lost server. So a follower begins a term only when a
-// majority of the voters has not heard from a leader for a while. The survey only delays
-// terms; that a term is single rests on the fence alone.
+// Without it, two instances that cannot reach each other but reach the servers would take the
+// voters from each other in turn. No leader would last long enough to move the ranges of a
+// lost server. So a follower begins a term only when a majority of the voters has had no
+// exchange from a leader for a while. A pre-vote only delays terms: it is the fence of the
+// voters that makes sure that a term has one leader.
 type preVote struct {
-	askedAt    Time
-	deadline   Time
+	askedAt  Time
+	deadline Time
+	// leaderless are the voters that answered that they miss their leader.
 	leaderless voterSet
 }
 
-// missedExchanges is the number of exchange periods after which a voter misses its leader.
+// missedExchanges is the number of exchange intervals without an exchange after which a voter
+// misses its leader.
 const missedExchanges = 2
 
+// startPreVote asks every voter once, with an exchange without a term.
 func (c *Core) startPreVote() {
 	c.preVote = &preVote{
 		askedAt:    c.now,
@@ -45,7 +49,8 @@
 	}
 }
 
-// handlePreVote counts a voter that misses its leader, and claims a term when they are a majority.
+// handlePreVote counts a voter that misses its leader, and claims a term when such voters are
+// a majority of every voter set.
 func (c *Core) handlePreVote(ev Answered) {
 	s := c.preVote
 	if s == nil || ev.Via != "" || ev.AskedAt < s.askedAt {
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -8,8 +8,9 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// publish makes the routing table and emits it if it changed. A new leader waits until all
-// servers have answered, or two periods, so that its first table takes nothing away.
+// publish builds the routing table and emits it if it has changed. A new leader waits until
+// all holders have answered, or for two exchange intervals, so that its first table does not
+// drop owners that have not been asked yet.
 func (c *Core) publish() {
 	l := c.lead
 	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allAnswered() {
@@ -53,8 +54,9 @@
 	return owners
 }
 
-// ownersOf returns the acknowledged owners within their lease. Until the service has settled
-// the gaps name the former owners: the servers decide whether they still hold a grant.
+// ownersOf returns the owners that have acknowledged their ranges and are within their lease.
+// Until the service has settled, ranges without such an owner get their former owner: its
+// server decides whether it still holds a grant.
 func (c *Core) ownersOf(s *service) []route.Owner {
 	var owners []route.Owner
 	var taken []keys.Range
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -6,8 +6,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// subtract returns the parts of a range that no range of a sorted list covers. The list may
-// overlap in itself.
+// subtract returns the parts of a range that no range of a sorted list covers. The ranges of
+// the list may overlap.
 func subtract(r keys.Range, taken []keys.Range) []keys.Range {
 	var parts []keys.Range
 	next := r.First
@@ -47,7 +47,8 @@
 	return parts
 }
 
-// mergeWithin sorts disjoint ranges and merges those pieces that touch within one of the wholes.
+// mergeWithin sorts disjoint ranges and merges adjacent ones that lie in the same range of the
+// sorted list wholes.
 func mergeWithin(parts, wholes []keys.Range) []keys.Range {
 	keys.Sort(parts)
 	var joined []keys.Range
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -9,20 +9,22 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// claim of a range by a holder, which keeps others from being granted it.
+// rangeClaim is a range that a holder may act on, and that no other holder may be granted.
 type rangeClaim struct {
 	keys.Range
 	holder *holder
 }
 
-// claimIndex are sorted by first hash. Reach has the highest last hash up to each index.
+// claimIndex finds the claims that overlap a range.
 type claimIndex struct {
+	// list is sorted by first hash. maxLast[i] is the highest last hash of list[:i+1].
 	list    []rangeClaim
 	maxLast []uint64
 }
 
-// reconcile brings the sets of the holders nearer to the targets: it takes from each what
-// others should have, and gives each what it should have and nobody else may act on.
+// reconcile proposes range sets to holders that differ from the targets. A new set leaves out
+// the ranges that other holders should have, and adds those target ranges that no other
+// holder may act on any more. It takes several rounds to move a range.
 func (c *Core) reconcile() {
 	for _, s := range c.services {
 		if !s.Divided {
@@ -40,8 +42,8 @@
 	c.lead.sawOtherTerm = false
 }
 
-// adjustAll leaves alone the holders that have what they should, which mostly are all but a
-// few, and works out the claims only if there are others.
+// adjustAll proposes sets to the holders that do not have their targets. There are usually
+// few or none of them, so the claims are indexed only when there is one.
 func (c *Core) adjustAll(s *service, members []*holder) {
 	var all *claimIndex
 	wanted := c.targetRanges(s)
@@ -56,6 +58,7 @@
 	}
 }
 
+// holdersOf returns the holders that may own ranges of a service, in the order of their names.
 func (c *Core) holdersOf(s *service) []*holder {
 	var members []*holder
 	for _, h := range c.lead.sortedHolders() {
@@ -66,7 +69,7 @@
 	return members
 }
 
-// targetRanges returns the target ranges by seat.
+// targetRanges returns the target ranges of a service by holder.
 func (c *Core) targetRanges(s *service) map[holderID][]keys.Range {
 	seats := make(map[string]holderID, len(s.Servers))
 	for _, b := range s.Servers {
@@ -80,8 +83,8 @@
 	return wanted
 }
 
-// adjust proposes a new set to a holder if it should change. Only one set at a time is under
-// way to a holder, so that its claims are the old and the new set.
+// adjust proposes a new set to a holder if its set should change. A holder has at most one
+// unacknowledged set, so its claims are those of the acknowledged and the proposed set.
 func (c *Core) adjust(s *service, h *holder, wanted []keys.Range, all *claimIndex) {
 	if h.pending != nil || !h.answered || c.now > h.answeredAt+Time(c.config.Lease) {
 		return
@@ -131,8 +134,9 @@
 	}
 }
 
-// conflicts returns, sorted, the claims on a range by all but a holder, and what the holder
-// itself has.
+// conflicts returns the claims that overlap a range and that keep it from being granted to a
+// holder, sorted by first hash: those of other holders, and the ranges that the holder has
+// or is about to have.
 func (a *claimIndex) conflicts(h *holder, r keys.Range) []keys.Range {
 	var taken []keys.Range
 	start := sort.Search(len(a.maxLast), func(i int) bool { return a.maxLast[i] >= r.First })
@@ -147,8 +151,8 @@
 	return taken
 }
 
-// markSuperseded finds holders whose set overlaps a newer grant of another holder. A former
-// leader may leave that behind; the older grant is not renewed.
+// markSuperseded marks the holders whose set overlaps a newer grant of another holder. Former
+// leaders may have left such grants behind. The older grant is not renewed.
 func markSuperseded(members []*holder) {
 	var live []rangeClaim
 	for _, h := range members {
--- a/internal/leader/record.go
+++ b/internal/leader/record.go
@@ -9,27 +9,30 @@
 )
 
 const (
-	// recordInterval bounds the records to one a service in this time.
+	// recordInterval is the minimum time between two assignment records of a service.
 	recordInterval = Time(200 * time.Millisecond)
-	// recordRetryDelay is when a record that the log has not acknowledged is made anew.
+	// recordRetryDelay is the time after which a record that the log has not acknowledged is
+	// replaced by a new one.
 	recordRetryDelay = Time(5 * time.Second)
 )
 
-// pendingRecord is a record that waits for the log, with the epochs that it acknowledges.
+// pendingRecord is an assignment record that the log has not acknowledged yet. It has the
+// epochs of the recorded grants by server.
 type pendingRecord struct {
 	id      string
 	epochs  map[string]grant.Epoch
 	retryAt Time
 }
 
-// recorded is what the log acknowledged of a server.
+// recorded is the newest grant of a server that the log has acknowledged in this term.
 type recorded struct {
 	epoch  grant.Epoch
 	offset uint64
 }
 
-// record appends the sets that servers acknowledged and the log does not have. While the log
-// is away nothing is queued: the sets as they are then are appended when it is back.
+// record appends the range sets that servers have acknowledged and that the log does not
+// have. While the log is unavailable nothing is queued: when it is available again, the sets
+// of that time are appended.
 func (c *Core) record() {
 	l := c.lead
 	if c.log.unavailable || !c.log.everRead || c.now < l.recordAt {
@@ -44,6 +47,7 @@
 	}
 }
 
+// recordService appends one record with the unrecorded sets of a service, if there are any.
 func (c *Core) recordService(s *service) {
 	l := c.lead
 	made := record.AssignmentMade{Domain: c.config.Domain, Service: s.Name}
@@ -84,7 +88,8 @@
 	}
 }
 
-// logOffset returns the log offset that acknowledges the set of a holder, or zero.
+// logOffset returns the offset of the log record that has the present set of a holder, or zero
+// if none is known.
 func (c *Core) logOffset(h *holder) uint64 {
 	if r := c.lead.recorded[h.server]; r.epoch == h.epoch {
 		return r.offset
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -7,14 +7,14 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// service is a Service with the loads and moves known of it.
+// service is the configuration of a service and what was observed of its ranges.
 type service struct {
 	Service
 	loads map[keys.Range]load
 	moves map[keys.Range]move
-	// measuredHotHashes are the hashes of keys that are hot by measurement, sorted.
+	// measuredHotHashes are the hashes of the keys that were measured to be hot, sorted.
 	measuredHotHashes []uint64
-	// hasUnchecked says that at least one server does not check grants.
+	// hasUnchecked says that at least one server with slots does not check grants.
 	hasUnchecked bool
 }
 
@@ -23,7 +23,7 @@
 	at    Time
 }
 
-// move is the newest known change of owner of a range.
+// move is the newest known change of the owner of a range.
 type move struct {
 	server string
 	at     Time
@@ -32,6 +32,8 @@
 // voterSet is a set of voters, by name.
 type voterSet map[string]bool
 
+// configure replaces the configuration. What was observed of a service is kept if the service
+// is still there.
 func (c *Core) configure(ev Configured) {
 	old := c.services
 	c.services = nil
@@ -70,9 +72,9 @@
 	return voters
 }
 
-// changeVoters makes a set of voters the one that counts. A leader needs from then on a
-// majority of the former sets too, as long as it leads: an instance that has not seen the
-// new bundle may win by the set before, and must then meet a voter of this leader.
+// changeVoters makes a voter set the current one. A leader or candidate needs a majority of the
+// previous sets too until its term ends: an instance without the new bundle may be elected by
+// the previous set, and its majority must share a voter with that of this leader.
 func (c *Core) changeVoters(voters voterSet) {
 	if len(c.voterSets) > 0 && equalVoters(c.voterSets[len(c.voterSets)-1], voters) {
 		return
@@ -96,6 +98,7 @@
 	return true
 }
 
+// handleMeasured replaces the measured loads of a service.
 func (c *Core) handleMeasured(ev Measured) {
 	s := c.serviceOf(ev.Service)
 	if s == nil {
@@ -108,7 +111,8 @@
 	}
 }
 
-// hotHashes returns the hot keys of the bundle and of measurement, sorted.
+// hotHashes returns the hashes of the keys that the bundle lists as hot or that were measured
+// to be hot, sorted and without duplicates.
 func (s *service) hotHashes() []uint64 {
 	all := slices.Concat(s.HotHashes, s.measuredHotHashes)
 	slices.Sort(all)
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// pruneMoves drops what is known of ranges that exist no more, when these have become many.
+// pruneMoves removes the moves of ranges that no longer exist, once these are many.
 func (s *service) pruneMoves(owned []place.Owned) {
 	if len(s.moves) < 4*len(owned)+100 {
 		return
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,8 +2,10 @@
 
 import "example.org/mustardring/pkg/keys"
 
-// MayHold returns the ranges of a service that some server of the domain may act on, as far
-// as this leader has heard, sorted and disjoint. Settled says that there are no others.
+// MayHold returns the ranges of a service that servers of the domain may still act on, as far
+// as this leader knows, sorted and disjoint. Settled says that there are certainly no others.
+// The result is nil and false when this instance is neither leader nor candidate, and when it
+// does not know the service.
 func (c *Core) MayHold(service string) (held []keys.Range, settled bool) {
 	s := c.serviceOf(service)
 	if s == nil || c.lead == nil {
@@ -22,7 +24,7 @@
 	return keys.Union(held, nil), c.now > c.settledAt(s)
 }
 
-// LogTerm returns the log term under which this instance leads, and whether it leads.
+// LogTerm returns the Log part of the term in which this instance leads, and whether it leads.
 func (c *Core) LogTerm() (uint64, bool) {
 	if c.lead == nil || !c.lead.won() {
 		return 0, false
@@ -30,8 +32,9 @@
 	return c.lead.term.Log, true
 }
 
-// Authority returns the newest moment at which a majority of the voters was asked and
-// followed this leader; false when this instance does not lead.
+// Authority returns the latest time such that a majority of every voter set was asked then or
+// later and answered that it follows this leader. It returns false when this instance does
+// not lead.
 func (c *Core) Authority() (Time, bool) {
 	if c.lead == nil || !c.lead.won() {
 		return 0, false
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -2,10 +2,10 @@
 
 import "example.org/mustardring/pkg/keys"
 
-// movesAllowedAt returns until when leaders before this one may have grants running that nobody told
-// of. Before that, sets are adopted and renewed as they stand and nothing else: a server that
-// restarts in this time forgets the fence, and an older leader may grant it again what it
-// held, until its authority ends.
+// movesAllowedAt returns the time until which grants of former leaders may run that no holder
+// has reported. Until then, the leader only renews the sets that holders report. Moving a
+// range earlier is unsafe: its server may restart and forget the fence, and then a former
+// leader, whose last majority was asked less than a lease ago, may grant it the range again.
 func (c *Core) movesAllowedAt() Time {
 	l := c.lead
 	if !l.won() {
@@ -17,10 +17,9 @@
 	return l.wonAt + c.config.withDrift(Time(c.config.Lease))
 }
 
-// settledAt returns until when requests may run under a former leader's grants that nobody
-// told of. Requests to a server that does not check run on after the lease of its gate, for
-// as long as their deadline and a pause of the gate allow. Before that, no range may be
-// granted that was not seen held in this term.
+// settledAt returns the time until which requests may run under grants of former leaders that
+// no holder has reported. Until then, only ranges in confirmedHeld may be granted. Requests to
+// a server that does not check grants may outlast the lease of its gate by the drain time.
 func (c *Core) settledAt(s *service) Time {
 	at := c.movesAllowedAt()
 	if s.hasUnchecked && at != distantFuture && !c.config.mutated(mutNoWait) {
@@ -29,10 +28,10 @@
 	return at
 }
 
-// noteConfirmedHeld notes the ranges of a holder that was within its lease when asked after this leader won.
-// No former leader can have given them on: it would have had to wait for the end of that
-// lease, and its authority ended before. So nothing of them lingers elsewhere, and they may
-// move before the service has settled.
+// noteConfirmedHeld records the ranges of a holder that was asked after this leader won and
+// was within its lease. No former leader can have granted them to another holder: it would
+// have had to wait for the end of that lease, and its own authority ended before. So no
+// request for them runs at another server, and they may move before the service has settled.
 func (c *Core) noteConfirmedHeld(h *holder, ev Answered) {
 	l := c.lead
 	s := c.serviceOf(h.service)
@@ -46,7 +45,7 @@
 	l.confirmedHeld[s.Name] = keys.Union(l.confirmedHeld[s.Name], h.ranges)
 }
 
-// grantable returns the parts of ranges that may be granted now as far as former leaders go.
+// grantable returns the parts of ranges that cannot be in use under grants of former leaders.
 func (c *Core) grantable(s *service, ranges []keys.Range) []keys.Range {
 	if c.now > c.settledAt(s) {
 		return ranges
@@ -58,15 +57,18 @@
 	return parts
 }
 
-// distantFuture is later than every time.
+// distantFuture is later than every time of the clock.
 const distantFuture = Time(1 << 62)
 
-// drainTime returns how long requests at an unchecked server may run after their gate's lease.
+// drainTime returns how long requests to a server that does not check grants may run after the
+// lease of their gate: the gate may pause before it sends one, which then runs until its
+// deadline.
 func drainTime(s *service, config *Config) Time {
 	return Time(s.RequestMillis)*1e6 + Time(config.Pause)
 }
 
-// updateSettled reports whether ranges became movable or a service settled since the last call.
+// updateSettled reports whether moves have become allowed or a service has settled since the
+// last call.
 func (c *Core) updateSettled() bool {
 	l := c.lead
 	if !l.won() {
--- a/internal/leader/targets.go
+++ b/internal/leader/targets.go
@@ -10,14 +10,15 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// minPlacing and rangePlacing bound how often a placement is computed when servers come and
-// go: it takes some 0.8 us a range, and must not fill a core.
+// minPlacementInterval plus placementIntervalPerRange for each range is the minimum interval
+// between placements when servers come and go. A placement takes about 0.8 us per range and
+// must not keep a processor core busy.
 const (
 	minPlacementInterval      = Time(50 * time.Millisecond)
 	placementIntervalPerRange = Time(25 * time.Microsecond)
 )
 
-// placeSoon asks for a placement as soon as the rate allows.
+// placeSoon schedules the next placement for the earliest time that the minimum interval allows.
 func (c *Core) placeSoon() {
 	l := c.lead
 	ranges := 0
@@ -27,7 +28,8 @@
 	l.placeAt = min(l.placeAt, max(c.now, l.placedAt+minPlacementInterval+Time(ranges)*placementIntervalPerRange))
 }
 
-// place asks the placer for the wanted owners of the services that have settled.
+// place asks the placer for the wanted owners of each divided service, if that is due and
+// moves are allowed.
 func (c *Core) place() {
 	l := c.lead
 	if c.now < l.placeAt {
@@ -49,6 +51,7 @@
 	}
 }
 
+// placerView returns what the placer needs to know of a service.
 func (c *Core) placerView(s *service) place.View {
 	v := place.View{
 		Now:       c.now,
@@ -76,13 +79,14 @@
 	return v
 }
 
-// accepts reports whether a server answers and does not leave.
+// accepts reports whether a server may get ranges: it has answered within the last lease
+// duration and is not leaving.
 func (c *Core) accepts(b Server) bool {
 	h := c.lead.holders[c.currentHolder(b)]
 	return h != nil && h.answered && !b.Leaving && c.now <= h.answeredAt+Time(c.config.Lease)
 }
 
-// currentHolder returns the seat at which the grant of a server should be held.
+// currentHolder returns the holder that should have the grant of a server.
 func (c *Core) currentHolder(b Server) holderID {
 	if b.Checks {
 		return holderID{server: b.Name}
@@ -90,8 +94,9 @@
 	return holderID{server: b.Name, gate: c.gates[b.Name]}
 }
 
-// currentOwners returns the present partition: what is held, and in the gaps what the log or the
-// former table says was held by servers that are there, so that they get it back.
+// currentOwners returns the present partition of the ranges of a service. Ranges that no holder
+// has or is about to have go to their former owners, if these accept ranges, so that they get
+// them back.
 func (c *Core) currentOwners(s *service) []place.Owned {
 	var held []ownedRange
 	for _, h := range c.lead.sortedHolders() {
@@ -117,8 +122,8 @@
 	return owned
 }
 
-// formerOwnersOfGaps returns the gaps of a partition, which is sorted and disjoint, with the owners
-// that they had by the log or else by the former table.
+// formerOwnersOfGaps returns the parts of the homes of a service that the sorted ranges taken
+// do not cover, with their former owners. It leaves out parts without a former owner.
 func (c *Core) formerOwnersOfGaps(s *service, taken []keys.Range) []place.Owned {
 	var gaps []keys.Range
 	for _, home := range s.Homes {
@@ -141,7 +146,7 @@
 	return owned
 }
 
-// removeRange returns sorted ranges less one range.
+// removeRange returns the parts of sorted ranges that one range does not cover.
 func removeRange(ranges []keys.Range, gone keys.Range) []keys.Range {
 	var left []keys.Range
 	for _, r := range ranges {
@@ -150,7 +155,8 @@
 	return left
 }
 
-// formerOwners returns recorded and published owners that accept, newest first.
+// formerOwners returns the owners that the log or the former table has and that accept ranges,
+// the newest epoch first, and those of the log first among equal epochs.
 func (c *Core) formerOwners(s *service) []ownedRange {
 	var former []ownedRange
 	for _, b := range s.Servers {
@@ -172,14 +178,14 @@
 	return former
 }
 
-// ownedRange is a range with the server that has or had it.
+// ownedRange is a range and the server that has or had it.
 type ownedRange struct {
 	Range  keys.Range
 	server string
 	epoch  grant.Epoch
 }
 
-// compareOwnedRanges orders by first hash, and the newer epoch before the older.
+// compareOwnedRanges orders ranges by first hash, then by epoch, the newest first.
 func compareOwnedRanges(a, b ownedRange) int {
 	return cmp.Or(cmp.Compare(a.Range.First, b.Range.First), b.epoch.Compare(a.epoch))
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -9,7 +9,7 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// The reasons for which a leadership ends.
+// The reasons for which a leadership or candidacy ends.
 const (
 	reasonStopping   = "stopping"
 	reasonFenced     = "fenced"
@@ -18,36 +18,37 @@
 	reasonNotElected = "no-majority"
 )
 
-// leadership is one term of this instance, from its begin as a candidacy.
+// leadership is the state of one term that this instance has begun: first as a candidate, and
+// from wonAt as the leader.
 type leadership struct {
 	term      grant.Term
 	startedAt Time
-	// wonAt is when a majority had first answered; zero before.
+	// wonAt is when a majority first followed this term. It is zero before.
 	wonAt Time
 	votes map[string]*vote
-	// cachedQuorumAskedAt caches the authority; stale says that votes changed since.
+	// cachedQuorumAskedAt caches quorumAskedAt. quorumStale says that votes have changed since.
 	cachedQuorumAskedAt Time
 	quorumStale         bool
 
 	holders map[holderID]*holder
-	// retired are holdings of processes that are asked no more but may still act.
+	// retired are holders that are not asked any more but may still act on their ranges.
 	retired    []*holder
 	sequence   uint64
 	exchangeAt Time
 	placeAt    Time
 	placedAt   Time
 	targets    map[string][]place.Target
-	// rangesDirty says that sets may have to change, tableDirty that the table may have, adopted
-	// that a set of another term was learned of.
+	// rangesDirty says that range sets may have to change, tableDirty that the routing table may
+	// have to, and sawOtherTerm that a holder has reported a grant of another term.
 	rangesDirty   bool
 	sawOtherTerm  bool
 	reconcileAt   Time
 	publishAt     Time
 	urgentHolders []*holder
 	settled       map[string]bool
-	// movesAllowed says that a lease has passed since the leader won.
+	// movesAllowed says that the time movesAllowedAt has passed.
 	movesAllowed bool
-	// confirmedHeld are the ranges seen held in this term, by service.
+	// confirmedHeld has the ranges that noteConfirmedHeld took in, by service.
 	confirmedHeld  map[string][]keys.Range
 	tableDirty     bool
 	published      *route.Table
@@ -57,15 +58,16 @@
 	recorded       map[string]recorded
 }
 
-// vote is what one voter answered in this term.
+// vote is what is known of one voter in this term.
 type vote struct {
 	incarnation uint64
 	askedAt     Time
 	// answeredAt is when the newest answer of the process arrived.
 	answeredAt Time
-	// counted says that the voter follows.
+	// counted says that the voter has answered that it follows this term. The newest such answer
+	// was asked for at askedAt.
 	counted bool
-	// homesFence is the highest value of the homes fence that the voter knows.
+	// homesFence is the highest value of the homes fence that the voter has reported.
 	homesFence uint64
 }
 
@@ -73,6 +75,8 @@
 	return l.wonAt != 0
 }
 
+// beginTerm makes this instance a candidate in a term. From now on it needs only the newest
+// voter set.
 func (c *Core) beginTerm(t grant.Term) {
 	c.termClaim, c.preVote, c.resigned = nil, nil, false
 	c.noteTerm(t)
@@ -105,9 +109,10 @@
 	c.leaderHeardAt = c.now
 }
 
-// checkQuorum ends a leadership whose newest majority was asked too long ago. Without it
-// a leader that was outvoted could regain a majority by a voter that restarted and forgot
-// the newer term, and both would lead.
+// checkQuorum ends a leadership whose newest majority was asked more than a lease ago, and a
+// candidacy that has not won in that time. Without it, a leader that was succeeded could
+// regain a majority through a voter that restarted and forgot the newer term, and two
+// instances would lead.
 func (c *Core) checkQuorum() {
 	l := c.lead
 	if l == nil {
@@ -124,12 +129,12 @@
 	}
 }
 
-// countVote takes the vote of an answer that follows the term.
+// countVote records the vote of a voter whose answer follows this term.
 //
 // A voter that restarts may have followed a higher term and forgotten it. Its new process
-// does not vote until the longest lease has passed since its start. A leader of a higher term
-// that had its vote has by then either had a newer majority, or stepped down for want of
-// one, as checkAuthority makes it; so the voter may be counted again.
+// does not vote until the longest lease has passed since its start. By then, a leader of a
+// higher term that had its vote either has a newer majority or was made to step down by
+// checkQuorum. So the vote of the new process may be counted.
 func (c *Core) countVote(ev Answered) {
 	if ev.Via != "" || !c.isVoter(ev.Server) {
 		return
@@ -167,8 +172,8 @@
 	return slices.ContainsFunc(c.voterSets, func(e voterSet) bool { return e[server] })
 }
 
-// quorumAskedAt returns the newest moment at which a majority of every electorate was asked and
-// answered following this term, or a time long ago when there is none.
+// quorumAskedAt returns the latest time such that a majority of every voter set was asked then
+// or later and answered that it follows this term. It returns distantPast if there is none.
 func (c *Core) quorumAskedAt() Time {
 	l := c.lead
 	if !l.quorumStale && l.cachedQuorumAskedAt != 0 {
@@ -182,7 +187,7 @@
 	return l.cachedQuorumAskedAt
 }
 
-// distantPast is earlier than every time at which something was asked.
+// distantPast is earlier than every time of the clock.
 const distantPast = Time(-1 << 62)
 
 func (c *Core) quorumAskedAtOf(e voterSet) Time {
