--- a/internal/leader/answer.go
+++ b/internal/leader/answer.go
@@ -22,7 +22,7 @@
 	}
 	c.countVote(ev)
 	c.checkWon()
-	h := l.holders[holderID{server: ev.Server, gate: ev.Via}]
+	h := l.holders[holderID{server: ev.Server, gate: ev.Gate}]
 	if h == nil || !c.isNewer(h, ev) {
 		return
 	}
@@ -38,7 +38,7 @@
 	l.wonAt = max(c.now, 1)
 	l.exchangeAt = c.now
 	l.rangesDirty, l.tableDirty = true, true
-	c.emit(Led{Term: l.term})
+	c.emit(StartedLeading{Term: l.term})
 }
 
 // isNewer reports whether an answer was given later than the last one taken from its holder.
--- a/internal/leader/config.go
+++ b/internal/leader/config.go
@@ -9,25 +9,25 @@
 	// Name and Incarnation identify the process of this instance.
 	Name        string
 	Incarnation uint64
-	// Lease is the maximum time from asking a majority of the voters to the end of a grant
+	// LeaseDuration is the maximum time from asking a majority of the voters to the end of a grant
 	// that relies on their answers. The MaxLease of a server must exceed it by at least
 	// DriftPerMille.
-	Lease time.Duration
-	// Exchange is the interval at which the leader asks every server and renews its grant.
-	Exchange time.Duration
-	// Heartbeat is the interval at which an instance sends heartbeats to its peers.
-	Heartbeat time.Duration
-	// ClaimWait is how long a candidate waits for the log to accept its claim of a term
+	LeaseDuration time.Duration
+	// ExchangeInterval is the interval at which the leader asks every server and renews its grant.
+	ExchangeInterval time.Duration
+	// HeartbeatInterval is the interval at which an instance sends heartbeats to its peers.
+	HeartbeatInterval time.Duration
+	// ClaimTimeout is how long a candidate waits for the log to accept its claim of a term
 	// before it begins a term without the log.
-	ClaimWait time.Duration
-	// Placing is the interval at which the leader asks the placer again.
-	Placing time.Duration
-	// Pause is the maximum time for which a gate may be paused between checking the grant
+	ClaimTimeout time.Duration
+	// PlacementInterval is the interval at which the leader asks the placer again.
+	PlacementInterval time.Duration
+	// MaxPause is the maximum time for which a gate may be paused between checking the grant
 	// that it holds and writing the request to a server that does not check grants.
-	Pause time.Duration
-	// MoveBound is how long after its last successful read of the log a domain may renew the
+	MaxPause time.Duration
+	// IsolationTimeout is how long after its last successful read of the log a domain may renew the
 	// grants of a service whose isolation rule is move.
-	MoveBound time.Duration
+	IsolationTimeout time.Duration
 	// DriftPerMille is the maximum difference in rate of any two clocks, in thousandths.
 	DriftPerMille int64
 
@@ -38,17 +38,17 @@
 // DefaultConfig returns the configuration that production instances use.
 func DefaultConfig(domain, name string, incarnation uint64) Config {
 	return Config{
-		Domain:        domain,
-		Name:          name,
-		Incarnation:   incarnation,
-		Lease:         time.Second,
-		Exchange:      150 * time.Millisecond,
-		Heartbeat:     100 * time.Millisecond,
-		ClaimWait:     300 * time.Millisecond,
-		Placing:       time.Second,
-		Pause:         2 * time.Second,
-		MoveBound:     30 * time.Second,
-		DriftPerMille: 10,
+		Domain:            domain,
+		Name:              name,
+		Incarnation:       incarnation,
+		LeaseDuration:     time.Second,
+		ExchangeInterval:  150 * time.Millisecond,
+		HeartbeatInterval: 100 * time.Millisecond,
+		ClaimTimeout:      300 * time.Millisecond,
+		PlacementInterval: time.Second,
+		MaxPause:          2 * time.Second,
+		IsolationTimeout:  30 * time.Second,
+		DriftPerMille:     10,
 	}
 }
 
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -92,15 +92,15 @@
 		c.configure(ev)
 	case Answered:
 		c.handleAnswer(ev)
-	case Folded:
+	case LogRead:
 		c.handleLogRead(ev)
 	case LogFailed:
 		c.log.unavailable = true
 	case Appended:
 		c.handleAppended(ev)
-	case PeerHeard:
+	case Heartbeat:
 		c.handleHeartbeat(ev)
-	case Routed:
+	case TableReceived:
 		c.handleTable(ev)
 	case Listed:
 		c.handleListed(ev)
@@ -123,8 +123,8 @@
 }
 
 // Heartbeat returns the heartbeat that this instance sends to its peers.
-func (c *Core) Heartbeat() PeerHeard {
-	return PeerHeard{
+func (c *Core) Heartbeat() Heartbeat {
+	return Heartbeat{
 		Name:        c.config.Name,
 		Incarnation: c.config.Incarnation,
 		Leading:     c.lead != nil && c.lead.won(),
@@ -179,7 +179,7 @@
 	return costPerRange * Time(len(l.published.Owners))
 }
 
-func (c *Core) handleTable(ev Routed) {
+func (c *Core) handleTable(ev TableReceived) {
 	if c.formerTable.Term.Compare(ev.Table.Term) <= 0 {
 		c.formerTable = ev.Table
 	}
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -51,7 +51,7 @@
 		c.beginWithoutLog()
 		return
 	}
-	c.termClaim = &termClaim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimWait)}
+	c.termClaim = &termClaim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimTimeout)}
 	c.emit(Append{
 		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.termClaim.follows, c.config.Name, c.config.Incarnation),
 		Record: record.TermClaimed{
@@ -69,7 +69,7 @@
 	c.beginTerm(grant.Term{Log: c.highestTerm.Log, Sub: c.highestTerm.Sub + 1, Incarnation: c.config.Incarnation})
 }
 
-func (c *Core) handleLogRead(ev Folded) {
+func (c *Core) handleLogRead(ev LogRead) {
 	changed := ev.Term != c.log.term
 	c.log.readAt = max(c.log.readAt, ev.ReadAt)
 	c.log.everRead = true
@@ -100,7 +100,7 @@
 	}
 }
 
-func (c *Core) handleHeartbeat(ev PeerHeard) {
+func (c *Core) handleHeartbeat(ev Heartbeat) {
 	c.noteTerm(ev.Term)
 	if ev.Name == c.config.Name {
 		return
@@ -152,5 +152,5 @@
 }
 
 func (c *Core) heartbeatInterval() Time {
-	return Time(c.config.Heartbeat)
+	return Time(c.config.HeartbeatInterval)
 }
--- a/internal/leader/exchange.go
+++ b/internal/leader/exchange.go
@@ -35,7 +35,7 @@
 }
 
 func (c *Core) exchangeAll() {
-	c.lead.exchangeAt = c.now + Time(c.config.Exchange)
+	c.lead.exchangeAt = c.now + Time(c.config.ExchangeInterval)
 	for _, h := range c.lead.sortedHolders() {
 		h.urgent = false
 		c.exchange(h)
@@ -62,10 +62,10 @@
 	}
 	c.emit(Send{
 		Server:     h.server,
-		Via:        h.gate,
+		Gate:       h.gate,
 		Exchange:   x,
 		AskedAt:    c.now,
-		SendBefore: c.now + Time(c.config.Lease),
+		SendBefore: c.now + Time(c.config.LeaseDuration),
 	})
 }
 
@@ -104,7 +104,7 @@
 	if c.config.mutated(mutLeaseFromNow) {
 		end = c.now
 	}
-	end = min(end, h.answeredAt) + Time(c.config.Lease)
+	end = min(end, h.answeredAt) + Time(c.config.LeaseDuration)
 	s := c.serviceOf(h.service)
 	if s != nil && s.Isolation == bundle.IsolationMove {
 		end = min(end, c.isolationEnd())
@@ -119,5 +119,5 @@
 	if !c.log.everRead {
 		return distantPast
 	}
-	return c.log.readAt + Time(c.config.MoveBound)
+	return c.log.readAt + Time(c.config.IsolationTimeout)
 }
--- a/internal/leader/holder.go
+++ b/internal/leader/holder.go
@@ -133,7 +133,7 @@
 // isConfigured reports whether the server of a holder is still configured.
 func (c *Core) isConfigured(h *holder) bool {
 	s := c.serviceOf(h.service)
-	return s != nil && slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Name == h.server && b.Checks == h.checksGrants })
+	return s != nil && slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Name == h.server && b.ChecksGrants == h.checksGrants })
 }
 
 // holderIDsOf returns the holders that have or may have the grant of a server. A new leader
@@ -141,7 +141,7 @@
 // service has settled.
 func (c *Core) holderIDsOf(s *service, b Server) []holderID {
 	switch {
-	case b.Slots == 0 || b.Checks:
+	case b.Slots == 0 || b.ChecksGrants:
 		if !b.Votes && !s.Divided {
 			return nil
 		}
@@ -172,10 +172,10 @@
 	if h.service != s.Name {
 		return
 	}
-	h.checksGrants = b.Checks || b.Slots == 0
+	h.checksGrants = b.ChecksGrants || b.Slots == 0
 	h.ownsRanges = b.Slots > 0 && s.Divided
 	if !h.checksGrants {
-		h.drainTime = Time(s.RequestMillis)*1e6 + Time(c.config.Pause)
+		h.drainTime = Time(s.RequestMillis)*1e6 + Time(c.config.MaxPause)
 	}
 }
 
--- a/internal/leader/homesfence.go
+++ b/internal/leader/homesfence.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// TeachHomes raises the homes fence, which every exchange of this instance carries. Voters
+// RaiseHomesFence raises the homes fence, which every exchange of this instance carries. Voters
 // remember the highest value and report it to later leaders.
-func (c *Core) TeachHomes(fence uint64) {
+func (c *Core) RaiseHomesFence(fence uint64) {
 	c.homesFence = max(c.homesFence, fence)
 }
 
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -42,7 +42,7 @@
 	n.generation++
 	n.stopped = false
 	config := DefaultConfig("d", n.name, n.incarnation)
-	config.Pause = 600e6
+	config.MaxPause = 600e6
 	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.maxDriftPerMille)/2)
 	if n.w.layout.config != nil {
 		n.w.layout.config(&config)
@@ -54,7 +54,7 @@
 	n.handle(Configured{Version: 1, Services: n.services()})
 	life := n.generation
 	n.every(life, tickInterval, func() { n.handle(Ticked{}) })
-	n.every(life, Time(config.Heartbeat), n.heartbeat)
+	n.every(life, Time(config.HeartbeatInterval), n.heartbeat)
 	n.every(life, readInterval, n.readLog)
 	n.every(life, listInterval, n.sendList)
 }
@@ -127,10 +127,10 @@
 		case Append:
 			n.pending[e.ID] = e.Record
 			n.append(life, e.ID)
-		case Led:
+		case StartedLeading:
 			n.w.onElected()
 			n.w.tracef("%s leads %v", n.name, e.Term)
-		case Stepped:
+		case SteppedDown:
 			n.w.tracef("%s steps down from %v: %s", n.name, e.Term, e.Reason)
 		case Publish:
 			n.publishTable(e.Table)
@@ -144,8 +144,8 @@
 	}
 	life := n.generation
 	to := e.Server
-	if e.Via != "" {
-		to = e.Via
+	if e.Gate != "" {
+		to = e.Gate
 	}
 	n.w.messages += 2
 	n.w.lastExchange = e.Exchange
@@ -153,7 +153,7 @@
 		m := n.w.machines[to]
 		answer := n.w.holder(m, e.Server).exchange(e.Exchange)
 		if g := e.Exchange.Grant; g != nil {
-			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Via,
+			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Gate,
 				g.Epoch, g.Renewal, g.Incarnation, g.Ranges, answer.Refusal, Time(answer.Deadline-answer.Clock)/ms, e.Exchange.Term)
 		}
 		if n.w.countBytes {
@@ -165,7 +165,7 @@
 		}
 		n.w.send(to, n.name, func() {
 			if n.generation == life {
-				n.handle(Answered{Server: e.Server, Via: e.Via, AskedAt: e.AskedAt, Answer: answer})
+				n.handle(Answered{Server: e.Server, Gate: e.Gate, AskedAt: e.AskedAt, Answer: answer})
 			}
 		})
 	})
@@ -203,7 +203,7 @@
 			n.w.send(n.name, o.name, func() {
 				if o.core != nil {
 					o.takeTable(t)
-					o.handle(Routed{Table: t})
+					o.handle(TableReceived{Table: t})
 				}
 			})
 		}
@@ -229,7 +229,7 @@
 		n.w.send("log", n.name, func() {
 			if n.generation == life && !answered {
 				answered = true
-				n.handle(Folded{ReadAt: begun, Term: term, Assigned: assigned})
+				n.handle(LogRead{ReadAt: begun, Term: term, Assigned: assigned})
 			}
 		})
 	})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -52,9 +52,9 @@
 // Server is a backend server of the domain, or an entry instance that only votes.
 type Server struct {
 	Name string
-	// Checks says that the server itself enforces its grant. Otherwise the gate of the
+	// ChecksGrants says that the server itself enforces its grant. Otherwise the gate of the
 	// server holds the grant in its place.
-	Checks bool
+	ChecksGrants bool
 	// Votes says that the server is one of the voters that elect the leader by majority.
 	Votes bool
 	// Slots is how many requests the server takes at a time. It is zero for an entry
@@ -67,16 +67,16 @@
 // Answered is the answer to an exchange. Server, Via and AskedAt are those of its Send.
 type Answered struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check grants.
+	// Gate is the entry instance that holds the grant of a server that does not check grants.
 	// It is empty for a server that does.
-	Via     string
+	Gate    string
 	AskedAt Time
 	Answer  grant.Answer
 }
 
-// Folded is the state that the records of the log add up to, as of a read that began at
+// LogRead is the state that the records of the log add up to, as of a read that began at
 // ReadAt. Assigned has the newest recorded assignment of each server, by the server's name.
-type Folded struct {
+type LogRead struct {
 	ReadAt   Time
 	Term     fold.Term
 	Assigned map[string]fold.Assigned
@@ -91,8 +91,8 @@
 	Offset uint64
 }
 
-// PeerHeard is a heartbeat of another instance of the domain, or of this one.
-type PeerHeard struct {
+// Heartbeat is a heartbeat of another instance of the domain, or of this one.
+type Heartbeat struct {
 	Name        string
 	Incarnation uint64
 	// Leading says that the instance believes that it leads, in Term.
@@ -103,10 +103,10 @@
 	Leaving bool
 }
 
-// Routed is the newest routing table that another leader of the domain published. A new
+// TableReceived is the newest routing table that another leader of the domain published. A new
 // leader uses it only as a hint for keeping gates and owners where they are. It does not
 // trust the table: what servers hold is learned from their answers.
-type Routed struct {
+type TableReceived struct {
 	Table route.Table
 }
 
@@ -121,8 +121,8 @@
 type Measured struct {
 	Service string
 	Loads   []RangeLoad
-	// Hot are the hashes of the keys that were measured to be hot, sorted.
-	Hot []uint64
+	// HotHashes are the hashes of the keys that were measured to be hot, sorted.
+	HotHashes []uint64
 }
 
 // RangeLoad is the load of one range in requests per second.
@@ -134,17 +134,17 @@
 // Stopping says that this instance is leaving. It must give up its leadership.
 type Stopping struct{}
 
-func (Ticked) isEvent()     {}
-func (Configured) isEvent() {}
-func (Answered) isEvent()   {}
-func (Folded) isEvent()     {}
-func (LogFailed) isEvent()  {}
-func (Appended) isEvent()   {}
-func (PeerHeard) isEvent()  {}
-func (Routed) isEvent()     {}
-func (Listed) isEvent()     {}
-func (Measured) isEvent()   {}
-func (Stopping) isEvent()   {}
+func (Ticked) isEvent()        {}
+func (Configured) isEvent()    {}
+func (Answered) isEvent()      {}
+func (LogRead) isEvent()       {}
+func (LogFailed) isEvent()     {}
+func (Appended) isEvent()      {}
+func (Heartbeat) isEvent()     {}
+func (TableReceived) isEvent() {}
+func (Listed) isEvent()        {}
+func (Measured) isEvent()      {}
+func (Stopping) isEvent()      {}
 
 // Effect is an output of the core. Only types of this package implement it.
 type Effect interface {
@@ -155,9 +155,9 @@
 // Answered.
 type Send struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check grants.
+	// Gate is the entry instance that holds the grant of a server that does not check grants.
 	// It is empty for a server that does.
-	Via      string
+	Gate     string
 	Exchange grant.Exchange
 	// AskedAt is when the core made the exchange.
 	AskedAt Time
@@ -178,20 +178,20 @@
 	Table route.Table
 }
 
-// Led reports that this instance won the election of a term. It is for logs and metrics.
-type Led struct {
+// StartedLeading reports that this instance won the election of a term. It is for logs and metrics.
+type StartedLeading struct {
 	Term grant.Term
 }
 
-// Stepped reports that this instance ended its leadership, or its candidacy for another
+// SteppedDown reports that this instance ended its leadership, or its candidacy for another
 // reason than a missing majority. It is for logs and metrics.
-type Stepped struct {
+type SteppedDown struct {
 	Term   grant.Term
 	Reason string
 }
 
-func (Send) isEffect()    {}
-func (Append) isEffect()  {}
-func (Publish) isEffect() {}
-func (Led) isEffect()     {}
-func (Stepped) isEffect() {}
+func (Send) isEffect()           {}
+func (Append) isEffect()         {}
+func (Publish) isEffect()        {}
+func (StartedLeading) isEffect() {}
+func (SteppedDown) isEffect()    {}
--- a/internal/leader/prevote.go
+++ b/internal/leader/prevote.go
@@ -53,12 +53,12 @@
 // a majority of every voter set.
 func (c *Core) handlePreVote(ev Answered) {
 	s := c.preVote
-	if s == nil || ev.Via != "" || ev.AskedAt < s.askedAt {
+	if s == nil || ev.Gate != "" || ev.AskedAt < s.askedAt {
 		return
 	}
 	a := ev.Answer
 	c.noteTerm(a.Fence)
-	if a.LedAt != 0 && a.Clock-a.LedAt < grant.Instant(missedExchanges*c.config.Exchange) {
+	if a.LedAt != 0 && a.Clock-a.LedAt < grant.Instant(missedExchanges*c.config.ExchangeInterval) {
 		return
 	}
 	s.leaderless[ev.Server] = true
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -13,7 +13,7 @@
 // drop owners that have not been asked yet.
 func (c *Core) publish() {
 	l := c.lead
-	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allAnswered() {
+	if l.published == nil && c.now < l.wonAt+2*Time(c.config.ExchangeInterval) && !c.allAnswered() {
 		return
 	}
 	l.tableDirty = false
@@ -86,7 +86,7 @@
 	for _, s := range c.services {
 		for _, b := range s.Servers {
 			if gate := c.gates[b.Name]; gate != "" && b.Slots > 0 {
-				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.Checks})
+				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.ChecksGrants})
 			}
 		}
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -86,7 +86,7 @@
 // adjust proposes a new set to a holder if its set should change. A holder has at most one
 // unacknowledged set, so its claims are those of the acknowledged and the proposed set.
 func (c *Core) adjust(s *service, h *holder, wanted []keys.Range, all *claimIndex) {
-	if h.pending != nil || !h.answered || c.now > h.answeredAt+Time(c.config.Lease) {
+	if h.pending != nil || !h.answered || c.now > h.answeredAt+Time(c.config.LeaseDuration) {
 		return
 	}
 	held := h.expectedRanges()
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -56,7 +56,7 @@
 			made.loads, made.moves, made.measuredHotHashes = o.loads, o.moves, o.measuredHotHashes
 		}
 	}
-	made.hasUnchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.Checks })
+	made.hasUnchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.ChecksGrants })
 	return made
 }
 
@@ -104,7 +104,7 @@
 	if s == nil {
 		return
 	}
-	s.measuredHotHashes = ev.Hot
+	s.measuredHotHashes = ev.HotHashes
 	clear(s.loads)
 	for _, l := range ev.Loads {
 		s.loads[l.Range] = load{value: l.Load, at: c.now}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,11 +2,11 @@
 
 import "example.org/mustardring/pkg/keys"
 
-// MayHold returns the ranges of a service that servers of the domain may still act on, as far
+// HeldRanges returns the ranges of a service that servers of the domain may still act on, as far
 // as this leader knows, sorted and disjoint. Settled says that there are certainly no others.
 // The result is nil and false when this instance is neither leader nor candidate, and when it
 // does not know the service.
-func (c *Core) MayHold(service string) (held []keys.Range, settled bool) {
+func (c *Core) HeldRanges(service string) (held []keys.Range, settled bool) {
 	s := c.serviceOf(service)
 	if s == nil || c.lead == nil {
 		return nil, false
@@ -32,10 +32,10 @@
 	return c.lead.term.Log, true
 }
 
-// Authority returns the latest time such that a majority of every voter set was asked then or
+// QuorumAskedAt returns the latest time such that a majority of every voter set was asked then or
 // later and answered that it follows this leader. It returns false when this instance does
 // not lead.
-func (c *Core) Authority() (Time, bool) {
+func (c *Core) QuorumAskedAt() (Time, bool) {
 	if c.lead == nil || !c.lead.won() {
 		return 0, false
 	}
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -14,7 +14,7 @@
 	if c.config.mutated(mutNoWait) {
 		return l.wonAt
 	}
-	return l.wonAt + c.config.withDrift(Time(c.config.Lease))
+	return l.wonAt + c.config.withDrift(Time(c.config.LeaseDuration))
 }
 
 // settledAt returns the time until which requests may run under grants of former leaders that
@@ -64,7 +64,7 @@
 // lease of their gate: the gate may pause before it sends one, which then runs until its
 // deadline.
 func drainTime(s *service, config *Config) Time {
-	return Time(s.RequestMillis)*1e6 + Time(config.Pause)
+	return Time(s.RequestMillis)*1e6 + Time(config.MaxPause)
 }
 
 // updateSettled reports whether moves have become allowed or a service has settled since the
--- a/internal/leader/targets.go
+++ b/internal/leader/targets.go
@@ -36,7 +36,7 @@
 		return
 	}
 	l.placedAt = c.now
-	l.placeAt = c.now + Time(c.config.Placing)
+	l.placeAt = c.now + Time(c.config.PlacementInterval)
 	for _, s := range c.services {
 		if !s.Divided || c.now <= c.movesAllowedAt() {
 			continue
@@ -83,12 +83,12 @@
 // duration and is not leaving.
 func (c *Core) accepts(b Server) bool {
 	h := c.lead.holders[c.currentHolder(b)]
-	return h != nil && h.answered && !b.Leaving && c.now <= h.answeredAt+Time(c.config.Lease)
+	return h != nil && h.answered && !b.Leaving && c.now <= h.answeredAt+Time(c.config.LeaseDuration)
 }
 
 // currentHolder returns the holder that should have the grant of a server.
 func (c *Core) currentHolder(b Server) holderID {
-	if b.Checks {
+	if b.ChecksGrants {
 		return holderID{server: b.Name}
 	}
 	return holderID{server: b.Name, gate: c.gates[b.Name]}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -103,7 +103,7 @@
 		return
 	}
 	if c.lead.won() || reason != reasonNotElected {
-		c.emit(Stepped{Term: c.lead.term, Reason: reason})
+		c.emit(SteppedDown{Term: c.lead.term, Reason: reason})
 	}
 	c.lead = nil
 	c.leaderHeardAt = c.now
@@ -119,12 +119,12 @@
 		return
 	}
 	if !l.won() {
-		if c.now > l.startedAt+Time(c.config.Lease) {
+		if c.now > l.startedAt+Time(c.config.LeaseDuration) {
 			c.stepDown(reasonNotElected)
 		}
 		return
 	}
-	if c.now > c.quorumAskedAt()+Time(c.config.Lease) && !c.config.mutated(mutNoQuorumCheck) {
+	if c.now > c.quorumAskedAt()+Time(c.config.LeaseDuration) && !c.config.mutated(mutNoQuorumCheck) {
 		c.stepDown(reasonQuorumLost)
 	}
 }
@@ -136,7 +136,7 @@
 // higher term that had its vote either has a newer majority or was made to step down by
 // checkQuorum. So the vote of the new process may be counted.
 func (c *Core) countVote(ev Answered) {
-	if ev.Via != "" || !c.isVoter(ev.Server) {
+	if ev.Gate != "" || !c.isVoter(ev.Server) {
 		return
 	}
 	l := c.lead
