--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -11,8 +11,8 @@
 	"example.org/mustardring/internal/route"
 )
 
-// The benchmarks here measure in virtual time. Run them with -benchtime 1x; the figures are
-// the metrics, not the times.
+// The benchmarks in this file except BenchmarkHandle measure in virtual time. Run them with
+// -benchtime 1x: their results are the reported metrics, not the time per operation.
 
 const (
 	sampleInterval  = 5 * ms
@@ -21,19 +21,20 @@
 	observationTime = 9000 * ms
 )
 
-// loss is what fails at once in a measurement.
+// loss says what fails at the same time in a measurement.
 type loss struct {
 	server, leader, gate, logDown, restart bool
 }
 
-// outage is the result of one measurement of one range.
+// outage says how long one range was unavailable in a measurement, and whether it has another
+// owner afterwards.
 type outage struct {
 	duration Time
 	moved    bool
 }
 
-// usable reports whether a hash has an owner that every live instance knows of, with a gate
-// that is alive.
+// usable reports whether a hash has exactly one owner, and every live instance knows this owner
+// and a live gate of it.
 func (w *world) usable(hash uint64) bool {
 	owners := w.owners(hash)
 	if len(owners) != 1 {
@@ -68,7 +69,7 @@
 	return ""
 }
 
-// measureOutages causes a loss and returns the outage of each range that it concerns.
+// measureOutages causes a loss and returns the outage of each range that it affects.
 func measureOutages(seed uint64, l layout, lost loss, oneWay Time) []outage {
 	w := newWorld(seed, l, "")
 	w.oneWayDelay = oneWay
@@ -99,7 +100,8 @@
 	return w.outages(concerned, before)
 }
 
-// injectLoss ends a server, or its gate if that does not lead. It reports whether it did.
+// injectLoss ends a server, or its gate if that is not the leader. It reports whether it ended
+// one.
 func (w *world) injectLoss(victim string, lost loss) bool {
 	if lost.server {
 		w.machines[victim].down = true
@@ -133,7 +135,7 @@
 	return result
 }
 
-// BenchmarkOutage measures for how long a range cannot be served after losses.
+// BenchmarkOutage measures how long ranges are unavailable after losses.
 func BenchmarkOutage(b *testing.B) {
 	losses := map[string]loss{
 		"server": {server: true}, "server log down": {server: true, logDown: true},
@@ -184,7 +186,7 @@
 	b.ReportMetric(float64(len(all)), "ranges")
 }
 
-// BenchmarkControl measures the exchanges of one leader without faults.
+// BenchmarkControl measures the rate and size of the exchanges of one leader without faults.
 func BenchmarkControl(b *testing.B) {
 	for _, servers := range []int{5, 20, 50, 100, 200} {
 		for _, each := range []int{8, 64} {
@@ -206,7 +208,7 @@
 	}
 }
 
-// BenchmarkAppends counts the records of assignments that the log takes.
+// BenchmarkAppends counts the records that the log takes after an event.
 func BenchmarkAppends(b *testing.B) {
 	events := map[string]func(w *world){
 		"start":       func(w *world) { w.startAll() },
@@ -252,7 +254,7 @@
 	return terms, made, bytes
 }
 
-// encodedSize returns the number of bytes of an exchange or answer as it is sent.
+// encodedSize returns the number of bytes of an exchange or answer in its JSON encoding.
 func encodedSize(v any) int {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -261,7 +263,8 @@
 	return len(body)
 }
 
-// BenchmarkHandle measures the processor time of a leader for one event.
+// BenchmarkHandle measures the processor time that a leader takes for one event: a tick, an
+// answer, the start of an exchange interval, or a pass over all ranges.
 func BenchmarkHandle(b *testing.B) {
 	for _, servers := range []int{5, 50, 200} {
 		for _, each := range []int{8, 64} {
--- a/internal/leader/cold_test.go
+++ b/internal/leader/cold_test.go
@@ -8,7 +8,7 @@
 	"example.org/mustardring/internal/place"
 )
 
-// recordingPlacer keeps the view that another placer was given last.
+// recordingPlacer records the last view that another placer was given.
 type recordingPlacer struct {
 	place.Placer
 	lastView *place.View
@@ -19,8 +19,9 @@
 	return p.Placer.Place(v)
 }
 
-// A server restarts and is given its whole share at once. Its caches are cold, every request
-// takes ten times as long, and it sheds most of them. The placer is told until when.
+// A restarted server that gets its whole share at once sheds most requests: its caches are
+// cold and each request takes ten times as long. So the view of the placer must say until
+// when the server is cold.
 func TestRestartedServerIsCold(t *testing.T) {
 	is := is.New(t)
 	var seen place.View
--- a/internal/leader/config.go
+++ b/internal/leader/config.go
@@ -9,11 +9,12 @@
 	// Name and Incarnation identify the process of this instance.
 	Name        string
 	Incarnation uint64
-	// LeaseDuration is the maximum time from asking a majority of the voters to the end of a grant
-	// that relies on their answers. The MaxLease of a server must exceed it by at least
+	// LeaseDuration is the maximum time from asking a majority of the voters to the end of a
+	// grant that relies on their answers. The MaxLease of a server must exceed it by at least
 	// DriftPerMille.
 	LeaseDuration time.Duration
-	// ExchangeInterval is the interval at which the leader asks every server and renews its grant.
+	// ExchangeInterval is the interval at which the leader asks every server and renews its
+	// grant.
 	ExchangeInterval time.Duration
 	// HeartbeatInterval is the interval at which an instance sends heartbeats to its peers.
 	HeartbeatInterval time.Duration
@@ -25,8 +26,8 @@
 	// MaxPause is the maximum time for which a gate may be paused between checking the grant
 	// that it holds and writing the request to a server that does not check grants.
 	MaxPause time.Duration
-	// IsolationTimeout is how long after its last successful read of the log a domain may renew the
-	// grants of a service whose isolation rule is move.
+	// IsolationTimeout is how long after its last successful read of the log a domain may renew
+	// the grants of a service whose isolation rule is move.
 	IsolationTimeout time.Duration
 	// DriftPerMille is the maximum difference in rate of any two clocks, in thousandths.
 	DriftPerMille int64
@@ -35,7 +36,7 @@
 	mutation mutation
 }
 
-// DefaultConfig returns the configuration that production instances use.
+// DefaultConfig returns the configuration of an instance with the default intervals and bounds.
 func DefaultConfig(domain, name string, incarnation uint64) Config {
 	return Config{
 		Domain:            domain,
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -8,7 +8,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// longestOutage advances the world and returns the longest time for which a hash was not usable.
+// longestOutage advances the world to a time and returns the longest time for which a hash was
+// not usable.
 func (w *world) longestOutage(until Time) Time {
 	gone := make(map[uint64]Time)
 	worst := Time(0)
@@ -26,7 +27,7 @@
 	return worst
 }
 
-// tableOwners returns the owner of each hash by the table of the leader.
+// tableOwners returns the owner of each hash in the table of the leader.
 func (w *world) tableOwners() map[uint64]string {
 	owners := make(map[uint64]string)
 	for _, hash := range w.hashes {
@@ -35,10 +36,10 @@
 	return owners
 }
 
-// Two instances cannot hear each other, but both reach every server. Each takes the voters
-// from the other again and again, and no leader lasts long enough to move the ranges of a
-// server that is lost: its keys stay unavailable for as long as the cut lasts. Voters that
-// hear from a leader keep the other from beginning a term.
+// Two instances cannot reach each other, but both reach every server. Without the pre-vote
+// each takes the voters from the other in turn, and no leader lasts long enough to move the
+// ranges of a lost server: its keys stay unavailable until the cut ends. Voters that get
+// exchanges from a leader keep the other instance from beginning a term.
 func TestCutInstancesDoNotTakeTurns(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(3, stableLayout(3, 5, 0), "")
@@ -60,8 +61,9 @@
 	is.Equal(w.leading().core.lead.term, term)
 }
 
-// An instance is replaced while it leads. It says so, another succeeds at once by a claim in
-// the log, adopts what the servers hold, and nobody notices.
+// An instance is stopped while it leads. It announces that in its heartbeat. Another instance
+// succeeds it at once, through a claim in the log if that is available, and adopts the grants
+// that the servers hold. No range is unavailable in between.
 func TestStoppingLeaderHandsOver(t *testing.T) {
 	tests := map[string]struct {
 		logDown bool
@@ -93,8 +95,8 @@
 	}
 }
 
-// A server is to leave. Its ranges go to others one round trip after it gave them up, and it
-// keeps none.
+// A server is marked as leaving. Its ranges go to other servers one round trip after it gave
+// them up, and it keeps none.
 func TestLeavingServerIsEmptied(t *testing.T) {
 	tests := map[string]layout{
 		"checking":     stableLayout(2, 4, 0),
@@ -119,8 +121,9 @@
 	}
 }
 
-// The log is away while a server is lost. The moves serve, are marked as not acknowledged,
-// and are appended in one record a service when the log is back.
+// A server is lost while the log is unavailable. The new owners serve their ranges and are
+// marked as not acknowledged by the log. When the log is available again, the moves are
+// appended in one record per service.
 func TestMovesWithoutLogAreAppendedLater(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, stableLayout(2, 4, 0), "")
@@ -151,9 +154,9 @@
 	is.True(assigned["s01"].Provisional)
 }
 
-// A domain is cut off from the log. A service that moves away from an isolated domain is
-// served until the bound after the last good read, so that another domain may serve it then;
-// one that is held is served on.
+// A domain is cut off from the log. A service with the isolation rule move is served until
+// IsolationTimeout after the last successful read, so that another domain may serve it then.
+// A service with the rule hold is still served.
 func TestIsolation(t *testing.T) {
 	tests := map[string]struct {
 		isolation string
@@ -180,7 +183,7 @@
 	}
 }
 
-// A bundle changes the voters. The leader needs a majority of both sets from then on.
+// A bundle changes the voters. From then on, the leader needs a majority of both voter sets.
 func TestChangedVotersNeedBothMajorities(t *testing.T) {
 	tests := map[string]struct {
 		lost  []string
@@ -213,8 +216,8 @@
 	}
 }
 
-// A server that was frozen for minutes comes back and still believes in its last grant. The
-// server itself refuses: its deadline is over, and the range has another owner.
+// A server resumes after it was frozen for longer than its lease. It must not use its last
+// grant: the deadline has passed, and the ranges have other owners.
 func TestFrozenServerComesBack(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, stableLayout(2, 4, 0), "")
@@ -228,9 +231,10 @@
 	is.Equal(w.countOwned(), len(w.hashes))
 }
 
-// A new leader is there, and a server that checks is to leave a service that has servers which
-// do not. What the server holds was seen held, so nothing of it lingers elsewhere: it moves
-// after a lease, not after the longest request and pause.
+// After a change of leader, a server that checks grants is marked as leaving, in a service that
+// also has servers that do not check. Its ranges were confirmed as held in the new term, so no
+// request for them can run elsewhere. They move after one lease, without waiting for the
+// longest request and pause of a gate.
 func TestSeenRangesMoveBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
 	l := stableLayout(3, 3, 1)
@@ -251,9 +255,9 @@
 	}
 }
 
-// Servers are restarted one after another, as on any day. Were a voter's restart to cost its
-// vote for the rest of the term, the leader would lose its majority with the second of three,
-// and every range of the domain would be unavailable until the next leader has waited.
+// Servers are restarted one after another. If a restart cost a voter its vote for the rest of
+// the term, the leader would lose its majority with the second of three voters, and every
+// range of the domain would be unavailable until the next leader may grant ranges.
 func TestVotersRestartInTurn(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1, stableLayout(2, 3, 0), "")
--- a/internal/leader/holder.go
+++ b/internal/leader/holder.go
@@ -14,7 +14,7 @@
 	gate   string
 }
 
-// holder is what the leader knows of a holder and its grant.
+// holder is what the leader knows of the process that holds a grant, and of the grant.
 type holder struct {
 	holderID
 	service      string
--- a/internal/leader/holder_test.go
+++ b/internal/leader/holder_test.go
@@ -6,13 +6,14 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// simHolder is a real Holder in virtual time. Its mutations break one guard of the server.
+// simHolder runs a grant.Holder in virtual time. Mutations of the world can switch off one
+// guard of it.
 type simHolder struct {
 	w       *world
 	process *machine
 	real    *grant.Holder
 	fence   grant.Term
-	// exchanges counts those with a grant that was accepted.
+	// exchanges counts the exchanges whose grant was accepted.
 	exchanges int
 }
 
@@ -70,7 +71,7 @@
 	return a
 }
 
-// The mutations that break a guard of the server.
+// The mutations of a server, which switch off guards outside the core.
 const (
 	mutLeaseFromReceipt  mutation = "lease-from-receipt"
 	mutNoFence           mutation = "fence-not-compared"
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -9,18 +9,21 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// simInstance is an entry instance: a core with a shell in virtual time.
+// simInstance is an entry instance: a core with a driver in virtual time.
 type simInstance struct {
 	*machine
 	w    *world
 	core *Core
-	// generation counts the processes at this place, so that timers of an old one do nothing.
+	// generation counts the processes of this instance, so that timers and messages of an earlier
+	// process have no effect.
 	generation int
-	// table is the newest that this instance knows.
-	table   *route.Table
+	// table is the newest routing table that this instance knows.
+	table *route.Table
+	// pending are the appended records that the log has not acknowledged, by ID.
 	pending map[string]record.Record
 	stopped bool
-	// voters says which checking servers vote by the bundle that this instance has.
+	// voters says which checking servers vote by the bundle that this instance has. Nil means
+	// all.
 	voters func(string) bool
 }
 
@@ -37,7 +40,7 @@
 	return n
 }
 
-// start runs a new process.
+// start starts a process of the instance, with a new core.
 func (n *simInstance) start() {
 	n.generation++
 	n.stopped = false
@@ -52,14 +55,14 @@
 	n.w.starting = n
 	n.core = New(config, n.w.layout.placer(n.w))
 	n.handle(Configured{Version: 1, Services: n.services()})
-	life := n.generation
-	n.every(life, tickInterval, func() { n.handle(Ticked{}) })
-	n.every(life, Time(config.HeartbeatInterval), n.heartbeat)
-	n.every(life, readInterval, n.readLog)
-	n.every(life, listInterval, n.sendList)
+	generation := n.generation
+	n.every(generation, tickInterval, func() { n.handle(Ticked{}) })
+	n.every(generation, Time(config.HeartbeatInterval), n.heartbeat)
+	n.every(generation, readInterval, n.readLog)
+	n.every(generation, listInterval, n.sendList)
 }
 
-// sendList passes on the platform's list as it was a while ago.
+// sendList delivers the platform's list of live instances after a lag.
 func (n *simInstance) sendList() {
 	var names []string
 	for _, o := range n.w.instances {
@@ -67,11 +70,11 @@
 			names = append(names, o.name)
 		}
 	}
-	life := n.generation
+	generation := n.generation
 	n.w.after(listLag, func() {
-		if n.generation == life {
+		if n.generation == generation {
 			n.w.deliver(n.name, func() {
-				if n.generation == life {
+				if n.generation == generation {
 					n.handle(Listed{Instances: names})
 				}
 			})
@@ -84,12 +87,13 @@
 	n.start()
 }
 
-// every repeats a timer of one process. A paused process runs its timers afterwards, once.
-func (n *simInstance) every(life int, period Time, do func()) {
+// every runs a function periodically in one process. A paused process runs it once when the
+// pause ends.
+func (n *simInstance) every(generation int, period Time, do func()) {
 	phase := Time(n.w.random.Int64N(int64(period)))
 	var again func()
 	again = func() {
-		if n.generation != life || n.down {
+		if n.generation != generation || n.down {
 			return
 		}
 		if n.pausedTo > n.w.now {
@@ -107,17 +111,17 @@
 	if len(effects) == 0 {
 		return
 	}
-	life := n.generation
+	generation := n.generation
 	if n.w.jitter && n.w.random.IntN(400) == 0 {
 		n.pausedTo = n.w.now + 50*ms + Time(n.w.random.Int64N(int64(2500*ms)))
-		n.w.at(n.pausedTo, func() { n.apply(life, effects) })
+		n.w.at(n.pausedTo, func() { n.apply(generation, effects) })
 		return
 	}
-	n.apply(life, effects)
+	n.apply(generation, effects)
 }
 
-func (n *simInstance) apply(life int, effects []Effect) {
-	if n.generation != life || n.down {
+func (n *simInstance) apply(generation int, effects []Effect) {
+	if n.generation != generation || n.down {
 		return
 	}
 	for _, e := range effects {
@@ -126,7 +130,7 @@
 			n.sendExchange(e)
 		case Append:
 			n.pending[e.ID] = e.Record
-			n.append(life, e.ID)
+			n.append(generation, e.ID)
 		case StartedLeading:
 			n.w.onElected()
 			n.w.tracef("%s leads %v", n.name, e.Term)
@@ -142,7 +146,7 @@
 	if n.clock(n.w.now) > e.SendBefore && n.w.mutation != mutSendBefore {
 		return
 	}
-	life := n.generation
+	generation := n.generation
 	to := e.Server
 	if e.Gate != "" {
 		to = e.Gate
@@ -164,7 +168,7 @@
 			n.w.observe(n.w.now)
 		}
 		n.w.send(to, n.name, func() {
-			if n.generation == life {
+			if n.generation == generation {
 				n.handle(Answered{Server: e.Server, Gate: e.Gate, AskedAt: e.AskedAt, Answer: answer})
 			}
 		})
@@ -181,16 +185,17 @@
 		if o == n {
 			continue
 		}
-		life := o.generation
+		generation := o.generation
 		n.w.send(n.name, o.name, func() {
-			if o.generation == life && o.core != nil {
+			if o.generation == generation && o.core != nil {
 				o.handle(beat)
 			}
 		})
 	}
 }
 
-// publishTable passes the table to the peers and checks that what it calls durable is so.
+// publishTable sends the table to the peers. It checks that the log has the record at each
+// offset that the table states.
 func (n *simInstance) publishTable(t route.Table) {
 	for _, o := range t.Owners {
 		if o.Offset != 0 && !n.w.log.has(o.Offset, o.Server, o.Epoch) {
@@ -216,9 +221,9 @@
 	}
 }
 
-// readLog folds the log.
+// readLog reads the state of the log, or reports a failure after retryDelay.
 func (n *simInstance) readLog() {
-	life := n.generation
+	generation := n.generation
 	begun := n.clock(n.w.now)
 	answered := false
 	n.w.send(n.name, "log", func() {
@@ -227,16 +232,16 @@
 		}
 		term, assigned := n.w.log.fold()
 		n.w.send("log", n.name, func() {
-			if n.generation == life && !answered {
+			if n.generation == generation && !answered {
 				answered = true
 				n.handle(LogRead{ReadAt: begun, Term: term, Assigned: assigned})
 			}
 		})
 	})
 	n.w.after(retryDelay, func() {
-		if n.generation == life && !answered {
+		if n.generation == generation && !answered {
 			n.w.deliver(n.name, func() {
-				if n.generation == life {
+				if n.generation == generation {
 					answered = true
 					n.handle(LogFailed{})
 				}
@@ -245,10 +250,10 @@
 	})
 }
 
-// append appends again and again until the log acknowledges.
-func (n *simInstance) append(life int, id string) {
+// append sends a record to the log until the log acknowledges it.
+func (n *simInstance) append(generation int, id string) {
 	r, waiting := n.pending[id]
-	if n.generation != life || n.down || !waiting {
+	if n.generation != generation || n.down || !waiting {
 		return
 	}
 	n.w.send(n.name, "log", func() {
@@ -257,17 +262,18 @@
 		}
 		offset := n.w.log.append(id, r)
 		n.w.send("log", n.name, func() {
-			if n.generation != life {
+			if n.generation != generation {
 				return
 			}
 			delete(n.pending, id)
 			n.handle(Appended{ID: id, Offset: offset})
 		})
 	})
-	n.w.after(retryDelay, func() { n.append(life, id) })
+	n.w.after(retryDelay, func() { n.append(generation, id) })
 }
 
-// simLog is the platform's log: order, ids, outages.
+// simLog simulates the platform's log, which orders records, ignores repeated IDs and may be
+// unavailable until downTo.
 type simLog struct {
 	w       *world
 	entries []simEntry
@@ -322,7 +328,7 @@
 	})
 }
 
-// leading returns the instance that leads, or nil.
+// leading returns the first instance that leads, or nil.
 func (w *world) leading() *simInstance {
 	for _, n := range w.instances {
 		if !n.down && n.core != nil && n.core.lead != nil && n.core.lead.won() {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -64,7 +64,7 @@
 	Leaving bool
 }
 
-// Answered is the answer to an exchange. Server, Via and AskedAt are those of its Send.
+// Answered is the answer to an exchange. Server, Gate and AskedAt are those of its Send.
 type Answered struct {
 	Server string
 	// Gate is the entry instance that holds the grant of a server that does not check grants.
@@ -151,8 +151,8 @@
 	isEffect()
 }
 
-// Send sends an exchange to a server, or to the instance Via. The answer comes back as
-// Answered.
+// Send sends an exchange to a server, or to the instance that is its gate. The answer comes
+// back as Answered.
 type Send struct {
 	Server string
 	// Gate is the entry instance that holds the grant of a server that does not check grants.
@@ -178,7 +178,8 @@
 	Table route.Table
 }
 
-// StartedLeading reports that this instance won the election of a term. It is for logs and metrics.
+// StartedLeading reports that this instance won the election of a term. It is for logs and
+// metrics.
 type StartedLeading struct {
 	Term grant.Term
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -8,6 +8,8 @@
 	"example.org/mustardring/internal/place"
 )
 
+// stableLayout returns a layout whose placer moves ranges only away from servers that do not
+// accept them.
 func stableLayout(instances, checking, unchecked int) layout {
 	return layout{
 		instances: instances,
@@ -17,7 +19,7 @@
 	}
 }
 
-// countOwned counts the hashes that have an owner.
+// countOwned returns how many of the sampled hashes have an owner.
 func (w *world) countOwned() int {
 	n := 0
 	for _, hash := range w.hashes {
@@ -56,7 +58,7 @@
 			table := n.core.Table()
 			is.Equal(len(table.Owners), 8)
 			for _, o := range table.Owners {
-				is.True(o.Offset > 0) // recorded
+				is.True(o.Offset > 0) // recorded in the log
 			}
 		})
 	}
--- a/internal/leader/mutation_test.go
+++ b/internal/leader/mutation_test.go
@@ -13,9 +13,9 @@
 	searchCount    = flag.Uint64("schedules", 0, "number of schedules that TestSearch runs")
 )
 
-// TestGuardsAreNeeded shows that the random schedules can fail: without a guard one of the
-// first few thousand has two owners of a range. Guards whose absence takes longer to find have
-// a case in TestScenarios.
+// TestGuardsAreNeeded shows that the random schedules can fail: with a guard switched off, one
+// of the first few thousand schedules has two owners of a range. Guards whose absence takes
+// longer to find have a case in TestScenarios.
 func TestGuardsAreNeeded(t *testing.T) {
 	const limit = 3000
 	is.New(t).Equal(firstFailure("none", 150), uint64(0)) // the search itself finds nothing
@@ -29,12 +29,12 @@
 	}
 }
 
-// quicklyFound are the guards whose absence the random schedules find soon.
+// quicklyFound are the mutations that one of the first few thousand schedules detects.
 var quicklyFound = []mutation{
 	mutLeaseFromReceipt, mutHideDraining, mutLateWork, mutLeaseFromNow, mutNoWait, mutAnswerOrder, mutOneVote,
 }
 
-// firstFailure returns the first schedule up to a limit on which a broken guard shows, or zero.
+// firstFailure returns the first schedule up to a limit that fails under a mutation, or zero.
 func firstFailure(guard mutation, limit uint64) uint64 {
 	for seed := uint64(1); seed <= limit; seed++ {
 		if runSchedule(seed, guard).failure != "" {
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// TestSearch looks for schedules that break an invariant. It runs none unless told so:
+// TestSearch looks for schedules that break an invariant. It runs none by default. To run some:
 //
 //	go test ./internal/leader -run TestSearch -v -args -schedules 4000 -guard drift-ignored
 func TestSearch(t *testing.T) {
--- a/internal/leader/naive_test.go
+++ b/internal/leader/naive_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// naiveLeader is what we compare with: every instance probes the servers and sends a hash to
-// the one at its remainder in the list of those that answer. There are no grants.
+// naiveLeader is a simple design for comparison, without grants: every instance probes the
+// servers, and sends hash i to the server at index i modulo n of the n servers that answer.
 type naiveLeader struct {
 	n       *simInstance
 	heardAt map[string]Time
@@ -42,7 +42,7 @@
 }
 
 // naiveHasTwoOwners runs the faults of a schedule under naive leaders and reports whether two
-// instances that run sent the same key to different servers at one time.
+// running instances chose different servers for the same hash at the same time.
 func naiveHasTwoOwners(seed uint64) bool {
 	w := newWorld(seed, randomLayout(seed), "")
 	var leaders []*naiveLeader
@@ -65,6 +65,7 @@
 	return doubled
 }
 
+// leadersDisagree reports whether two running instances choose different servers for a hash.
 func leadersDisagree(leaders []*naiveLeader) bool {
 	for i := range 8 {
 		first := ""
@@ -84,8 +85,8 @@
 	return false
 }
 
-// TestNaiveLeaderDoubles is the differential test: on schedules on which ours keeps every
-// range single, the naive leader sends a key to two servers at once.
+// TestNaiveLeaderDoubles shows that the schedules are hard enough: on most of them, the naive
+// leader lets two servers own a hash at once, while the core never does.
 func TestNaiveLeaderDoubles(t *testing.T) {
 	is := is.New(t)
 	doubled, schedules := 0, 0
@@ -99,6 +100,6 @@
 			doubled++
 		}
 	}
-	t.Logf("the naive leader doubles in %d of %d schedules, ours in none", doubled, schedules)
+	t.Logf("two owners of a hash in %d of %d schedules with the naive leader, in none with the core", doubled, schedules)
 	is.True(doubled > schedules/2)
 }
--- a/internal/leader/placer_test.go
+++ b/internal/leader/placer_test.go
@@ -7,12 +7,13 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// slicePlacer cuts each home into slices, leaves a slice where it is while its server accepts
-// and gives others to the server with the fewest. With a restless random it also moves some.
+// slicePlacer cuts each home into slices. It leaves a slice at its server while that accepts
+// ranges, and gives other slices to the server with the fewest. With moveRandom set, it also
+// moves slices at random until movesEnded returns true.
 type slicePlacer struct {
 	slicesPerHome int
 	moveRandom    *rand.Rand
-	// movesEnded ends the moves.
+	// movesEnded reports whether random moves have ended. It is nil if moveRandom is.
 	movesEnded func() bool
 }
 
--- a/internal/leader/request_test.go
+++ b/internal/leader/request_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// runRequest runs a request for a random time. A request at a checking server takes effect at
+// its end. A request that a gate sent is kept in gateRequests while it runs.
 func (w *world) runRequest(m *machine, server string, hash uint64, work *grant.Work) {
 	takes := 1 + Time(w.random.Int64N(int64(longestRequest)))
 	if m.name == server {
@@ -38,7 +40,8 @@
 	w.after(takes, work.End)
 }
 
-// takeEffect lets a request that ran at a checking server take effect, if the check allows it.
+// takeEffect ends a request at a checking server, which takes effect if the grant still allows
+// it. It fails the world if another server then owns the hash.
 func (w *world) takeEffect(m *machine, process uint64, hash uint64, work *grant.Work) {
 	if m.down || m.incarnation != process {
 		return
--- a/internal/leader/scenario_order_test.go
+++ b/internal/leader/scenario_order_test.go
@@ -1,10 +1,11 @@
 package leader
 
-// messageOrderScenarios are those about fences, majorities and the order of answers.
+// messageOrderScenarios returns the scenarios about fences, majorities, requests of lost gates
+// and the order of answers.
 func messageOrderScenarios() map[string]scenario {
 	return map[string]scenario{
-		// Two leaders share one voter. Without the fence it follows both, and each has a
-		// majority: one renews a server that the other counts as lost.
+		// Two leaders reach one voter in common. Without the fence it follows both, so each has a
+		// majority, and one renews the grant of a server that the other considers lost.
 		"voter follows two leaders": {
 			mutation: mutNoFence,
 			layout:   scriptedLayout(2, 3, 0, firstReachable),
@@ -17,9 +18,10 @@
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A leader does not hear a server any more, and a little later loses its majority to
-		// another, which renews that server. The lease that the first had given lapses while
-		// its authority still runs; it must not move the ranges, since it cannot know.
+		// A leader gets no answers from a server, and soon after loses its majority to another
+		// leader, which renews the grant of that server. The lease that the first leader gave
+		// expires before the first leader has to step down. It must not move the ranges, since no
+		// majority that was asked after the expiry has followed it.
 		"lapse without a majority after it": {
 			mutation: mutNoConfirmation,
 			layout: scriptedLayout(2, 5, 0, func(n *simInstance, _ int) string {
@@ -39,9 +41,9 @@
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A gate is lost just after it sent a payout to a server that does not check grants.
-		// The server runs it for longer than the lease. A new gate would send the payout,
-		// which the caller repeats, a second time while the first still runs.
+		// A gate is lost just after it sent a request to a server that does not check grants. The
+		// request runs for longer than the lease. If the caller retries it, a new gate would send
+		// it again while the first attempt still runs.
 		"request outlives its gate": {
 			mutation: mutNoDrainTime,
 			layout:   scriptedLayout(3, 3, 1, func(*simInstance, int) string { return "s03" }),
@@ -62,10 +64,11 @@
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A candidate hears from a server that holds a range, but has no majority yet. The old
-		// leader does not hear the server, waits out its lease and moves the range to a server
-		// that does not check. Then the candidate wins. What it heard before is no proof that
-		// nothing lingers of the range elsewhere: a request of the old leader's gate runs.
+		// A candidate without a majority gets an answer from a server that holds a range. The old
+		// leader gets no answers from that server, waits for the end of its lease and moves the
+		// range to a server that does not check grants. Then the candidate wins. The answer from
+		// before the win does not show that the range is free elsewhere: a request of a gate that
+		// the old leader chose still runs.
 		"held before winning": {
 			mutation: mutHeldBeforeWin,
 			layout: scriptedLayout(2, 3, 1, func(n *simInstance, _ int) string {
@@ -97,8 +100,8 @@
 				w.advance(start + 8000*ms)
 			},
 		},
-		// A server accepts a set, but its answers are lost. The range is wanted elsewhere
-		// before the leader knows whether the set was taken.
+		// A server accepts a set, but its answers are lost. The placer moves the range to another
+		// server before the leader knows whether the set was accepted.
 		"set accepted unknown to the leader": {
 			mutation: mutIgnorePending,
 			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
@@ -121,9 +124,9 @@
 				w.advance(w.scriptStart + 3000*ms)
 			},
 		},
-		// A server answers, restarts, and answers again; the first answer is late and comes
-		// last. The leader takes it for a newer process that holds nothing, and grants the
-		// range, which it had just moved to the present process, to a third server.
+		// A server answers, restarts and answers again, and the first answer arrives last. Without
+		// the guard the leader takes it for the answer of a newer process that holds nothing. It
+		// has just moved the range to the present process, and now grants it to a third server.
 		"answer of the process before comes last": {
 			mutation: mutProcessOrder,
 			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -10,7 +10,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// scriptedPlacer gives slice i of four to the server that a script names.
+// scriptedPlacer cuts the hash space into four slices and gives each to the server that a
+// script names.
 type scriptedPlacer struct {
 	owner func(slice int) string
 }
@@ -23,7 +24,7 @@
 	return targets
 }
 
-// acceptingOr returns a server if it accepts, or else the first that does.
+// acceptingOr returns a server if it accepts ranges, or else the first server that does.
 func acceptingOr(v place.View, server string) string {
 	first := ""
 	for _, s := range v.Servers {
@@ -37,7 +38,8 @@
 	return first
 }
 
-// scriptedLayout returns a layout whose slices a script places.
+// scriptedLayout returns a layout in which the function owner places the slices for each
+// instance.
 func scriptedLayout(instances, checking, unchecked int, owner func(n *simInstance, slice int) string) layout {
 	return layout{
 		instances: instances, checking: checking, unchecked: unchecked,
@@ -48,7 +50,7 @@
 	}
 }
 
-// partition cuts an instance or server from others in both directions, for good.
+// partition cuts an instance or server from others in both directions, permanently.
 func (w *world) partition(name string, others ...string) {
 	for _, o := range others {
 		w.cut(name, o, 1<<60, true)
@@ -61,20 +63,20 @@
 	delete(w.cutUntil, [2]string{b, a})
 }
 
-// restart starts a new process of a server whose machine, and clock, go on.
+// restart starts a new process of a server on the same machine, whose clock continues.
 func (w *world) restart(m *machine) {
 	offset, rate := m.clockOffset, m.driftPerMille
 	w.boot(m)
 	m.clockOffset, m.driftPerMille = offset, rate
 }
 
-// kill ends a process for good.
+// kill ends the process of an instance permanently.
 func (w *world) kill(n *simInstance) {
 	n.down = true
 	n.generation++
 }
 
-// outrank makes an instance begin its next term above those that others may begin.
+// outrank makes the next term of an instance higher than any that others may begin.
 func (n *simInstance) outrank() {
 	n.handle(Heartbeat{Name: n.name, Term: grant.Term{Sub: 50}})
 }
@@ -88,7 +90,8 @@
 	return nil
 }
 
-// startFirstAsLeader starts the instances so that the first one leads, and runs until it settled.
+// startFirstAsLeader starts the instances so that the first one leads, and advances the world
+// until its services have settled.
 func (w *world) startFirstAsLeader() {
 	w.log.downTo = 1 << 60
 	first := w.instances[0]
@@ -100,19 +103,20 @@
 	w.advance(w.now + 4500*ms)
 }
 
-// scenario is an order of events that does harm only without a guard.
+// scenario is a sequence of events that breaks an invariant only if a guard is switched off.
 type scenario struct {
 	mutation mutation
 	layout   layout
 	script   func(w *world)
 }
 
-// A volunteer's batch has two owners because one guard is missing. Each case is the shortest
-// order of events that shows the need of its guard; with the guard the same events do no harm.
+// Each case is a short sequence of events that shows that its guard is needed: without the
+// guard a range has two owners, and with it the same events break no invariant.
 func TestScenarios(t *testing.T) {
 	tests := map[string]scenario{
-		// The clock of a server is slow, that of its leader fast, and its answers are lost. The
-		// leader counts the lease as lapsed while by the server's clock it still runs.
+		// The clock of a server is slow, that of its leader is fast, and the server's answers are
+		// lost. Without the guard the leader considers the lease expired while it still runs by
+		// the server's clock.
 		"clocks diverge": {
 			mutation: mutIgnoreDrift,
 			layout:   scriptedLayout(1, 3, 0, func(*simInstance, int) string { return "s00" }),
@@ -125,9 +129,10 @@
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A grant is under way when its server restarts on a machine whose clock goes on. The
-		// leader hears the new process, which holds nothing, and grants the range elsewhere.
-		// Then the old grant arrives, and the new process takes it for its own.
+		// A server restarts, and its clock continues, while a grant for it is in transit. The
+		// leader gets an answer from the new process, which holds nothing, and grants the range
+		// to another server. Then the old grant arrives, and without the guard the new process
+		// accepts it.
 		"grant for the process before": {
 			mutation: mutIgnoreIncarnation,
 			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
@@ -143,7 +148,7 @@
 			script: func(w *world) {
 				w.processes = map[string]uint64{"s01": w.servers[1].incarnation}
 				w.extraDelay = func(_, to string) Time {
-					h := w.holdingOf("s01")
+					h := w.holderOf("s01")
 					if to != "s01" || h == nil || h.incarnation != w.processes["s01"] {
 						return 0
 					}
@@ -162,9 +167,9 @@
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// Answers to the leader are late. They were given before two servers followed a newer
-		// leader, and arrive after; the leader renews a third server, which the newer one
-		// cannot reach, for a lease from then.
+		// Two servers answer a leader and then follow a newer leader, and their answers arrive
+		// late. If the leader counted its lease from the arrival, it would renew a third server,
+		// which the newer leader cannot reach, for too long.
 		"answers arrive late": {
 			mutation: mutAnswerTime,
 			layout:   scriptedLayout(2, 3, 0, firstReachable),
@@ -184,9 +189,9 @@
 				w.advance(start + 4000*ms)
 			},
 		},
-		// Two servers follow a newer leader; one restarts at once and forgets that. A third
-		// instance begins a lower term, gets the vote of the young process, and renews a
-		// server whose ranges the newer leader counts as over.
+		// Two servers follow a newer leader, and one of them restarts at once and forgets that. A
+		// third instance begins a lower term, gets the vote of the new process, and renews a
+		// server whose grant the newer leader considers expired.
 		"young process votes": {
 			mutation: mutYoungVotes,
 			layout:   scriptedLayout(3, 3, 0, firstReachable),
@@ -205,9 +210,10 @@
 				w.advance(w.now + 4000*ms)
 			},
 		},
-		// A leader has lost its majority for seconds. A voter of its successor restarts, and
-		// once it votes again the old leader would go on where it had stopped, without the
-		// wait of a new one: requests of the successor's gate still run.
+		// A leader has been without a majority for seconds. A voter of its successor restarts.
+		// Once that votes again, an old leader that had not stepped down would have a majority
+		// and grant ranges without the wait of a new leader, while requests of its successor's
+		// gate still run.
 		"old leader comes back": {
 			mutation: mutNoQuorumCheck,
 			layout:   scriptedLayout(2, 5, 1, func(*simInstance, int) string { return "s05" }),
@@ -233,9 +239,9 @@
 				w.advance(w.now + 4000*ms)
 			},
 		},
-		// A new leader moves a range at once from one server to another. The first restarts
-		// and forgets the fence, and the old leader, whose authority still runs, grants it
-		// again what it held.
+		// Without the wait, a new leader moves a range from one server to another at once. The
+		// first server restarts and forgets the fence, and the old leader, whose last majority was
+		// asked less than a lease ago, grants it the range again.
 		"moved before the old authority ended": {
 			mutation: mutNoWait,
 			layout: scriptedLayout(2, 3, 0, func(n *simInstance, _ int) string {
@@ -273,8 +279,8 @@
 	}
 }
 
-// firstReachable places all slices on the first server, or on the second when the leader that asks
-// cannot reach the first.
+// firstReachable places all slices on the first server, or on the second if the instance does
+// not get messages from the first.
 func firstReachable(n *simInstance, _ int) string {
 	if n.w.cutUntil[[2]string{"s00", n.name}] > n.w.now {
 		return "s01"
@@ -282,8 +288,8 @@
 	return "s00"
 }
 
-// holdingOf returns what the leader knows of a server, or nil.
-func (w *world) holdingOf(server string) *holder {
+// holderOf returns what the leader knows of a server's grant, or nil.
+func (w *world) holderOf(server string) *holder {
 	n := w.leading()
 	if n == nil {
 		return nil
--- a/internal/leader/schedule_test.go
+++ b/internal/leader/schedule_test.go
@@ -13,12 +13,13 @@
 const (
 	// faultsEnd is when the faults of a random schedule end.
 	faultsEnd = 10_000 * ms
-	// recoveryTime is the time after the last fault by which every range must be served again:
-	// messages up to 2.5 s old, an election, the wait after winning, requests and pauses.
+	// recoveryTime is the time after the last fault within which every range must be served
+	// again. It covers messages that are up to 2.5 s late, an election, the wait after winning,
+	// requests and pauses.
 	recoveryTime = 8_000 * ms
 )
 
-// randomLayout draws the shape of a domain.
+// randomLayout returns a layout that depends only on the seed.
 func randomLayout(seed uint64) layout {
 	random := rand.New(rand.NewPCG(seed, 2))
 	l := layout{
@@ -66,7 +67,7 @@
 	return w
 }
 
-// scheduleFaults plans the next fault, again and again until they end.
+// scheduleFaults injects one or two faults now, and again after random times until faultsEnd.
 func (w *world) scheduleFaults() {
 	if w.now >= faultsEnd {
 		return
@@ -120,7 +121,8 @@
 	}
 }
 
-// partitionAtRandom lets each half of the servers be reached by one half of the instances only.
+// partitionAtRandom divides the servers and instances into two random parts and cuts all
+// connections between them.
 func (w *world) partitionAtRandom(last Time) {
 	half := func(int) bool { return w.random.IntN(2) == 0 }
 	var left, right []string
@@ -138,7 +140,7 @@
 	}
 }
 
-// suspectLeader lets a follower believe that its leader is lost, as when heartbeats are cut.
+// suspectLeader makes a follower believe that its leader is lost, as when heartbeats are cut.
 func (w *world) suspectLeader(n *simInstance) {
 	if !n.down && n.core.lead == nil {
 		n.core.leaderHeardAt = n.core.now - 10*n.core.heartbeatInterval()
@@ -146,7 +148,8 @@
 	}
 }
 
-// onElected may restart a server just after a leader won, when its fence matters most.
+// onElected may restart a server just after an instance won. This is when losing the fence of
+// a server is most dangerous.
 func (w *world) onElected() {
 	if w.jitter && w.now < faultsEnd && w.random.IntN(3) == 0 {
 		m := w.servers[w.random.IntN(len(w.servers))]
@@ -202,7 +205,7 @@
 	})
 }
 
-// heal ends every fault. Processes that are down start again.
+// heal ends every fault and starts the processes that are down.
 func (w *world) heal() {
 	w.jitter = false
 	clear(w.cutUntil)
@@ -222,8 +225,8 @@
 	}
 }
 
-// checkRecovered is the invariant after the faults: every range has an owner, the table says
-// so, and the log has acknowledged it.
+// checkRecovered checks the invariant after the faults: every hash has exactly one owner, and
+// the table has an owner for it that the log has acknowledged.
 func (w *world) checkRecovered() {
 	n := w.leading()
 	if n == nil {
@@ -255,8 +258,8 @@
 	return fmt.Sprintf("(%d instances, %d checking, %d unchecked)", w.layout.instances, w.layout.checking, w.layout.unchecked)
 }
 
-// scheduleVoterChanges takes one voter away by a bundle and gives it back by the next. Instances learn
-// of each at different times, but of the second only when all have the first.
+// scheduleVoterChanges removes one voter by a bundle and adds it again by the next. Instances
+// get each bundle at different times, but the second only when all have the first.
 func (w *world) scheduleVoterChanges() {
 	out := w.servers[w.random.IntN(len(w.servers))].name
 	versions := map[Time]func(string) bool{
@@ -271,18 +274,18 @@
 	}
 }
 
-// changeVoters gives an instance a bundle with other voters. It stays over a restart.
+// changeVoters gives an instance a bundle with other voters, which it keeps over restarts.
 func (n *simInstance) changeVoters(voters func(string) bool) {
 	n.voters = voters
-	life := n.generation
+	generation := n.generation
 	n.w.deliver(n.name, func() {
-		if n.generation == life {
+		if n.generation == generation {
 			n.handle(Configured{Version: 1, Services: n.services()})
 		}
 	})
 }
 
-// services is the configuration as this instance has it.
+// services returns the configuration that this instance has.
 func (n *simInstance) services() []Service {
 	services := n.w.services()
 	if n.voters == nil {
@@ -295,8 +298,8 @@
 	return services
 }
 
-// A bundle changes one voter while instances fail and learn of it one after another. Two
-// leaders by two bundles must still meet in a voter.
+// Bundles change one voter while instances fail, and instances get them at different times.
+// The majorities of two leaders with different bundles must still share a voter.
 func TestRandomSchedulesWithChangingVoters(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 80; seed++ {
@@ -312,9 +315,10 @@
 	}
 }
 
-// TestRandomSchedules is the proof of single ownership under two and three faults together:
-// messages late, lost, doubled and out of order, processes paused, lost and restarted, cuts
-// in one and both directions, outages of the log and lost answers, clocks that differ.
+// TestRandomSchedules checks that no range has two owners under combinations of faults:
+// messages that are late, lost, doubled or out of order; processes that are paused, lost or
+// restarted; cuts in one or both directions; outages of the log; lost answers; and clocks
+// that differ.
 func TestRandomSchedules(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 500; seed++ {
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -6,6 +6,7 @@
 // has reported. Until then, the leader only renews the sets that holders report. Moving a
 // range earlier is unsafe: its server may restart and forget the fence, and then a former
 // leader, whose last majority was asked less than a lease ago, may grant it the range again.
+// The time is distantFuture until this instance has won.
 func (c *Core) movesAllowedAt() Time {
 	l := c.lead
 	if !l.won() {
--- a/internal/leader/world_test.go
+++ b/internal/leader/world_test.go
@@ -14,10 +14,11 @@
 
 const ms = Time(time.Millisecond)
 
-// longestRequest bounds the running time of requests.
+// longestRequest is the maximum running time of a request.
 const longestRequest = 1200 * ms
 
-// world runs cores, holders and a log in virtual time. True time is in nanoseconds.
+// world simulates one failure domain in virtual time: instances with their cores, servers, and
+// the log. The field now is true time in nanoseconds. Every process has its own clock.
 type world struct {
 	random   *rand.Rand
 	now      Time
@@ -33,14 +34,15 @@
 	gateRequests []gateRequest
 	cutUntil     map[[2]string]Time
 	slowUntil    map[string]Time
-	// starting is the instance that is being started; processes are incarnations to compare.
+	// starting is the instance that is being started. processes has incarnations that a script
+	// compares with.
 	starting  *simInstance
 	processes map[string]uint64
-	// scriptStart is when a script began.
+	// scriptStart is when the interesting part of a script began, or zero.
 	scriptStart Time
-	// extraDelay, if set, returns by how much a message is late besides.
+	// extraDelay, if set, returns the additional delay of a message.
 	extraDelay func(from, to string) Time
-	// maxFaultGap is the longest time between two faults.
+	// maxFaultGap is the maximum time between two faults of a random schedule.
 	maxFaultGap Time
 	hashes      []uint64
 	homes       []keys.Range
@@ -50,15 +52,15 @@
 	failure  string
 	messages int
 	bytes    int
-	// countBytes says that bytes are counted too.
+	// countBytes says that the bytes of exchanges and answers are counted.
 	countBytes   bool
 	lastExchange grant.Exchange
 	observe      func(at Time)
-	// trace, if set, gets a line for each step of interest.
+	// trace, if set, gets a line for each noteworthy step.
 	trace func(line string)
 }
 
-// layout says what a world is made of.
+// layout describes the instances and servers of a world.
 type layout struct {
 	instances int
 	checking  int
@@ -67,15 +69,15 @@
 	isolation string
 	// voters says which servers vote; nil means those that check.
 	voters func(server string) bool
-	// maxDriftPerMille bounds how many thousandths a clock is fast or slow.
+	// maxDriftPerMille is by how many thousandths a clock may be fast or slow.
 	maxDriftPerMille int
-	// skipPreVote lets followers begin terms without a survey, which is for liveness only.
+	// skipPreVote lets followers begin terms without a pre-vote, which only serves liveness.
 	skipPreVote bool
 	placer      func(w *world) place.Placer
 	config      func(c *Config)
 }
 
-// machine is a process that holds grants: a server, or an instance that is gate or voter.
+// machine runs a process that may hold grants: a server, or an instance that is a gate or voter.
 type machine struct {
 	name          string
 	incarnation   uint64
@@ -86,8 +88,8 @@
 	holders       map[string]*simHolder
 }
 
-// gateRequest is a request that a gate sent to a server without a check of its own. It runs on when
-// the gate is lost.
+// gateRequest is a request that a gate sent to a server that does not check grants. It keeps
+// running when the gate is lost.
 type gateRequest struct {
 	gate   *simHolder
 	server string
@@ -154,8 +156,8 @@
 	return m
 }
 
-// boot starts a new process at the place of a machine. Its clock may be that of the machine,
-// which goes on, or one of its own.
+// boot starts a new process on a machine. At random, its clock continues that of the previous
+// process or starts anew.
 func (w *world) boot(m *machine) {
 	m.incarnation = uint64(w.random.Uint32()) + 1
 	w.tracef("boot %s as %x", m.name, m.incarnation)
@@ -171,7 +173,7 @@
 	m.down = false
 }
 
-// holder returns the holder of a server's grant in a process.
+// holder returns the holder of a server's grant on a machine, and creates it if needed.
 func (w *world) holder(m *machine, server string) *simHolder {
 	h := m.holders[server]
 	if h == nil {
@@ -214,7 +216,7 @@
 	}
 }
 
-// send passes a message from one machine to another: late, twice or not at all.
+// send sends a message from one machine to another. The message may be late, doubled or lost.
 func (w *world) send(from, to string, deliver func()) {
 	if w.cutUntil[[2]string{from, to}] > w.now {
 		return
@@ -233,7 +235,7 @@
 	}
 }
 
-// messageLag returns by how much messages to a machine are late just now.
+// messageLag returns the additional delay of a message that is sent now.
 func (w *world) messageLag(from, to string) Time {
 	if w.extraDelay != nil {
 		return w.extraDelay(from, to)
@@ -259,8 +261,8 @@
 	}
 }
 
-// deliver hands a message over when its receiver is not paused. A message to a process that
-// is down is lost.
+// deliver delivers a message, after the pause if its receiver is paused. A message to a
+// process that is down is lost.
 func (w *world) deliver(to string, do func()) {
 	m := w.machines[to]
 	if m == nil {
@@ -277,7 +279,7 @@
 	do()
 }
 
-// services is the configuration of the domain.
+// services returns the configuration of the domain.
 func (w *world) services() []Service {
 	s := Service{Name: "svc", Divided: true, Homes: w.homes, RequestMillis: int64(longestRequest / ms)}
 	if w.layout.isolation != "" {
@@ -304,7 +306,8 @@
 	return checks
 }
 
-// owners returns the names of the servers that now may act on a hash.
+// owners returns the servers that may act on a hash now, and where their grant is held. That
+// includes servers that run a request of a lost gate.
 func (w *world) owners(hash uint64) []string {
 	var names []string
 	var gates []*simHolder
@@ -336,7 +339,7 @@
 	return all
 }
 
-// checkSingle is the invariant: no instant has two holders of one range.
+// checkSingle checks the invariant that no hash has two owners at the same time.
 func (w *world) checkSingle() {
 	for _, hash := range w.hashes {
 		if names := w.owners(hash); len(names) > 1 {
