--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -49,8 +49,9 @@
 // logView is what this instance knows of the log.
 type logView struct {
 	// readAt is when the newest successful read began.
-	readAt      Time
-	everRead    bool
+	readAt   Time
+	everRead bool
+	// unavailable says that a call of the log has failed since it was last read.
 	unavailable bool
 	term        fold.Term
 	assigned    map[string]fold.Assigned
@@ -75,8 +76,8 @@
 }
 
 // Handle processes an event that happened at the time now, and returns the effects that the
-// driver must carry out, in order. The core keeps no reference to the returned slice. A time
-// before that of an earlier call counts as the latest time so far.
+// driver must carry out, in order. The caller owns the returned slice. Times must not
+// decrease: an earlier time counts as the latest one so far.
 func (c *Core) Handle(now Time, ev Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = nil
@@ -166,17 +167,17 @@
 	}
 }
 
-// costPerRange times the number of ranges is the minimum interval between two passes over all
-// ranges. It bounds the processor time that passes take when many servers answer at once.
-// With few ranges the interval is shorter than a round trip.
-const costPerRange = Time(2 * time.Microsecond)
+// passIntervalPerRange times the number of ranges is the minimum interval between two passes
+// over all ranges. It bounds the processor time that passes take when many servers answer at
+// once. With few ranges the interval is shorter than a round trip.
+const passIntervalPerRange = Time(2 * time.Microsecond)
 
 // minPassInterval returns the minimum interval between two passes over all ranges.
 func (l *leadership) minPassInterval() Time {
 	if l.published == nil {
 		return 0
 	}
-	return costPerRange * Time(len(l.published.Owners))
+	return passIntervalPerRange * Time(len(l.published.Owners))
 }
 
 func (c *Core) handleTable(ev TableReceived) {
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -69,6 +69,9 @@
 	c.beginTerm(grant.Term{Log: c.highestTerm.Log, Sub: c.highestTerm.Sub + 1, Incarnation: c.config.Incarnation})
 }
 
+// handleLogRead takes the state of the log. If a follower finds that the log has accepted its
+// claim, it becomes a candidate in that term. If the log has accepted a claim of another
+// instance, it gives up its own and waits for the other instance to lead.
 func (c *Core) handleLogRead(ev LogRead) {
 	changed := ev.Term != c.log.term
 	c.log.readAt = max(c.log.readAt, ev.ReadAt)
@@ -94,12 +97,16 @@
 	c.leaderHeardAt = c.now
 }
 
+// noteTerm raises the highest known term.
 func (c *Core) noteTerm(t grant.Term) {
 	if t.Compare(c.highestTerm) > 0 {
 		c.highestTerm = t
 	}
 }
 
+// handleHeartbeat records a heartbeat of a peer. A leader steps down if the peer leads in a
+// higher term. If the peer says that it no longer leads, the wait for missed heartbeats is
+// skipped, so that it is succeeded at once.
 func (c *Core) handleHeartbeat(ev Heartbeat) {
 	c.noteTerm(ev.Term)
 	if ev.Name == c.config.Name {
--- a/internal/leader/exchange.go
+++ b/internal/leader/exchange.go
@@ -13,6 +13,8 @@
 	return cmp.Or(cmp.Compare(a.server, b.server), cmp.Compare(a.gate, b.gate))
 }
 
+// tickLeader does the periodic work of a candidate or leader. A leader's exchanges are sent by
+// runDueWork, after every event.
 func (c *Core) tickLeader() {
 	l := c.lead
 	if l.won() {
--- a/internal/leader/gates.go
+++ b/internal/leader/gates.go
@@ -53,16 +53,16 @@
 // handleListed takes the platform's list. An instance that was removed from it has certainly
 // ended, so it can send no request after a pause. Requests that it had sent may still run.
 func (c *Core) handleListed(ev Listed) {
-	now := make(map[string]bool, len(ev.Instances))
+	listed := make(map[string]bool, len(ev.Instances))
 	for _, name := range ev.Instances {
-		now[name] = true
+		listed[name] = true
 	}
 	for name := range c.listedInstances {
-		if !now[name] {
+		if !listed[name] {
 			c.instanceGone(name)
 		}
 	}
-	c.listedInstances = now
+	c.listedInstances = listed
 	c.forgetPeers()
 }
 
@@ -74,10 +74,10 @@
 	if l == nil {
 		return
 	}
-	for at, h := range l.holders {
-		if at.gate == name && !h.checksGrants {
+	for id, h := range l.holders {
+		if id.gate == name && !h.checksGrants {
 			c.retire(h)
-			delete(l.holders, at)
+			delete(l.holders, id)
 		}
 	}
 	for _, h := range l.retired {
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -235,7 +235,7 @@
 // also has servers that do not check. Its ranges were confirmed as held in the new term, so no
 // request for them can run elsewhere. They move after one lease, without waiting for the
 // longest request and pause of a gate.
-func TestSeenRangesMoveBeforeRequestsEnd(t *testing.T) {
+func TestConfirmedRangesMoveBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
 	l := stableLayout(3, 3, 1)
 	l.config = func(c *Config) { c.MaxPause = 20_000_000_000 }
--- a/internal/leader/holder.go
+++ b/internal/leader/holder.go
@@ -22,6 +22,8 @@
 	// ownsRanges is false for an instance that only votes.
 	ownsRanges bool
 
+	// answered says that the holder has answered in this term. The fields from here to live
+	// are zero before.
 	answered    bool
 	incarnation uint64
 	// clock is the reading of the holder's clock in its newest answer, received at answeredAt.
@@ -110,21 +112,21 @@
 	wanted := make(map[holderID]bool)
 	for _, s := range c.services {
 		for _, b := range s.Servers {
-			for _, at := range c.holderIDsOf(s, b) {
-				wanted[at] = true
-				c.ensureHolder(at, s, b)
+			for _, id := range c.holderIDsOf(s, b) {
+				wanted[id] = true
+				c.ensureHolder(id, s, b)
 			}
 		}
 	}
-	for at, h := range l.holders {
-		if wanted[at] {
+	for id, h := range l.holders {
+		if wanted[id] {
 			continue
 		}
 		if !h.checksGrants && c.isConfigured(h) && !h.idle() {
 			continue
 		}
 		c.retire(h)
-		delete(l.holders, at)
+		delete(l.holders, id)
 	}
 	l.rangesDirty = true
 	l.tableDirty = true
@@ -163,11 +165,11 @@
 
 // ensureHolder adds the holder of a server's grant if there is none, and updates it to the
 // configuration.
-func (c *Core) ensureHolder(at holderID, s *service, b Server) {
-	h := c.lead.holders[at]
+func (c *Core) ensureHolder(id holderID, s *service, b Server) {
+	h := c.lead.holders[id]
 	if h == nil {
-		h = &holder{holderID: at, service: s.Name}
-		c.lead.holders[at] = h
+		h = &holder{holderID: id, service: s.Name}
+		c.lead.holders[id] = h
 	}
 	if h.service != s.Name {
 		return
@@ -180,13 +182,13 @@
 }
 
 // retire keeps a copy of a holder that is not asked any more, so that its ranges stay blocked
-// until its requests have ended.
+// until it has expired.
 func (c *Core) retire(h *holder) {
 	if h.idle() {
 		return
 	}
-	gone := *h
-	c.lead.retired = append(c.lead.retired, &gone)
+	retired := *h
+	c.lead.retired = append(c.lead.retired, &retired)
 }
 
 // expired reports whether all grants of the holder have expired, all requests under them have
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -38,12 +38,12 @@
 
 func TestDomainStarts(t *testing.T) {
 	tests := map[string]layout{
-		"checking":          stableLayout(3, 3, 0),
-		"one instance":      stableLayout(1, 1, 0),
-		"one voter":         stableLayout(2, 1, 2),
-		"none checks":       stableLayout(3, 0, 3),
-		"checking and not":  stableLayout(3, 3, 2),
-		"many of all kinds": stableLayout(5, 7, 5),
+		"all servers check grants":  stableLayout(3, 3, 0),
+		"one instance":              stableLayout(1, 1, 0),
+		"one voter":                 stableLayout(2, 1, 2),
+		"no server checks grants":   stableLayout(3, 0, 3),
+		"some servers check grants": stableLayout(3, 3, 2),
+		"many of both kinds":        stableLayout(5, 7, 5),
 	}
 	for name, l := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/naive_test.go
+++ b/internal/leader/naive_test.go
@@ -85,9 +85,9 @@
 	return false
 }
 
-// TestNaiveLeaderDoubles shows that the schedules are hard enough: on most of them, the naive
-// leader lets two servers own a hash at once, while the core never does.
-func TestNaiveLeaderDoubles(t *testing.T) {
+// TestNaiveLeaderHasTwoOwners shows that the schedules are hard enough: on most of them the
+// naive leader lets two servers own a hash at once, while the core never does.
+func TestNaiveLeaderHasTwoOwners(t *testing.T) {
 	is := is.New(t)
 	doubled, schedules := 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
--- a/internal/leader/prevote.go
+++ b/internal/leader/prevote.go
@@ -6,8 +6,8 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// preVote asks the voters, without a term, whether they still get exchanges from a leader. It
-// corresponds to the pre-vote of Raft.
+// preVote is a round of asking the voters, without a term, whether they still get exchanges
+// from a leader. It corresponds to the pre-vote of Raft.
 //
 // Without it, two instances that cannot reach each other but reach the servers would take the
 // voters from each other in turn. No leader would last long enough to move the ranges of a
@@ -52,8 +52,8 @@
 // handlePreVote counts a voter that misses its leader, and claims a term when such voters are
 // a majority of every voter set.
 func (c *Core) handlePreVote(ev Answered) {
-	s := c.preVote
-	if s == nil || ev.Gate != "" || ev.AskedAt < s.askedAt {
+	p := c.preVote
+	if p == nil || ev.Gate != "" || ev.AskedAt < p.askedAt {
 		return
 	}
 	a := ev.Answer
@@ -61,19 +61,19 @@
 	if a.LedAt != 0 && a.Clock-a.LedAt < grant.Instant(missedExchanges*c.config.ExchangeInterval) {
 		return
 	}
-	s.leaderless[ev.Server] = true
-	if !slices.ContainsFunc(c.voterSets, func(e voterSet) bool { return !s.majorityOf(e) }) {
+	p.leaderless[ev.Server] = true
+	if !slices.ContainsFunc(c.voterSets, func(voters voterSet) bool { return !p.majorityOf(voters) }) {
 		c.preVote = nil
 		c.claimTerm()
 	}
 }
 
-func (s *preVote) majorityOf(e voterSet) bool {
+func (p *preVote) majorityOf(voters voterSet) bool {
 	n := 0
-	for name := range e {
-		if s.leaderless[name] {
+	for name := range voters {
+		if p.leaderless[name] {
 			n++
 		}
 	}
-	return n > len(e)/2
+	return n > len(voters)/2
 }
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -10,7 +10,7 @@
 
 // publish builds the routing table and emits it if it has changed. A new leader waits until
 // all holders have answered, or for two exchange intervals, so that its first table does not
-// drop owners that have not been asked yet.
+// drop owners whose answers have not arrived yet.
 func (c *Core) publish() {
 	l := c.lead
 	if l.published == nil && c.now < l.wonAt+2*Time(c.config.ExchangeInterval) && !c.allAnswered() {
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -22,37 +22,38 @@
 	maxLast []uint64
 }
 
-// reconcile proposes range sets to holders that differ from the targets. A new set leaves out
-// the ranges that other holders should have, and adds those target ranges that no other
-// holder may act on any more. It takes several rounds to move a range.
+// reconcile proposes new range sets to the holders whose sets differ from the targets. A new
+// set leaves out the ranges that other holders should have, and adds the target ranges that
+// no other holder may act on. So moving a range takes two sets: the old owner must first
+// acknowledge one without the range and finish its requests.
 func (c *Core) reconcile() {
 	for _, s := range c.services {
 		if !s.Divided {
 			continue
 		}
-		members := c.holdersOf(s)
+		holders := c.holdersOf(s)
 		if c.lead.sawOtherTerm {
-			markSuperseded(members)
+			markSuperseded(holders)
 		}
 		if c.now <= c.movesAllowedAt() || len(c.lead.targets[s.Name]) == 0 && len(s.Homes) > 0 {
 			continue
 		}
-		c.adjustAll(s, members)
+		c.adjustAll(s, holders)
 	}
 	c.lead.sawOtherTerm = false
 }
 
 // adjustAll proposes sets to the holders that do not have their targets. There are usually
 // few or none of them, so the claims are indexed only when there is one.
-func (c *Core) adjustAll(s *service, members []*holder) {
+func (c *Core) adjustAll(s *service, holders []*holder) {
 	var all *claimIndex
 	wanted := c.targetRanges(s)
-	for _, h := range members {
+	for _, h := range holders {
 		if slices.Equal(wanted[h.holderID], h.expectedRanges()) {
 			continue
 		}
 		if all == nil {
-			all = c.indexClaims(s, members)
+			all = c.indexClaims(s, holders)
 		}
 		c.adjust(s, h, wanted[h.holderID], all)
 	}
@@ -60,25 +61,25 @@
 
 // holdersOf returns the holders that may own ranges of a service, in the order of their names.
 func (c *Core) holdersOf(s *service) []*holder {
-	var members []*holder
+	var holders []*holder
 	for _, h := range c.lead.sortedHolders() {
 		if h.service == s.Name && h.ownsRanges {
-			members = append(members, h)
+			holders = append(holders, h)
 		}
 	}
-	return members
+	return holders
 }
 
 // targetRanges returns the target ranges of a service by holder.
 func (c *Core) targetRanges(s *service) map[holderID][]keys.Range {
-	seats := make(map[string]holderID, len(s.Servers))
+	ids := make(map[string]holderID, len(s.Servers))
 	for _, b := range s.Servers {
-		seats[b.Name] = c.currentHolder(b)
+		ids[b.Name] = c.currentHolder(b)
 	}
-	wanted := make(map[holderID][]keys.Range, len(seats))
+	wanted := make(map[holderID][]keys.Range, len(ids))
 	for _, t := range c.lead.targets[s.Name] {
-		at := seats[t.Server]
-		wanted[at] = append(wanted[at], t.Range)
+		id := ids[t.Server]
+		wanted[id] = append(wanted[id], t.Range)
 	}
 	return wanted
 }
@@ -108,10 +109,10 @@
 	c.lead.urgentHolders = append(c.lead.urgentHolders, h)
 }
 
-func (c *Core) indexClaims(s *service, members []*holder) *claimIndex {
+func (c *Core) indexClaims(s *service, holders []*holder) *claimIndex {
 	all := new(claimIndex)
 	pending := !c.config.mutated(mutIgnorePending)
-	for _, h := range members {
+	for _, h := range holders {
 		all.add(h, pending)
 	}
 	for _, h := range c.lead.retired {
@@ -120,10 +121,10 @@
 		}
 	}
 	slices.SortFunc(all.list, func(a, b rangeClaim) int { return cmp.Compare(a.First, b.First) })
-	reach := uint64(0)
+	maxLast := uint64(0)
 	for _, cl := range all.list {
-		reach = max(reach, cl.Last)
-		all.maxLast = append(all.maxLast, reach)
+		maxLast = max(maxLast, cl.Last)
+		all.maxLast = append(all.maxLast, maxLast)
 	}
 	return all
 }
@@ -134,9 +135,9 @@
 	}
 }
 
-// conflicts returns the claims that overlap a range and that keep it from being granted to a
-// holder, sorted by first hash: those of other holders, and the ranges that the holder has
-// or is about to have.
+// conflicts returns the claims on a range that keep it from being added to the set of a holder,
+// sorted by first hash: those of other holders, and the ranges that are in the set already.
+// A holder may get back a range that it is only draining.
 func (a *claimIndex) conflicts(h *holder, r keys.Range) []keys.Range {
 	var taken []keys.Range
 	start := sort.Search(len(a.maxLast), func(i int) bool { return a.maxLast[i] >= r.First })
@@ -153,9 +154,9 @@
 
 // markSuperseded marks the holders whose set overlaps a newer grant of another holder. Former
 // leaders may have left such grants behind. The older grant is not renewed.
-func markSuperseded(members []*holder) {
+func markSuperseded(holders []*holder) {
 	var live []rangeClaim
-	for _, h := range members {
+	for _, h := range holders {
 		h.superseded = false
 		if !h.live {
 			continue
--- a/internal/leader/targets.go
+++ b/internal/leader/targets.go
@@ -148,11 +148,11 @@
 
 // removeRange returns the parts of sorted ranges that one range does not cover.
 func removeRange(ranges []keys.Range, gone keys.Range) []keys.Range {
-	var left []keys.Range
+	var rest []keys.Range
 	for _, r := range ranges {
-		left = append(left, subtract(r, []keys.Range{gone})...)
+		rest = append(rest, subtract(r, []keys.Range{gone})...)
 	}
-	return left
+	return rest
 }
 
 // formerOwners returns the owners that the log or the former table has and that accept ranges,
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -23,7 +23,7 @@
 type leadership struct {
 	term      grant.Term
 	startedAt Time
-	// wonAt is when a majority first followed this term. It is zero before.
+	// wonAt is when a majority of every voter set first followed this term. It is zero before.
 	wonAt Time
 	votes map[string]*vote
 	// cachedQuorumAskedAt caches quorumAskedAt. quorumStale says that votes have changed since.
@@ -32,16 +32,21 @@
 
 	holders map[holderID]*holder
 	// retired are holders that are not asked any more but may still act on their ranges.
-	retired    []*holder
-	sequence   uint64
+	retired []*holder
+	// sequence is that of the newest epoch of this term.
+	sequence uint64
+	// exchangeAt and placeAt are when the next exchange with all holders and the next placement
+	// are due. placedAt is when the last placement was.
 	exchangeAt Time
 	placeAt    Time
 	placedAt   Time
-	targets    map[string][]place.Target
+	// targets has the newest placement by service.
+	targets map[string][]place.Target
 	// rangesDirty says that range sets may have to change, tableDirty that the routing table may
 	// have to, and sawOtherTerm that a holder has reported a grant of another term.
-	rangesDirty   bool
-	sawOtherTerm  bool
+	rangesDirty  bool
+	sawOtherTerm bool
+	// reconcileAt and publishAt are the earliest times of the next passes over all ranges.
 	reconcileAt   Time
 	publishAt     Time
 	urgentHolders []*holder
@@ -49,13 +54,15 @@
 	// movesAllowed says that the time movesAllowedAt has passed.
 	movesAllowed bool
 	// confirmedHeld has the ranges that noteConfirmedHeld took in, by service.
-	confirmedHeld  map[string][]keys.Range
-	tableDirty     bool
-	published      *route.Table
+	confirmedHeld map[string][]keys.Range
+	tableDirty    bool
+	published     *route.Table
+	// pendingRecords has the unacknowledged record of each service.
 	pendingRecords map[string]pendingRecord
 	recordAt       Time
 	recordSerial   uint64
-	recorded       map[string]recorded
+	// recorded has the acknowledged grant of each server.
+	recorded map[string]recorded
 }
 
 // vote is what is known of one voter in this term.
@@ -98,6 +105,7 @@
 	c.exchangeAll()
 }
 
+// stepDown ends the leadership or candidacy, if there is one.
 func (c *Core) stepDown(reason string) {
 	if c.lead == nil {
 		return
@@ -169,7 +177,7 @@
 }
 
 func (c *Core) isVoter(server string) bool {
-	return slices.ContainsFunc(c.voterSets, func(e voterSet) bool { return e[server] })
+	return slices.ContainsFunc(c.voterSets, func(voters voterSet) bool { return voters[server] })
 }
 
 // quorumAskedAt returns the latest time such that a majority of every voter set was asked then
@@ -181,8 +189,8 @@
 	}
 	l.quorumStale = false
 	l.cachedQuorumAskedAt = c.quorumAskedAtOf(c.voterSets[0])
-	for _, e := range c.voterSets[1:] {
-		l.cachedQuorumAskedAt = min(l.cachedQuorumAskedAt, c.quorumAskedAtOf(e))
+	for _, voters := range c.voterSets[1:] {
+		l.cachedQuorumAskedAt = min(l.cachedQuorumAskedAt, c.quorumAskedAtOf(voters))
 	}
 	return l.cachedQuorumAskedAt
 }
@@ -190,15 +198,15 @@
 // distantPast is earlier than every time of the clock.
 const distantPast = Time(-1 << 62)
 
-func (c *Core) quorumAskedAtOf(e voterSet) Time {
+func (c *Core) quorumAskedAtOf(voters voterSet) Time {
 	var asked []Time
-	for name := range e {
+	for name := range voters {
 		v := c.lead.votes[name]
 		if v != nil && v.counted {
 			asked = append(asked, v.askedAt)
 		}
 	}
-	majority := len(e)/2 + 1
+	majority := len(voters)/2 + 1
 	if c.config.mutated(mutOneVote) {
 		majority = 1
 	}
