--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -80,13 +80,13 @@
 	}
 	w.advance(lossTime + 500*ms + Time(w.random.Int64N(int64(200*ms))))
 	leader := w.leading()
-	concerned, before := w.hashes, make(map[uint64]string)
+	affected, before := w.hashes, make(map[uint64]string)
 	for _, hash := range w.hashes {
 		before[hash] = ownerIn(leader.core.Table(), hash)
 	}
 	if lost.server || lost.gate {
 		victim := w.servers[len(w.servers)-1].name
-		concerned = slices.DeleteFunc(slices.Clone(w.hashes), func(h uint64) bool { return before[h] != victim })
+		affected = slices.DeleteFunc(slices.Clone(w.hashes), func(h uint64) bool { return before[h] != victim })
 		if !w.injectLoss(victim, lost) {
 			return nil
 		}
@@ -97,7 +97,7 @@
 	if lost.leader {
 		w.kill(leader)
 	}
-	return w.outages(concerned, before)
+	return w.outages(affected, before)
 }
 
 // injectLoss ends a server, or its gate if that is not the leader. It reports whether it ended
@@ -116,21 +116,21 @@
 	return false
 }
 
-func (w *world) outages(concerned []uint64, before map[uint64]string) []outage {
-	lost := w.now
-	gone := make(map[uint64]Time)
-	for w.now < lost+observationTime {
-		for _, hash := range concerned {
+func (w *world) outages(affected []uint64, before map[uint64]string) []outage {
+	lostAt := w.now
+	usableAfter := make(map[uint64]Time)
+	for w.now < lostAt+observationTime {
+		for _, hash := range affected {
 			if !w.usable(hash) {
-				gone[hash] = w.now + sampleInterval - lost
+				usableAfter[hash] = w.now + sampleInterval - lostAt
 			}
 		}
 		w.advance(w.now + sampleInterval)
 	}
 	var result []outage
 	table := w.leading().core.Table()
-	for _, hash := range concerned {
-		result = append(result, outage{duration: gone[hash], moved: ownerIn(table, hash) != before[hash]})
+	for _, hash := range affected {
+		result = append(result, outage{duration: usableAfter[hash], moved: ownerIn(table, hash) != before[hash]})
 	}
 	return result
 }
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -11,20 +11,20 @@
 // longestOutage advances the world to a time and returns the longest time for which a hash was
 // not usable.
 func (w *world) longestOutage(until Time) Time {
-	gone := make(map[uint64]Time)
-	worst := Time(0)
+	unusableFor := make(map[uint64]Time)
+	longest := Time(0)
 	for w.now < until && w.failure == "" {
 		w.advance(w.now + sampleInterval)
 		for _, hash := range w.hashes {
 			if w.usable(hash) {
-				gone[hash] = 0
+				unusableFor[hash] = 0
 				continue
 			}
-			gone[hash] += sampleInterval
-			worst = max(worst, gone[hash])
+			unusableFor[hash] += sampleInterval
+			longest = max(longest, unusableFor[hash])
 		}
 	}
-	return worst
+	return longest
 }
 
 // tableOwners returns the owner of each hash in the table of the leader.
@@ -84,8 +84,8 @@
 			before := w.tableOwners()
 			old := w.leading()
 			old.handle(Stopping{})
-			worst := w.longestOutage(9000 * ms)
-			is.Equal(worst, Time(0))
+			longest := w.longestOutage(9000 * ms)
+			is.Equal(longest, Time(0))
 			is.True(w.leading() != nil && w.leading() != old)
 			is.Equal(w.tableOwners(), before) // no churn
 			for _, g := range w.leading().core.Table().Gates {
@@ -112,8 +112,8 @@
 			for _, n := range w.instances {
 				n.handle(Configured{Version: 2, Services: w.services()})
 			}
-			worst := w.longestOutage(9000 * ms)
-			is.True(worst <= 10*ms)
+			longest := w.longestOutage(9000 * ms)
+			is.True(longest <= 10*ms)
 			for _, server := range w.tableOwners() {
 				is.True(server != "" && server != "s03")
 			}
--- a/internal/leader/holder_test.go
+++ b/internal/leader/holder_test.go
@@ -10,7 +10,7 @@
 // guard of it.
 type simHolder struct {
 	w       *world
-	process *machine
+	machine *machine
 	real    *grant.Holder
 	fence   grant.Term
 	// exchanges counts the exchanges whose grant was accepted.
@@ -25,7 +25,7 @@
 		Clock:       func() grant.Instant { return grant.Instant(m.clock(w.now)) },
 		MaxLease:    1250 * time.Millisecond,
 	}
-	return &simHolder{w: w, process: m, real: grant.NewHolder(config)}
+	return &simHolder{w: w, machine: m, real: grant.NewHolder(config)}
 }
 
 func (h *simHolder) owns(hash uint64) bool {
@@ -38,9 +38,9 @@
 }
 
 func (h *simHolder) exchange(x grant.Exchange) grant.Answer {
-	asked := x.Term
-	asks := x.Term == (grant.Term{})
-	if h.w.mutation == mutNoFence && !asks && x.Term.Compare(h.fence) < 0 {
+	term := x.Term
+	isPreVote := x.Term == (grant.Term{})
+	if h.w.mutation == mutNoFence && !isPreVote && x.Term.Compare(h.fence) < 0 {
 		x.Term = h.fence
 	}
 	if x.Grant != nil {
@@ -48,10 +48,10 @@
 		x.Grant = &g
 		switch h.w.mutation {
 		case mutLeaseFromReceipt:
-			g.Deadline = grant.Instant(h.process.clock(h.w.now)) + grant.Instant(time.Second)
+			g.Deadline = grant.Instant(h.machine.clock(h.w.now)) + grant.Instant(time.Second)
 			x.Grant = &g
 		case mutIgnoreIncarnation:
-			g.Incarnation = h.process.incarnation
+			g.Incarnation = h.machine.incarnation
 			x.Grant = &g
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	switch h.w.mutation {
 	case mutNoFence:
-		a.Fence = asked
+		a.Fence = term
 	case mutYoungVotes:
 		a.Voting = true
 	case mutHideDraining:
@@ -79,5 +79,5 @@
 	mutYoungVotes        mutation = "young-server-votes"
 	mutHideDraining      mutation = "drain-not-stated"
 	mutLateWork          mutation = "work-not-rechecked"
-	mutSendBefore        mutation = "send-before-not-rechecked"
+	mutLateSend          mutation = "send-before-not-rechecked"
 )
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -143,7 +143,7 @@
 }
 
 func (n *simInstance) sendExchange(e Send) {
-	if n.clock(n.w.now) > e.SendBefore && n.w.mutation != mutSendBefore {
+	if n.clock(n.w.now) > e.SendBefore && n.w.mutation != mutLateSend {
 		return
 	}
 	generation := n.generation
--- a/internal/leader/schedule_test.go
+++ b/internal/leader/schedule_test.go
@@ -87,43 +87,43 @@
 }
 
 func (w *world) injectFault() {
-	last := Time(w.random.Int64N(int64(2500 * ms)))
+	duration := Time(w.random.Int64N(int64(2500 * ms)))
 	server := w.servers[w.random.IntN(len(w.servers))]
 	instance := w.instances[w.random.IntN(len(w.instances))]
 	switch w.random.IntN(17) {
 	case 0, 1:
-		w.cut(w.anyName(), w.anyName(), last, false)
+		w.cut(w.anyName(), w.anyName(), duration, false)
 	case 2:
-		w.cut(w.anyName(), w.anyName(), last, true)
+		w.cut(w.anyName(), w.anyName(), duration, true)
 	case 3:
-		w.isolate(w.anyName(), last)
+		w.isolate(w.anyName(), duration)
 	case 4:
-		server.pausedTo = max(server.pausedTo, w.now+last)
+		server.pausedTo = max(server.pausedTo, w.now+duration)
 	case 5:
-		instance.pausedTo = max(instance.pausedTo, w.now+last)
+		instance.pausedTo = max(instance.pausedTo, w.now+duration)
 	case 6, 7:
 		w.boot(server)
 	case 8:
-		w.crash(server, last)
+		w.crash(server, duration)
 	case 9:
-		w.crashInstance(instance, last)
+		w.crashInstance(instance, duration)
 	case 10:
-		w.log.downTo = max(w.log.downTo, w.now+2*last)
+		w.log.downTo = max(w.log.downTo, w.now+2*duration)
 	case 11, 12:
-		w.partitionAtRandom(last)
+		w.partitionAtRandom(duration)
 	case 13:
 		w.suspectLeader(instance)
 	case 14:
-		w.partitionAtRandom(last)
+		w.partitionAtRandom(duration)
 		w.suspectLeader(instance)
 	case 15, 16:
-		w.slowUntil[instance.name] = w.now + last
+		w.slowUntil[instance.name] = w.now + duration
 	}
 }
 
 // partitionAtRandom divides the servers and instances into two random parts and cuts all
 // connections between them.
-func (w *world) partitionAtRandom(last Time) {
+func (w *world) partitionAtRandom(duration Time) {
 	half := func(int) bool { return w.random.IntN(2) == 0 }
 	var left, right []string
 	for i, m := range w.allMachines() {
@@ -135,7 +135,7 @@
 	}
 	for _, a := range left {
 		for _, b := range right {
-			w.cut(a, b, last, true)
+			w.cut(a, b, duration, true)
 		}
 	}
 }
@@ -166,39 +166,39 @@
 	return all[i].name
 }
 
-func (w *world) cut(from, to string, last Time, both bool) {
-	w.cutUntil[[2]string{from, to}] = w.now + last
+func (w *world) cut(from, to string, duration Time, both bool) {
+	w.cutUntil[[2]string{from, to}] = w.now + duration
 	if both {
-		w.cutUntil[[2]string{to, from}] = w.now + last
+		w.cutUntil[[2]string{to, from}] = w.now + duration
 	}
 }
 
-func (w *world) isolate(name string, last Time) {
+func (w *world) isolate(name string, duration Time) {
 	for _, m := range w.allMachines() {
-		w.cut(name, m.name, last, true)
+		w.cut(name, m.name, duration, true)
 	}
-	w.cut(name, "log", last, true)
+	w.cut(name, "log", duration, true)
 }
 
-func (w *world) crash(m *machine, last Time) {
+func (w *world) crash(m *machine, duration Time) {
 	if m.down {
 		return
 	}
 	m.down = true
-	w.after(last, func() {
+	w.after(duration, func() {
 		if m.down {
 			w.boot(m)
 		}
 	})
 }
 
-func (w *world) crashInstance(n *simInstance, last Time) {
+func (w *world) crashInstance(n *simInstance, duration Time) {
 	if n.down {
 		return
 	}
 	n.down = true
 	n.generation++
-	w.after(last, func() {
+	w.after(duration, func() {
 		if n.down {
 			n.restart()
 		}
--- a/internal/leader/world_test.go
+++ b/internal/leader/world_test.go
@@ -32,8 +32,10 @@
 	instances    []*simInstance
 	log          *simLog
 	gateRequests []gateRequest
-	cutUntil     map[[2]string]Time
-	slowUntil    map[string]Time
+	// cutUntil has the ends of cuts by sender and receiver, slowUntil those of slow links by
+	// receiver.
+	cutUntil  map[[2]string]Time
+	slowUntil map[string]Time
 	// starting is the instance that is being started. processes has incarnations that a script
 	// compares with.
 	starting  *simInstance
@@ -44,10 +46,12 @@
 	extraDelay func(from, to string) Time
 	// maxFaultGap is the maximum time between two faults of a random schedule.
 	maxFaultGap Time
+	// hashes are the samples whose owners are checked.
 	hashes      []uint64
 	homes       []keys.Range
 	oneWayDelay Time
-	jitter      bool
+	// jitter lets messages be late, doubled or lost, and instances be paused.
+	jitter bool
 
 	failure  string
 	messages int
@@ -63,9 +67,12 @@
 // layout describes the instances and servers of a world.
 type layout struct {
 	instances int
+	// checking and unchecked are the numbers of servers that check grants and that do not.
 	checking  int
 	unchecked int
-	leaving   string
+	// leaving is the name of the server that is marked as leaving, if any.
+	leaving string
+	// isolation gives the service the isolation rule move if it is not empty.
 	isolation string
 	// voters says which servers vote; nil means those that check.
 	voters func(server string) bool
