--- a/internal/leader/cold_test.go
+++ b/internal/leader/cold_test.go
@@ -8,24 +8,27 @@
 	"example.org/mustardring/internal/place"
 )
 
-// watchingPlacer keeps the view that another placer was given last.
-type watchingPlacer struct {
+// recordingPlacer records the last view that another placer was given.
+type recordingPlacer struct {
 	place.Placer
-	seen *place.View
+	lastView *place.View
 }
 
-func (p watchingPlacer) Place(v place.View) []place.Target {
-	*p.seen = v
+func (p recordingPlacer) Place(v place.View) []place.Target {
+	*p.lastView = v
 	return p.Placer.Place(v)
 }
 
-// A server restarts and is given its whole share at once. Its caches are cold, every request
-// takes ten times as long, and it sheds most of them. The placer is told until when.
+// A restarted server that gets its whole share at once sheds most requests: its caches are
+// cold and each request takes ten times as long. So the view of the placer must say until
+// when the server is cold.
 func TestRestartedServerIsCold(t *testing.T) {
 	is := is.New(t)
 	var seen place.View
-	l := quiet(1, 3, 0)
-	l.placer = func(*world) place.Placer { return watchingPlacer{Placer: &slicePlacer{slices: 8}, seen: &seen} }
+	l := stableLayout(1, 3, 0)
+	l.placer = func(*world) place.Placer {
+		return recordingPlacer{Placer: &slicePlacer{slicesPerHome: 8}, lastView: &seen}
+	}
 	w := newWorld(1, l, "")
 	w.startAll()
 	w.advance(6000 * ms)
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -9,8 +9,9 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Core is one instance's part in leading its failure domain: a follower that watches the
-// leader, or the leader that places ranges. It is not safe for concurrent use.
+// Core is the state of one instance in the leadership of its failure domain: it follows the
+// leader and succeeds it when it is lost, or is itself a candidate or the leader, which
+// assigns ranges to servers. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	placer  place.Placer
@@ -18,39 +19,42 @@
 	started bool
 	effects []Effect
 
-	version     uint64
-	services    []*service
-	electorates []electorate
-	peers       map[string]peer
-	listed      map[string]bool
-	log         logView
-	// known is the highest term heard of.
-	known grant.Term
-	// hint is the newest routing table of another leader of the domain.
-	hint route.Table
-	// gates names the gate of each server by the server's name.
+	bundleVersion   uint64
+	services        []*service
+	voterSets       []voterSet
+	peers           map[string]peer
+	listedInstances map[string]bool
+	log             logView
+	// highestTerm is the highest term that this instance has seen.
+	highestTerm grant.Term
+	// formerTable is the newest routing table of another leader of the domain.
+	formerTable route.Table
+	// gates has the instance that is the gate of each server, by the server's name.
 	gates map[string]string
 
-	// leaderAt is when a leader of the domain was last heard, or may be hoped for since.
-	leaderAt Time
-	leader   string
-	// resigned says that the last leader said itself that it leads no more.
-	resigned bool
-	survey   *survey
-	claim    *claim
-	lead     *leadership
-	stopping bool
+	// leaderHeardAt is when the leader was last heard, or when this instance last began to
+	// wait for a leader: at its start, when it stepped down, or when the log had a new term.
+	leaderHeardAt Time
+	leader        string
+	// resigned says that the last leader announced that it no longer leads.
+	resigned  bool
+	preVote   *preVote
+	termClaim *termClaim
+	lead      *leadership
+	stopping  bool
 	// homesFence is the highest value of the homes fence that this instance knows.
 	homesFence uint64
 }
 
 // logView is what this instance knows of the log.
 type logView struct {
+	// readAt is when the newest successful read began.
 	readAt   Time
-	read     bool
-	away     bool
-	term     fold.Term
-	assigned map[string]fold.Assigned
+	everRead bool
+	// unavailable says that a call of the log has failed since it was last read.
+	unavailable bool
+	term        fold.Term
+	assigned    map[string]fold.Assigned
 }
 
 // peer is another instance of the domain.
@@ -59,56 +63,59 @@
 	leaving bool
 }
 
-// New returns a core that follows.
+// New returns the core of an instance that follows. The placer computes the wanted owners of
+// ranges when the instance leads.
 func New(config Config, placer place.Placer) *Core {
 	return &Core{
-		config: config,
-		placer: placer,
-		peers:  make(map[string]peer),
-		listed: make(map[string]bool),
-		gates:  make(map[string]string),
+		config:          config,
+		placer:          placer,
+		peers:           make(map[string]peer),
+		listedInstances: make(map[string]bool),
+		gates:           make(map[string]string),
 	}
 }
 
-// Handle takes an event that happened at a time and returns what is to be done about it, in
-// order. The effects belong to the caller. Times must not decrease.
+// Handle processes an event that happened at the time now, and returns the effects that the
+// driver must carry out, in order. The caller owns the returned slice. Times must not
+// decrease: an earlier time counts as the latest one so far.
 func (c *Core) Handle(now Time, ev Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = nil
 	if !c.started {
 		c.started = true
-		c.leaderAt = c.now
+		c.leaderHeardAt = c.now
 	}
-	c.checkAuthority()
+	c.checkQuorum()
 	switch ev := ev.(type) {
 	case Ticked:
 		c.tick()
 	case Configured:
 		c.configure(ev)
 	case Answered:
-		c.answered(ev)
-	case Folded:
-		c.folded(ev)
+		c.handleAnswer(ev)
+	case LogRead:
+		c.handleLogRead(ev)
 	case LogFailed:
-		c.log.away = true
+		c.log.unavailable = true
 	case Appended:
-		c.appended(ev)
-	case PeerHeard:
-		c.peerHeard(ev)
-	case Routed:
-		c.routed(ev)
+		c.handleAppended(ev)
+	case Heartbeat:
+		c.handleHeartbeat(ev)
+	case TableReceived:
+		c.handleTable(ev)
 	case Listed:
-		c.list(ev)
+		c.handleListed(ev)
 	case Measured:
-		c.measured(ev)
+		c.handleMeasured(ev)
 	case Stopping:
 		c.stop()
 	}
-	c.settle()
+	c.runDueWork()
 	return c.effects
 }
 
-// Table returns the routing table that this instance published last as leader, or nil.
+// Table returns the routing table that this instance last published in its present term, or
+// nil if it does not lead or has published none.
 func (c *Core) Table() *route.Table {
 	if c.lead == nil || c.lead.published == nil {
 		return nil
@@ -116,13 +123,13 @@
 	return c.lead.published
 }
 
-// Heartbeat returns what this instance tells its peers about itself.
-func (c *Core) Heartbeat() PeerHeard {
-	return PeerHeard{
+// Heartbeat returns the heartbeat that this instance sends to its peers.
+func (c *Core) Heartbeat() Heartbeat {
+	return Heartbeat{
 		Name:        c.config.Name,
 		Incarnation: c.config.Incarnation,
 		Leading:     c.lead != nil && c.lead.won(),
-		Term:        c.known,
+		Term:        c.highestTerm,
 		Leaving:     c.stopping,
 	}
 }
@@ -139,46 +146,48 @@
 	c.tickLeader()
 }
 
-// settle does what the changes of one event make due.
-func (c *Core) settle() {
+// runDueWork runs the work of a leader that has become due by the event just handled or by
+// the time that has passed.
+func (c *Core) runDueWork() {
 	l := c.lead
 	if l == nil || !l.won() {
 		return
 	}
 	c.place()
-	if l.dirty && c.now >= l.reconcileAt {
-		l.dirty = false
-		l.reconcileAt = c.now + l.spacing()
+	if l.rangesDirty && c.now >= l.reconcileAt {
+		l.rangesDirty = false
+		l.reconcileAt = c.now + l.minPassInterval()
 		c.reconcile()
 	}
 	c.exchangeDue()
-	c.exchangePrompted()
+	c.exchangeUrgent()
 	if l.tableDirty && c.now >= l.publishAt {
-		l.publishAt = c.now + l.spacing()
+		l.publishAt = c.now + l.minPassInterval()
 		c.publish()
 	}
 }
 
-// costPerRange bounds the processor time that work over all ranges takes when many servers
-// answer at once. With few ranges it is shorter than a round trip.
-const costPerRange = Time(2 * time.Microsecond)
+// passIntervalPerRange times the number of ranges is the minimum interval between two passes
+// over all ranges. It bounds the processor time that passes take when many servers answer at
+// once. With few ranges the interval is shorter than a round trip.
+const passIntervalPerRange = Time(2 * time.Microsecond)
 
-// spacing returns the least time between two passes over all ranges.
-func (l *leadership) spacing() Time {
+// minPassInterval returns the minimum interval between two passes over all ranges.
+func (l *leadership) minPassInterval() Time {
 	if l.published == nil {
 		return 0
 	}
-	return costPerRange * Time(len(l.published.Owners))
+	return passIntervalPerRange * Time(len(l.published.Owners))
 }
 
-func (c *Core) routed(ev Routed) {
-	if c.hint.Term.Compare(ev.Table.Term) <= 0 {
-		c.hint = ev.Table
+func (c *Core) handleTable(ev TableReceived) {
+	if c.formerTable.Term.Compare(ev.Table.Term) <= 0 {
+		c.formerTable = ev.Table
 	}
 }
 
 func (c *Core) stop() {
 	c.stopping = true
-	c.claim, c.survey = nil, nil
+	c.termClaim, c.preVote = nil, nil
 	c.stepDown(reasonStopping)
 }
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -8,69 +8,78 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// missedHeartbeats is the number of periods after which a silent peer counts as lost.
-const missedHeartbeats = 3
+// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a
+// peer counts as lost.
+const maxMissedHeartbeats = 3
 
-// claim is a claim of a term that waits for the log.
-type claim struct {
+// termClaim is a claim of the term after the log term follows. It waits for the log to accept
+// it, until the deadline.
+type termClaim struct {
 	follows  uint64
 	deadline Time
 }
 
-// tickFollower begins to succeed the leader when it was not heard for long enough. Instances
-// wait in the order of their names, so that mostly one claims.
+// tickFollower starts an election when no leader was heard for long enough. Each instance
+// waits longer than those before it in the order of names, so that usually only one claims a
+// term.
 func (c *Core) tickFollower() {
 	if c.stopping || len(c.services) == 0 {
 		return
 	}
-	if c.claim != nil {
-		if c.now >= c.claim.deadline || c.log.away {
+	if c.termClaim != nil {
+		if c.now >= c.termClaim.deadline || c.log.unavailable {
 			c.beginWithoutLog()
 		}
 		return
 	}
-	wait := missedHeartbeats*c.heartbeat() + Time(c.rank())*c.heartbeat()
-	if c.now < c.leaderAt+wait {
+	wait := maxMissedHeartbeats*c.heartbeatInterval() + Time(c.rank())*c.heartbeatInterval()
+	if c.now < c.leaderHeardAt+wait {
 		return
 	}
 	switch {
 	case c.resigned:
 		c.claimTerm()
-	case c.survey == nil || c.now >= c.survey.deadline:
-		c.beginSurvey()
+	case c.preVote == nil || c.now >= c.preVote.deadline:
+		c.startPreVote()
 	}
 }
 
+// claimTerm appends a claim of the next term to the log, or begins a term without the log
+// when that is unavailable.
 func (c *Core) claimTerm() {
-	if c.log.away || !c.log.read {
+	if c.log.unavailable || !c.log.everRead {
 		c.beginWithoutLog()
 		return
 	}
-	c.claim = &claim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimWait)}
+	c.termClaim = &termClaim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimTimeout)}
 	c.emit(Append{
-		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.claim.follows, c.config.Name, c.config.Incarnation),
+		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.termClaim.follows, c.config.Name, c.config.Incarnation),
 		Record: record.TermClaimed{
 			Domain:      c.config.Domain,
-			Follows:     c.claim.follows,
+			Follows:     c.termClaim.follows,
 			Instance:    c.config.Name,
 			Incarnation: c.config.Incarnation,
 		},
 	})
 }
 
-// beginWithoutLog starts a sub-term. It is no more than a candidacy: the voters decide.
+// beginWithoutLog begins a sub-term of the highest known term. This makes the instance only a
+// candidate: the voters decide.
 func (c *Core) beginWithoutLog() {
-	c.begin(grant.Term{Log: c.known.Log, Sub: c.known.Sub + 1, Incarnation: c.config.Incarnation})
+	c.beginTerm(grant.Term{Log: c.highestTerm.Log, Sub: c.highestTerm.Sub + 1, Incarnation: c.config.Incarnation})
 }
 
-func (c *Core) folded(ev Folded) {
+// handleLogRead takes the state of the log. If a follower finds that the log has accepted its
+// claim, it becomes a candidate in that term. If the log has accepted a claim of another
+// instance, it gives up its own and waits for the other instance to lead.
+func (c *Core) handleLogRead(ev LogRead) {
 	changed := ev.Term != c.log.term
 	c.log.readAt = max(c.log.readAt, ev.ReadAt)
-	c.log.read = true
-	c.log.away = false
+	c.log.everRead = true
+	c.log.unavailable = false
 	c.log.term = ev.Term
 	c.log.assigned = ev.Assigned
-	c.know(grant.Term{Log: ev.Term.Log})
+	c.noteTerm(grant.Term{Log: ev.Term.Log})
 	if c.lead != nil {
 		c.lead.tableDirty = true
 		return
@@ -79,54 +88,58 @@
 		return
 	}
 	if ev.Term.Instance == c.config.Name && ev.Term.Incarnation == c.config.Incarnation {
-		if c.claim != nil {
-			c.begin(grant.Term{Log: ev.Term.Log, Incarnation: c.config.Incarnation})
+		if c.termClaim != nil {
+			c.beginTerm(grant.Term{Log: ev.Term.Log, Incarnation: c.config.Incarnation})
 		}
 		return
 	}
-	c.claim, c.survey = nil, nil
-	c.leaderAt = c.now
+	c.termClaim, c.preVote = nil, nil
+	c.leaderHeardAt = c.now
 }
 
-func (c *Core) know(t grant.Term) {
-	if t.Compare(c.known) > 0 {
-		c.known = t
+// noteTerm raises the highest known term.
+func (c *Core) noteTerm(t grant.Term) {
+	if t.Compare(c.highestTerm) > 0 {
+		c.highestTerm = t
 	}
 }
 
-func (c *Core) peerHeard(ev PeerHeard) {
-	c.know(ev.Term)
+// handleHeartbeat records a heartbeat of a peer. A leader steps down if the peer leads in a
+// higher term. If the peer says that it no longer leads, the wait for missed heartbeats is
+// skipped, so that it is succeeded at once.
+func (c *Core) handleHeartbeat(ev Heartbeat) {
+	c.noteTerm(ev.Term)
 	if ev.Name == c.config.Name {
 		return
 	}
 	c.peers[ev.Name] = peer{heardAt: c.now, leaving: ev.Leaving}
 	switch {
-	case ev.Leading && ev.Term.Compare(c.known) >= 0:
+	case ev.Leading && ev.Term.Compare(c.highestTerm) >= 0:
 		c.leader = ev.Name
-		c.leaderAt = c.now
+		c.leaderHeardAt = c.now
 		c.resigned = false
-		c.claim, c.survey = nil, nil
+		c.termClaim, c.preVote = nil, nil
 		if c.lead != nil && c.lead.term.Compare(ev.Term) < 0 {
-			c.stepDown(reasonPeer)
+			c.stepDown(reasonPeerLeads)
 		}
 	case !ev.Leading && ev.Name == c.leader:
 		c.leader = ""
 		c.resigned = true
-		c.leaderAt = c.now - missedHeartbeats*c.heartbeat()
+		c.leaderHeardAt = c.now - maxMissedHeartbeats*c.heartbeatInterval()
 	}
 }
 
-// alive reports whether an instance was heard lately and is not leaving.
+// alive reports whether an instance sent a heartbeat recently and is not leaving.
 func (c *Core) alive(name string) bool {
 	if name == c.config.Name {
 		return !c.stopping
 	}
 	p, found := c.peers[name]
-	return found && !p.leaving && c.now < p.heardAt+missedHeartbeats*c.heartbeat()
+	return found && !p.leaving && c.now < p.heardAt+maxMissedHeartbeats*c.heartbeatInterval()
 }
 
-// instances returns the names of the instances that are alive, sorted.
-func (c *Core) instances() []string {
+// aliveInstances returns the names of the instances that are alive, sorted.
+func (c *Core) aliveInstances() []string {
 	var names []string
 	for name := range c.peers {
 		if c.alive(name) {
@@ -140,10 +153,11 @@
 	return names
 }
 
+// rank returns the position of this instance among the live instances, sorted by name.
 func (c *Core) rank() int {
-	return max(0, slices.Index(c.instances(), c.config.Name))
+	return max(0, slices.Index(c.aliveInstances(), c.config.Name))
 }
 
-func (c *Core) heartbeat() Time {
-	return Time(c.config.Heartbeat)
+func (c *Core) heartbeatInterval() Time {
+	return Time(c.config.HeartbeatInterval)
 }
--- a/internal/leader/gates.go
+++ b/internal/leader/gates.go
@@ -4,18 +4,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recallGates takes the gates from the table of the former leader, so that a change of leader
-// moves none.
-func (c *Core) recallGates() {
-	for _, g := range c.hint.Gates {
+// adoptFormerGates takes the gates from the table of the former leader, so that a change of
+// leader does not move them.
+func (c *Core) adoptFormerGates() {
+	for _, g := range c.formerTable.Gates {
 		c.gates[g.Server] = g.Instance
 	}
 }
 
-// chooseGates gives every server a gate that is alive and keeps those that are. It reports
-// whether a gate changed.
+// chooseGates keeps the gates that are alive and chooses new ones for the other servers. All
+// servers of an undivided service have the same gate. It reports whether a gate changed.
 func (c *Core) chooseGates() bool {
-	alive := c.instances()
+	alive := c.aliveInstances()
 	changed := false
 	for _, s := range c.services {
 		for _, b := range s.Servers {
@@ -38,7 +38,8 @@
 	return changed
 }
 
-// rendezvous returns the name with the highest hash together with the subject, or "".
+// rendezvous returns the name that rendezvous hashing selects for a subject: the one with the
+// highest hash of subject and name. It returns "" if there are no names.
 func rendezvous(subject string, names []string) string {
 	best, highest := "", uint64(0)
 	for _, name := range names {
@@ -49,49 +50,51 @@
 	return best
 }
 
-// list takes the platform's list. An instance that left it is gone for certain, so nothing
-// that it held back in a pause can still come; requests that it had sent may still run.
-func (c *Core) list(ev Listed) {
-	now := make(map[string]bool, len(ev.Instances))
+// handleListed takes the platform's list. An instance that was removed from it has certainly
+// ended, so it can send no request after a pause. Requests that it had sent may still run.
+func (c *Core) handleListed(ev Listed) {
+	listed := make(map[string]bool, len(ev.Instances))
 	for _, name := range ev.Instances {
-		now[name] = true
+		listed[name] = true
 	}
-	for name := range c.listed {
-		if !now[name] {
+	for name := range c.listedInstances {
+		if !listed[name] {
 			c.instanceGone(name)
 		}
 	}
-	c.listed = now
+	c.listedInstances = listed
 	c.forgetPeers()
 }
 
+// instanceGone removes an instance that has ended. Its grants as a gate still block their
+// ranges, but for no more than the time that requests may run.
 func (c *Core) instanceGone(name string) {
 	delete(c.peers, name)
 	l := c.lead
 	if l == nil {
 		return
 	}
-	for at, h := range l.holdings {
-		if at.via == name && !h.checks {
+	for id, h := range l.holders {
+		if id.gate == name && !h.checksGrants {
 			c.retire(h)
-			delete(l.holdings, at)
+			delete(l.holders, id)
 		}
 	}
 	for _, h := range l.retired {
-		if s := c.serviceOf(h.service); s != nil && h.via == name {
-			h.lingers = min(h.lingers, Time(s.RequestMillis)*1e6)
+		if s := c.serviceOf(h.service); s != nil && h.gate == name {
+			h.drainTime = min(h.drainTime, Time(s.RequestMillis)*1e6)
 		}
 	}
 	c.chooseGates()
-	c.seat()
+	c.updateHolders()
 	c.placeSoon()
 }
 
-// forgetPeers drops instances that were not heard for long, so that the instances of months
-// do not add up.
+// forgetPeers removes peers that have sent no heartbeat for long, so that the map does not
+// grow as instances are replaced over months.
 func (c *Core) forgetPeers() {
 	for name, p := range c.peers {
-		if c.now > p.heardAt+100*missedHeartbeats*c.heartbeat() {
+		if c.now > p.heardAt+100*maxMissedHeartbeats*c.heartbeatInterval() {
 			delete(c.peers, name)
 		}
 	}
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -8,26 +8,27 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// worst advances the world and returns the longest time for which a hash was not usable.
-func (w *world) worst(until Time) Time {
-	gone := make(map[uint64]Time)
-	worst := Time(0)
+// longestOutage advances the world to a time and returns the longest time for which a hash was
+// not usable.
+func (w *world) longestOutage(until Time) Time {
+	unusableFor := make(map[uint64]Time)
+	longest := Time(0)
 	for w.now < until && w.failure == "" {
-		w.advance(w.now + sampleEvery)
+		w.advance(w.now + sampleInterval)
 		for _, hash := range w.hashes {
 			if w.usable(hash) {
-				gone[hash] = 0
+				unusableFor[hash] = 0
 				continue
 			}
-			gone[hash] += sampleEvery
-			worst = max(worst, gone[hash])
+			unusableFor[hash] += sampleInterval
+			longest = max(longest, unusableFor[hash])
 		}
 	}
-	return worst
+	return longest
 }
 
-// ownersBy returns the owner of each hash by the table of the leader.
-func (w *world) ownersBy() map[uint64]string {
+// tableOwners returns the owner of each hash in the table of the leader.
+func (w *world) tableOwners() map[uint64]string {
 	owners := make(map[uint64]string)
 	for _, hash := range w.hashes {
 		owners[hash] = ownerIn(w.leading().core.Table(), hash)
@@ -35,33 +36,34 @@
 	return owners
 }
 
-// Two instances cannot hear each other, but both reach every server. Each takes the voters
-// from the other again and again, and no leader lasts long enough to move the ranges of a
-// server that is lost: its keys stay unavailable for as long as the cut lasts. Voters that
-// hear from a leader keep the other from beginning a term.
+// Two instances cannot reach each other, but both reach every server. Without the pre-vote
+// each takes the voters from the other in turn, and no leader lasts long enough to move the
+// ranges of a lost server: its keys stay unavailable until the cut ends. Voters that get
+// exchanges from a leader keep the other instance from beginning a term.
 func TestCutInstancesDoNotTakeTurns(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, quiet(3, 5, 0), "")
+	w := newWorld(3, stableLayout(3, 5, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	leader := w.leading()
 	term := leader.core.lead.term
 	for _, n := range w.instances {
 		if n != leader {
-			w.part(leader.name, n.name)
+			w.partition(leader.name, n.name)
 			break
 		}
 	}
 	w.advance(8000 * ms)
 	w.servers[1].down = true
 	w.advance(10_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	w.advance(20_000 * ms)
 	is.Equal(w.leading().core.lead.term, term)
 }
 
-// An instance is replaced while it leads. It says so, another succeeds at once by a claim in
-// the log, adopts what the servers hold, and nobody notices.
+// An instance is stopped while it leads. It announces that in its heartbeat. Another instance
+// succeeds it at once, through a claim in the log if that is available, and adopts the grants
+// that the servers hold. No range is unavailable in between.
 func TestStoppingLeaderHandsOver(t *testing.T) {
 	tests := map[string]struct {
 		logDown bool
@@ -72,20 +74,20 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, quiet(3, 5, 0), "")
+			w := newWorld(1, stableLayout(3, 5, 0), "")
 			w.startAll()
 			w.advance(6000 * ms)
 			if tt.logDown {
 				w.log.downTo = 1 << 60
 				w.advance(7000 * ms)
 			}
-			before := w.ownersBy()
+			before := w.tableOwners()
 			old := w.leading()
-			old.event(Stopping{})
-			worst := w.worst(9000 * ms)
-			is.Equal(worst, Time(0))
+			old.handle(Stopping{})
+			longest := w.longestOutage(9000 * ms)
+			is.Equal(longest, Time(0))
 			is.True(w.leading() != nil && w.leading() != old)
-			is.Equal(w.ownersBy(), before) // no churn
+			is.Equal(w.tableOwners(), before) // no churn
 			for _, g := range w.leading().core.Table().Gates {
 				is.True(g.Instance != old.name)
 			}
@@ -93,12 +95,12 @@
 	}
 }
 
-// A server is to leave. Its ranges go to others one round trip after it gave them up, and it
-// keeps none.
+// A server is marked as leaving. Its ranges go to other servers one round trip after it gave
+// them up, and it keeps none.
 func TestLeavingServerIsEmptied(t *testing.T) {
 	tests := map[string]layout{
-		"checking":     quiet(2, 4, 0),
-		"not checking": quiet(2, 3, 1),
+		"checking":     stableLayout(2, 4, 0),
+		"not checking": stableLayout(2, 3, 1),
 	}
 	for name, l := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -108,29 +110,30 @@
 			w.advance(7000 * ms)
 			w.layout.leaving = "s03"
 			for _, n := range w.instances {
-				n.event(Configured{Version: 2, Services: w.services()})
+				n.handle(Configured{Version: 2, Services: w.services()})
 			}
-			worst := w.worst(9000 * ms)
-			is.True(worst <= 10*ms)
-			for _, server := range w.ownersBy() {
+			longest := w.longestOutage(9000 * ms)
+			is.True(longest <= 10*ms)
+			for _, server := range w.tableOwners() {
 				is.True(server != "" && server != "s03")
 			}
 		})
 	}
 }
 
-// The log is away while a server is lost. The moves serve, are marked as not acknowledged,
-// and are appended in one record a service when the log is back.
+// A server is lost while the log is unavailable. The new owners serve their ranges and are
+// marked as not acknowledged by the log. When the log is available again, the moves are
+// appended in one record per service.
 func TestMovesWithoutLogAreAppendedLater(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 4, 0), "")
+	w := newWorld(1, stableLayout(2, 4, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	w.log.downTo = 3600_000 * ms
 	w.advance(7000 * ms)
 	w.servers[0].down = true
 	w.advance(10_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	provisional := 0
 	for _, o := range w.leading().core.Table().Owners {
 		if o.Offset == 0 {
@@ -151,9 +154,9 @@
 	is.True(assigned["s01"].Provisional)
 }
 
-// A domain is cut off from the log. A service that moves away from an isolated domain is
-// served until the bound after the last good read, so that another domain may serve it then;
-// one that is held is served on.
+// A domain is cut off from the log. A service with the isolation rule move is served until
+// IsolationTimeout after the last successful read, so that another domain may serve it then.
+// A service with the rule hold is still served.
 func TestIsolation(t *testing.T) {
 	tests := map[string]struct {
 		isolation string
@@ -165,22 +168,22 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := quiet(2, 3, 0)
+			l := stableLayout(2, 3, 0)
 			l.isolation = tt.isolation
-			l.config = func(c *Config) { c.MoveBound = 5_000_000_000 }
+			l.config = func(c *Config) { c.IsolationTimeout = 5_000_000_000 }
 			w := newWorld(1, l, "")
 			w.startAll()
 			w.advance(6000 * ms)
 			w.log.downTo = 1 << 60
 			w.advance(10_500 * ms)
-			is.Equal(w.served(), 8)
+			is.Equal(w.countOwned(), 8)
 			w.advance(11_200 * ms)
-			is.Equal(w.served(), tt.served)
+			is.Equal(w.countOwned(), tt.served)
 		})
 	}
 }
 
-// A bundle changes the voters. The leader needs a majority of both sets from then on.
+// A bundle changes the voters. From then on, the leader needs a majority of both voter sets.
 func TestChangedVotersNeedBothMajorities(t *testing.T) {
 	tests := map[string]struct {
 		lost  []string
@@ -195,12 +198,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1, quiet(1, 4, 0), "")
+			w := newWorld(1, stableLayout(1, 4, 0), "")
 			w.layout.voters = func(server string) bool { return server != "s03" }
 			w.startAll()
 			w.advance(5000 * ms)
 			w.layout.voters = func(server string) bool { return server != "s00" }
-			w.instances[0].event(Configured{Version: 2, Services: w.services()})
+			w.instances[0].handle(Configured{Version: 2, Services: w.services()})
 			w.advance(6000 * ms)
 			term := w.leading().core.lead.term
 			for _, name := range tt.lost {
@@ -213,28 +216,29 @@
 	}
 }
 
-// A server that was frozen for minutes comes back and still believes in its last grant. The
-// server itself refuses: its deadline is over, and the range has another owner.
+// A server resumes after it was frozen for longer than its lease. It must not use its last
+// grant: the deadline has passed, and the ranges have other owners.
 func TestFrozenServerComesBack(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 4, 0), "")
+	w := newWorld(1, stableLayout(2, 4, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	w.servers[0].pausedTo = 60_000 * ms
 	w.advance(59_000 * ms)
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 	w.advance(62_000 * ms)
 	is.Equal(w.failure, "")
-	is.Equal(w.served(), len(w.hashes))
+	is.Equal(w.countOwned(), len(w.hashes))
 }
 
-// A new leader is there, and a server that checks is to leave a service that has servers which
-// do not. What the server holds was seen held, so nothing of it lingers elsewhere: it moves
-// after a lease, not after the longest request and pause.
-func TestSeenRangesMoveBeforeRequestsEnd(t *testing.T) {
+// After a change of leader, a server that checks grants is marked as leaving, in a service that
+// also has servers that do not check. Its ranges were confirmed as held in the new term, so no
+// request for them can run elsewhere. They move after one lease, without waiting for the
+// longest request and pause of a gate.
+func TestConfirmedRangesMoveBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
-	l := quiet(3, 3, 1)
-	l.config = func(c *Config) { c.Pause = 20_000_000_000 }
+	l := stableLayout(3, 3, 1)
+	l.config = func(c *Config) { c.MaxPause = 20_000_000_000 }
 	w := newWorld(1, l, "")
 	w.startAll()
 	w.advance(30_000 * ms)
@@ -242,28 +246,28 @@
 	w.layout.leaving = "s00"
 	for _, n := range w.instances {
 		if !n.down {
-			n.event(Configured{Version: 2, Services: w.services()})
+			n.handle(Configured{Version: 2, Services: w.services()})
 		}
 	}
 	w.advance(32_000 * ms)
-	for _, server := range w.ownersBy() {
+	for _, server := range w.tableOwners() {
 		is.True(server != "s00")
 	}
 }
 
-// Servers are restarted one after another, as on any day. Were a voter's restart to cost its
-// vote for the rest of the term, the leader would lose its majority with the second of three,
-// and every range of the domain would be unavailable until the next leader has waited.
+// Servers are restarted one after another. If a restart cost a voter its vote for the rest of
+// the term, the leader would lose its majority with the second of three voters, and every
+// range of the domain would be unavailable until the next leader may grant ranges.
 func TestVotersRestartInTurn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, quiet(2, 3, 0), "")
+	w := newWorld(1, stableLayout(2, 3, 0), "")
 	w.startAll()
 	w.advance(6000 * ms)
 	term := w.leading().core.lead.term
 	for i := range 6 {
 		w.boot(w.servers[i%3])
 		w.advance(w.now + 1500*ms)
-		is.Equal(w.served(), len(w.hashes))
+		is.Equal(w.countOwned(), len(w.hashes))
 		w.advance(w.now + 1500*ms)
 	}
 	is.True(w.leading() != nil)
--- a/internal/leader/holder_test.go
+++ b/internal/leader/holder_test.go
@@ -6,13 +6,14 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// simHolder is a real Holder in virtual time. Its mutations break one guard of the server.
+// simHolder runs a grant.Holder in virtual time. Mutations of the world can switch off one
+// guard of it.
 type simHolder struct {
-	w     *world
-	m     *machine
-	real  *grant.Holder
-	fence grant.Term
-	// exchanges counts those with a grant that was accepted.
+	w       *world
+	machine *machine
+	real    *grant.Holder
+	fence   grant.Term
+	// exchanges counts the exchanges whose grant was accepted.
 	exchanges int
 }
 
@@ -24,7 +25,7 @@
 		Clock:       func() grant.Instant { return grant.Instant(m.clock(w.now)) },
 		MaxLease:    1250 * time.Millisecond,
 	}
-	return &simHolder{w: w, m: m, real: grant.NewHolder(config)}
+	return &simHolder{w: w, machine: m, real: grant.NewHolder(config)}
 }
 
 func (h *simHolder) owns(hash uint64) bool {
@@ -37,20 +38,20 @@
 }
 
 func (h *simHolder) exchange(x grant.Exchange) grant.Answer {
-	asked := x.Term
-	asks := x.Term == (grant.Term{})
-	if h.w.guard == mutFence && !asks && x.Term.Compare(h.fence) < 0 {
+	term := x.Term
+	isPreVote := x.Term == (grant.Term{})
+	if h.w.mutation == mutNoFence && !isPreVote && x.Term.Compare(h.fence) < 0 {
 		x.Term = h.fence
 	}
 	if x.Grant != nil {
 		g := *x.Grant
 		x.Grant = &g
-		switch h.w.guard {
-		case mutReceipt:
-			g.Deadline = grant.Instant(h.m.clock(h.w.now)) + grant.Instant(time.Second)
+		switch h.w.mutation {
+		case mutLeaseFromReceipt:
+			g.Deadline = grant.Instant(h.machine.clock(h.w.now)) + grant.Instant(time.Second)
 			x.Grant = &g
-		case mutIncarnation:
-			g.Incarnation = h.m.incarnation
+		case mutIgnoreIncarnation:
+			g.Incarnation = h.machine.incarnation
 			x.Grant = &g
 		}
 	}
@@ -59,24 +60,24 @@
 	if x.Grant != nil && a.Refusal == grant.RefusalNone {
 		h.exchanges++
 	}
-	switch h.w.guard {
-	case mutFence:
-		a.Fence = asked
-	case mutVoting:
+	switch h.w.mutation {
+	case mutNoFence:
+		a.Fence = term
+	case mutYoungVotes:
 		a.Voting = true
-	case mutDraining:
+	case mutHideDraining:
 		a.Draining = nil
 	}
 	return a
 }
 
-// The mutations that break a guard of the server.
+// The mutations of a server, which switch off guards outside the core.
 const (
-	mutReceipt     mutation = "lease-from-receipt"
-	mutFence       mutation = "fence-not-compared"
-	mutIncarnation mutation = "incarnation-ignored"
-	mutVoting      mutation = "young-server-votes"
-	mutDraining    mutation = "drain-not-stated"
-	mutLateWork    mutation = "work-not-rechecked"
-	mutSendBefore  mutation = "send-before-not-rechecked"
+	mutLeaseFromReceipt  mutation = "lease-from-receipt"
+	mutNoFence           mutation = "fence-not-compared"
+	mutIgnoreIncarnation mutation = "incarnation-ignored"
+	mutYoungVotes        mutation = "young-server-votes"
+	mutHideDraining      mutation = "drain-not-stated"
+	mutLateWork          mutation = "work-not-rechecked"
+	mutLateSend          mutation = "send-before-not-rechecked"
 )
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -9,27 +9,30 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// simInstance is an entry instance: a core with a shell in virtual time.
+// simInstance is an entry instance: a core with a driver in virtual time.
 type simInstance struct {
 	*machine
 	w    *world
 	core *Core
-	// life counts the processes at this place, so that timers of an old one do nothing.
-	life int
-	// table is the newest that this instance knows.
-	table   *route.Table
+	// generation counts the processes of this instance, so that timers and messages of an earlier
+	// process have no effect.
+	generation int
+	// table is the newest routing table that this instance knows.
+	table *route.Table
+	// pending are the appended records that the log has not acknowledged, by ID.
 	pending map[string]record.Record
 	stopped bool
-	// voters says which checking servers vote by the bundle that this instance has.
+	// voters says which checking servers vote by the bundle that this instance has. Nil means
+	// all.
 	voters func(string) bool
 }
 
 const (
-	tickPeriod = 20 * ms
-	readPeriod = 100 * ms
-	retryAfter = 300 * ms
-	listPeriod = 500 * ms
-	listLag    = 700 * ms
+	tickInterval = 20 * ms
+	readInterval = 100 * ms
+	retryDelay   = 300 * ms
+	listInterval = 500 * ms
+	listLag      = 700 * ms
 )
 
 func newInstance(w *world, name string) *simInstance {
@@ -37,42 +40,42 @@
 	return n
 }
 
-// start runs a new process.
+// start starts a process of the instance, with a new core.
 func (n *simInstance) start() {
-	n.life++
+	n.generation++
 	n.stopped = false
 	config := DefaultConfig("d", n.name, n.incarnation)
-	config.Pause = 600e6
-	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.drift)/2)
+	config.MaxPause = 600e6
+	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.maxDriftPerMille)/2)
 	if n.w.layout.config != nil {
 		n.w.layout.config(&config)
 	}
-	config.guards = n.w.guard
+	config.mutation = n.w.mutation
 	n.pending = make(map[string]record.Record)
 	n.w.starting = n
 	n.core = New(config, n.w.layout.placer(n.w))
-	n.event(Configured{Version: 1, Services: n.services()})
-	life := n.life
-	n.every(life, tickPeriod, func() { n.event(Ticked{}) })
-	n.every(life, Time(config.Heartbeat), n.heartbeat)
-	n.every(life, readPeriod, n.read)
-	n.every(life, listPeriod, n.list)
+	n.handle(Configured{Version: 1, Services: n.services()})
+	generation := n.generation
+	n.every(generation, tickInterval, func() { n.handle(Ticked{}) })
+	n.every(generation, Time(config.HeartbeatInterval), n.heartbeat)
+	n.every(generation, readInterval, n.readLog)
+	n.every(generation, listInterval, n.sendList)
 }
 
-// list passes on the platform's list as it was a while ago.
-func (n *simInstance) list() {
+// sendList delivers the platform's list of live instances after a lag.
+func (n *simInstance) sendList() {
 	var names []string
 	for _, o := range n.w.instances {
 		if !o.down {
 			names = append(names, o.name)
 		}
 	}
-	life := n.life
+	generation := n.generation
 	n.w.after(listLag, func() {
-		if n.life == life {
+		if n.generation == generation {
 			n.w.deliver(n.name, func() {
-				if n.life == life {
-					n.event(Listed{Instances: names})
+				if n.generation == generation {
+					n.handle(Listed{Instances: names})
 				}
 			})
 		}
@@ -84,12 +87,13 @@
 	n.start()
 }
 
-// every repeats a timer of one process. A paused process runs its timers afterwards, once.
-func (n *simInstance) every(life int, period Time, do func()) {
+// every runs a function periodically in one process. A paused process runs it once when the
+// pause ends.
+func (n *simInstance) every(generation int, period Time, do func()) {
 	phase := Time(n.w.random.Int64N(int64(period)))
 	var again func()
 	again = func() {
-		if n.life != life || n.down {
+		if n.generation != generation || n.down {
 			return
 		}
 		if n.pausedTo > n.w.now {
@@ -102,22 +106,22 @@
 	n.w.after(phase, again)
 }
 
-func (n *simInstance) event(ev Event) {
+func (n *simInstance) handle(ev Event) {
 	effects := n.core.Handle(n.clock(n.w.now), ev)
 	if len(effects) == 0 {
 		return
 	}
-	life := n.life
+	generation := n.generation
 	if n.w.jitter && n.w.random.IntN(400) == 0 {
 		n.pausedTo = n.w.now + 50*ms + Time(n.w.random.Int64N(int64(2500*ms)))
-		n.w.at(n.pausedTo, func() { n.apply(life, effects) })
+		n.w.at(n.pausedTo, func() { n.apply(generation, effects) })
 		return
 	}
-	n.apply(life, effects)
+	n.apply(generation, effects)
 }
 
-func (n *simInstance) apply(life int, effects []Effect) {
-	if n.life != life || n.down {
+func (n *simInstance) apply(generation int, effects []Effect) {
+	if n.generation != generation || n.down {
 		return
 	}
 	for _, e := range effects {
@@ -126,26 +130,26 @@
 			n.sendExchange(e)
 		case Append:
 			n.pending[e.ID] = e.Record
-			n.append(life, e.ID)
-		case Led:
-			n.w.led()
+			n.append(generation, e.ID)
+		case StartedLeading:
+			n.w.onElected()
 			n.w.tracef("%s leads %v", n.name, e.Term)
-		case Stepped:
+		case SteppedDown:
 			n.w.tracef("%s steps down from %v: %s", n.name, e.Term, e.Reason)
 		case Publish:
-			n.published(e.Table)
+			n.publishTable(e.Table)
 		}
 	}
 }
 
 func (n *simInstance) sendExchange(e Send) {
-	if n.clock(n.w.now) > e.SendBefore && n.w.guard != mutSendBefore {
+	if n.clock(n.w.now) > e.SendBefore && n.w.mutation != mutLateSend {
 		return
 	}
-	life := n.life
+	generation := n.generation
 	to := e.Server
-	if e.Via != "" {
-		to = e.Via
+	if e.Gate != "" {
+		to = e.Gate
 	}
 	n.w.messages += 2
 	n.w.lastExchange = e.Exchange
@@ -153,72 +157,73 @@
 		m := n.w.machines[to]
 		answer := n.w.holder(m, e.Server).exchange(e.Exchange)
 		if g := e.Exchange.Grant; g != nil {
-			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Via,
+			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Gate,
 				g.Epoch, g.Renewal, g.Incarnation, g.Ranges, answer.Refusal, Time(answer.Deadline-answer.Clock)/ms, e.Exchange.Term)
 		}
-		if n.w.count {
-			n.w.bytes += encoded(e.Exchange) + encoded(answer)
+		if n.w.countBytes {
+			n.w.bytes += encodedSize(e.Exchange) + encodedSize(answer)
 		}
 		n.w.checkSingle()
 		if n.w.observe != nil {
 			n.w.observe(n.w.now)
 		}
 		n.w.send(to, n.name, func() {
-			if n.life == life {
-				n.event(Answered{Server: e.Server, Via: e.Via, AskedAt: e.AskedAt, Answer: answer})
+			if n.generation == generation {
+				n.handle(Answered{Server: e.Server, Gate: e.Gate, AskedAt: e.AskedAt, Answer: answer})
 			}
 		})
 	})
 }
 
 func (n *simInstance) heartbeat() {
-	if n.w.layout.rash {
+	if n.w.layout.skipPreVote {
 		n.core.resigned = true
 	}
 	beat := n.core.Heartbeat()
-	n.event(beat)
+	n.handle(beat)
 	for _, o := range n.w.instances {
 		if o == n {
 			continue
 		}
-		life := o.life
+		generation := o.generation
 		n.w.send(n.name, o.name, func() {
-			if o.life == life && o.core != nil {
-				o.event(beat)
+			if o.generation == generation && o.core != nil {
+				o.handle(beat)
 			}
 		})
 	}
 }
 
-// published passes the table to the peers and checks that what it calls durable is so.
-func (n *simInstance) published(t route.Table) {
+// publishTable sends the table to the peers. It checks that the log has the record at each
+// offset that the table states.
+func (n *simInstance) publishTable(t route.Table) {
 	for _, o := range t.Owners {
 		if o.Offset != 0 && !n.w.log.has(o.Offset, o.Server, o.Epoch) {
 			n.w.fail("table says that offset %d acknowledges %s of %s", o.Offset, o.Epoch.Term, o.Server)
 		}
 	}
-	n.takes(t)
+	n.takeTable(t)
 	for _, o := range n.w.instances {
 		if o != n {
 			n.w.send(n.name, o.name, func() {
 				if o.core != nil {
-					o.takes(t)
-					o.event(Routed{Table: t})
+					o.takeTable(t)
+					o.handle(TableReceived{Table: t})
 				}
 			})
 		}
 	}
 }
 
-func (n *simInstance) takes(t route.Table) {
+func (n *simInstance) takeTable(t route.Table) {
 	if t.Newer(n.table) {
 		n.table = &t
 	}
 }
 
-// read folds the log.
-func (n *simInstance) read() {
-	life := n.life
+// readLog reads the state of the log, or reports a failure after retryDelay.
+func (n *simInstance) readLog() {
+	generation := n.generation
 	begun := n.clock(n.w.now)
 	answered := false
 	n.w.send(n.name, "log", func() {
@@ -227,28 +232,28 @@
 		}
 		term, assigned := n.w.log.fold()
 		n.w.send("log", n.name, func() {
-			if n.life == life && !answered {
+			if n.generation == generation && !answered {
 				answered = true
-				n.event(Folded{ReadAt: begun, Term: term, Assigned: assigned})
+				n.handle(LogRead{ReadAt: begun, Term: term, Assigned: assigned})
 			}
 		})
 	})
-	n.w.after(retryAfter, func() {
-		if n.life == life && !answered {
+	n.w.after(retryDelay, func() {
+		if n.generation == generation && !answered {
 			n.w.deliver(n.name, func() {
-				if n.life == life {
+				if n.generation == generation {
 					answered = true
-					n.event(LogFailed{})
+					n.handle(LogFailed{})
 				}
 			})
 		}
 	})
 }
 
-// append appends again and again until the log acknowledges.
-func (n *simInstance) append(life int, id string) {
+// append sends a record to the log until the log acknowledges it.
+func (n *simInstance) append(generation int, id string) {
 	r, waiting := n.pending[id]
-	if n.life != life || n.down || !waiting {
+	if n.generation != generation || n.down || !waiting {
 		return
 	}
 	n.w.send(n.name, "log", func() {
@@ -257,17 +262,18 @@
 		}
 		offset := n.w.log.append(id, r)
 		n.w.send("log", n.name, func() {
-			if n.life != life {
+			if n.generation != generation {
 				return
 			}
 			delete(n.pending, id)
-			n.event(Appended{ID: id, Offset: offset})
+			n.handle(Appended{ID: id, Offset: offset})
 		})
 	})
-	n.w.after(retryAfter, func() { n.append(life, id) })
+	n.w.after(retryDelay, func() { n.append(generation, id) })
 }
 
-// simLog is the platform's log: order, ids, outages.
+// simLog simulates the platform's log, which orders records, ignores repeated IDs and may be
+// unavailable until downTo.
 type simLog struct {
 	w       *world
 	entries []simEntry
@@ -322,7 +328,7 @@
 	})
 }
 
-// leading returns the instance that leads, or nil.
+// leading returns the first instance that leads, or nil.
 func (w *world) leading() *simInstance {
 	for _, n := range w.instances {
 		if !n.down && n.core != nil && n.core.lead != nil && n.core.lead.won() {
--- a/internal/leader/naive_test.go
+++ b/internal/leader/naive_test.go
@@ -6,16 +6,16 @@
 	"github.com/matryer/is"
 )
 
-// naiveLeader is what we compare with: every instance probes the servers and sends a hash to
-// the one at its remainder in the list of those that answer. There are no grants.
+// naiveLeader is a simple design for comparison, without grants: every instance probes the
+// servers, and sends hash i to the server at index i modulo n of the n servers that answer.
 type naiveLeader struct {
 	n       *simInstance
 	heardAt map[string]Time
 }
 
 const (
-	probePeriod = 150 * ms
-	naiveSilent = 3 * probePeriod
+	probeInterval = 150 * ms
+	naiveTimeout  = 3 * probeInterval
 )
 
 func (l *naiveLeader) probe() {
@@ -31,7 +31,7 @@
 	w := l.n.w
 	var live []string
 	for _, m := range w.servers {
-		if at, heard := l.heardAt[m.name]; heard && w.now < at+naiveSilent {
+		if at, heard := l.heardAt[m.name]; heard && w.now < at+naiveTimeout {
 			live = append(live, m.name)
 		}
 	}
@@ -41,31 +41,32 @@
 	return live[i%len(live)]
 }
 
-// naiveDoubles runs the faults of a schedule under naive leaders and reports whether two
-// instances that run sent the same key to different servers at one time.
-func naiveDoubles(seed uint64) bool {
+// naiveHasTwoOwners runs the faults of a schedule under naive leaders and reports whether two
+// running instances chose different servers for the same hash at the same time.
+func naiveHasTwoOwners(seed uint64) bool {
 	w := newWorld(seed, randomLayout(seed), "")
 	var leaders []*naiveLeader
 	for _, n := range w.instances {
 		l := &naiveLeader{n: n, heardAt: make(map[string]Time)}
 		leaders = append(leaders, l)
 		n.start()
-		n.every(n.life, probePeriod, l.probe)
+		n.every(n.generation, probeInterval, l.probe)
 	}
 	w.jitter = true
-	w.pace = 700 * ms
-	w.faults()
+	w.maxFaultGap = 700 * ms
+	w.scheduleFaults()
 	doubled := false
 	for w.now < faultsEnd && !doubled {
 		w.advance(w.now + 20*ms)
 		if w.now > 1000*ms {
-			doubled = disagree(leaders)
+			doubled = leadersDisagree(leaders)
 		}
 	}
 	return doubled
 }
 
-func disagree(leaders []*naiveLeader) bool {
+// leadersDisagree reports whether two running instances choose different servers for a hash.
+func leadersDisagree(leaders []*naiveLeader) bool {
 	for i := range 8 {
 		first := ""
 		for _, l := range leaders {
@@ -84,9 +85,9 @@
 	return false
 }
 
-// TestNaiveLeaderDoubles is the differential test: on schedules on which ours keeps every
-// range single, the naive leader sends a key to two servers at once.
-func TestNaiveLeaderDoubles(t *testing.T) {
+// TestNaiveLeaderHasTwoOwners shows that the schedules are hard enough: on most of them the
+// naive leader lets two servers own a hash at once, while the core never does.
+func TestNaiveLeaderHasTwoOwners(t *testing.T) {
 	is := is.New(t)
 	doubled, schedules := 0, 0
 	for seed := uint64(1); seed <= 40; seed++ {
@@ -95,10 +96,10 @@
 		}
 		schedules++
 		is.Equal(runSchedule(seed, "").failure, "")
-		if naiveDoubles(seed) {
+		if naiveHasTwoOwners(seed) {
 			doubled++
 		}
 	}
-	t.Logf("the naive leader doubles in %d of %d schedules, ours in none", doubled, schedules)
+	t.Logf("two owners of a hash in %d of %d schedules with the naive leader, in none with the core", doubled, schedules)
 	is.True(doubled > schedules/2)
 }
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -8,11 +8,12 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// publish makes the routing table and emits it if it changed. A new leader waits until all
-// servers have answered, or two periods, so that its first table takes nothing away.
+// publish builds the routing table and emits it if it has changed. A new leader waits until
+// all holders have answered, or for two exchange intervals, so that its first table does not
+// drop owners whose answers have not arrived yet.
 func (c *Core) publish() {
 	l := c.lead
-	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allHeard() {
+	if l.published == nil && c.now < l.wonAt+2*Time(c.config.ExchangeInterval) && !c.allAnswered() {
 		return
 	}
 	l.tableDirty = false
@@ -22,7 +23,7 @@
 		Serial:        1,
 		Owners:        c.owners(),
 		Gates:         c.gateList(),
-		BundleVersion: c.version,
+		BundleVersion: c.bundleVersion,
 	}
 	if o := l.published; o != nil {
 		if slices.Equal(o.Owners, table.Owners) && slices.Equal(o.Gates, table.Gates) && o.BundleVersion == table.BundleVersion {
@@ -34,9 +35,9 @@
 	c.emit(Publish{Table: *table})
 }
 
-func (c *Core) allHeard() bool {
-	for _, h := range c.lead.holdings {
-		if !h.heard {
+func (c *Core) allAnswered() bool {
+	for _, h := range c.lead.holders {
+		if !h.answered {
 			return false
 		}
 	}
@@ -53,25 +54,26 @@
 	return owners
 }
 
-// ownersOf returns the acknowledged owners within their lease. Until the service has settled
-// the gaps name the former owners: the servers decide whether they still hold a grant.
+// ownersOf returns the owners that have acknowledged their ranges and are within their lease.
+// Until the service has settled, ranges without such an owner get their former owner: its
+// server decides whether it still holds a grant.
 func (c *Core) ownersOf(s *service) []route.Owner {
 	var owners []route.Owner
 	var taken []keys.Range
 	for _, b := range s.Servers {
-		h := c.lead.holdings[c.current(b)]
-		if h == nil || !h.live || h.superseded || c.now > h.lapsesAt {
+		h := c.lead.holders[c.currentHolder(b)]
+		if h == nil || !h.live || h.superseded || c.now > h.expiresAt {
 			continue
 		}
-		offset := c.offset(h)
-		for _, r := range h.set {
+		offset := c.logOffset(h)
+		for _, r := range h.ranges {
 			owners = append(owners, route.Owner{Service: s.Name, Range: r, Server: h.server, Epoch: h.epoch, Offset: offset})
 		}
-		taken = append(taken, h.set...)
+		taken = append(taken, h.ranges...)
 	}
 	if c.now <= c.settledAt(s) {
 		keys.Sort(taken)
-		for _, o := range c.remembered(s, taken) {
+		for _, o := range c.formerOwnersOfGaps(s, taken) {
 			owners = append(owners, route.Owner{Service: s.Name, Range: o.Range, Server: o.Server})
 		}
 	}
@@ -84,7 +86,7 @@
 	for _, s := range c.services {
 		for _, b := range s.Servers {
 			if gate := c.gates[b.Name]; gate != "" && b.Slots > 0 {
-				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.Checks})
+				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.ChecksGrants})
 			}
 		}
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -9,90 +9,94 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// claim of a range by a holder, which keeps others from being granted it.
+// rangeClaim is a range that a holder may act on, and that no other holder may be granted.
 type rangeClaim struct {
 	keys.Range
-	holder *holding
+	holder *holder
 }
 
-// claims are sorted by first hash. Reach has the highest last hash up to each index.
-type claims struct {
-	list  []rangeClaim
-	reach []uint64
+// claimIndex finds the claims that overlap a range.
+type claimIndex struct {
+	// list is sorted by first hash. maxLast[i] is the highest last hash of list[:i+1].
+	list    []rangeClaim
+	maxLast []uint64
 }
 
-// reconcile brings the sets of the holders nearer to the targets: it takes from each what
-// others should have, and gives each what it should have and nobody else may act on.
+// reconcile proposes new range sets to the holders whose sets differ from the targets. A new
+// set leaves out the ranges that other holders should have, and adds the target ranges that
+// no other holder may act on. So moving a range takes two sets: the old owner must first
+// acknowledge one without the range and finish its requests.
 func (c *Core) reconcile() {
 	for _, s := range c.services {
 		if !s.Divided {
 			continue
 		}
-		members := c.members(s)
-		if c.lead.adopted {
-			markSuperseded(members)
+		holders := c.holdersOf(s)
+		if c.lead.sawOtherTerm {
+			markSuperseded(holders)
 		}
-		if c.now <= c.movesAt() || len(c.lead.targets[s.Name]) == 0 && len(s.Homes) > 0 {
+		if c.now <= c.movesAllowedAt() || len(c.lead.targets[s.Name]) == 0 && len(s.Homes) > 0 {
 			continue
 		}
-		c.adjustAll(s, members)
+		c.adjustAll(s, holders)
 	}
-	c.lead.adopted = false
+	c.lead.sawOtherTerm = false
 }
 
-// adjustAll leaves alone the holders that have what they should, which mostly are all but a
-// few, and works out the claims only if there are others.
-func (c *Core) adjustAll(s *service, members []*holding) {
-	var all *claims
-	wanted := c.wanted(s)
-	for _, h := range members {
-		if slices.Equal(wanted[h.seat], h.current()) {
+// adjustAll proposes sets to the holders that do not have their targets. There are usually
+// few or none of them, so the claims are indexed only when there is one.
+func (c *Core) adjustAll(s *service, holders []*holder) {
+	var all *claimIndex
+	wanted := c.targetRanges(s)
+	for _, h := range holders {
+		if slices.Equal(wanted[h.holderID], h.expectedRanges()) {
 			continue
 		}
 		if all == nil {
-			all = c.claimsOf(s, members)
+			all = c.indexClaims(s, holders)
 		}
-		c.adjust(s, h, wanted[h.seat], all)
+		c.adjust(s, h, wanted[h.holderID], all)
 	}
 }
 
-func (c *Core) members(s *service) []*holding {
-	var members []*holding
-	for _, h := range c.lead.ordered() {
-		if h.service == s.Name && h.owns {
-			members = append(members, h)
+// holdersOf returns the holders that may own ranges of a service, in the order of their names.
+func (c *Core) holdersOf(s *service) []*holder {
+	var holders []*holder
+	for _, h := range c.lead.sortedHolders() {
+		if h.service == s.Name && h.ownsRanges {
+			holders = append(holders, h)
 		}
 	}
-	return members
+	return holders
 }
 
-// wanted returns the target ranges by seat.
-func (c *Core) wanted(s *service) map[seat][]keys.Range {
-	seats := make(map[string]seat, len(s.Servers))
+// targetRanges returns the target ranges of a service by holder.
+func (c *Core) targetRanges(s *service) map[holderID][]keys.Range {
+	ids := make(map[string]holderID, len(s.Servers))
 	for _, b := range s.Servers {
-		seats[b.Name] = c.current(b)
+		ids[b.Name] = c.currentHolder(b)
 	}
-	wanted := make(map[seat][]keys.Range, len(seats))
+	wanted := make(map[holderID][]keys.Range, len(ids))
 	for _, t := range c.lead.targets[s.Name] {
-		at := seats[t.Server]
-		wanted[at] = append(wanted[at], t.Range)
+		id := ids[t.Server]
+		wanted[id] = append(wanted[id], t.Range)
 	}
 	return wanted
 }
 
-// adjust proposes a new set to a holder if it should change. Only one set at a time is under
-// way to a holder, so that its claims are the old and the new set.
-func (c *Core) adjust(s *service, h *holding, wanted []keys.Range, all *claims) {
-	if h.pending != nil || !h.heard || c.now > h.heardAt+Time(c.config.Lease) {
+// adjust proposes a new set to a holder if its set should change. A holder has at most one
+// unacknowledged set, so its claims are those of the acknowledged and the proposed set.
+func (c *Core) adjust(s *service, h *holder, wanted []keys.Range, all *claimIndex) {
+	if h.pending != nil || !h.answered || c.now > h.answeredAt+Time(c.config.LeaseDuration) {
 		return
 	}
-	held := h.current()
+	held := h.expectedRanges()
 	var parts []keys.Range
 	for _, w := range wanted {
 		parts = append(parts, intersect(w, held)...)
-		parts = append(parts, c.grantable(s, subtract(w, all.against(h, w)))...)
+		parts = append(parts, c.grantable(s, subtract(w, all.conflicts(h, w)))...)
 	}
-	next := join(parts, wanted)
+	next := mergeWithin(parts, wanted)
 	if slices.Equal(next, held) {
 		return
 	}
@@ -101,14 +105,14 @@
 		epoch:  grant.Epoch{Term: c.lead.term, Sequence: c.lead.sequence},
 		ranges: next,
 	}
-	h.prompt = true
-	c.lead.prompted = append(c.lead.prompted, h)
+	h.urgent = true
+	c.lead.urgentHolders = append(c.lead.urgentHolders, h)
 }
 
-func (c *Core) claimsOf(s *service, members []*holding) *claims {
-	all := new(claims)
-	pending := !c.config.without(mutPending)
-	for _, h := range members {
+func (c *Core) indexClaims(s *service, holders []*holder) *claimIndex {
+	all := new(claimIndex)
+	pending := !c.config.mutated(mutIgnorePending)
+	for _, h := range holders {
 		all.add(h, pending)
 	}
 	for _, h := range c.lead.retired {
@@ -117,46 +121,47 @@
 		}
 	}
 	slices.SortFunc(all.list, func(a, b rangeClaim) int { return cmp.Compare(a.First, b.First) })
-	reach := uint64(0)
+	maxLast := uint64(0)
 	for _, cl := range all.list {
-		reach = max(reach, cl.Last)
-		all.reach = append(all.reach, reach)
+		maxLast = max(maxLast, cl.Last)
+		all.maxLast = append(all.maxLast, maxLast)
 	}
 	return all
 }
 
-func (a *claims) add(h *holding, pending bool) {
-	for _, r := range h.claims(pending) {
+func (a *claimIndex) add(h *holder, pending bool) {
+	for _, r := range h.possibleRanges(pending) {
 		a.list = append(a.list, rangeClaim{Range: r, holder: h})
 	}
 }
 
-// against returns, sorted, the claims on a range by all but a holder, and what the holder
-// itself has.
-func (a *claims) against(h *holding, r keys.Range) []keys.Range {
+// conflicts returns the claims on a range that keep it from being added to the set of a holder,
+// sorted by first hash: those of other holders, and the ranges that are in the set already.
+// A holder may get back a range that it is only draining.
+func (a *claimIndex) conflicts(h *holder, r keys.Range) []keys.Range {
 	var taken []keys.Range
-	start := sort.Search(len(a.reach), func(i int) bool { return a.reach[i] >= r.First })
+	start := sort.Search(len(a.maxLast), func(i int) bool { return a.maxLast[i] >= r.First })
 	for _, cl := range a.list[start:] {
 		if cl.First > r.Last {
 			break
 		}
-		if cl.holder != h || keys.Find(h.current(), cl.First) >= 0 {
+		if cl.holder != h || keys.Find(h.expectedRanges(), cl.First) >= 0 {
 			taken = append(taken, cl.Range)
 		}
 	}
 	return taken
 }
 
-// markSuperseded finds holders whose set overlaps a newer grant of another holder. A former
-// leader may leave that behind; the older grant is not renewed.
-func markSuperseded(members []*holding) {
+// markSuperseded marks the holders whose set overlaps a newer grant of another holder. Former
+// leaders may have left such grants behind. The older grant is not renewed.
+func markSuperseded(holders []*holder) {
 	var live []rangeClaim
-	for _, h := range members {
+	for _, h := range holders {
 		h.superseded = false
 		if !h.live {
 			continue
 		}
-		for _, r := range h.set {
+		for _, r := range h.ranges {
 			live = append(live, rangeClaim{Range: r, holder: h})
 		}
 	}
--- a/internal/leader/scenario_order_test.go
+++ b/internal/leader/scenario_order_test.go
@@ -1,133 +1,136 @@
 package leader
 
-// moreScenarios are those about fences, majorities and the order of answers.
-func moreScenarios() map[string]scenario {
+// messageOrderScenarios returns the scenarios about fences, majorities, requests of lost gates
+// and the order of answers.
+func messageOrderScenarios() map[string]scenario {
 	return map[string]scenario{
-		// Two leaders share one voter. Without the fence it follows both, and each has a
-		// majority: one renews a server that the other counts as lost.
+		// Two leaders reach one voter in common. Without the fence it follows both, so each has a
+		// majority, and one renews the grant of a server that the other considers lost.
 		"voter follows two leaders": {
-			guard:  mutFence,
-			layout: scripted(2, 3, 0, reachable),
+			mutation: mutNoFence,
+			layout:   scriptedLayout(2, 3, 0, firstReachable),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i0", "i1", "s01")
-				w.part("i1", "s00")
+				w.startFirstAsLeader()
+				w.partition("i0", "i1", "s01")
+				w.partition("i1", "s00")
 				w.instance("i1").outrank()
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A leader does not hear a server any more, and a little later loses its majority to
-		// another, which renews that server. The lease that the first had given lapses while
-		// its authority still runs; it must not move the ranges, since it cannot know.
+		// A leader gets no answers from a server, and soon after loses its majority to another
+		// leader, which renews the grant of that server. The lease that the first leader gave
+		// expires before the first leader has to step down. It must not move the ranges, since no
+		// majority that was asked after the expiry has followed it.
 		"lapse without a majority after it": {
-			guard: mutConfirm,
-			layout: scripted(2, 5, 0, func(n *simInstance, _ int) string {
-				if n.name == "i0" && n.w.cuts[[2]string{"s00", "i0"}] > n.w.now {
+			mutation: mutNoConfirmation,
+			layout: scriptedLayout(2, 5, 0, func(n *simInstance, _ int) string {
+				if n.name == "i0" && n.w.cutUntil[[2]string{"s00", "i0"}] > n.w.now {
 					return "s03"
 				}
 				return "s00"
 			}),
 			script: func(w *world) {
-				w.firstLeads()
-				w.part("i0", "s00")
-				w.part("i1", "s03", "s04")
+				w.startFirstAsLeader()
+				w.partition("i0", "s00")
+				w.partition("i1", "s03", "s04")
 				w.instance("i1").outrank()
 				w.advance(w.now + 400*ms)
-				w.part("i0", "i1", "s01", "s02")
-				w.deafen(w.instance("i1"))
+				w.partition("i0", "i1", "s01", "s02")
+				w.suspectLeader(w.instance("i1"))
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A gate is lost just after it sent a payout to a server that does not check grants.
-		// The server runs it for longer than the lease. A new gate would send the payout,
-		// which the caller repeats, a second time while the first still runs.
+		// A gate is lost just after it sent a request to a server that does not check grants. The
+		// request runs for longer than the lease. If the caller retries it, a new gate would send
+		// it again while the first attempt still runs.
 		"request outlives its gate": {
-			guard:  mutLingers,
-			layout: scripted(3, 3, 1, func(*simInstance, int) string { return "s03" }),
+			mutation: mutNoDrainTime,
+			layout:   scriptedLayout(3, 3, 1, func(*simInstance, int) string { return "s03" }),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				core := w.instance("i0").core
 				core.gates["s03"] = "i1"
-				core.seat()
+				core.updateHolders()
 				core.placeSoon()
 				w.advance(w.now + 1000*ms)
 				gate := w.instance("i1").holders["s03"]
 				for _, hash := range w.hashes {
 					if _, err := gate.real.Begin(hash); err == nil {
-						w.runs = append(w.runs, run{gate: gate, server: "s03", hash: hash, until: w.now + longestRequest})
+						w.gateRequests = append(w.gateRequests, gateRequest{gate: gate, server: "s03", hash: hash, endsAt: w.now + longestRequest})
 					}
 				}
 				w.kill(w.instance("i1"))
 				w.advance(w.now + 3000*ms)
 			},
 		},
-		// A candidate hears from a server that holds a range, but has no majority yet. The old
-		// leader does not hear the server, waits out its lease and moves the range to a server
-		// that does not check. Then the candidate wins. What it heard before is no proof that
-		// nothing lingers of the range elsewhere: a request of the old leader's gate runs.
+		// A candidate without a majority gets an answer from a server that holds a range. The old
+		// leader gets no answers from that server, waits for the end of its lease and moves the
+		// range to a server that does not check grants. Then the candidate wins. The answer from
+		// before the win does not show that the range is free elsewhere: a request of a gate that
+		// the old leader chose still runs.
 		"held before winning": {
-			guard: mutSeen,
-			layout: scripted(2, 3, 1, func(n *simInstance, _ int) string {
-				if n.name == "i0" && n.w.cuts[[2]string{"s00", "i0"}] > n.w.now {
+			mutation: mutHeldBeforeWin,
+			layout: scriptedLayout(2, 3, 1, func(n *simInstance, _ int) string {
+				if n.name == "i0" && n.w.cutUntil[[2]string{"s00", "i0"}] > n.w.now {
 					return "s03"
 				}
 				return "s00"
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				w.advance(w.now + 2000*ms)
 				start := w.now
-				w.part("i0", "i1", "s00")
-				w.part("i1", "s01", "s02")
+				w.partition("i0", "i1", "s00")
+				w.partition("i1", "s01", "s02")
 				w.instance("i1").outrank()
 				w.advance(start + 500*ms)
-				w.deafen(w.instance("i1"))
+				w.suspectLeader(w.instance("i1"))
 				w.advance(start + 1200*ms)
-				w.part("i0", "s01", "s02")
-				w.join("i1", "s01")
-				w.join("i1", "s02")
+				w.partition("i0", "s01", "s02")
+				w.healCut("i1", "s01")
+				w.healCut("i1", "s02")
 				w.advance(start + 1900*ms)
 				gate := w.instance("i0").holders["s03"]
 				for _, hash := range w.hashes {
 					if _, err := gate.real.Begin(hash); err == nil {
-						w.runs = append(w.runs, run{gate: gate, server: "s03", hash: hash, until: w.now + longestRequest})
+						w.gateRequests = append(w.gateRequests, gateRequest{gate: gate, server: "s03", hash: hash, endsAt: w.now + longestRequest})
 					}
 				}
 				w.advance(start + 8000*ms)
 			},
 		},
-		// A server accepts a set, but its answers are lost. The range is wanted elsewhere
-		// before the leader knows whether the set was taken.
+		// A server accepts a set, but its answers are lost. The placer moves the range to another
+		// server before the leader knows whether the set was accepted.
 		"set accepted unknown to the leader": {
-			guard: mutPending,
-			layout: scripted(1, 3, 0, func(n *simInstance, _ int) string {
+			mutation: mutIgnorePending,
+			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
 				switch {
-				case n.w.marked == 0:
+				case n.w.scriptStart == 0:
 					return "s00"
-				case n.w.now < n.w.marked+300*ms:
+				case n.w.now < n.w.scriptStart+300*ms:
 					return "s01"
 				default:
 					return "s02"
 				}
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				w.cut("s01", "i0", 1<<60, false)
-				w.marked = w.now
+				w.scriptStart = w.now
 				w.leading().core.placeSoon()
-				w.advance(w.marked + 320*ms)
+				w.advance(w.scriptStart + 320*ms)
 				w.leading().core.placeSoon()
-				w.advance(w.marked + 3000*ms)
+				w.advance(w.scriptStart + 3000*ms)
 			},
 		},
-		// A server answers, restarts, and answers again; the first answer is late and comes
-		// last. The leader takes it for a newer process that holds nothing, and grants the
-		// range, which it had just moved to the present process, to a third server.
+		// A server answers, restarts and answers again, and the first answer arrives last. Without
+		// the guard the leader takes it for the answer of a newer process that holds nothing. It
+		// has just moved the range to the present process, and now grants it to a third server.
 		"answer of the process before comes last": {
-			guard: mutProcesses,
-			layout: scripted(1, 3, 0, func(n *simInstance, _ int) string {
-				switch started := n.w.marked; {
+			mutation: mutProcessOrder,
+			layout: scriptedLayout(1, 3, 0, func(n *simInstance, _ int) string {
+				switch started := n.w.scriptStart; {
 				case started == 0 || n.w.now < started+340*ms:
 					return "s01"
 				case n.w.now < started+650*ms:
@@ -137,14 +140,14 @@
 				}
 			}),
 			script: func(w *world) {
-				w.firstLeads()
+				w.startFirstAsLeader()
 				var asked, answered []Time
-				w.late = func(from, to string) Time {
+				w.extraDelay = func(from, to string) Time {
 					switch {
 					case to == "s00":
 						asked = append(asked, w.now)
 						if len(asked) == 1 {
-							w.marked = w.now
+							w.scriptStart = w.now
 							w.after(180*ms, func() { w.restart(w.servers[0]) })
 							w.after(340*ms, func() { w.leading().core.placeSoon() })
 							return 300 * ms
--- a/internal/leader/chaos_test.go
+++ b/internal/leader/schedule_test.go
@@ -13,30 +13,31 @@
 const (
 	// faultsEnd is when the faults of a random schedule end.
 	faultsEnd = 10_000 * ms
-	// recovery is the time after the last fault by which every range must be served again:
-	// messages up to 2.5 s old, an election, the wait after winning, requests and pauses.
-	recovery = 8_000 * ms
+	// recoveryTime is the time after the last fault within which every range must be served
+	// again. It covers messages that are up to 2.5 s late, an election, the wait after winning,
+	// requests and pauses.
+	recoveryTime = 8_000 * ms
 )
 
-// randomLayout draws the shape of a domain.
+// randomLayout returns a layout that depends only on the seed.
 func randomLayout(seed uint64) layout {
 	random := rand.New(rand.NewPCG(seed, 2))
 	l := layout{
-		instances: 1 + random.IntN(4),
-		checking:  random.IntN(6),
-		unchecked: random.IntN(3),
-		drift:     []int{0, 4, 40}[random.IntN(3)],
-		rash:      random.IntN(4) > 0,
+		instances:        1 + random.IntN(4),
+		checking:         random.IntN(6),
+		unchecked:        random.IntN(3),
+		maxDriftPerMille: []int{0, 4, 40}[random.IntN(3)],
+		skipPreVote:      random.IntN(4) > 0,
 	}
 	if l.checking+l.unchecked < 2 {
 		l.checking += 2
 	}
 	restless := random.IntN(3) > 0
 	l.placer = func(w *world) place.Placer {
-		p := &slicePlacer{slices: 8}
+		p := &slicePlacer{slicesPerHome: 8}
 		if restless {
-			p.restless = w.random
-			p.calm = func() bool { return !w.jitter }
+			p.moveRandom = w.random
+			p.movesEnded = func() bool { return !w.jitter }
 		}
 		return p
 	}
@@ -51,80 +52,81 @@
 func (w *world) runSchedule() *world {
 	w.startAll()
 	w.jitter = true
-	w.pace = []Time{300 * ms, 700 * ms, 2000 * ms}[w.random.IntN(3)]
-	w.faults()
-	w.requests()
+	w.maxFaultGap = []Time{300 * ms, 700 * ms, 2000 * ms}[w.random.IntN(3)]
+	w.scheduleFaults()
+	w.scheduleRequests()
 	w.advance(faultsEnd)
-	if w.failure != "" || w.guard != "" {
+	if w.failure != "" || w.mutation != "" {
 		return w
 	}
 	w.heal()
-	w.advance(faultsEnd + recovery)
+	w.advance(faultsEnd + recoveryTime)
 	if w.failure == "" {
 		w.checkRecovered()
 	}
 	return w
 }
 
-// faults plans the next fault, again and again until they end.
-func (w *world) faults() {
+// scheduleFaults injects one or two faults now, and again after random times until faultsEnd.
+func (w *world) scheduleFaults() {
 	if w.now >= faultsEnd {
 		return
 	}
 	for range 1 + w.random.IntN(2) {
-		w.fault()
+		w.injectFault()
 	}
-	w.after(Time(w.random.Int64N(int64(w.pace))), w.faults)
+	w.after(Time(w.random.Int64N(int64(w.maxFaultGap))), w.scheduleFaults)
 }
 
-func (w *world) requests() {
+func (w *world) scheduleRequests() {
 	if w.now >= faultsEnd {
 		return
 	}
-	w.request()
-	w.after(Time(w.random.Int64N(int64(40*ms))), w.requests)
+	w.startRequest()
+	w.after(Time(w.random.Int64N(int64(40*ms))), w.scheduleRequests)
 }
 
-func (w *world) fault() {
-	last := Time(w.random.Int64N(int64(2500 * ms)))
+func (w *world) injectFault() {
+	duration := Time(w.random.Int64N(int64(2500 * ms)))
 	server := w.servers[w.random.IntN(len(w.servers))]
 	instance := w.instances[w.random.IntN(len(w.instances))]
 	switch w.random.IntN(17) {
 	case 0, 1:
-		w.cut(w.anyName(), w.anyName(), last, false)
+		w.cut(w.anyName(), w.anyName(), duration, false)
 	case 2:
-		w.cut(w.anyName(), w.anyName(), last, true)
+		w.cut(w.anyName(), w.anyName(), duration, true)
 	case 3:
-		w.isolate(w.anyName(), last)
+		w.isolate(w.anyName(), duration)
 	case 4:
-		server.pausedTo = max(server.pausedTo, w.now+last)
+		server.pausedTo = max(server.pausedTo, w.now+duration)
 	case 5:
-		instance.pausedTo = max(instance.pausedTo, w.now+last)
+		instance.pausedTo = max(instance.pausedTo, w.now+duration)
 	case 6, 7:
 		w.boot(server)
 	case 8:
-		w.crash(server, last)
+		w.crash(server, duration)
 	case 9:
-		w.crashInstance(instance, last)
+		w.crashInstance(instance, duration)
 	case 10:
-		w.log.downTo = max(w.log.downTo, w.now+2*last)
+		w.log.downTo = max(w.log.downTo, w.now+2*duration)
 	case 11, 12:
-		w.split(last)
+		w.partitionAtRandom(duration)
 	case 13:
-		w.deafen(instance)
+		w.suspectLeader(instance)
 	case 14:
-		w.split(last)
-		w.deafen(instance)
+		w.partitionAtRandom(duration)
+		w.suspectLeader(instance)
 	case 15, 16:
-		w.slow[instance.name] = w.now + last
+		w.slowUntil[instance.name] = w.now + duration
 	}
 }
 
-// split lets each half of the servers be reached by one half of the instances only.
-func (w *world) split(last Time) {
+// partitionAtRandom divides the servers and instances into two random parts and cuts all
+// connections between them.
+func (w *world) partitionAtRandom(duration Time) {
 	half := func(int) bool { return w.random.IntN(2) == 0 }
 	var left, right []string
-	for i, m := range w.ordered() {
+	for i, m := range w.allMachines() {
 		if half(i) {
 			left = append(left, m.name)
 		} else {
@@ -133,21 +135,22 @@
 	}
 	for _, a := range left {
 		for _, b := range right {
-			w.cut(a, b, last, true)
+			w.cut(a, b, duration, true)
 		}
 	}
 }
 
-// deafen lets a follower believe that its leader is lost, as when heartbeats are cut.
-func (w *world) deafen(n *simInstance) {
+// suspectLeader makes a follower believe that its leader is lost, as when heartbeats are cut.
+func (w *world) suspectLeader(n *simInstance) {
 	if !n.down && n.core.lead == nil {
-		n.core.leaderAt = n.core.now - 10*n.core.heartbeat()
+		n.core.leaderHeardAt = n.core.now - 10*n.core.heartbeatInterval()
 		n.core.resigned = true
 	}
 }
 
-// led may restart a server just after a leader won, when its fence matters most.
-func (w *world) led() {
+// onElected may restart a server just after an instance won. This is when losing the fence of
+// a server is most dangerous.
+func (w *world) onElected() {
 	if w.jitter && w.now < faultsEnd && w.random.IntN(3) == 0 {
 		m := w.servers[w.random.IntN(len(w.servers))]
 		w.after(Time(w.random.Int64N(int64(400*ms))), func() { w.boot(m) })
@@ -155,7 +158,7 @@
 }
 
 func (w *world) anyName() string {
-	all := w.ordered()
+	all := w.allMachines()
 	i := w.random.IntN(len(all) + 1)
 	if i == len(all) {
 		return "log"
@@ -163,50 +166,50 @@
 	return all[i].name
 }
 
-func (w *world) cut(from, to string, last Time, both bool) {
-	w.cuts[[2]string{from, to}] = w.now + last
+func (w *world) cut(from, to string, duration Time, both bool) {
+	w.cutUntil[[2]string{from, to}] = w.now + duration
 	if both {
-		w.cuts[[2]string{to, from}] = w.now + last
+		w.cutUntil[[2]string{to, from}] = w.now + duration
 	}
 }
 
-func (w *world) isolate(name string, last Time) {
-	for _, m := range w.ordered() {
-		w.cut(name, m.name, last, true)
+func (w *world) isolate(name string, duration Time) {
+	for _, m := range w.allMachines() {
+		w.cut(name, m.name, duration, true)
 	}
-	w.cut(name, "log", last, true)
+	w.cut(name, "log", duration, true)
 }
 
-func (w *world) crash(m *machine, last Time) {
+func (w *world) crash(m *machine, duration Time) {
 	if m.down {
 		return
 	}
 	m.down = true
-	w.after(last, func() {
+	w.after(duration, func() {
 		if m.down {
 			w.boot(m)
 		}
 	})
 }
 
-func (w *world) crashInstance(n *simInstance, last Time) {
+func (w *world) crashInstance(n *simInstance, duration Time) {
 	if n.down {
 		return
 	}
 	n.down = true
-	n.life++
-	w.after(last, func() {
+	n.generation++
+	w.after(duration, func() {
 		if n.down {
 			n.restart()
 		}
 	})
 }
 
-// heal ends every fault. Processes that are down start again.
+// heal ends every fault and starts the processes that are down.
 func (w *world) heal() {
 	w.jitter = false
-	clear(w.cuts)
-	clear(w.slow)
+	clear(w.cutUntil)
+	clear(w.slowUntil)
 	w.log.downTo = 0
 	for _, m := range w.servers {
 		m.pausedTo = 0
@@ -222,8 +225,8 @@
 	}
 }
 
-// checkRecovered is the invariant after the faults: every range has an owner, the table says
-// so, and the log has acknowledged it.
+// checkRecovered checks the invariant after the faults: every hash has exactly one owner, and
+// the table has an owner for it that the log has acknowledged.
 func (w *world) checkRecovered() {
 	n := w.leading()
 	if n == nil {
@@ -255,9 +258,9 @@
 	return fmt.Sprintf("(%d instances, %d checking, %d unchecked)", w.layout.instances, w.layout.checking, w.layout.unchecked)
 }
 
-// changeVoters takes one voter away by a bundle and gives it back by the next. Instances learn
-// of each at different times, but of the second only when all have the first.
-func (w *world) changeVoters() {
+// scheduleVoterChanges removes one voter by a bundle and adds it again by the next. Instances
+// get each bundle at different times, but the second only when all have the first.
+func (w *world) scheduleVoterChanges() {
 	out := w.servers[w.random.IntN(len(w.servers))].name
 	versions := map[Time]func(string) bool{
 		3000 * ms: func(server string) bool { return server != out },
@@ -266,23 +269,23 @@
 	for _, n := range w.instances {
 		for _, at := range []Time{3000 * ms, 6000 * ms} {
 			voters := versions[at]
-			w.at(at+Time(w.random.Int64N(int64(2000*ms))), func() { n.revote(voters) })
+			w.at(at+Time(w.random.Int64N(int64(2000*ms))), func() { n.changeVoters(voters) })
 		}
 	}
 }
 
-// revote gives an instance a bundle with other voters. It stays over a restart.
-func (n *simInstance) revote(voters func(string) bool) {
+// changeVoters gives an instance a bundle with other voters, which it keeps over restarts.
+func (n *simInstance) changeVoters(voters func(string) bool) {
 	n.voters = voters
-	life := n.life
+	generation := n.generation
 	n.w.deliver(n.name, func() {
-		if n.life == life {
-			n.event(Configured{Version: 1, Services: n.services()})
+		if n.generation == generation {
+			n.handle(Configured{Version: 1, Services: n.services()})
 		}
 	})
 }
 
-// services is the configuration as this instance has it.
+// services returns the configuration that this instance has.
 func (n *simInstance) services() []Service {
 	services := n.w.services()
 	if n.voters == nil {
@@ -295,15 +298,15 @@
 	return services
 }
 
-// A bundle changes one voter while instances fail and learn of it one after another. Two
-// leaders by two bundles must still meet in a voter.
+// Bundles change one voter while instances fail, and instances get them at different times.
+// The majorities of two leaders with different bundles must still share a voter.
 func TestRandomSchedulesWithChangingVoters(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 80; seed++ {
 		l := randomLayout(seed)
 		l.checking = max(l.checking, 2)
 		w := newWorld(seed, l, "")
-		w.changeVoters()
+		w.scheduleVoterChanges()
 		w.runSchedule()
 		if w.failure != "" {
 			t.Logf("seed %d: %s", seed, w.failure)
@@ -312,9 +315,10 @@
 	}
 }
 
-// TestRandomSchedules is the proof of single ownership under two and three faults together:
-// messages late, lost, doubled and out of order, processes paused, lost and restarted, cuts
-// in one and both directions, outages of the log and lost answers, clocks that differ.
+// TestRandomSchedules checks that no range has two owners under combinations of faults:
+// messages that are late, lost, doubled or out of order; processes that are paused, lost or
+// restarted; cuts in one or both directions; outages of the log; lost answers; and clocks
+// that differ.
 func TestRandomSchedules(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 500; seed++ {
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -7,15 +7,15 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// service is a Service with the loads and moves known of it.
+// service is the configuration of a service and what was observed of its ranges.
 type service struct {
 	Service
 	loads map[keys.Range]load
 	moves map[keys.Range]move
-	// hot are the hashes of keys that are hot by measurement, sorted.
-	hot []uint64
-	// unchecked says that at least one server does not check grants.
-	unchecked bool
+	// measuredHotHashes are the hashes of the keys that were measured to be hot, sorted.
+	measuredHotHashes []uint64
+	// hasUnchecked says that at least one server with slots does not check grants.
+	hasUnchecked bool
 }
 
 type load struct {
@@ -23,15 +23,17 @@
 	at    Time
 }
 
-// move is the newest known change of owner of a range.
+// move is the newest known change of the owner of a range.
 type move struct {
 	server string
 	at     Time
 }
 
-// electorate is a set of voters, by name.
-type electorate map[string]bool
+// voterSet is a set of voters, by name.
+type voterSet map[string]bool
 
+// configure replaces the configuration. What was observed of a service is kept if the service
+// is still there.
 func (c *Core) configure(ev Configured) {
 	old := c.services
 	c.services = nil
@@ -39,10 +41,10 @@
 		c.services = append(c.services, newService(s, old))
 	}
 	c.changeVoters(votersOf(ev.Services))
-	c.version = ev.Version
+	c.bundleVersion = ev.Version
 	if c.lead != nil {
 		c.chooseGates()
-		c.seat()
+		c.updateHolders()
 		c.placeSoon()
 	}
 }
@@ -51,15 +53,15 @@
 	made := &service{Service: s, loads: make(map[keys.Range]load), moves: make(map[keys.Range]move)}
 	for _, o := range old {
 		if o.Name == s.Name {
-			made.loads, made.moves, made.hot = o.loads, o.moves, o.hot
+			made.loads, made.moves, made.measuredHotHashes = o.loads, o.moves, o.measuredHotHashes
 		}
 	}
-	made.unchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.Checks })
+	made.hasUnchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.ChecksGrants })
 	return made
 }
 
-func votersOf(services []Service) electorate {
-	voters := make(electorate)
+func votersOf(services []Service) voterSet {
+	voters := make(voterSet)
 	for _, s := range services {
 		for _, b := range s.Servers {
 			if b.Votes {
@@ -70,21 +72,21 @@
 	return voters
 }
 
-// changeVoters makes a set of voters the one that counts. A leader needs from then on a
-// majority of the former sets too, as long as it leads: an instance that has not seen the
-// new bundle may win by the set before, and must then meet a voter of this leader.
-func (c *Core) changeVoters(voters electorate) {
-	if len(c.electorates) > 0 && equalVoters(c.electorates[len(c.electorates)-1], voters) {
+// changeVoters makes a voter set the current one. A leader or candidate needs a majority of the
+// previous sets too until its term ends: an instance without the new bundle may be elected by
+// the previous set, and its majority must share a voter with that of this leader.
+func (c *Core) changeVoters(voters voterSet) {
+	if len(c.voterSets) > 0 && equalVoters(c.voterSets[len(c.voterSets)-1], voters) {
 		return
 	}
 	if c.lead == nil {
-		c.electorates = []electorate{voters}
+		c.voterSets = []voterSet{voters}
 		return
 	}
-	c.electorates = append(c.electorates, voters)
+	c.voterSets = append(c.voterSets, voters)
 }
 
-func equalVoters(a, b electorate) bool {
+func equalVoters(a, b voterSet) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -96,21 +98,23 @@
 	return true
 }
 
-func (c *Core) measured(ev Measured) {
+// handleMeasured replaces the measured loads of a service.
+func (c *Core) handleMeasured(ev Measured) {
 	s := c.serviceOf(ev.Service)
 	if s == nil {
 		return
 	}
-	s.hot = ev.Hot
+	s.measuredHotHashes = ev.HotHashes
 	clear(s.loads)
 	for _, l := range ev.Loads {
 		s.loads[l.Range] = load{value: l.Load, at: c.now}
 	}
 }
 
-// hotHashes returns the hot keys of the bundle and of measurement, sorted.
+// hotHashes returns the hashes of the keys that the bundle lists as hot or that were measured
+// to be hot, sorted and without duplicates.
 func (s *service) hotHashes() []uint64 {
-	all := slices.Concat(s.HotHashes, s.hot)
+	all := slices.Concat(s.HotHashes, s.measuredHotHashes)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -124,8 +128,8 @@
 	return nil
 }
 
-// forgetMoves drops what is known of ranges that exist no more, when these have become many.
-func (s *service) forgetMoves(owned []place.Owned) {
+// pruneMoves removes the moves of ranges that no longer exist, once these are many.
+func (s *service) pruneMoves(owned []place.Owned) {
 	if len(s.moves) < 4*len(owned)+100 {
 		return
 	}
--- a/internal/leader/world_test.go
+++ b/internal/leader/world_test.go
@@ -14,89 +14,98 @@
 
 const ms = Time(time.Millisecond)
 
-// longestRequest bounds the running time of requests.
+// longestRequest is the maximum running time of a request.
 const longestRequest = 1200 * ms
 
-// world runs cores, holders and a log in virtual time. True time is in nanoseconds.
+// world simulates one failure domain in virtual time: instances with their cores, servers, and
+// the log. The field now is true time in nanoseconds. Every process has its own clock.
 type world struct {
-	random *rand.Rand
-	now    Time
-	queue  schedule
-	serial int
-	layout layout
-	guard  mutation
-
-	machines  map[string]*machine
-	servers   []*machine
-	instances []*simInstance
-	log       *simLog
-	runs      []run
-	cuts      map[[2]string]Time
-	slow      map[string]Time
-	// starting is the instance that is being started; processes are incarnations to compare.
+	random   *rand.Rand
+	now      Time
+	queue    schedule
+	serial   int
+	layout   layout
+	mutation mutation
+
+	machines     map[string]*machine
+	servers      []*machine
+	instances    []*simInstance
+	log          *simLog
+	gateRequests []gateRequest
+	// cutUntil has the ends of cuts by sender and receiver, slowUntil those of slow links by
+	// receiver.
+	cutUntil  map[[2]string]Time
+	slowUntil map[string]Time
+	// starting is the instance that is being started. processes has incarnations that a script
+	// compares with.
 	starting  *simInstance
 	processes map[string]uint64
-	// marked is when a script began.
-	marked Time
-	// late, if set, returns by how much a message is late besides.
-	late func(from, to string) Time
-	// pace is the longest time between two faults.
-	pace   Time
-	hashes []uint64
-	homes  []keys.Range
-	oneWay Time
+	// scriptStart is when the interesting part of a script began, or zero.
+	scriptStart Time
+	// extraDelay, if set, returns the additional delay of a message.
+	extraDelay func(from, to string) Time
+	// maxFaultGap is the maximum time between two faults of a random schedule.
+	maxFaultGap Time
+	// hashes are the samples whose owners are checked.
+	hashes      []uint64
+	homes       []keys.Range
+	oneWayDelay Time
+	// jitter lets messages be late, doubled or lost, and instances be paused.
 	jitter bool
 
 	failure  string
 	messages int
 	bytes    int
-	// count says that bytes are counted too.
-	count        bool
+	// countBytes says that the bytes of exchanges and answers are counted.
+	countBytes   bool
 	lastExchange grant.Exchange
 	observe      func(at Time)
-	// trace, if set, gets a line for each step of interest.
+	// trace, if set, gets a line for each noteworthy step.
 	trace func(line string)
 }
 
-// layout says what a world is made of.
+// layout describes the instances and servers of a world.
 type layout struct {
 	instances int
+	// checking and unchecked are the numbers of servers that check grants and that do not.
 	checking  int
 	unchecked int
-	leaving   string
+	// leaving is the name of the server that is marked as leaving, if any.
+	leaving string
+	// isolation gives the service the isolation rule move if it is not empty.
 	isolation string
 	// voters says which servers vote; nil means those that check.
 	voters func(server string) bool
-	// drift bounds how many thousandths a clock is fast or slow.
-	drift int
-	// rash lets followers begin terms without a survey, which is for liveness only.
-	rash   bool
-	placer func(w *world) place.Placer
-	config func(c *Config)
+	// maxDriftPerMille is by how many thousandths a clock may be fast or slow.
+	maxDriftPerMille int
+	// skipPreVote lets followers begin terms without a pre-vote, which only serves liveness.
+	skipPreVote bool
+	placer      func(w *world) place.Placer
+	config      func(c *Config)
 }
 
-// machine is a process that holds grants: a server, or an instance that is gate or voter.
+// machine runs a process that may hold grants: a server, or an instance that is a gate or voter.
 type machine struct {
-	name        string
-	incarnation uint64
-	offset      Time
-	perMille    Time
-	pausedTo    Time
-	down        bool
-	holders     map[string]*simHolder
+	name          string
+	incarnation   uint64
+	clockOffset   Time
+	driftPerMille Time
+	pausedTo      Time
+	down          bool
+	holders       map[string]*simHolder
 }
 
-// run is a request that a gate sent to a server without a check of its own. It runs on when
-// the gate is lost.
-type run struct {
+// gateRequest is a request that a gate sent to a server that does not check grants. It keeps
+// running when the gate is lost.
+type gateRequest struct {
 	gate   *simHolder
 	server string
 	hash   uint64
-	until  Time
+	endsAt Time
 }
 
 func (m *machine) clock(now Time) Time {
-	return m.offset + now + now*m.perMille/1000
+	return m.clockOffset + now + now*m.driftPerMille/1000
 }
 
 type action struct {
@@ -124,15 +133,15 @@
 
 func newWorld(seed uint64, l layout, guard mutation) *world {
 	w := &world{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		layout:   l,
-		guard:    guard,
-		machines: make(map[string]*machine),
-		cuts:     make(map[[2]string]Time),
-		slow:     make(map[string]Time),
-		homes:    []keys.Range{keys.Full},
-		oneWay:   ms / 2,
-		now:      1,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		layout:      l,
+		mutation:    guard,
+		machines:    make(map[string]*machine),
+		cutUntil:    make(map[[2]string]Time),
+		slowUntil:   make(map[string]Time),
+		homes:       []keys.Range{keys.Full},
+		oneWayDelay: ms / 2,
+		now:         1,
 	}
 	w.log = &simLog{w: w}
 	for _, r := range keys.Split(keys.Full, 8) {
@@ -154,24 +163,24 @@
 	return m
 }
 
-// boot starts a new process at the place of a machine. Its clock may be that of the machine,
-// which goes on, or one of its own.
+// boot starts a new process on a machine. At random, its clock continues that of the previous
+// process or starts anew.
 func (w *world) boot(m *machine) {
 	m.incarnation = uint64(w.random.Uint32()) + 1
 	w.tracef("boot %s as %x", m.name, m.incarnation)
-	if m.offset == 0 || w.random.IntN(2) == 0 {
-		m.offset = Time(w.random.Int64N(int64(time.Hour)))
+	if m.clockOffset == 0 || w.random.IntN(2) == 0 {
+		m.clockOffset = Time(w.random.Int64N(int64(time.Hour)))
 	}
-	m.perMille = 0
-	if d := w.layout.drift; d > 0 {
-		m.perMille = Time(w.random.IntN(2*d+1) - d)
+	m.driftPerMille = 0
+	if d := w.layout.maxDriftPerMille; d > 0 {
+		m.driftPerMille = Time(w.random.IntN(2*d+1) - d)
 	}
 	m.holders = make(map[string]*simHolder)
 	m.pausedTo = 0
 	m.down = false
 }
 
-// holder returns the holder of a server's grant in a process.
+// holder returns the holder of a server's grant on a machine, and creates it if needed.
 func (w *world) holder(m *machine, server string) *simHolder {
 	h := m.holders[server]
 	if h == nil {
@@ -214,9 +223,9 @@
 	}
 }
 
-// send passes a message from one machine to another: late, twice or not at all.
+// send sends a message from one machine to another. The message may be late, doubled or lost.
 func (w *world) send(from, to string, deliver func()) {
-	if w.cuts[[2]string{from, to}] > w.now {
+	if w.cutUntil[[2]string{from, to}] > w.now {
 		return
 	}
 	copies := 1
@@ -229,23 +238,23 @@
 		}
 	}
 	for range copies {
-		w.after(w.delay()+w.lag(from, to), func() { w.deliver(to, deliver) })
+		w.after(w.delay()+w.messageLag(from, to), func() { w.deliver(to, deliver) })
 	}
 }
 
-// lag returns by how much messages to a machine are late just now.
-func (w *world) lag(from, to string) Time {
-	if w.late != nil {
-		return w.late(from, to)
+// messageLag returns the additional delay of a message that is sent now.
+func (w *world) messageLag(from, to string) Time {
+	if w.extraDelay != nil {
+		return w.extraDelay(from, to)
 	}
-	if w.slow[to] > w.now {
+	if w.slowUntil[to] > w.now {
 		return 300*ms + Time(w.random.Int64N(int64(600*ms)))
 	}
 	return 0
 }
 
 func (w *world) delay() Time {
-	d := w.oneWay
+	d := w.oneWayDelay
 	if !w.jitter {
 		return d
 	}
@@ -259,8 +268,8 @@
 	}
 }
 
-// deliver hands a message over when its receiver is not paused. A message to a process that
-// is down is lost.
+// deliver delivers a message, after the pause if its receiver is paused. A message to a
+// process that is down is lost.
 func (w *world) deliver(to string, do func()) {
 	m := w.machines[to]
 	if m == nil {
@@ -277,7 +286,7 @@
 	do()
 }
 
-// services is the configuration of the domain.
+// services returns the configuration of the domain.
 func (w *world) services() []Service {
 	s := Service{Name: "svc", Divided: true, Homes: w.homes, RequestMillis: int64(longestRequest / ms)}
 	if w.layout.isolation != "" {
@@ -286,12 +295,12 @@
 	for i, m := range w.servers {
 		checks := i < w.layout.checking
 		s.Servers = append(s.Servers, Server{
-			Name: m.name, Checks: checks, Votes: w.votes(m.name, checks), Slots: 2, Leaving: m.name == w.layout.leaving,
+			Name: m.name, ChecksGrants: checks, Votes: w.votes(m.name, checks), Slots: 2, Leaving: m.name == w.layout.leaving,
 		})
 	}
 	if w.layout.checking == 0 {
 		for _, n := range w.instances {
-			s.Servers = append(s.Servers, Server{Name: n.name, Checks: true, Votes: true})
+			s.Servers = append(s.Servers, Server{Name: n.name, ChecksGrants: true, Votes: true})
 		}
 	}
 	return []Service{s}
@@ -304,23 +313,24 @@
 	return checks
 }
 
-// owners returns the names of the servers that now may act on a hash.
+// owners returns the servers that may act on a hash now, and where their grant is held. That
+// includes servers that run a request of a lost gate.
 func (w *world) owners(hash uint64) []string {
 	var names []string
 	var gates []*simHolder
-	for _, m := range w.ordered() {
+	for _, m := range w.allMachines() {
 		if m.down {
 			continue
 		}
-		for _, name := range slices.Sorted(mapKeys(m.holders)) {
+		for _, name := range slices.Sorted(keySeq(m.holders)) {
 			if m.holders[name].owns(hash) {
 				names = append(names, name+"@"+m.name)
 				gates = append(gates, m.holders[name])
 			}
 		}
 	}
-	for _, r := range w.runs {
-		if r.hash == hash && r.until > w.now && !slices.Contains(gates, r.gate) {
+	for _, r := range w.gateRequests {
+		if r.hash == hash && r.endsAt > w.now && !slices.Contains(gates, r.gate) {
 			names = append(names, r.server+"(request)")
 			gates = append(gates, r.gate)
 		}
@@ -328,7 +338,7 @@
 	return names
 }
 
-func (w *world) ordered() []*machine {
+func (w *world) allMachines() []*machine {
 	all := slices.Clone(w.servers)
 	for _, n := range w.instances {
 		all = append(all, n.machine)
@@ -336,7 +346,7 @@
 	return all
 }
 
-// checkSingle is the invariant: no instant has two holders of one range.
+// checkSingle checks the invariant that no hash has two owners at the same time.
 func (w *world) checkSingle() {
 	for _, hash := range w.hashes {
 		if names := w.owners(hash); len(names) > 1 {
@@ -345,7 +355,7 @@
 	}
 }
 
-func mapKeys[V any](m map[string]V) func(yield func(string) bool) {
+func keySeq[V any](m map[string]V) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
