--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -19,38 +19,38 @@
 	bundle *bundle.Bundle
 	state  *fold.State
 	homes  []fold.Taken
-	// known says that homes were read or copied; before, nothing may be served.
-	known bool
-	held  *Held
+	// homesKnown says that homes were read or copied; before, nothing may be served.
+	homesKnown  bool
+	leaderState *Held
 	// fence is the highest value of the homes fence that this instance knows of.
 	fence uint64
-	// heardAt is when each other domain was last heard; the first call counts as hearing all.
-	heardAt map[string]Time
+	// lastSeen is when each other domain was last heard; the first call counts as hearing all.
+	lastSeen map[string]Time
 	// evictedAt is when this instance last read of a new eviction of another domain, by service.
 	evictedAt map[string]Time
-	// evictions are the offsets of those read so far, and homesAt that of the newest change
+	// seenEvictions are the offsets of those read so far, and homesAt that of the newest change
 	// of each domain.
-	evictions map[uint64]bool
-	homesAt   map[string]uint64
-	// noticedAt is when this instance first read each notice of an eviction.
-	noticedAt map[uint64]Time
-	allowed   map[string][]keys.Range
-	// allowedFor is the bundle that the leader was told of last.
-	allowedFor *bundle.Bundle
-	// sentAt is when a record was last asked for, by its ID.
-	sentAt map[string]Time
+	seenEvictions map[uint64]bool
+	homesOffset   map[string]uint64
+	// noticeReadAt is when this instance first read each notice of an eviction.
+	noticeReadAt map[uint64]Time
+	allowed      map[string][]keys.Range
+	// allowedBundle is the bundle that the leader was told of last.
+	allowedBundle *bundle.Bundle
+	// requestedAt is when a record was last asked for, by its ID.
+	requestedAt map[string]Time
 }
 
 // New returns a core that allows nothing yet.
 func New(config Config) *Core {
 	return &Core{
-		config:    config,
-		heardAt:   make(map[string]Time),
-		evictedAt: make(map[string]Time),
-		evictions: make(map[uint64]bool),
-		homesAt:   make(map[string]uint64),
-		noticedAt: make(map[uint64]Time),
-		sentAt:    make(map[string]Time),
+		config:        config,
+		lastSeen:      make(map[string]Time),
+		evictedAt:     make(map[string]Time),
+		seenEvictions: make(map[uint64]bool),
+		homesOffset:   make(map[string]uint64),
+		noticeReadAt:  make(map[uint64]Time),
+		requestedAt:   make(map[string]Time),
 	}
 }
 
@@ -60,60 +60,60 @@
 	c.effects = nil
 	switch ev := ev.(type) {
 	case InForce:
-		c.inForce(ev)
+		c.setBundle(ev)
 	case LogRead:
-		c.state, c.homes, c.known = ev.State, ev.State.Homes, true
-		c.noteHomes()
+		c.state, c.homes, c.homesKnown = ev.State, ev.State.Homes, true
+		c.trackHomes()
 	case Copied:
-		c.copied(ev)
+		c.usePeerHomes(ev)
 	case Domains:
-		c.hear(ev)
+		c.markReachable(ev)
 	case Follows:
-		c.held = nil
+		c.leaderState = nil
 	case Held:
-		c.held = &ev
+		c.leaderState = &ev
 		c.fence = max(c.fence, ev.Fence)
-		c.declare()
+		c.updateLog()
 	}
-	c.allow()
+	c.updateAllowed()
 	return c.effects
 }
 
-func (c *Core) inForce(ev InForce) {
+func (c *Core) setBundle(ev InForce) {
 	c.bundle = ev.Bundle
 	for _, d := range ev.Bundle.Domains {
-		if _, known := c.heardAt[d.Name]; !known {
-			c.heardAt[d.Name] = c.now
+		if _, known := c.lastSeen[d.Name]; !known {
+			c.lastSeen[d.Name] = c.now
 		}
 	}
 }
 
-func (c *Core) copied(ev Copied) {
+func (c *Core) usePeerHomes(ev Copied) {
 	if c.state == nil && len(ev.Homes) > 0 {
-		c.homes, c.known = ev.Homes, true
+		c.homes, c.homesKnown = ev.Homes, true
 	}
 }
 
-func (c *Core) hear(ev Domains) {
+func (c *Core) markReachable(ev Domains) {
 	for _, d := range ev.Heard {
-		c.heardAt[d] = c.now
+		c.lastSeen[d] = c.now
 	}
 }
 
-// noteHomes remembers when this instance read what. A domain that states its homes is there,
+// trackHomes remembers when this instance read what. A domain that states its homes is there,
 // though it may be cut off from this one.
-func (c *Core) noteHomes() {
+func (c *Core) trackHomes() {
 	for _, t := range c.homes {
-		if t.Evicted && t.Domain != c.config.Domain && !c.evictions[t.Offset] {
-			c.evictions[t.Offset] = true
+		if t.Evicted && t.Domain != c.config.Domain && !c.seenEvictions[t.Offset] {
+			c.seenEvictions[t.Offset] = true
 			c.evictedAt[t.Service] = c.now
 		}
-		if _, known := c.noticedAt[t.Notice]; t.Notice != 0 && !known {
-			c.noticedAt[t.Notice] = c.now
+		if _, known := c.noticeReadAt[t.Notice]; t.Notice != 0 && !known {
+			c.noticeReadAt[t.Notice] = c.now
 		}
-		if t.Notice == 0 && !t.Evicted && t.Offset > c.homesAt[t.Domain] {
-			c.homesAt[t.Domain] = t.Offset
-			c.heardAt[t.Domain] = c.now
+		if t.Notice == 0 && !t.Evicted && t.Offset > c.homesOffset[t.Domain] {
+			c.homesOffset[t.Domain] = t.Offset
+			c.lastSeen[t.Domain] = c.now
 		}
 	}
 }
@@ -127,26 +127,26 @@
 	return fold.HomesBase(c.homes, c.config.Domain)
 }
 
-// blocked reports whether a statement that leaves ranges out may be under way and not yet
+// releasePending reports whether a statement that leaves ranges out may be under way and not yet
 // folded. A leader teaches its voters the base of such a statement plus one before it asks
 // for the append, so its successor, which may be cut off from the log, learns of it.
-func (c *Core) blocked() bool {
+func (c *Core) releasePending() bool {
 	return c.fence > c.base()
 }
 
-// silent reports whether a domain was not heard for so long that its ranges may be freed.
-func (c *Core) silent(domain string) bool {
-	at, known := c.heardAt[domain]
+// unreachable reports whether a domain was not heard for so long that its ranges may be freed.
+func (c *Core) unreachable(domain string) bool {
+	at, known := c.lastSeen[domain]
 	return known && domain != c.config.Domain && c.now > at+Time(c.config.EvictAfter)
 }
 
-// wanted returns what this domain should serve of a service: its own homes, and those that
+// wantedRanges returns what this domain should serve of a service: its own homes, and those that
 // were freed because their domain is silent.
-func (c *Core) wanted(s *bundle.Service) []keys.Range {
+func (c *Core) wantedRanges(s *bundle.Service) []keys.Range {
 	var want []keys.Range
 	for _, h := range c.bundle.HomeRanges(s.Name) {
 		own := h.Domain == c.config.Domain
-		freed := s.Isolation == bundle.IsolationMove && c.takenBy(s.Name, h.Domain).Evicted && c.silent(h.Domain)
+		freed := s.Isolation == bundle.IsolationMove && c.takenBy(s.Name, h.Domain).Evicted && c.unreachable(h.Domain)
 		if own || freed {
 			want = append(want, h.Range)
 		}
@@ -154,44 +154,44 @@
 	return keys.Union(want, nil)
 }
 
-// allow publishes what may be served if that or the bundle changed. The leader learns of a
+// updateAllowed publishes what may be served if that or the bundle changed. The leader learns of a
 // bundle only so.
-func (c *Core) allow() {
-	if c.bundle == nil || !c.known {
+func (c *Core) updateAllowed() {
+	if c.bundle == nil || !c.homesKnown {
 		return
 	}
 	next := make(map[string][]keys.Range)
 	for i := range c.bundle.Services {
 		s := &c.bundle.Services[i]
 		if s.Divided {
-			next[s.Name] = c.allowedOf(s)
+			next[s.Name] = c.allowedRanges(s)
 		}
 	}
-	if c.allowedFor == c.bundle && maps.EqualFunc(c.allowed, next, slices.Equal[[]keys.Range]) {
+	if c.allowedBundle == c.bundle && maps.EqualFunc(c.allowed, next, slices.Equal[[]keys.Range]) {
 		return
 	}
-	c.allowed, c.allowedFor = next, c.bundle
+	c.allowed, c.allowedBundle = next, c.bundle
 	c.effects = append(c.effects, Allow{Bundle: c.bundle, Ranges: next})
 }
 
-func (c *Core) allowedOf(s *bundle.Service) []keys.Range {
-	if c.held == nil {
+func (c *Core) allowedRanges(s *bundle.Service) []keys.Range {
+	if c.leaderState == nil {
 		return nil
 	}
-	may := keys.Intersect(c.wanted(s), c.takenBy(s.Name, c.config.Domain).Ranges)
-	if c.blocked() {
-		return keys.Intersect(may, c.held.Ranges[s.Name])
+	may := keys.Intersect(c.wantedRanges(s), c.takenBy(s.Name, c.config.Domain).Ranges)
+	if c.releasePending() {
+		return keys.Intersect(may, c.leaderState.Ranges[s.Name])
 	}
-	until := c.waitUntil(s)
+	until := c.takeoverWaitEnd(s)
 	if c.now > until {
 		return may
 	}
-	return keys.Intersect(may, keys.Union(c.allowed[s.Name], c.recorded(s.Name)))
+	return keys.Intersect(may, keys.Union(c.allowed[s.Name], c.assignedRanges(s.Name)))
 }
 
-// recorded returns what the log says servers of this domain were assigned. Such ranges are
+// assignedRanges returns what the log says servers of this domain were assigned. Such ranges are
 // past any wait.
-func (c *Core) recorded(service string) []keys.Range {
+func (c *Core) assignedRanges(service string) []keys.Range {
 	if c.state == nil {
 		return nil
 	}
@@ -204,19 +204,19 @@
 	return all
 }
 
-// waitUntil returns until when the former domain of freed ranges may still serve them. Its
+// takeoverWaitEnd returns until when the former domain of freed ranges may still serve them. Its
 // last read of the log was before the record that freed them, and this instance read that
 // record later. The wait holds also when the former domain states its homes again meanwhile:
 // its servers may still act on what it lost.
-func (c *Core) waitUntil(s *bundle.Service) Time {
+func (c *Core) takeoverWaitEnd(s *bundle.Service) Time {
 	at, evicted := c.evictedAt[s.Name]
 	if !evicted {
 		return -1
 	}
-	return at + c.moveWait(s)
+	return at + c.takeoverWait(s)
 }
 
-func (c *Core) moveWait(s *bundle.Service) Time {
+func (c *Core) takeoverWait(s *bundle.Service) Time {
 	bound := Time(c.config.MoveBound)
 	bound += bound * Time(c.config.DriftPerMille) / 1000
 	for _, v := range s.Servers {
--- a/internal/homes/declare.go
+++ b/internal/homes/declare.go
@@ -12,36 +12,36 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// declare states the homes of this domain in the log where they differ from what the log
+// updateLog states the homes of this domain in the log where they differ from what the log
 // has, and frees those of silent domains. Only the leader does this: it alone knows what its
 // servers may still act on.
-func (c *Core) declare() {
+func (c *Core) updateLog() {
 	if c.bundle == nil || c.state == nil || !c.state.MayLead() {
 		return
 	}
-	c.take()
+	c.stateHomes()
 	for i := range c.bundle.Services {
 		if s := &c.bundle.Services[i]; s.Divided && s.Isolation == bundle.IsolationMove {
-			c.evict(s)
+			c.evictUnreachable(s)
 		}
 	}
 }
 
-// take states what the domain wants and what it cannot leave yet, unless that is what it has.
+// stateHomes states what the domain wants and what it cannot leave yet, unless that is what it has.
 //
 // A range that a server may still act on is never left out: another domain may grant it as
 // soon as it is. And before a range is left out, a majority of the voters is taught so. A
 // successor that is cut off from the log might otherwise grant the range again while the
 // statement is under way, and both domains would serve it.
-func (c *Core) take() {
-	if !c.held.Settled {
+func (c *Core) stateHomes() {
+	if !c.leaderState.Settled {
 		return
 	}
 	var services []record.ServiceHomes
 	changes, leaves := false, false
-	for _, name := range c.divided() {
+	for _, name := range c.dividedServices() {
 		taken := c.takenBy(name, c.config.Domain)
-		state := keys.Union(c.wantedOf(name), keys.Intersect(taken.Ranges, c.held.Ranges[name]))
+		state := keys.Union(c.wantedOfService(name), keys.Intersect(taken.Ranges, c.leaderState.Ranges[name]))
 		given := keys.Subtract(state, c.takenByOthers(name))
 		changes = changes || taken.Evicted || taken.Notice != 0 || !slices.Equal(given, taken.Ranges)
 		leaves = leaves || !keys.Covers(given, taken.Ranges)
@@ -51,7 +51,7 @@
 		return
 	}
 	base := c.base()
-	if leaves && c.held.Taught <= base {
+	if leaves && c.leaderState.Taught <= base {
 		fence := base + 1
 		c.fence = max(c.fence, fence)
 		c.effects = append(c.effects, Teach{Fence: fence})
@@ -60,15 +60,15 @@
 	c.append("homes", base, record.HomesTaken{
 		Domain:   c.config.Domain,
 		Version:  c.bundle.Version,
-		Log:      c.held.Log,
+		Log:      c.leaderState.Log,
 		Base:     base,
 		Services: services,
 	})
 }
 
-// divided returns the divided services of the bundle and those that this domain still has
+// dividedServices returns the divided services of the bundle and those that this domain still has
 // homes of, sorted.
-func (c *Core) divided() []string {
+func (c *Core) dividedServices() []string {
 	var names []string
 	for _, s := range c.bundle.Services {
 		if s.Divided {
@@ -84,12 +84,12 @@
 	return slices.Compact(names)
 }
 
-func (c *Core) wantedOf(service string) []keys.Range {
+func (c *Core) wantedOfService(service string) []keys.Range {
 	s := c.bundle.Service(service)
 	if s == nil || !s.Divided {
 		return nil
 	}
-	return c.wanted(s)
+	return c.wantedRanges(s)
 }
 
 func (c *Core) takenByOthers(service string) []keys.Range {
@@ -102,14 +102,14 @@
 	return all
 }
 
-// evict frees the ranges of domains that were not heard for long, first by notice. A domain
+// evictUnreachable frees the ranges of domains that were not heard for long, first by notice. A domain
 // that is merely cut off from this one, but not from the log, objects to the notice.
-func (c *Core) evict(s *bundle.Service) {
+func (c *Core) evictUnreachable(s *bundle.Service) {
 	for _, t := range c.homes {
-		if t.Service != s.Name || t.Evicted || len(t.Ranges) == 0 || !c.silent(t.Domain) {
+		if t.Service != s.Name || t.Evicted || len(t.Ranges) == 0 || !c.unreachable(t.Domain) {
 			continue
 		}
-		if t.Notice != 0 && c.now <= c.noticedAt[t.Notice]+Time(c.config.EvictAfter) {
+		if t.Notice != 0 && c.now <= c.noticeReadAt[t.Notice]+Time(c.config.EvictAfter) {
 			continue
 		}
 		base := fold.HomesBase(c.homes, t.Domain)
@@ -128,24 +128,24 @@
 func (c *Core) append(kind string, base uint64, r record.Record) {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%v", r))
 	id := fmt.Sprintf("%s/%s/%d/%s", kind, c.config.Domain, base, hex.EncodeToString(sum[:8]))
-	if at, sent := c.sentAt[id]; sent && c.now < at+Time(c.config.AppendEvery) {
+	if at, sent := c.requestedAt[id]; sent && c.now < at+Time(c.config.AppendEvery) {
 		return
 	}
-	c.sentAt[id] = c.now
-	c.forget()
+	c.requestedAt[id] = c.now
+	c.pruneRequests()
 	c.effects = append(c.effects, Append{ID: id, Record: r})
 }
 
-// maxSent bounds the memory of what was asked for.
-const maxSent = 1024
+// maxTrackedRequests bounds the memory of what was asked for.
+const maxTrackedRequests = 1024
 
-func (c *Core) forget() {
-	if len(c.sentAt) <= maxSent {
+func (c *Core) pruneRequests() {
+	if len(c.requestedAt) <= maxTrackedRequests {
 		return
 	}
-	for id, at := range c.sentAt {
+	for id, at := range c.requestedAt {
 		if c.now >= at+Time(c.config.AppendEvery) {
-			delete(c.sentAt, id)
+			delete(c.requestedAt, id)
 		}
 	}
 }
--- a/internal/homes/successor_test.go
+++ b/internal/homes/successor_test.go
@@ -25,22 +25,22 @@
 			is := is.New(t)
 			w := newWorld(t, 3)
 			first, second, third := w.domains[0], w.domains[1], w.domains[2]
-			w.roll(1, 6, 6, 6)
+			w.setShares(1, 6, 6, 6)
 			w.run(200)
 			before := first.serves
-			w.roll(2, 3, 9, 6)
+			w.setShares(2, 3, 9, 6)
 			for keys.Covers(w.state.Homes[0].Ranges, before) {
 				w.step()
 			}
-			first.cutLog = true
-			for keys.Covers(w.held(second), before) || !w.served() {
+			first.logDown = true
+			for keys.Covers(w.served(second), before) || !w.allServed() {
 				w.step()
 			}
-			second.cutLog, second.silent = true, true
-			w.roll(3, 6, 6, 6)
-			third.cutLog = true
+			second.logDown, second.unreachable = true, true
+			w.setShares(3, 6, 6, 6)
+			third.logDown = true
 			if tt.succeeded {
-				w.succeed(first)
+				w.replaceLeader(first)
 			}
 			w.run(100)
 			is.Equal(first.core.bundle.Version, uint64(3))
--- a/internal/homes/world_test.go
+++ b/internal/homes/world_test.go
@@ -24,24 +24,24 @@
 	now     Time
 	state   *fold.State
 	offset  uint64
-	domains []*domainWorld
+	domains []*simDomain
 }
 
-type domainWorld struct {
-	name   string
-	core   *Core
-	cutLog bool
-	silent bool
-	readAt Time
+type simDomain struct {
+	name        string
+	core        *Core
+	logDown     bool
+	unreachable bool
+	readAt      Time
 	// serves has what the servers may act on; lost has when ranges that are no longer allowed
 	// stop being served.
-	serves []keys.Range
-	lost   map[keys.Range]Time
-	queue  []Append
+	serves   []keys.Range
+	expiring map[keys.Range]Time
+	queue    []Append
 	// fence is what the voters of the domain remember.
 	fence uint64
-	// fresh says that the leader was replaced and has not told what it holds yet.
-	fresh bool
+	// newLeader says that the leader was replaced and has not told what it holds yet.
+	newLeader bool
 }
 
 const (
@@ -53,13 +53,13 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), state: fold.New(nil)}
 	for _, name := range []string{"badulla-hall", "bandarawela-hall", "welimada-hall"} {
-		w.domains = append(w.domains, &domainWorld{name: name, core: New(DefaultConfig(name)), lost: make(map[keys.Range]Time)})
+		w.domains = append(w.domains, &simDomain{name: name, core: New(DefaultConfig(name)), expiring: make(map[keys.Range]Time)})
 	}
 	return w
 }
 
-// roll puts a bundle in force with shares of the hash space for the domains.
-func (w *world) roll(version uint64, shares ...int) {
+// setShares puts a bundle in force with shares of the hash space for the domains.
+func (w *world) setShares(version uint64, shares ...int) {
 	b := &bundle.Bundle{Version: version}
 	s := bundle.Service{Name: worldService, Divided: true, Isolation: bundle.IsolationMove}
 	for i, d := range w.domains {
@@ -76,52 +76,52 @@
 	for _, d := range w.domains {
 		w.stepDomain(d)
 	}
-	w.check()
+	w.checkDisjoint()
 }
 
 // stepDomain lets a domain learn, decide and write. What it reads takes effect on what may be
 // served before the read itself extends the leases.
-func (w *world) stepDomain(d *domainWorld) {
+func (w *world) stepDomain(d *simDomain) {
 	heard := Domains{}
 	for _, o := range w.domains {
-		if o != d && !o.silent && !d.silent {
+		if o != d && !o.unreachable && !d.unreachable {
 			heard.Heard = append(heard.Heard, o.name)
 		}
 	}
-	w.perform(d, d.core.Handle(w.now, heard))
-	if !d.cutLog || !d.silent {
-		w.perform(d, d.core.Handle(w.now, InForce{Bundle: w.state.InForce}))
+	w.applyEffects(d, d.core.Handle(w.now, heard))
+	if !d.logDown || !d.unreachable {
+		w.applyEffects(d, d.core.Handle(w.now, InForce{Bundle: w.state.InForce}))
 	}
-	if !d.cutLog {
+	if !d.logDown {
 		view := w.state.Snapshot()
-		w.perform(d, d.core.Handle(w.now, LogRead{State: view}))
+		w.applyEffects(d, d.core.Handle(w.now, LogRead{State: view}))
 		d.readAt = w.now
 	}
-	w.lead(d)
-	w.flush(d)
+	w.reportLeaderState(d)
+	w.writeQueue(d)
 }
 
-// lead tells the core of a domain what its leader holds and its voters remember.
-func (w *world) lead(d *domainWorld) {
-	w.perform(d, d.core.Handle(w.now, Held{
+// reportLeaderState tells the core of a domain what its leader holds and its voters remember.
+func (w *world) reportLeaderState(d *simDomain) {
+	w.applyEffects(d, d.core.Handle(w.now, Held{
 		Settled: true,
-		Ranges:  map[string][]keys.Range{worldService: w.held(d)},
+		Ranges:  map[string][]keys.Range{worldService: w.served(d)},
 		Fence:   d.fence,
 		Taught:  d.fence,
 	}))
-	if d.fresh {
-		d.fresh = false
-		w.perform(d, []Effect{Allow{Ranges: d.core.allowed}})
+	if d.newLeader {
+		d.newLeader = false
+		w.applyEffects(d, []Effect{Allow{Ranges: d.core.allowed}})
 	}
 }
 
-// held returns what the servers of a domain may act on now.
-func (w *world) held(d *domainWorld) []keys.Range {
+// served returns what the servers of a domain may act on now.
+func (w *world) served(d *simDomain) []keys.Range {
 	all := d.serves
 	if w.now > d.readAt+Time(d.core.config.MoveBound) {
 		all = nil
 	}
-	for r, until := range d.lost {
+	for r, until := range d.expiring {
 		if w.now <= until {
 			all = keys.Union(all, []keys.Range{r})
 		}
@@ -129,16 +129,16 @@
 	return keys.Union(all, nil)
 }
 
-func (w *world) perform(d *domainWorld, effects []Effect) {
+func (w *world) applyEffects(d *simDomain, effects []Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Allow:
-			if d.core.held == nil {
+			if d.core.leaderState == nil {
 				continue
 			}
 			next := e.Ranges[worldService]
-			for _, r := range keys.Subtract(w.held(d), next) {
-				d.lost[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.MoveBound))
+			for _, r := range keys.Subtract(w.served(d), next) {
+				d.expiring[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.MoveBound))
 			}
 			d.serves = next
 		case Teach:
@@ -151,10 +151,10 @@
 	}
 }
 
-// flush writes what a domain has queued, late and out of order with others, twice now and
+// writeQueue writes what a domain has queued, late and out of order with others, twice now and
 // then because an answer was lost.
-func (w *world) flush(d *domainWorld) {
-	for !d.cutLog && len(d.queue) > 0 && w.random.IntN(15) == 0 {
+func (w *world) writeQueue(d *simDomain) {
+	for !d.logDown && len(d.queue) > 0 && w.random.IntN(15) == 0 {
 		a := d.queue[0]
 		if w.random.IntN(5) > 0 {
 			d.queue = d.queue[1:]
@@ -168,23 +168,23 @@
 	}
 }
 
-// succeed replaces the leader of a domain. The new one knows what it last read; statements
+// replaceLeader replaces the leader of a domain. The new one knows what it last read; statements
 // of the old one are still under way.
-func (w *world) succeed(d *domainWorld) {
+func (w *world) replaceLeader(d *simDomain) {
 	old := d.core
 	d.core = New(DefaultConfig(d.name))
-	d.fresh = true
+	d.newLeader = true
 	if old.bundle == nil || old.state == nil {
 		return
 	}
-	w.perform(d, d.core.Handle(w.now, InForce{Bundle: old.bundle}))
-	w.perform(d, d.core.Handle(w.now, LogRead{State: old.state}))
+	w.applyEffects(d, d.core.Handle(w.now, InForce{Bundle: old.bundle}))
+	w.applyEffects(d, d.core.Handle(w.now, LogRead{State: old.state}))
 }
 
-func (w *world) check() {
+func (w *world) checkDisjoint() {
 	for i, a := range w.domains {
 		for _, b := range w.domains[:i] {
-			if both := keys.Intersect(w.held(a), w.held(b)); len(both) > 0 {
+			if both := keys.Intersect(w.served(a), w.served(b)); len(both) > 0 {
 				w.t.Fatalf("at %v both %s and %s may serve %v", time.Duration(w.now), a.name, b.name, both)
 			}
 		}
@@ -197,10 +197,10 @@
 	}
 }
 
-func (w *world) served() bool {
+func (w *world) allServed() bool {
 	var all []keys.Range
 	for _, d := range w.domains {
-		all = keys.Union(all, w.held(d))
+		all = keys.Union(all, w.served(d))
 	}
 	return keys.Covers(all, []keys.Range{keys.Full})
 }
@@ -213,30 +213,30 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, seed)
 			version := uint64(1)
-			w.roll(version, 6, 6, 6)
+			w.setShares(version, 6, 6, 6)
 			w.run(50)
 			for range 40 {
 				d := w.domains[w.random.IntN(len(w.domains))]
 				switch w.random.IntN(5) {
 				case 4:
-					w.succeed(d)
+					w.replaceLeader(d)
 				case 0:
-					d.cutLog = !d.cutLog
+					d.logDown = !d.logDown
 				case 1:
-					d.silent = !d.silent
+					d.unreachable = !d.unreachable
 				case 2:
 					version++
 					shares := [][]int{{6, 6, 6}, {3, 8, 7}}[w.random.IntN(2)]
-					w.roll(version, shares...)
+					w.setShares(version, shares...)
 				}
 				w.run(1 + w.random.IntN(100))
 			}
 			for _, d := range w.domains {
-				d.cutLog, d.silent = false, false
+				d.logDown, d.unreachable = false, false
 			}
 			w.run(1200)
 			is := is.New(t)
-			is.True(w.served())
+			is.True(w.allServed())
 		})
 	}
 }
@@ -246,19 +246,19 @@
 func TestLostDomainIsSucceeded(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
-	w.roll(1, 6, 6, 6)
+	w.setShares(1, 6, 6, 6)
 	w.run(100)
-	is.True(w.served())
+	is.True(w.allServed())
 	lost := w.domains[0]
 	before := lost.serves
-	lost.cutLog, lost.silent = true, true
+	lost.logDown, lost.unreachable = true, true
 	w.run(600)
-	is.Equal(len(w.held(lost)), 0)
-	is.True(w.served())
-	lost.cutLog, lost.silent = false, false
+	is.Equal(len(w.served(lost)), 0)
+	is.True(w.allServed())
+	lost.logDown, lost.unreachable = false, false
 	w.run(300)
 	is.Equal(lost.serves, before)
-	is.True(w.served())
+	is.True(w.allServed())
 }
 
 // A domain is cut off from the other domains but not from the log. Nothing is wrong with its
@@ -266,9 +266,9 @@
 func TestDomainThatReadsTheLogIsNotEvicted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
-	w.roll(1, 6, 6, 6)
+	w.setShares(1, 6, 6, 6)
 	w.run(100)
-	w.domains[0].silent = true
+	w.domains[0].unreachable = true
 	before := w.domains[0].serves
 	for range 3000 {
 		w.step()
--- a/internal/place/cool.go
+++ b/internal/place/cool.go
@@ -1,15 +1,15 @@
 package place
 
-// returnCold gives each piece of one hash that is hot no more to the owner of a piece beside
+// returnColdKeys gives each piece of one hash that is hot no more to the owner of a piece beside
 // it, where it merges. Without this each key that was ever hot would leave a range behind.
-func (pl *plan) returnCold() {
-	for i := range pl.sorted {
+func (pl *plan) returnColdKeys() {
+	for i := range pl.sortedCount {
 		c := pl.pieces[i]
-		if c.hot || c.r.First != c.r.Last {
+		if c.hot || c.hashes.First != c.hashes.Last {
 			continue
 		}
 		for _, j := range []int{i - 1, i + 1} {
-			if j >= 0 && j < pl.sorted && pl.pieces[min(i, j)].joins(pl.pieces[max(i, j)]) {
+			if j >= 0 && j < pl.sortedCount && pl.pieces[min(i, j)].adjoins(pl.pieces[max(i, j)]) {
 				pl.move(i, pl.pieces[j].owner)
 				break
 			}
@@ -32,5 +32,5 @@
 			break
 		}
 	}
-	pl.give(i, to)
+	pl.assign(i, to)
 }
--- a/internal/place/cut.go
+++ b/internal/place/cut.go
@@ -6,16 +6,16 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// nobody is the owner of a piece without an accepting owner.
-const nobody = -1
+// none is the owner of a piece without an accepting owner.
+const none = -1
 
-// leastSpan is the least distance of the ends of a piece that is split off. At 16 billion
+// minSplitSpan is the least distance of the ends of a piece that is split off. At 16 billion
 // keys it holds none on average, so a narrower piece would only add to the ranges.
-const leastSpan = 1 << 24
+const minSplitSpan = 1 << 24
 
 // piece is a part of the homes while a plan is made.
 type piece struct {
-	r       keys.Range
+	hashes  keys.Range
 	owner   int
 	load    float64
 	loadAt  Time
@@ -24,9 +24,9 @@
 	hot bool
 }
 
-// cut returns the homes as a sorted list of pieces: what is owned, the gaps between, and
+// cutHomes returns the homes as a sorted list of pieces: what is owned, the gaps between, and
 // the hot keys apart.
-func cut(v View, servers []server, maxHot int) []piece {
+func cutHomes(v View, servers []server, maxHot int) []piece {
 	index := make(map[string]int, len(servers))
 	for i, s := range servers {
 		index[s.name] = i
@@ -46,7 +46,7 @@
 	if len(hot) == 0 {
 		return pieces
 	}
-	return cutHot(pieces, hot)
+	return cutHotKeys(pieces, hot)
 }
 
 // cutHome appends the pieces of one home. The first of the owned ranges ends in or after it.
@@ -57,7 +57,7 @@
 			break
 		}
 		if o.Range.First > first {
-			pieces = append(pieces, piece{r: keys.Range{First: first, Last: o.Range.First - 1}, owner: nobody})
+			pieces = append(pieces, piece{hashes: keys.Range{First: first, Last: o.Range.First - 1}, owner: none})
 		}
 		pieces = append(pieces, pieceOf(o, home, index))
 		if o.Range.Last >= home.Last {
@@ -65,7 +65,7 @@
 		}
 		first = max(first, o.Range.Last+1)
 	}
-	return append(pieces, piece{r: keys.Range{First: first, Last: home.Last}, owner: nobody})
+	return append(pieces, piece{hashes: keys.Range{First: first, Last: home.Last}, owner: none})
 }
 
 // pieceOf returns the part of an owned range that lies in a home.
@@ -73,10 +73,10 @@
 	r := keys.Range{First: max(o.Range.First, home.First), Last: min(o.Range.Last, home.Last)}
 	owner, found := index[o.Server]
 	if !found {
-		owner = nobody
+		owner = none
 	}
 	return piece{
-		r:       r,
+		hashes:  r,
 		owner:   owner,
 		load:    o.Load * r.Width() / o.Range.Width(),
 		loadAt:  o.LoadAt,
@@ -84,8 +84,8 @@
 	}
 }
 
-// cutHot sets the hot keys of sorted pieces apart.
-func cutHot(pieces []piece, hot []uint64) []piece {
+// cutHotKeys sets the hot keys of sorted pieces apart.
+func cutHotKeys(pieces []piece, hot []uint64) []piece {
 	parts := make([]piece, 0, len(pieces)+2*len(hot))
 	for _, c := range pieces {
 		parts = c.appendCut(parts, hot)
@@ -96,15 +96,15 @@
 // appendCut appends the parts into which the sorted hot hashes cut a piece. A key that just
 // became hot may move although the range about it moved of late.
 func (c piece) appendCut(parts []piece, hot []uint64) []piece {
-	wide := c.r.First < c.r.Last
-	at, _ := slices.BinarySearch(hot, c.r.First)
-	for ; at < len(hot) && hot[at] <= c.r.Last; at++ {
-		if hot[at] > c.r.First {
+	wide := c.hashes.First < c.hashes.Last
+	at, _ := slices.BinarySearch(hot, c.hashes.First)
+	for ; at < len(hot) && hot[at] <= c.hashes.Last; at++ {
+		if hot[at] > c.hashes.First {
 			var before piece
 			before, c = c.split(hot[at] - 1)
 			parts = append(parts, before)
 		}
-		if hot[at] == c.r.Last {
+		if hot[at] == c.hashes.Last {
 			c.hot = true
 			if wide {
 				c.movedAt = 0
@@ -123,9 +123,9 @@
 // with width.
 func (c piece) split(last uint64) (piece, piece) {
 	a, b := c, c
-	a.r.Last = last
-	b.r.First = last + 1
-	a.load = c.load * a.r.Width() / c.r.Width()
+	a.hashes.Last = last
+	b.hashes.First = last + 1
+	a.load = c.load * a.hashes.Width() / c.hashes.Width()
 	b.load = c.load - a.load
 	return a, b
 }
@@ -137,28 +137,28 @@
 	if c.hot || c.load <= 0 || share <= 0 || share >= 1 {
 		return c, c, false
 	}
-	span := c.r.Last - c.r.First
+	span := c.hashes.Last - c.hashes.First
 	offset := uint64(share * float64(span))
-	if offset < leastSpan || span-offset < leastSpan {
+	if offset < minSplitSpan || span-offset < minSplitSpan {
 		return c, c, false
 	}
-	a, b := c.split(c.r.First + offset)
+	a, b := c.split(c.hashes.First + offset)
 	return a, b, true
 }
 
-// joins reports whether a piece and the next could be one if they had one owner.
-func (c piece) joins(next piece) bool {
-	return !c.hot && !next.hot && c.r.Last+1 == next.r.First
+// adjoins reports whether a piece and the next could be one if they had one owner.
+func (c piece) adjoins(next piece) bool {
+	return !c.hot && !next.hot && c.hashes.Last+1 == next.hashes.First
 }
 
 // merges reports whether a piece and the next are one.
 func (c piece) merges(next piece) bool {
-	return c.owner == next.owner && c.joins(next)
+	return c.owner == next.owner && c.adjoins(next)
 }
 
 // absorb makes a piece one with the next.
 func (c *piece) absorb(next piece) {
-	c.r.Last = next.r.Last
+	c.hashes.Last = next.hashes.Last
 	c.load += next.load
 	c.loadAt = max(c.loadAt, next.loadAt)
 	c.movedAt = max(c.movedAt, next.movedAt)
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -4,44 +4,44 @@
 
 // Bounds on what is believed of a measured load.
 const (
-	// floorShare is the least load that a range is taken to carry, as a share of what its
+	// minLoadShare is the least load that a range is taken to carry, as a share of what its
 	// width would bring. It guards against the zero that a dead gate or a server without
 	// callers reports: believed at once, the zero would draw ranges to that server that
 	// have to move again when the load returns.
-	floorShare = 0.25
+	minLoadShare = 0.25
 )
 
-// estimate replaces the measured loads of pieces by what is believed: a load loses half of
+// estimateLoads replaces the measured loads of pieces by what is believed: a load loses half of
 // its weight with each half-life, and the mean over the width takes its place. Units stay.
-func (p *Planner) estimate(v View, pieces []piece) {
-	density, measured := p.density(v, pieces)
+func (p *Planner) estimateLoads(v View, pieces []piece) {
+	density, measured := p.loadDensity(v, pieces)
 	for i := range pieces {
 		c := &pieces[i]
-		prior := density * c.r.Width()
+		prior := density * c.hashes.Width()
 		if !measured {
 			c.load = prior
 			continue
 		}
-		trust := p.trust(v.Now, c.loadAt)
+		trust := p.loadWeight(v.Now, c.loadAt)
 		if c.hot {
 			c.load = trust*c.load + prior
 			continue
 		}
-		c.load = max(trust*c.load+(1-trust)*prior, floorShare*prior)
+		c.load = max(trust*c.load+(1-trust)*prior, minLoadShare*prior)
 	}
 }
 
-// density returns the load that the width 1 of keys which are not hot carries, and whether
+// loadDensity returns the load that the width 1 of keys which are not hot carries, and whether
 // anything was measured. Without a measurement load is width.
-func (p *Planner) density(v View, pieces []piece) (float64, bool) {
+func (p *Planner) loadDensity(v View, pieces []piece) (float64, bool) {
 	load, width := 0.0, 0.0
 	for _, c := range pieces {
 		if c.hot || c.loadAt == 0 {
 			continue
 		}
-		trust := p.trust(v.Now, c.loadAt)
+		trust := p.loadWeight(v.Now, c.loadAt)
 		load += trust * c.load
-		width += trust * c.r.Width()
+		width += trust * c.hashes.Width()
 	}
 	if load <= 0 || width <= 0 {
 		return 1, false
@@ -49,8 +49,8 @@
 	return load / width, true
 }
 
-// trust returns the weight of a load by its age, in [0, 1].
-func (p *Planner) trust(now, at Time) float64 {
+// loadWeight returns the weight of a load by its age, in [0, 1].
+func (p *Planner) loadWeight(now, at Time) float64 {
 	if at == 0 {
 		return 0
 	}
--- a/internal/place/fill.go
+++ b/internal/place/fill.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// fillSlack is how far above and below the mean level a server may be, as a share of it,
+// levelTolerance is how far above and below the mean level a server may be, as a share of it,
 // without being made equal when ranges without an owner are given out.
-const fillSlack = 0.05
+const levelTolerance = 0.05
 
-// fill gives each piece without an owner to the servers with the most room. Pieces that have
+// assignOrphans gives each piece without an owner to the servers with the most room. Pieces that have
 // an owner stay, so this is the fewest keys that can move.
-func (pl *plan) fill() {
+func (pl *plan) assignOrphans() {
 	orphans := pl.orphans()
 	if len(orphans) == 0 {
 		return
 	}
-	orphans = pl.fillHot(orphans)
+	orphans = pl.assignHotOrphans(orphans)
 	load := 0.0
 	for _, i := range orphans {
 		load += pl.pieces[i].load
 	}
-	rooms := pl.rooms(load)
-	orphans = pl.fillBeside(orphans, rooms)
-	pl.fillOthers(orphans, rooms)
+	rooms := pl.orphanShares(load)
+	orphans = pl.assignToNeighbors(orphans, rooms)
+	pl.assignRest(orphans, rooms)
 }
 
 // orphans returns the indices of the pieces without an owner.
 func (pl *plan) orphans() []int {
 	var orphans []int
 	for i, c := range pl.pieces {
-		if c.owner == nobody {
+		if c.owner == none {
 			orphans = append(orphans, i)
 		}
 	}
 	return orphans
 }
 
-// fillHot gives out hot keys, the heaviest first, each to the lowest server. It returns the
+// assignHotOrphans gives out hot keys, the heaviest first, each to the lowest server. It returns the
 // other orphans.
-func (pl *plan) fillHot(orphans []int) []int {
+func (pl *plan) assignHotOrphans(orphans []int) []int {
 	var hot, others []int
 	for _, i := range orphans {
 		if pl.pieces[i].hot {
@@ -49,20 +49,20 @@
 		}
 	}
 	slices.SortStableFunc(hot, func(a, b int) int { return cmp.Compare(pl.pieces[b].load, pl.pieces[a].load) })
-	low := newLowest(pl.servers)
+	low := newServerHeap(pl.servers)
 	for _, i := range hot {
-		to := low.first()
-		pl.give(i, to)
+		to := low.lowest()
+		pl.assign(i, to)
 		low.fix(to)
 	}
 	return others
 }
 
-// rooms returns by server the load that it takes of the orphans, given their sum. The sum of
+// orphanShares returns by server the load that it takes of the orphans, given their sum. The sum of
 // the rooms is the same. Only as many servers take part as are needed to leave none more
 // than fillSlack above the mean, besides those that are far below it: a lost server among
 // thousands is shared by some twenty, not cut into thousands.
-func (pl *plan) rooms(load float64) []float64 {
+func (pl *plan) orphanShares(load float64) []float64 {
 	order := make([]int, len(pl.servers))
 	for i := range order {
 		order[i] = i
@@ -76,8 +76,8 @@
 		s := &pl.servers[i]
 		if capacity > 0 {
 			level := sum / capacity
-			far := s.level() < pl.mean*(1-fillSlack)
-			if s.level() >= level || !far && level <= pl.mean*(1+fillSlack) {
+			far := s.level() < pl.meanLevel*(1-levelTolerance)
+			if s.level() >= level || !far && level <= pl.meanLevel*(1+levelTolerance) {
 				break
 			}
 		}
@@ -93,35 +93,35 @@
 	return rooms
 }
 
-// fillBeside gives orphans, or parts of them, to the owners of the pieces beside them, which
+// assignToNeighbors gives orphans, or parts of them, to the owners of the pieces beside them, which
 // costs no further range. It returns what is left.
-func (pl *plan) fillBeside(orphans []int, rooms []float64) []int {
+func (pl *plan) assignToNeighbors(orphans []int, rooms []float64) []int {
 	var left []int
 	for _, i := range orphans {
-		if i > 0 && pl.pieces[i-1].joins(pl.pieces[i]) {
-			i = pl.fillPart(i, pl.pieces[i-1].owner, rooms, false)
+		if i > 0 && pl.pieces[i-1].adjoins(pl.pieces[i]) {
+			i = pl.assignPart(i, pl.pieces[i-1].owner, rooms, false)
 		}
-		if i != nobody && i < pl.sorted-1 && pl.pieces[i].joins(pl.pieces[i+1]) {
-			i = pl.fillPart(i, pl.pieces[i+1].owner, rooms, true)
+		if i != none && i < pl.sortedCount-1 && pl.pieces[i].adjoins(pl.pieces[i+1]) {
+			i = pl.assignPart(i, pl.pieces[i+1].owner, rooms, true)
 		}
-		if i != nobody {
+		if i != none {
 			left = append(left, i)
 		}
 	}
 	return left
 }
 
-// fillPart gives a server as much of an orphan as it has room for, from its end or its
+// assignPart gives a server as much of an orphan as it has room for, from its end or its
 // start. It returns the index of the rest, or nobody.
-func (pl *plan) fillPart(i, to int, rooms []float64, end bool) int {
-	if to == nobody || rooms[to] <= 0 {
+func (pl *plan) assignPart(i, to int, rooms []float64, end bool) int {
+	if to == none || rooms[to] <= 0 {
 		return i
 	}
 	c := pl.pieces[i]
-	if c.load <= rooms[to]*(1+rounding) {
+	if c.load <= rooms[to]*(1+loadTolerance) {
 		rooms[to] -= c.load
-		pl.give(i, to)
-		return nobody
+		pl.assign(i, to)
+		return none
 	}
 	part, rest, ok := pl.splitOff(c, rooms[to], end)
 	if !ok {
@@ -129,12 +129,12 @@
 	}
 	rooms[to] = 0
 	pl.pieces[i] = rest
-	pl.give(pl.add(part), to)
+	pl.assign(pl.addPiece(part), to)
 	return i
 }
 
-// rounding is the share by which two loads may differ and count as equal.
-const rounding = 1e-9
+// loadTolerance is the share by which two loads may differ and count as equal.
+const loadTolerance = 1e-9
 
 // splitOff cuts a part with the given load from the start or the end of a piece.
 func (pl *plan) splitOff(c piece, load float64, end bool) (part, rest piece, ok bool) {
@@ -145,18 +145,18 @@
 	return part, rest, ok
 }
 
-// fillOthers gives out orphans in order, cutting them where a server's room ends. At the
+// assignRest gives out orphans in order, cutting them where a server's room ends. At the
 // limit of ranges it gives whole ones, the heaviest first, to the lowest servers.
-func (pl *plan) fillOthers(orphans []int, rooms []float64) {
+func (pl *plan) assignRest(orphans []int, rooms []float64) {
 	to := 0
-	for len(orphans) > 0 && !pl.full() {
-		for to < len(rooms) && rooms[to] <= pl.mean*rounding {
+	for len(orphans) > 0 && !pl.atLimit() {
+		for to < len(rooms) && rooms[to] <= pl.meanLevel*loadTolerance {
 			to++
 		}
 		if to == len(rooms) {
 			break
 		}
-		if pl.fillPart(orphans[0], to, rooms, false) == nobody {
+		if pl.assignPart(orphans[0], to, rooms, false) == none {
 			orphans = orphans[1:]
 			continue
 		}
@@ -165,10 +165,10 @@
 		}
 	}
 	slices.SortStableFunc(orphans, func(a, b int) int { return cmp.Compare(pl.pieces[b].load, pl.pieces[a].load) })
-	low := newLowest(pl.servers)
+	low := newServerHeap(pl.servers)
 	for _, i := range orphans {
-		to := low.first()
-		pl.give(i, to)
+		to := low.lowest()
+		pl.assign(i, to)
 		low.fix(to)
 	}
 }
--- a/internal/place/hot.go
+++ b/internal/place/hot.go
@@ -5,22 +5,22 @@
 // Bounds on the moves of hot keys. A hot key is one key, so its move costs next to nothing
 // of churn and unavailable time and the bounds are tighter than for ranges.
 const (
-	// hotGain is the least by which the higher of the two levels must fall.
-	hotGain = 0.02
-	// hotDwellShare is the part of the dwell time that a hot key stays.
-	hotDwellShare = 4
+	// minHotGain is the least by which the higher of the two levels must fall.
+	minHotGain = 0.02
+	// hotDwellDivisor is the part of the dwell time that a hot key stays.
+	hotDwellDivisor = 4
 )
 
-// balanceHot moves hot keys from servers above the release level to the lowest ones while that lowers the
+// balanceHotKeys moves hot keys from servers above the release level to the lowest ones while that lowers the
 // higher of the two. While a newcomer has to get ranges it may wait, see rules.
-func (pl *plan) balanceHot(r rules) {
+func (pl *plan) balanceHotKeys(r balanceParams) {
 	newcomers := pl.newcomers()
-	low := newLowest(pl.servers)
+	low := newServerHeap(pl.servers)
 	for from := range pl.servers {
-		for pl.servers[from].level() > pl.mean*r.release {
-			to := low.first()
-			i := pl.chooseHot(from, to, r)
-			if i == nobody || r.spread && newcomers[to] {
+		for pl.servers[from].level() > pl.meanLevel*r.release {
+			to := low.lowest()
+			i := pl.chooseHotKey(from, to, r)
+			if i == none || r.noHotToNewcomers && newcomers[to] {
 				break
 			}
 			pl.move(i, to)
@@ -31,14 +31,14 @@
 	}
 }
 
-// chooseHot returns the hot key whose move between two servers makes the higher one lowest,
+// chooseHotKey returns the hot key whose move between two servers makes the higher one lowest,
 // or nobody.
-func (pl *plan) chooseHot(from, to int, r rules) int {
+func (pl *plan) chooseHotKey(from, to int, r balanceParams) int {
 	s, d := &pl.servers[from], &pl.servers[to]
-	best, level := nobody, s.level()-pl.mean*hotGain
+	best, level := none, s.level()-pl.meanLevel*minHotGain
 	for _, i := range s.pieces {
 		c := &pl.pieces[i]
-		if !c.hot || c.movedLately(r.now, r.dwell/hotDwellShare) {
+		if !c.hot || c.movedRecently(r.now, r.dwell/hotDwellDivisor) {
 			continue
 		}
 		after := math.Max((s.load-c.load)/s.capacity, (d.load+c.load)/d.capacity)
@@ -49,11 +49,11 @@
 	return best
 }
 
-// setApart takes the hot keys that alone lift their server above the mean out of the mean,
+// excludeDominantKeys takes the hot keys that alone lift their server above the mean out of the mean,
 // with the capacity of that server. Nothing can lower such a server, so the others are
 // measured against what they can reach: the load that is left over the capacity left. The
 // level of the hottest key on the largest server is the bound on balance then.
-func (pl *plan) setApart() {
+func (pl *plan) excludeDominantKeys() {
 	load, capacity := 0.0, 0.0
 	for i := range pl.servers {
 		load += pl.servers[i].load
@@ -64,13 +64,13 @@
 		again = false
 		for _, c := range pl.pieces {
 			s := &pl.servers[c.owner]
-			if !c.hot || apart[c.owner] || c.load <= pl.mean*s.capacity || s.capacity >= capacity {
+			if !c.hot || apart[c.owner] || c.load <= pl.meanLevel*s.capacity || s.capacity >= capacity {
 				continue
 			}
 			apart[c.owner], again = true, true
 			load -= c.load
 			capacity -= s.capacity
-			pl.mean = load / capacity
+			pl.meanLevel = load / capacity
 		}
 	}
 }
--- a/internal/place/plan.go
+++ b/internal/place/plan.go
@@ -22,25 +22,25 @@
 type plan struct {
 	servers []server
 	// pieces are sorted as far as sorted; those behind were split off.
-	pieces []piece
-	sorted int
-	// limit bounds the runs, and spare is how many more splits may bring about.
-	limit int
-	spare int
-	// mean is the level at which all servers would be equal.
-	mean float64
+	pieces      []piece
+	sortedCount int
+	// maxRuns bounds the runs, and spare is how many more splits may bring about.
+	maxRuns    int
+	splitsLeft int
+	// meanLevel is the level at which all servers would be equal.
+	meanLevel float64
 }
 
 func newPlan(servers []server, pieces []piece) *plan {
-	return &plan{servers: servers, pieces: pieces, sorted: len(pieces)}
+	return &plan{servers: servers, pieces: pieces, sortedCount: len(pieces)}
 }
 
-// count sums the loads of the pieces by server.
-func (pl *plan) count() {
+// sumLoads sums the loads of the pieces by server.
+func (pl *plan) sumLoads() {
 	total, capacity := 0.0, 0.0
 	for i, c := range pl.pieces {
 		total += c.load
-		if c.owner == nobody {
+		if c.owner == none {
 			continue
 		}
 		s := &pl.servers[c.owner]
@@ -50,12 +50,12 @@
 	for _, s := range pl.servers {
 		capacity += s.capacity
 	}
-	pl.mean = total / capacity
-	pl.spare = pl.limit - len(pl.runs())
+	pl.meanLevel = total / capacity
+	pl.splitsLeft = pl.maxRuns - len(pl.runs())
 }
 
-// give makes a server the owner of a piece that has none.
-func (pl *plan) give(i, to int) {
+// assign makes a server the owner of a piece that has none.
+func (pl *plan) assign(i, to int) {
 	c := &pl.pieces[i]
 	s := &pl.servers[to]
 	c.owner = to
@@ -63,23 +63,23 @@
 	s.pieces = append(s.pieces, i)
 }
 
-// add appends a piece that was split off and returns its index.
-func (pl *plan) add(c piece) int {
-	pl.spare--
+// addPiece appends a piece that was split off and returns its index.
+func (pl *plan) addPiece(c piece) int {
+	pl.splitsLeft--
 	pl.pieces = append(pl.pieces, c)
 	return len(pl.pieces) - 1
 }
 
-// full reports whether another split would pass the limit.
-func (pl *plan) full() bool {
-	return pl.spare <= 0
+// atLimit reports whether another split would pass the limit.
+func (pl *plan) atLimit() bool {
+	return pl.splitsLeft <= 0
 }
 
 // merge puts the pieces in order of their hashes and makes one of neighbours of one owner.
 func (pl *plan) merge() {
-	slices.SortFunc(pl.pieces, func(a, b piece) int { return cmp.Compare(a.r.First, b.r.First) })
+	slices.SortFunc(pl.pieces, func(a, b piece) int { return cmp.Compare(a.hashes.First, b.hashes.First) })
 	pl.pieces = mergeSorted(pl.pieces)
-	pl.sorted = len(pl.pieces)
+	pl.sortedCount = len(pl.pieces)
 	for i := range pl.servers {
 		pl.servers[i].pieces = pl.servers[i].pieces[:0]
 	}
@@ -107,7 +107,7 @@
 func (pl *plan) targets() []Target {
 	targets := make([]Target, 0, len(pl.pieces))
 	for _, c := range pl.pieces {
-		targets = append(targets, Target{Range: c.r, Server: pl.servers[c.owner].name})
+		targets = append(targets, Target{Range: c.hashes, Server: pl.servers[c.owner].name})
 	}
 	return targets
 }
--- a/internal/place/planner.go
+++ b/internal/place/planner.go
@@ -36,15 +36,15 @@
 // each service is out of balance; a new Planner waits anew. It is not safe for concurrent use.
 type Planner struct {
 	rangesPerServer int
-	maxHot          int
+	maxHotKeys      int
 	coldShare       float64
-	budget          float64
-	settle          Time
-	dwell           Time
+	moveBudget      float64
+	settleTime      Time
+	dwellTime       Time
 	halfLife        Time
-	patience        Time
-	// highSince is by service since when a server is above the trigger.
-	highSince map[string]Time
+	overloadDelay   Time
+	// overloadedSince is by service since when a server is above the trigger.
+	overloadedSince map[string]Time
 }
 
 var _ Placer = (*Planner)(nil)
@@ -59,32 +59,32 @@
 
 // WithMaxHot sets how many hot keys get a range of their own.
 func WithMaxHot(n int) Option {
-	return func(p *Planner) { p.maxHot = max(n, 0) }
+	return func(p *Planner) { p.maxHotKeys = max(n, 0) }
 }
 
 // WithPatience sets for how long a server must be overloaded before ranges move for it.
 func WithPatience(d time.Duration) Option {
-	return func(p *Planner) { p.patience = Time(d) }
+	return func(p *Planner) { p.overloadDelay = Time(d) }
 }
 
 // WithBudget sets the share of the hash space that may move within one settling time for
 // the sake of balance.
 func WithBudget(share float64) Option {
-	return func(p *Planner) { p.budget = share }
+	return func(p *Planner) { p.moveBudget = share }
 }
 
 // New returns a Planner with the defaults, changed by options.
 func New(options ...Option) *Planner {
 	p := &Planner{
 		rangesPerServer: DefaultRangesPerServer,
-		maxHot:          DefaultMaxHot,
+		maxHotKeys:      DefaultMaxHot,
 		coldShare:       DefaultColdShare,
-		budget:          DefaultBudget,
-		settle:          DefaultSettle,
-		dwell:           DefaultDwell,
+		moveBudget:      DefaultBudget,
+		settleTime:      DefaultSettle,
+		dwellTime:       DefaultDwell,
 		halfLife:        DefaultHalfLife,
-		patience:        DefaultPatience,
-		highSince:       make(map[string]Time),
+		overloadDelay:   DefaultPatience,
+		overloadedSince: make(map[string]Time),
 	}
 	for _, o := range options {
 		o(p)
@@ -95,32 +95,32 @@
 // Place implements Placer. Ranges without a live owner are filled at once. Others move only
 // when the service has settled and the move pays for itself.
 func (p *Planner) Place(v View) []Target {
-	servers := p.accepting(v)
+	servers := p.acceptingServers(v)
 	if len(servers) == 0 {
 		return nil
 	}
-	pl := newPlan(servers, mergeSorted(cut(v, servers, p.maxHot)))
-	pl.limit = p.rangesPerServer*len(servers) + len(v.Homes)
-	p.estimate(v, pl.pieces)
-	pl.count()
+	pl := newPlan(servers, mergeSorted(cutHomes(v, servers, p.maxHotKeys)))
+	pl.maxRuns = p.rangesPerServer*len(servers) + len(v.Homes)
+	p.estimateLoads(v, pl.pieces)
+	pl.sumLoads()
 	settled := p.settled(v)
-	pl.fill()
+	pl.assignOrphans()
 	pl.merge()
-	pl.returnCold()
+	pl.returnColdKeys()
 	pl.merge()
 	if settled {
-		pl.setApart()
-		r := p.rules(v)
-		pl.balanceHot(r)
-		r.patient = p.patient(v, pl.highest() > pl.mean*r.trigger)
+		pl.excludeDominantKeys()
+		r := p.balanceParams(v)
+		pl.balanceHotKeys(r)
+		r.onlyUrgent = p.overloadTooRecent(v, pl.maxLevel() > pl.meanLevel*r.trigger)
 		pl.balance(r)
 	}
 	pl.consolidate()
 	return pl.targets()
 }
 
-// accepting returns the servers that may own ranges, by name.
-func (p *Planner) accepting(v View) []server {
+// acceptingServers returns the servers that may own ranges, by name.
+func (p *Planner) acceptingServers(v View) []server {
 	servers := make([]server, 0, len(v.Servers))
 	for _, s := range v.Servers {
 		if !s.Accepting || s.Slots <= 0 {
@@ -136,27 +136,27 @@
 	return servers
 }
 
-// patient reports whether an overload is too young to move ranges for. A key that becomes
+// overloadTooRecent reports whether an overload is too young to move ranges for. A key that becomes
 // hot overloads a server before it is known as hot; ranges moved for it would have to come
 // back once it is set apart.
-func (p *Planner) patient(v View, high bool) bool {
+func (p *Planner) overloadTooRecent(v View, high bool) bool {
 	if !high {
-		delete(p.highSince, v.Service)
+		delete(p.overloadedSince, v.Service)
 		return true
 	}
-	since, found := p.highSince[v.Service]
+	since, found := p.overloadedSince[v.Service]
 	if !found {
 		since = v.Now
-		p.highSince[v.Service] = since
+		p.overloadedSince[v.Service] = since
 	}
-	return v.Now-since < p.patience
+	return v.Now-since < p.overloadDelay
 }
 
 // settled reports whether the last move is so old that loads can be trusted again. While it
 // is not, balancing would chase loads measured before the move and move ranges to and fro.
 func (p *Planner) settled(v View) bool {
 	for _, o := range v.Owned {
-		if o.MovedAt != 0 && v.Now-o.MovedAt < p.settle {
+		if o.MovedAt != 0 && v.Now-o.MovedAt < p.settleTime {
 			return false
 		}
 	}
--- a/internal/place/runs.go
+++ b/internal/place/runs.go
@@ -12,7 +12,7 @@
 	first, last int
 	owner       int
 	width       float64
-	joined      bool
+	changed     bool
 }
 
 // runs returns the runs of sorted pieces.
@@ -25,10 +25,10 @@
 		last := len(runs) - 1
 		if last >= 0 && runs[last].owner == c.owner && pl.contiguous(runs[last].last, i) {
 			runs[last].last = i
-			runs[last].width += c.r.Width()
+			runs[last].width += c.hashes.Width()
 			continue
 		}
-		runs = append(runs, run{first: i, last: i, owner: c.owner, width: c.r.Width()})
+		runs = append(runs, run{first: i, last: i, owner: c.owner, width: c.hashes.Width()})
 	}
 	return runs
 }
@@ -36,7 +36,7 @@
 // contiguous reports whether no hash lies between two pieces but those of other pieces.
 func (pl *plan) contiguous(i, j int) bool {
 	for ; i < j; i++ {
-		if pl.pieces[i].r.Last+1 != pl.pieces[i+1].r.First {
+		if pl.pieces[i].hashes.Last+1 != pl.pieces[i+1].hashes.First {
 			return false
 		}
 	}
@@ -49,14 +49,14 @@
 	for {
 		pl.merge()
 		runs := pl.runs()
-		if len(runs) <= pl.limit || !pl.joinRuns(runs, len(runs)-pl.limit) {
+		if len(runs) <= pl.maxRuns || !pl.mergeRuns(runs, len(runs)-pl.maxRuns) {
 			return
 		}
 	}
 }
 
-// joinRuns gives up to n runs to a neighbour. It reports whether any was given.
-func (pl *plan) joinRuns(runs []run, n int) bool {
+// mergeRuns gives up to n runs to a neighbour. It reports whether any was given.
+func (pl *plan) mergeRuns(runs []run, n int) bool {
 	order := make([]int, len(runs))
 	for i := range order {
 		order[i] = i
@@ -67,11 +67,11 @@
 		if given == n {
 			break
 		}
-		j := pl.beside(runs, i)
-		if j == nobody {
+		j := pl.neighborOf(runs, i)
+		if j == none {
 			continue
 		}
-		runs[i].joined, runs[j].joined = true, true
+		runs[i].changed, runs[j].changed = true, true
 		for k := runs[i].first; k <= runs[i].last; k++ {
 			if !pl.pieces[k].hot {
 				pl.move(k, runs[j].owner)
@@ -82,18 +82,18 @@
 	return given > 0
 }
 
-// beside returns the run beside run i whose owner is lower, or nobody. Runs that already
+// neighborOf returns the run beside run i whose owner is lower, or nobody. Runs that already
 // took part do so no more, since their owner or width has changed.
-func (pl *plan) beside(runs []run, i int) int {
-	best := nobody
+func (pl *plan) neighborOf(runs []run, i int) int {
+	best := none
 	for _, j := range []int{i - 1, i + 1} {
-		if runs[i].joined || j < 0 || j == len(runs) || runs[j].joined {
+		if runs[i].changed || j < 0 || j == len(runs) || runs[j].changed {
 			continue
 		}
 		if !pl.contiguous(min(runs[i].last, runs[j].last), max(runs[i].first, runs[j].first)) {
 			continue
 		}
-		if best == nobody || pl.servers[runs[j].owner].level() < pl.servers[runs[best].owner].level() {
+		if best == none || pl.servers[runs[j].owner].level() < pl.servers[runs[best].owner].level() {
 			best = j
 		}
 	}
