--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -89,11 +89,11 @@
 	term, leads := e.core.LogTerm()
 	b := e.state.bundle()
 	if !leads || b == nil {
-		e.performHomes(e.homes.Handle(e.now(), homes.Follows{}))
+		e.performHomes(e.homes.Handle(e.now(), homes.NotLeading{}))
 		return
 	}
-	held := homes.Held{Log: term, Settled: true, Ranges: make(map[string][]keys.Range)}
-	held.Fence, held.Taught = e.core.HomesFence()
+	held := homes.LeaderState{LogTerm: term, Settled: true, Ranges: make(map[string][]keys.Range)}
+	held.Fence, held.MajorityFence = e.core.HomesFence()
 	for _, s := range b.Services {
 		if !s.Divided {
 			continue
@@ -119,7 +119,7 @@
 			e.lead(configured(f.Bundle, e.deps.Settings.Domain, f.Ranges))
 		case homes.Append:
 			e.queueAppend(leader.Append{ID: f.ID, Record: f.Record})
-		case homes.Teach:
+		case homes.DistributeFence:
 			e.core.TeachHomes(f.Fence)
 		}
 	}
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -68,7 +68,7 @@
 		if e.folded.Load() == nil {
 			e.state.takeHomes(result.Homes)
 		}
-		e.tellHomes(ctx, homes.Copied{Homes: result.Homes})
+		e.tellHomes(ctx, homes.PeerHomes{Homes: result.Homes})
 	}
 }
 
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -21,7 +21,7 @@
 	homes  []fold.Taken
 	// homesKnown says that homes were read or copied; before, nothing may be served.
 	homesKnown  bool
-	leaderState *Held
+	leaderState *LeaderState
 	// fence is the highest value of the homes fence that this instance knows of.
 	fence uint64
 	// lastSeen is when each other domain was last heard; the first call counts as hearing all.
@@ -59,18 +59,18 @@
 	c.now = max(c.now, now)
 	c.effects = nil
 	switch ev := ev.(type) {
-	case InForce:
+	case BundleInForce:
 		c.setBundle(ev)
 	case LogRead:
 		c.state, c.homes, c.homesKnown = ev.State, ev.State.Homes, true
 		c.trackHomes()
-	case Copied:
+	case PeerHomes:
 		c.usePeerHomes(ev)
-	case Domains:
+	case ReachableDomains:
 		c.markReachable(ev)
-	case Follows:
+	case NotLeading:
 		c.leaderState = nil
-	case Held:
+	case LeaderState:
 		c.leaderState = &ev
 		c.fence = max(c.fence, ev.Fence)
 		c.updateLog()
@@ -79,7 +79,7 @@
 	return c.effects
 }
 
-func (c *Core) setBundle(ev InForce) {
+func (c *Core) setBundle(ev BundleInForce) {
 	c.bundle = ev.Bundle
 	for _, d := range ev.Bundle.Domains {
 		if _, known := c.lastSeen[d.Name]; !known {
@@ -88,14 +88,14 @@
 	}
 }
 
-func (c *Core) usePeerHomes(ev Copied) {
+func (c *Core) usePeerHomes(ev PeerHomes) {
 	if c.state == nil && len(ev.Homes) > 0 {
 		c.homes, c.homesKnown = ev.Homes, true
 	}
 }
 
-func (c *Core) markReachable(ev Domains) {
-	for _, d := range ev.Heard {
+func (c *Core) markReachable(ev ReachableDomains) {
+	for _, d := range ev.Names {
 		c.lastSeen[d] = c.now
 	}
 }
@@ -217,11 +217,11 @@
 }
 
 func (c *Core) takeoverWait(s *bundle.Service) Time {
-	bound := Time(c.config.MoveBound)
+	bound := Time(c.config.IsolationTimeout)
 	bound += bound * Time(c.config.DriftPerMille) / 1000
 	for _, v := range s.Servers {
 		if !v.ChecksGrants {
-			return bound + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.Pause)
+			return bound + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.MaxPause)
 		}
 	}
 	return bound
--- a/internal/homes/declare.go
+++ b/internal/homes/declare.go
@@ -51,16 +51,16 @@
 		return
 	}
 	base := c.base()
-	if leaves && c.leaderState.Taught <= base {
+	if leaves && c.leaderState.MajorityFence <= base {
 		fence := base + 1
 		c.fence = max(c.fence, fence)
-		c.effects = append(c.effects, Teach{Fence: fence})
+		c.effects = append(c.effects, DistributeFence{Fence: fence})
 		return
 	}
 	c.append("homes", base, record.HomesTaken{
 		Domain:   c.config.Domain,
 		Version:  c.bundle.Version,
-		Log:      c.leaderState.Log,
+		Log:      c.leaderState.LogTerm,
 		Base:     base,
 		Services: services,
 	})
@@ -128,7 +128,7 @@
 func (c *Core) append(kind string, base uint64, r record.Record) {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%v", r))
 	id := fmt.Sprintf("%s/%s/%d/%s", kind, c.config.Domain, base, hex.EncodeToString(sum[:8]))
-	if at, sent := c.requestedAt[id]; sent && c.now < at+Time(c.config.AppendEvery) {
+	if at, sent := c.requestedAt[id]; sent && c.now < at+Time(c.config.AppendInterval) {
 		return
 	}
 	c.requestedAt[id] = c.now
@@ -144,7 +144,7 @@
 		return
 	}
 	for id, at := range c.requestedAt {
-		if c.now >= at+Time(c.config.AppendEvery) {
+		if c.now >= at+Time(c.config.AppendInterval) {
 			delete(c.requestedAt, id)
 		}
 	}
--- a/internal/homes/world_test.go
+++ b/internal/homes/world_test.go
@@ -82,15 +82,15 @@
 // stepDomain lets a domain learn, decide and write. What it reads takes effect on what may be
 // served before the read itself extends the leases.
 func (w *world) stepDomain(d *simDomain) {
-	heard := Domains{}
+	heard := ReachableDomains{}
 	for _, o := range w.domains {
 		if o != d && !o.unreachable && !d.unreachable {
-			heard.Heard = append(heard.Heard, o.name)
+			heard.Names = append(heard.Names, o.name)
 		}
 	}
 	w.applyEffects(d, d.core.Handle(w.now, heard))
 	if !d.logDown || !d.unreachable {
-		w.applyEffects(d, d.core.Handle(w.now, InForce{Bundle: w.state.InForce}))
+		w.applyEffects(d, d.core.Handle(w.now, BundleInForce{Bundle: w.state.InForce}))
 	}
 	if !d.logDown {
 		view := w.state.Snapshot()
@@ -103,11 +103,11 @@
 
 // reportLeaderState tells the core of a domain what its leader holds and its voters remember.
 func (w *world) reportLeaderState(d *simDomain) {
-	w.applyEffects(d, d.core.Handle(w.now, Held{
-		Settled: true,
-		Ranges:  map[string][]keys.Range{worldService: w.served(d)},
-		Fence:   d.fence,
-		Taught:  d.fence,
+	w.applyEffects(d, d.core.Handle(w.now, LeaderState{
+		Settled:       true,
+		Ranges:        map[string][]keys.Range{worldService: w.served(d)},
+		Fence:         d.fence,
+		MajorityFence: d.fence,
 	}))
 	if d.newLeader {
 		d.newLeader = false
@@ -118,7 +118,7 @@
 // served returns what the servers of a domain may act on now.
 func (w *world) served(d *simDomain) []keys.Range {
 	all := d.serves
-	if w.now > d.readAt+Time(d.core.config.MoveBound) {
+	if w.now > d.readAt+Time(d.core.config.IsolationTimeout) {
 		all = nil
 	}
 	for r, until := range d.expiring {
@@ -138,10 +138,10 @@
 			}
 			next := e.Ranges[worldService]
 			for _, r := range keys.Subtract(w.served(d), next) {
-				d.expiring[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.MoveBound))
+				d.expiring[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.IsolationTimeout))
 			}
 			d.serves = next
-		case Teach:
+		case DistributeFence:
 			d.fence = max(d.fence, e.Fence)
 		case Append:
 			if !slices.ContainsFunc(d.queue, func(a Append) bool { return a.ID == e.ID }) {
@@ -177,7 +177,7 @@
 	if old.bundle == nil || old.state == nil {
 		return
 	}
-	w.applyEffects(d, d.core.Handle(w.now, InForce{Bundle: old.bundle}))
+	w.applyEffects(d, d.core.Handle(w.now, BundleInForce{Bundle: old.bundle}))
 	w.applyEffects(d, d.core.Handle(w.now, LogRead{State: old.state}))
 }
 
