--- a/internal/place/balance.go
+++ b/internal/place/balance.go
@@ -2,60 +2,67 @@
 
 import "math"
 
-// Bounds on the level, relative to the mean, above which a server gives ranges away.
+// Levels are relative to the mean level of the servers. The trigger is how far above the mean
+// a server must be before it gives ranges away.
 const (
 	minTrigger = 0.03
 	maxTrigger = 0.14
-	// baseTrigger is the trigger when churn weighs as much as imbalance.
+	// baseTrigger is the trigger when churn and planned moves together weigh as much as
+	// imbalance.
 	baseTrigger = 0.08
-	// releaseShare is the part of the trigger down to which a server gives ranges away.
+	// releaseShare is the share of the trigger down to which a server gives ranges away.
 	releaseShare = 0.7
-	// plannedMoveSeconds is the unavailable time of a key that moves between live servers, in
-	// seconds. It is what the weight of unavailable time is worth against that of churn.
+	// plannedMoveSeconds is how long a key is unavailable when it moves between live servers,
+	// in seconds. It converts the weight of unavailable time into a weight of churn.
 	plannedMoveSeconds = 0.01
-	// farAboveLevel is the level, relative to the mean, above which a server gives ranges away at
-	// once and although they moved of late; farBelow that below which a server takes such.
+	// A server above farAboveLevel gives ranges away at once, even ranges that moved
+	// recently. Only a server below farBelowLevel can count as a newcomer, see newcomers.
 	farAboveLevel = 2.5
 	farBelowLevel = 0.6
 )
 
-// balanceParams bound what balance does in one call.
+// balanceParams limits the moves that one call of Place makes to balance load. Levels are
+// relative to the mean level of the servers.
 type balanceParams struct {
-	now   Time
+	now Time
+	// dwell is how long a range that moved stays with its owner, unless a transfer is urgent.
 	dwell Time
-	// onlyUrgent says that only far overloaded servers give ranges away, and only servers far
-	// below take them.
+	// onlyUrgent allows only urgent transfers: from a server far above the mean, or to a
+	// newcomer.
 	onlyUrgent bool
-	// trigger and release are levels relative to the mean: a server above the first is
-	// lowered to the second. The distance between them keeps it from giving again at once.
+	// A server above the level trigger is lowered to the level release. The gap between them
+	// keeps it from reaching the trigger again at once.
 	trigger float64
 	release float64
-	// newcomerRelease is the level to which servers are lowered for one far below the mean. Loss
-	// of a server takes its whole share for the length of a lease, and while shares differ
-	// the servers that have been up longest hold the most: the more unavailable time
-	// weighs, the nearer it is to the mean.
+	// newcomerRelease replaces release when ranges go to a newcomer. The more unavailable
+	// time weighs, the nearer it is to the mean: the keys of a lost server are unavailable
+	// for the length of a lease, and while shares differ the servers that have been up
+	// longest own the most keys.
 	newcomerRelease float64
-	// noHotToNewcomers says that newcomers get no hot keys. Moving those first costs the fewest keys,
-	// but leaves the others with more keys to lose.
+	// noHotToNewcomers keeps hot keys from newcomers. Hot keys would fill a newcomer with the
+	// fewest keys moved, but the other servers would keep more keys, and these are
+	// unavailable when their server is lost.
 	noHotToNewcomers bool
-	// movableWidth is the share of the hash space that may still move.
+	// movableWidth is the share of the hash space that may still move in this call.
 	movableWidth float64
-	// minLevelGap is the least difference of level, relative to the mean, that a move must lessen.
+	// minLevelGap is the least difference between the levels of two servers for which a range
+	// moves.
 	minLevelGap float64
 }
 
-// balanceParams weighs the measures: the dearer churn and unavailable time are against imbalance,
-// the higher a server must be before it gives ranges away.
+// balanceParams derives the parameters from the weights of the bundle. The more churn and
+// unavailable time weigh against imbalance, the higher the level at which a server gives
+// ranges away.
 func (p *Planner) balanceParams(v View) balanceParams {
 	w := v.Weights
-	dear, lazy := 1.0, 1.0
+	churnRatio, churnShare := 1.0, 1.0
 	if w.Imbalance > 0 {
-		dear = (w.Churn + plannedMoveSeconds*w.Unavailable) / w.Imbalance
+		churnRatio = (w.Churn + plannedMoveSeconds*w.Unavailable) / w.Imbalance
 	}
 	if w.Unavailable > 0 {
-		lazy = w.Churn / (w.Churn + w.Unavailable)
+		churnShare = w.Churn / (w.Churn + w.Unavailable)
 	}
-	trigger := min(max(baseTrigger*dear, minTrigger), maxTrigger)
+	trigger := min(max(baseTrigger*churnRatio, minTrigger), maxTrigger)
 	width := 0.0
 	for _, h := range v.Homes {
 		width += h.Width()
@@ -65,59 +72,61 @@
 		dwell:            p.dwellTime,
 		trigger:          1 + trigger,
 		release:          1 + trigger*releaseShare,
-		noHotToNewcomers: lazy < 0.5,
-		newcomerRelease:  1 + trigger*releaseShare*lazy,
+		noHotToNewcomers: churnShare < 0.5,
+		newcomerRelease:  1 + trigger*releaseShare*churnShare,
 		movableWidth:     p.moveBudget * width,
 		minLevelGap:      trigger,
 	}
 }
 
-// transfer is what balance wants to do between two servers.
+// transfer describes a wanted move of load between two servers, given by index.
 type transfer struct {
 	from, to int
-	// targetLevel is the level relative to the mean to which the first is lowered.
+	// targetLevel is the level, relative to the mean, to which the server "from" is lowered.
 	targetLevel float64
-	// urgent says that pieces which moved of late may move again.
+	// urgent allows pieces that moved recently to move again.
 	urgent bool
-	// toNewcomer says that the second is one.
+	// toNewcomer says that the server "to" is a newcomer.
 	toNewcomer bool
 }
 
-// movedRecently reports whether the piece changed owner less than a span ago.
+// movedRecently reports whether the piece changed owner less than span ago.
 func (c *piece) movedRecently(now, span Time) bool {
 	return c.movedAt != 0 && now-c.movedAt < span
 }
 
-// balance moves ranges from servers above the trigger to the lowest ones while that pays.
-func (pl *plan) balance(r balanceParams) {
+// balance moves ranges from servers above the trigger to those with the lowest level, until
+// they are at the release level or no further move is worth its cost.
+func (pl *plan) balance(p balanceParams) {
 	newcomers := pl.newcomers()
-	low := newServerHeap(pl.servers)
+	byLevel := newServerHeap(pl.servers)
 	for from := range pl.servers {
-		if pl.servers[from].level() <= pl.meanLevel*r.trigger {
+		if pl.servers[from].level() <= pl.meanLevel*p.trigger {
 			continue
 		}
-		high := pl.servers[from].level() > pl.meanLevel*farAboveLevel
+		farAbove := pl.servers[from].level() > pl.meanLevel*farAboveLevel
 		for {
-			to := low.lowest()
-			m := transfer{from: from, to: to, targetLevel: r.release, urgent: high || newcomers[to], toNewcomer: newcomers[to]}
-			if m.toNewcomer {
-				m.targetLevel = r.newcomerRelease
+			to := byLevel.lowest()
+			t := transfer{from: from, to: to, targetLevel: p.release, urgent: farAbove || newcomers[to], toNewcomer: newcomers[to]}
+			if t.toNewcomer {
+				t.targetLevel = p.newcomerRelease
 			}
-			if pl.servers[from].level() <= pl.meanLevel*m.targetLevel*(1+loadTolerance) {
+			if pl.servers[from].level() <= pl.meanLevel*t.targetLevel*(1+loadTolerance) {
 				break
 			}
-			if r.onlyUrgent && !m.urgent || !pl.moveLoad(m, &r) {
+			if p.onlyUrgent && !t.urgent || !pl.moveLoad(t, &p) {
 				break
 			}
-			low.fix(to)
-			low.fix(from)
+			byLevel.fix(to)
+			byLevel.fix(from)
 		}
 	}
 }
 
-// newcomers returns by server whether both its load and its part of the hash space are far
-// below the mean: it came, or warmed up. A server whose hot keys went cold has the second
-// still, and ranges that moved to it would have to go back with the next hot keys.
+// newcomers returns, by server, whether both its load and its share of the hash space are far
+// below the mean, because it has just joined or warmed up. Load alone does not tell: a server
+// whose hot keys became cold has a low load but its full share of the hash space, and ranges
+// that moved to it would have to move back when other keys become hot.
 func (pl *plan) newcomers() []bool {
 	widths := make([]float64, len(pl.servers))
 	width, capacity := 0.0, 0.0
@@ -136,7 +145,7 @@
 	return list
 }
 
-// maxLevel returns the highest level.
+// maxLevel returns the highest level of any server.
 func (pl *plan) maxLevel() float64 {
 	highest := 0.0
 	for i := range pl.servers {
@@ -145,49 +154,51 @@
 	return highest
 }
 
-// moveLoad moves one piece, or a part of one, between two servers. It reports false when no
-// move is allowed or pays. An urgent move may take what moved of late.
-func (pl *plan) moveLoad(m transfer, r *balanceParams) bool {
-	s, d := &pl.servers[m.from], &pl.servers[m.to]
-	excess := s.load - s.capacity*pl.meanLevel*m.targetLevel
-	room := d.capacity*pl.meanLevel*m.targetLevel - d.load
-	if room <= 0 || s.level()-d.level() < pl.meanLevel*r.minLevelGap {
+// moveLoad moves one piece, or a part of one, between the servers of t. It returns false when
+// no move is allowed or worth its cost. An urgent move may take pieces that moved recently.
+func (pl *plan) moveLoad(t transfer, p *balanceParams) bool {
+	s, d := &pl.servers[t.from], &pl.servers[t.to]
+	excess := s.load - s.capacity*pl.meanLevel*t.targetLevel
+	headroom := d.capacity*pl.meanLevel*t.targetLevel - d.load
+	if headroom <= 0 || s.level()-d.level() < pl.meanLevel*p.minLevelGap {
 		return false
 	}
-	i, whole := pl.choosePiece(m, min(excess, room), room, r)
+	i, whole := pl.choosePiece(t, min(excess, headroom), headroom, p)
 	if i == none {
 		return false
 	}
 	if !whole {
-		part, rest, ok := pl.splitOff(pl.pieces[i], min(excess, room), true)
-		if !ok || part.hashes.Width() > r.movableWidth {
+		part, rest, ok := pl.splitOff(pl.pieces[i], min(excess, headroom), true)
+		if !ok || part.hashes.Width() > p.movableWidth {
 			return false
 		}
 		pl.pieces[i] = rest
 		s.load -= part.load
-		pl.assign(pl.addPiece(part), m.to)
-		r.movableWidth -= part.hashes.Width()
+		pl.assign(pl.addPiece(part), t.to)
+		p.movableWidth -= part.hashes.Width()
 		return true
 	}
 	c := pl.pieces[i]
-	pl.move(i, m.to)
-	r.movableWidth -= c.hashes.Width()
+	pl.move(i, t.to)
+	p.movableWidth -= c.hashes.Width()
 	return true
 }
 
-// choosePiece returns the piece of a server whose move takes the wanted load off
-// it for the least width, and whether it moves as a whole. Whole pieces must fit the room.
-func (pl *plan) choosePiece(m transfer, wanted, room float64, r *balanceParams) (int, bool) {
-	s := &pl.servers[m.from]
+// choosePiece returns the index of the piece that takes the wanted load off its server for
+// the least width of the hash space, and whether the whole piece moves; otherwise a part of
+// it must be split off. A piece that moves whole must fit the headroom. The index is none if
+// no piece may move.
+func (pl *plan) choosePiece(t transfer, wanted, headroom float64, p *balanceParams) (int, bool) {
+	s := &pl.servers[t.from]
 	best, whole, bestCost := none, false, math.Inf(1)
 	for _, i := range s.pieces {
 		c := pl.pieces[i]
-		if c.load <= 0 || c.hot && m.toNewcomer && r.noHotToNewcomers || !m.urgent && c.movedRecently(r.now, r.dwell) {
+		if c.load <= 0 || c.hot && t.toNewcomer && p.noHotToNewcomers || !t.urgent && c.movedRecently(p.now, p.dwell) {
 			continue
 		}
 		cost := c.hashes.Width() / c.load
-		fits := c.load <= wanted*(1+loadTolerance) || c.hot && c.load <= room && c.load < s.load
-		if !fits && (c.hot || pl.atLimit()) || fits && c.hashes.Width() > r.movableWidth {
+		fits := c.load <= wanted*(1+loadTolerance) || c.hot && c.load <= headroom && c.load < s.load
+		if !fits && (c.hot || pl.atLimit()) || fits && c.hashes.Width() > p.movableWidth {
 			continue
 		}
 		if cost < bestCost {
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -12,8 +12,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// BenchmarkPlace measures one call by servers and ranges for each server: at rest, and with
-// one server lost.
+// BenchmarkPlace measures one call by number of servers and of ranges per server: when
+// nothing has changed, and after the loss of one server.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{5, 15, 50, 150, 500, 1900} {
 		for _, ranges := range []int{1, 4, 8} {
@@ -25,8 +25,9 @@
 	}
 }
 
-// BenchmarkPlaceHard measures calls that change much at 1,900 servers: a rack of 40 lost, and
-// loads between half and one and a half of the mean, none of them settled yet.
+// BenchmarkPlaceHard measures calls that change many ranges, with up to 1,900 servers: after
+// the loss of a rack of 40 servers, and with loads between 0.5 and 1.5 times the mean that
+// have not been balanced yet.
 func BenchmarkPlaceHard(b *testing.B) {
 	for _, n := range []int{150, 500, 1900} {
 		rack := settledView(n, 8)
@@ -51,7 +52,8 @@
 	}
 }
 
-// settledView returns servers of equal load that hold equal ranges in turn, with 240 hot keys.
+// settledView returns servers of equal load, each with every nth of equal ranges, and 240 hot
+// keys.
 func settledView(n, ranges int) View {
 	v := View{Now: 3600 * second, Homes: []keys.Range{keys.Full}, Servers: servers(n, 2)}
 	for i, r := range keys.Split(keys.Full, n*ranges) {
@@ -63,8 +65,8 @@
 	return v
 }
 
-// BenchmarkTable measures what the targets of a domain cost as a routing table: the bytes of
-// JSON for each range.
+// BenchmarkTable measures the cost of the targets of a domain as a routing table: the bytes
+// of JSON per range.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{15, 150, 1900} {
 		for _, ranges := range []int{1, 8} {
@@ -87,7 +89,7 @@
 	}
 }
 
-// tableOf returns a routing table with epochs as long as they get.
+// tableOf returns a routing table whose epochs have as many digits as they can get.
 func tableOf(targets []Target) route.Table {
 	term := grant.Term{Log: 1 << 30, Sub: 1, Incarnation: 1 << 60}
 	table := route.Table{Domain: "domain-1", Term: term, Serial: 1 << 30, BundleVersion: 1 << 20}
--- a/internal/place/cool.go
+++ b/internal/place/cold.go
@@ -1,7 +1,8 @@
 package place
 
-// returnColdKeys gives each piece of one hash that is hot no more to the owner of a piece beside
-// it, where it merges. Without this each key that was ever hot would leave a range behind.
+// returnColdKeys assigns each piece that holds one hash and is no longer hot to the owner of
+// an adjacent piece, with which it then merges. Otherwise every key that was ever hot would
+// remain a range of its own.
 func (pl *plan) returnColdKeys() {
 	for i := range pl.sortedCount {
 		c := pl.pieces[i]
@@ -17,18 +18,18 @@
 	}
 }
 
-// move makes another server the owner of a piece.
+// move passes piece i from its owner to server to.
 func (pl *plan) move(i, to int) {
 	c := &pl.pieces[i]
 	if c.owner == to {
 		return
 	}
-	from := &pl.servers[c.owner]
-	from.load -= c.load
-	for at, j := range from.pieces {
+	s := &pl.servers[c.owner]
+	s.load -= c.load
+	for k, j := range s.pieces {
 		if j == i {
-			from.pieces[at] = from.pieces[len(from.pieces)-1]
-			from.pieces = from.pieces[:len(from.pieces)-1]
+			s.pieces[k] = s.pieces[len(s.pieces)-1]
+			s.pieces = s.pieces[:len(s.pieces)-1]
 			break
 		}
 	}
--- a/internal/place/estimate.go
+++ b/internal/place/estimate.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Bounds on what is believed of a measured load.
 const (
-	// minLoadShare is the least load that a range is taken to carry, as a share of what its
-	// width would bring. It guards against the zero that a dead gate or a server without
-	// callers reports: believed at once, the zero would draw ranges to that server that
-	// have to move again when the load returns.
+	// minLoadShare is the least load that a range is assumed to carry, as a share of the load
+	// expected from its width. A failed gate or a server without callers reports zero. Taken
+	// at face value, the zero would move ranges to that server that have to move again when
+	// the load returns.
 	minLoadShare = 0.25
 )
 
-// estimateLoads replaces the measured loads of pieces by what is believed: a load loses half of
-// its weight with each half-life, and the mean over the width takes its place. Units stay.
+// estimateLoads replaces the measured loads of pieces by estimates. A measured load loses
+// half of its weight with each half-life; the load expected from the width of the piece takes
+// its place. Loads keep their unit, but are plain widths if nothing was measured.
 func (p *Planner) estimateLoads(v View, pieces []piece) {
 	density, measured := p.loadDensity(v, pieces)
 	for i := range pieces {
@@ -22,26 +22,26 @@
 			c.load = prior
 			continue
 		}
-		trust := p.loadWeight(v.Now, c.loadAt)
+		weight := p.loadWeight(v.Now, c.loadAt)
 		if c.hot {
-			c.load = trust*c.load + prior
+			c.load = weight*c.load + prior
 			continue
 		}
-		c.load = max(trust*c.load+(1-trust)*prior, minLoadShare*prior)
+		c.load = max(weight*c.load+(1-weight)*prior, minLoadShare*prior)
 	}
 }
 
-// loadDensity returns the load that the width 1 of keys which are not hot carries, and whether
-// anything was measured. Without a measurement load is width.
+// loadDensity returns the load per unit of width of the keys that are not hot, and whether
+// anything was measured. Without a measurement it is 1, so that load is width.
 func (p *Planner) loadDensity(v View, pieces []piece) (float64, bool) {
 	load, width := 0.0, 0.0
 	for _, c := range pieces {
 		if c.hot || c.loadAt == 0 {
 			continue
 		}
-		trust := p.loadWeight(v.Now, c.loadAt)
-		load += trust * c.load
-		width += trust * c.hashes.Width()
+		weight := p.loadWeight(v.Now, c.loadAt)
+		load += weight * c.load
+		width += weight * c.hashes.Width()
 	}
 	if load <= 0 || width <= 0 {
 		return 1, false
@@ -49,7 +49,8 @@
 	return load / width, true
 }
 
-// loadWeight returns the weight of a load by its age, in [0, 1].
+// loadWeight returns the weight, in [0, 1], of a load that was measured at the given time; 0
+// if it never was.
 func (p *Planner) loadWeight(now, at Time) float64 {
 	if at == 0 {
 		return 0
--- a/internal/place/hot.go
+++ b/internal/place/hot.go
@@ -2,43 +2,45 @@
 
 import "math"
 
-// Bounds on the moves of hot keys. A hot key is one key, so its move costs next to nothing
-// of churn and unavailable time and the bounds are tighter than for ranges.
+// A hot key is a single key, so moving it costs almost no churn or unavailable time. The
+// limits on such moves are therefore less strict than for ranges.
 const (
-	// minHotGain is the least by which the higher of the two levels must fall.
+	// minHotGain is the least amount, as a share of the mean level, by which a move must
+	// lower the higher level of the two servers.
 	minHotGain = 0.02
-	// hotDwellDivisor is the part of the dwell time that a hot key stays.
+	// hotDwellDivisor divides the dwell time: a hot key may move again after a quarter of it.
 	hotDwellDivisor = 4
 )
 
-// balanceHotKeys moves hot keys from servers above the release level to the lowest ones while that lowers the
-// higher of the two. While a newcomer has to get ranges it may wait, see rules.
-func (pl *plan) balanceHotKeys(r balanceParams) {
+// balanceHotKeys moves hot keys from servers above the release level to those with the lowest
+// level, as long as a move lowers the higher level of the two. A newcomer gets none if
+// noHotToNewcomers is set.
+func (pl *plan) balanceHotKeys(p balanceParams) {
 	newcomers := pl.newcomers()
-	low := newServerHeap(pl.servers)
+	byLevel := newServerHeap(pl.servers)
 	for from := range pl.servers {
-		for pl.servers[from].level() > pl.meanLevel*r.release {
-			to := low.lowest()
-			i := pl.chooseHotKey(from, to, r)
-			if i == none || r.noHotToNewcomers && newcomers[to] {
+		for pl.servers[from].level() > pl.meanLevel*p.release {
+			to := byLevel.lowest()
+			i := pl.chooseHotKey(from, to, p)
+			if i == none || p.noHotToNewcomers && newcomers[to] {
 				break
 			}
 			pl.move(i, to)
-			pl.pieces[i].movedAt = r.now
-			low.fix(to)
-			low.fix(from)
+			pl.pieces[i].movedAt = p.now
+			byLevel.fix(to)
+			byLevel.fix(from)
 		}
 	}
 }
 
-// chooseHotKey returns the hot key whose move between two servers makes the higher one lowest,
-// or nobody.
-func (pl *plan) chooseHotKey(from, to int, r balanceParams) int {
+// chooseHotKey returns the index of the hot key whose move between two servers makes the
+// higher of their levels lowest, or none if no move lowers it by minHotGain.
+func (pl *plan) chooseHotKey(from, to int, p balanceParams) int {
 	s, d := &pl.servers[from], &pl.servers[to]
 	best, level := none, s.level()-pl.meanLevel*minHotGain
 	for _, i := range s.pieces {
 		c := &pl.pieces[i]
-		if !c.hot || c.movedRecently(r.now, r.dwell/hotDwellDivisor) {
+		if !c.hot || c.movedRecently(p.now, p.dwell/hotDwellDivisor) {
 			continue
 		}
 		after := math.Max((s.load-c.load)/s.capacity, (d.load+c.load)/d.capacity)
@@ -49,25 +51,25 @@
 	return best
 }
 
-// excludeDominantKeys takes the hot keys that alone lift their server above the mean out of the mean,
-// with the capacity of that server. Nothing can lower such a server, so the others are
-// measured against what they can reach: the load that is left over the capacity left. The
-// level of the hottest key on the largest server is the bound on balance then.
+// excludeDominantKeys leaves out of the mean level the hot keys that alone lift their server
+// above it, with the capacity of that server. No move can lower such a server, so the mean of
+// the others is what they can reach. The best balance that is possible is then set by the
+// hottest key on the largest server.
 func (pl *plan) excludeDominantKeys() {
 	load, capacity := 0.0, 0.0
 	for i := range pl.servers {
 		load += pl.servers[i].load
 		capacity += pl.servers[i].capacity
 	}
-	apart := make([]bool, len(pl.servers))
-	for again := true; again; {
-		again = false
+	excluded := make([]bool, len(pl.servers))
+	for changed := true; changed; {
+		changed = false
 		for _, c := range pl.pieces {
 			s := &pl.servers[c.owner]
-			if !c.hot || apart[c.owner] || c.load <= pl.meanLevel*s.capacity || s.capacity >= capacity {
+			if !c.hot || excluded[c.owner] || c.load <= pl.meanLevel*s.capacity || s.capacity >= capacity {
 				continue
 			}
-			apart[c.owner], again = true, true
+			excluded[c.owner], changed = true, true
 			load -= c.load
 			capacity -= s.capacity
 			pl.meanLevel = load / capacity
--- a/internal/place/cut.go
+++ b/internal/place/piece.go
@@ -6,27 +6,27 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// none is the owner of a piece without an accepting owner.
+// none stands for no server, no piece or no run where an index is expected.
 const none = -1
 
-// minSplitSpan is the least distance of the ends of a piece that is split off. At 16 billion
-// keys it holds none on average, so a narrower piece would only add to the ranges.
+// minSplitSpan is the least number of hashes of a part that is split off. Among 16 billion
+// keys a narrower part holds none on average, so it would only add a range.
 const minSplitSpan = 1 << 24
 
-// piece is a part of the homes while a plan is made.
+// piece is a part of the homes with at most one owner, while a plan is made.
 type piece struct {
 	hashes  keys.Range
 	owner   int
 	load    float64
 	loadAt  Time
 	movedAt Time
-	// hot says that the piece is a hot key, which is neither split nor merged.
+	// hot marks the piece of one hot key, which is neither split nor merged.
 	hot bool
 }
 
-// cutHomes returns the homes as a sorted list of pieces: what is owned, the gaps between, and
-// the hot keys apart.
-func cutHomes(v View, servers []server, maxHot int) []piece {
+// cutHomes returns the homes as a sorted list of pieces: owned ranges, gaps without an owner,
+// and each hot key as a piece of its own.
+func cutHomes(v View, servers []server, maxHotKeys int) []piece {
 	index := make(map[string]int, len(servers))
 	for i, s := range servers {
 		index[s.name] = i
@@ -40,8 +40,8 @@
 		pieces = cutHome(pieces, home, v.Owned[next:], index)
 	}
 	hot := v.HotHashes
-	if len(hot) > maxHot {
-		hot = hot[:maxHot]
+	if len(hot) > maxHotKeys {
+		hot = hot[:maxHotKeys]
 	}
 	if len(hot) == 0 {
 		return pieces
@@ -49,7 +49,8 @@
 	return cutHotKeys(pieces, hot)
 }
 
-// cutHome appends the pieces of one home. The first of the owned ranges ends in or after it.
+// cutHome appends the pieces of one home. The first owned range must not end before the home
+// starts.
 func cutHome(pieces []piece, home keys.Range, owned []Owned, index map[string]int) []piece {
 	first := home.First
 	for _, o := range owned {
@@ -68,7 +69,8 @@
 	return append(pieces, piece{hashes: keys.Range{First: first, Last: home.Last}, owner: none})
 }
 
-// pieceOf returns the part of an owned range that lies in a home.
+// pieceOf returns the part of an owned range that lies in a home. It has no owner if its
+// server is not in index.
 func pieceOf(o Owned, home keys.Range, index map[string]int) piece {
 	r := keys.Range{First: max(o.Range.First, home.First), Last: min(o.Range.Last, home.Last)}
 	owner, found := index[o.Server]
@@ -84,7 +86,7 @@
 	}
 }
 
-// cutHotKeys sets the hot keys of sorted pieces apart.
+// cutHotKeys cuts sorted pieces so that each hot key is a piece of its own.
 func cutHotKeys(pieces []piece, hot []uint64) []piece {
 	parts := make([]piece, 0, len(pieces)+2*len(hot))
 	for _, c := range pieces {
@@ -93,10 +95,10 @@
 	return parts
 }
 
-// appendCut appends the parts into which the sorted hot hashes cut a piece. A key that just
-// became hot may move although the range about it moved of late.
+// appendCut appends the parts into which the sorted hot hashes cut a piece. A key that has
+// just become hot may move at once, even if the range around it moved recently.
 func (c piece) appendCut(parts []piece, hot []uint64) []piece {
-	wide := c.hashes.First < c.hashes.Last
+	multiple := c.hashes.First < c.hashes.Last
 	at, _ := slices.BinarySearch(hot, c.hashes.First)
 	for ; at < len(hot) && hot[at] <= c.hashes.Last; at++ {
 		if hot[at] > c.hashes.First {
@@ -106,7 +108,7 @@
 		}
 		if hot[at] == c.hashes.Last {
 			c.hot = true
-			if wide {
+			if multiple {
 				c.movedAt = 0
 			}
 			break
@@ -119,8 +121,8 @@
 	return append(parts, c)
 }
 
-// split cuts a piece after the hash last, which must lie in it before its end. Load goes
-// with width.
+// split cuts a piece after the hash last, which must lie in the piece and before its end.
+// Load is divided in proportion to width.
 func (c piece) split(last uint64) (piece, piece) {
 	a, b := c, c
 	a.hashes.Last = last
@@ -130,8 +132,9 @@
 	return a, b
 }
 
-// splitLoad cuts a piece so that the first part carries about the given load. It reports
-// false when the piece is too narrow or the load is all or none of it.
+// splitLoad cuts a piece so that the first part carries about the given load. It returns
+// false for a hot key, when a part would be too narrow, or when the load is not between zero
+// and that of the piece.
 func (c piece) splitLoad(load float64) (piece, piece, bool) {
 	share := load / c.load
 	if c.hot || c.load <= 0 || share <= 0 || share >= 1 {
@@ -146,17 +149,18 @@
 	return a, b, true
 }
 
-// adjoins reports whether a piece and the next could be one if they had one owner.
+// adjoins reports whether next follows the piece without a gap and neither is a hot key, so
+// that they can merge if they have the same owner.
 func (c piece) adjoins(next piece) bool {
 	return !c.hot && !next.hot && c.hashes.Last+1 == next.hashes.First
 }
 
-// merges reports whether a piece and the next are one.
+// merges reports whether the piece and next adjoin and have the same owner.
 func (c piece) merges(next piece) bool {
 	return c.owner == next.owner && c.adjoins(next)
 }
 
-// absorb makes a piece one with the next.
+// absorb merges next into the piece.
 func (c *piece) absorb(next piece) {
 	c.hashes.Last = next.hashes.Last
 	c.load += next.load
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-// after returns the view that results from the targets of v.
+// after returns the view after the targets of v have been carried out.
 func after(v View, targets []Target) View {
 	before := v.Owned
 	v.Owned = make([]Owned, 0, len(targets))
@@ -52,7 +52,7 @@
 	return v
 }
 
-// moved returns the share of the hash space that changes owner.
+// moved returns the share of the hash space whose owner changes.
 func moved(owned []Owned, targets []Target) float64 {
 	share := 0.0
 	for _, o := range owned {
@@ -66,7 +66,8 @@
 	return share
 }
 
-// imbalance returns the largest share of the hash space for each slot over the mean.
+// imbalance returns the largest share of the hash space per slot of a server, divided by the
+// mean share per slot.
 func imbalance(v View, targets []Target) float64 {
 	width, slots := map[string]float64{}, 0
 	for _, t := range targets {
@@ -115,8 +116,9 @@
 	is.True(moved(v.Owned, targets) < 1.0/15+1e-9)
 }
 
-// view draws a view of a service in any state: homes, servers that come, go and warm up,
-// owners that are gone, gaps, and loads from nothing to one hot key that outweighs all.
+// view draws a view of a service in any state: homes, servers that join, leave or warm up,
+// owners that no longer exist, gaps without an owner, and loads from zero to one range that
+// outweighs all others.
 func view(t *rapid.T) View {
 	v := View{
 		Now:     Time(rapid.Int64Range(1, 1000).Draw(t, "now")) * second,
@@ -151,7 +153,7 @@
 	return v
 }
 
-// join appends a range to sorted homes, joined with the last one when it follows it.
+// join appends a range to sorted homes. It extends the last home if the range adjoins it.
 func join(homes []keys.Range, r keys.Range) []keys.Range {
 	if last := len(homes) - 1; last >= 0 && homes[last].Last+1 == r.First {
 		homes[last].Last = r.Last
@@ -160,7 +162,7 @@
 	return append(homes, r)
 }
 
-// accepting returns the names of the servers that accept.
+// accepting returns the names of the accepting servers.
 func accepting(v View) map[string]bool {
 	names := map[string]bool{}
 	for _, s := range v.Servers {
@@ -238,27 +240,27 @@
 	})
 }
 
-func TestBalanceSparesWhatNeedNotMove(t *testing.T) {
+func TestBalanceMovesOnlyWhenItPays(t *testing.T) {
 	const hour = 3600 * second
-	dear, cheap := bundle.Weights{Imbalance: 1, Churn: 4, Unavailable: 1}, bundle.Weights{Imbalance: 1, Churn: 1, Unavailable: 4}
+	churnHeavy, churnLight := bundle.Weights{Imbalance: 1, Churn: 4, Unavailable: 1}, bundle.Weights{Imbalance: 1, Churn: 1, Unavailable: 4}
 	tests := map[string]struct {
-		weights bundle.Weights
-		loads   []float64 // of equal servers with equal ranges
-		age     Time      // of the loads
-		lasts   Time      // for how long the loads are reported
-		moves   bool
+		weights  bundle.Weights
+		loads    []float64 // of equal servers with equal ranges
+		age      Time      // of the loads
+		duration Time      // for how long the loads are reported
+		moves    bool
 	}{
-		"equal":                    {loads: []float64{10, 10, 10, 10}, lasts: hour},
-		"within the trigger":       {loads: []float64{10.4, 10, 10, 9.6}, lasts: hour},
-		"high for a second":        {loads: []float64{14, 10, 10, 10}, lasts: second},
-		"high for two minutes":     {loads: []float64{14, 10, 10, 10}, lasts: 120 * second, moves: true},
-		"far too high":             {loads: []float64{100, 10, 10, 1}, moves: true},
-		"zero for a second":        {loads: []float64{0, 10, 10, 10}, lasts: second},
-		"zero for two minutes":     {loads: []float64{0, 10, 10, 10}, lasts: 120 * second, moves: true},
-		"high but an hour old":     {loads: []float64{14, 10, 10, 10}, age: hour, lasts: 120 * second},
-		"churn dear, a bit high":   {loads: []float64{11.2, 10, 10, 8.8}, weights: dear, lasts: 120 * second},
-		"churn cheap, a bit high":  {loads: []float64{11.2, 10, 10, 8.8}, weights: cheap, lasts: 120 * second, moves: true},
-		"churn dear, clearly high": {loads: []float64{13, 10, 10, 8}, weights: dear, lasts: 120 * second, moves: true},
+		"equal":                            {loads: []float64{10, 10, 10, 10}, duration: hour},
+		"within the trigger":               {loads: []float64{10.4, 10, 10, 9.6}, duration: hour},
+		"high for a second":                {loads: []float64{14, 10, 10, 10}, duration: second},
+		"high for two minutes":             {loads: []float64{14, 10, 10, 10}, duration: 120 * second, moves: true},
+		"far overloaded":                   {loads: []float64{100, 10, 10, 1}, moves: true},
+		"zero for a second":                {loads: []float64{0, 10, 10, 10}, duration: second},
+		"zero for two minutes":             {loads: []float64{0, 10, 10, 10}, duration: 120 * second, moves: true},
+		"high but an hour old":             {loads: []float64{14, 10, 10, 10}, age: hour, duration: 120 * second},
+		"churn weighs more, slightly high": {loads: []float64{11.2, 10, 10, 8.8}, weights: churnHeavy, duration: 120 * second},
+		"churn weighs less, slightly high": {loads: []float64{11.2, 10, 10, 8.8}, weights: churnLight, duration: 120 * second, moves: true},
+		"churn weighs more, clearly high":  {loads: []float64{13, 10, 10, 8}, weights: churnHeavy, duration: 120 * second, moves: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -268,7 +270,7 @@
 			v = after(v, p.Place(v))
 			v.Now += 2 * hour
 			start, share := v.Now, 0.0
-			for ; v.Now <= start+tt.lasts; v.Now += second {
+			for ; v.Now <= start+tt.duration; v.Now += second {
 				for i := range v.Owned {
 					v.Owned[i].Load, v.Owned[i].LoadAt = tt.loads[min(i, 3)], v.Now-tt.age
 				}
@@ -284,16 +286,16 @@
 	}
 }
 
-// Story: a busy volume's page becomes hot on a server that is near the trigger. Moving the
-// ranges beside it would doubly claim page batches for nothing, since the page alone is the
-// cause. So the page moves, and nothing else.
+// Two keys become hot on a server and lift it above the trigger. One of them must move and
+// nothing else: moving ranges would change the owners of other keys, although these two keys
+// alone cause the load.
 func TestHotKeyMovesAlone(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	v := View{Now: second, Homes: []keys.Range{keys.Full}, Servers: servers(4, 2), Weights: bundle.Weights{Imbalance: 1, Churn: 4, Unavailable: 1}}
 	v = after(v, p.Place(v))
-	page, other := v.Owned[0].Range.First+1<<40, v.Owned[0].Range.First+1<<41
-	v.HotHashes = []uint64{page, other}
+	left, right := v.Owned[0].Range.First+1<<40, v.Owned[0].Range.First+1<<41
+	v.HotHashes = []uint64{left, right}
 	v = after(v, p.Place(v))
 	v.Now += 3600 * second
 	for i, o := range v.Owned {
@@ -312,15 +314,15 @@
 		}
 	}
 	is.Equal(changed, 1)
-	// Cold again, the page goes back to the owner of what lies beside it.
+	// Once cold, the keys go back to the owner of the ranges around them.
 	v = after(v, targets)
 	v.HotHashes = nil
 	is.Equal(len(p.Place(v)), 4)
 }
 
-// A key that outweighs a server's whole share cannot be divided. What its server holds
-// besides goes elsewhere, and the level of that key alone is the bound on balance.
-func TestKeyHotterThanAServerStandsAlone(t *testing.T) {
+// A key whose load exceeds the whole share of a server cannot be divided. The other ranges of
+// its server must move elsewhere, so that only the key itself limits the balance.
+func TestDominantKeyIsAloneOnItsServer(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	v := View{Now: second, Homes: []keys.Range{keys.Full}, Servers: servers(4, 2), HotHashes: []uint64{1 << 40}}
--- a/internal/place/plan.go
+++ b/internal/place/plan.go
@@ -5,29 +5,31 @@
 	"slices"
 )
 
-// server is an accepting server while a plan is made.
+// server is an accepting server in a plan.
 type server struct {
 	name     string
 	capacity float64
 	load     float64
-	pieces   []int
+	// pieces holds the indices of the pieces that the server owns.
+	pieces []int
 }
 
-// level is the load for each unit of capacity.
+// level returns the load per unit of capacity.
 func (s *server) level() float64 {
 	return s.load / s.capacity
 }
 
-// plan is a partition while it is changed.
+// plan is a partition of the homes that is being changed.
 type plan struct {
 	servers []server
-	// pieces are sorted as far as sorted; those behind were split off.
+	// The first sortedCount pieces are sorted by hash. Those after them were split off since
+	// the last merge.
 	pieces      []piece
 	sortedCount int
-	// maxRuns bounds the runs, and spare is how many more splits may bring about.
+	// maxRuns limits the number of runs, and splitsLeft is how many more splits that allows.
 	maxRuns    int
 	splitsLeft int
-	// meanLevel is the level at which all servers would be equal.
+	// meanLevel is the level that all servers would have if load were spread evenly.
 	meanLevel float64
 }
 
@@ -35,7 +37,7 @@
 	return &plan{servers: servers, pieces: pieces, sortedCount: len(pieces)}
 }
 
-// sumLoads sums the loads of the pieces by server.
+// sumLoads computes the loads and pieces of the servers, the mean level and the splits left.
 func (pl *plan) sumLoads() {
 	total, capacity := 0.0, 0.0
 	for i, c := range pl.pieces {
@@ -54,7 +56,7 @@
 	pl.splitsLeft = pl.maxRuns - len(pl.runs())
 }
 
-// assign makes a server the owner of a piece that has none.
+// assign makes the server with index to the owner of piece i, which must have none; see move.
 func (pl *plan) assign(i, to int) {
 	c := &pl.pieces[i]
 	s := &pl.servers[to]
@@ -70,12 +72,12 @@
 	return len(pl.pieces) - 1
 }
 
-// atLimit reports whether another split would pass the limit.
+// atLimit reports whether no more pieces may be split.
 func (pl *plan) atLimit() bool {
 	return pl.splitsLeft <= 0
 }
 
-// merge puts the pieces in order of their hashes and makes one of neighbours of one owner.
+// merge sorts the pieces by hash and merges adjacent pieces of the same owner.
 func (pl *plan) merge() {
 	slices.SortFunc(pl.pieces, func(a, b piece) int { return cmp.Compare(a.hashes.First, b.hashes.First) })
 	pl.pieces = mergeSorted(pl.pieces)
@@ -89,7 +91,7 @@
 	}
 }
 
-// mergeSorted makes one of sorted neighbours of one owner, in place.
+// mergeSorted merges adjacent pieces of the same owner in a sorted list, in place.
 func mergeSorted(pieces []piece) []piece {
 	merged := pieces[:0]
 	for _, c := range pieces {
@@ -103,7 +105,7 @@
 	return merged
 }
 
-// targets returns the merged plan.
+// targets returns the pieces, which must have been merged, as targets.
 func (pl *plan) targets() []Target {
 	targets := make([]Target, 0, len(pl.pieces))
 	for _, c := range pl.pieces {
--- a/internal/place/planner.go
+++ b/internal/place/planner.go
@@ -6,34 +6,38 @@
 	"time"
 )
 
-// The defaults of a Planner.
+// Defaults of the limits of a Planner.
 const (
-	// DefaultRangesPerServer bounds the ranges of a service: this many for each accepting
-	// server, and one for each home. Each hot key adds two at most.
+	// DefaultRangesPerServer limits the ranges of a service: this many for each accepting
+	// server, and one for each home. Each hot key adds at most two.
 	DefaultRangesPerServer = 8
-	// DefaultMaxHotKeys bounds the hot keys that get a range of their own.
+	// DefaultMaxHotKeys limits the hot keys that get a range of their own.
 	DefaultMaxHotKeys = 240
-	// DefaultColdShare is the part of its slots for which a cold server counts.
+	// DefaultColdShare is the share of its slots for which a cold server counts.
 	DefaultColdShare = 0.25
-	// DefaultMoveBudget is the share of the hash space that may change owner for the sake of
-	// balance within one settling time.
+	// DefaultMoveBudget is the share of the homes that balancing may move within one settle
+	// time.
 	DefaultMoveBudget = 0.30
 )
 
-// Spans of time that a Planner compares ages with.
+// Defaults of the times of a Planner, which it compares with the age of moves, overloads and
+// loads.
 const (
-	// DefaultSettleTime is how long after any move no range moves for the sake of balance.
+	// DefaultSettleTime is how long balancing pauses after any range of the service has
+	// moved.
 	DefaultSettleTime = Time(10 * time.Second)
-	// DefaultDwellTime is how long a moved range stays, unless its server is far overloaded.
+	// DefaultDwellTime is how long a range that moved stays with its owner, unless that
+	// server is far overloaded or the range goes to a newcomer.
 	DefaultDwellTime = Time(2 * time.Minute)
-	// DefaultOverloadDelay is for how long a server must be overloaded before ranges move for it.
+	// DefaultOverloadDelay is how long a server must be overloaded before ranges move for it.
 	DefaultOverloadDelay = Time(time.Minute)
-	// DefaultHalfLife is the age at which a load counts half.
+	// DefaultHalfLife is the age at which a measured load has half its weight.
 	DefaultHalfLife = Time(30 * time.Second)
 )
 
-// Planner is the Placer that mustardring runs with. Between calls it keeps only since when
-// each service is out of balance; a new Planner waits anew. It is not safe for concurrent use.
+// Planner is the Placer that mustardring runs with. The only state that it keeps between
+// calls is how long each service has been out of balance, so a new Planner waits for the
+// overload delay again. It is not safe for concurrent use.
 type Planner struct {
 	rangesPerServer int
 	maxHotKeys      int
@@ -43,37 +47,36 @@
 	dwellTime       Time
 	halfLife        Time
 	overloadDelay   Time
-	// overloadedSince is by service since when a server is above the trigger.
+	// overloadedSince holds, by service, since when some server is above the trigger.
 	overloadedSince map[string]Time
 }
 
 var _ Placer = (*Planner)(nil)
 
-// Option changes a default of a Planner.
+// Option changes a setting of a Planner.
 type Option func(p *Planner)
 
-// WithRangesPerServer sets the bound on ranges for each accepting server, at least 1.
+// WithRangesPerServer sets the limit on ranges for each accepting server. It is at least 1.
 func WithRangesPerServer(n int) Option {
 	return func(p *Planner) { p.rangesPerServer = max(n, 1) }
 }
 
-// WithMaxHotKeys sets how many hot keys get a range of their own.
+// WithMaxHotKeys sets the maximum number of hot keys that get a range of their own.
 func WithMaxHotKeys(n int) Option {
 	return func(p *Planner) { p.maxHotKeys = max(n, 0) }
 }
 
-// WithOverloadDelay sets for how long a server must be overloaded before ranges move for it.
+// WithOverloadDelay sets how long a server must be overloaded before ranges move for it.
 func WithOverloadDelay(d time.Duration) Option {
 	return func(p *Planner) { p.overloadDelay = Time(d) }
 }
 
-// WithMoveBudget sets the share of the hash space that may move within one settling time for
-// the sake of balance.
+// WithMoveBudget sets the share of the homes that balancing may move within one settle time.
 func WithMoveBudget(share float64) Option {
 	return func(p *Planner) { p.moveBudget = share }
 }
 
-// New returns a Planner with the defaults, changed by options.
+// New returns a Planner with the default settings, changed by options.
 func New(options ...Option) *Planner {
 	p := &Planner{
 		rangesPerServer: DefaultRangesPerServer,
@@ -92,8 +95,8 @@
 	return p
 }
 
-// Place implements Placer. Ranges without a live owner are filled at once. Others move only
-// when the service has settled and the move pays for itself.
+// Place implements Placer. Ranges without an accepting owner are assigned at once. Others
+// move only when the service has settled and the gain exceeds the cost of the move.
 func (p *Planner) Place(v View) []Target {
 	servers := p.acceptingServers(v)
 	if len(servers) == 0 {
@@ -110,16 +113,16 @@
 	pl.merge()
 	if settled {
 		pl.excludeDominantKeys()
-		r := p.balanceParams(v)
-		pl.balanceHotKeys(r)
-		r.onlyUrgent = p.overloadTooRecent(v, pl.maxLevel() > pl.meanLevel*r.trigger)
-		pl.balance(r)
+		params := p.balanceParams(v)
+		pl.balanceHotKeys(params)
+		params.onlyUrgent = p.overloadTooRecent(v, pl.maxLevel() > pl.meanLevel*params.trigger)
+		pl.balance(params)
 	}
 	pl.consolidate()
 	return pl.targets()
 }
 
-// acceptingServers returns the servers that may own ranges, by name.
+// acceptingServers returns the servers that may own ranges, sorted by name.
 func (p *Planner) acceptingServers(v View) []server {
 	servers := make([]server, 0, len(v.Servers))
 	for _, s := range v.Servers {
@@ -136,11 +139,12 @@
 	return servers
 }
 
-// overloadTooRecent reports whether an overload is too young to move ranges for. A key that becomes
-// hot overloads a server before it is known as hot; ranges moved for it would have to come
-// back once it is set apart.
-func (p *Planner) overloadTooRecent(v View, high bool) bool {
-	if !high {
+// overloadTooRecent reports whether ranges must not move for an overload yet, because there
+// is none or it has not lasted for the overload delay. A key that becomes hot overloads its
+// server before it is recognized as hot; ranges that moved because of it would have to move
+// back once the key has a range of its own.
+func (p *Planner) overloadTooRecent(v View, overloaded bool) bool {
+	if !overloaded {
 		delete(p.overloadedSince, v.Service)
 		return true
 	}
@@ -152,8 +156,9 @@
 	return v.Now-since < p.overloadDelay
 }
 
-// settled reports whether the last move is so old that loads can be trusted again. While it
-// is not, balancing would chase loads measured before the move and move ranges to and fro.
+// settled reports whether the last move is old enough that measured loads reflect it.
+// Balancing before that would act on loads from before the move and move ranges back and
+// forth.
 func (p *Planner) settled(v View) bool {
 	for _, o := range v.Owned {
 		if o.MovedAt != 0 && v.Now-o.MovedAt < p.settleTime {
--- a/internal/place/runs.go
+++ b/internal/place/runs.go
@@ -5,17 +5,19 @@
 	"slices"
 )
 
-// run is a sequence of pieces of one owner that follow each other, hot keys left out. Hot
-// keys come and go, so runs are what bounds the ranges that remain: a run and the hot keys
-// in it make at most one range more than twice the hot keys.
+// run is a sequence of contiguous pieces of one owner, not counting the hot keys among them.
+// Hot keys come and go, so the limit on ranges is a limit on runs: a run with n hot keys in
+// it makes at most 2n+1 ranges.
 type run struct {
+	// first and last are the indices of its first and last piece.
 	first, last int
 	owner       int
 	width       float64
-	changed     bool
+	// changed says that the owner or the width of the run has changed since it was listed.
+	changed bool
 }
 
-// runs returns the runs of sorted pieces.
+// runs returns the runs of the pieces, which must be sorted.
 func (pl *plan) runs() []run {
 	var runs []run
 	for i, c := range pl.pieces {
@@ -33,7 +35,7 @@
 	return runs
 }
 
-// contiguous reports whether no hash lies between two pieces but those of other pieces.
+// contiguous reports whether the pieces from i to j cover a stretch of hashes without a gap.
 func (pl *plan) contiguous(i, j int) bool {
 	for ; i < j; i++ {
 		if pl.pieces[i].hashes.Last+1 != pl.pieces[i+1].hashes.First {
@@ -43,8 +45,9 @@
 	return true
 }
 
-// consolidate gives the narrowest runs to the owners of the runs beside them until the limit
-// holds. Splits stop short of the limit, but whole pieces that move can also cut a run.
+// consolidate assigns the narrowest runs to the owners of adjacent runs until there are no
+// more than maxRuns. Splits stay within the limit, but moving a whole piece can also cut a
+// run in two.
 func (pl *plan) consolidate() {
 	for {
 		pl.merge()
@@ -55,16 +58,17 @@
 	}
 }
 
-// mergeRuns gives up to n runs to a neighbour. It reports whether any was given.
+// mergeRuns assigns up to n runs, the narrowest first, to the owner of an adjacent run. It
+// reports whether any run was assigned.
 func (pl *plan) mergeRuns(runs []run, n int) bool {
 	order := make([]int, len(runs))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(runs[a].width, runs[b].width) })
-	given := 0
+	assigned := 0
 	for _, i := range order {
-		if given == n {
+		if assigned == n {
 			break
 		}
 		j := pl.neighborOf(runs, i)
@@ -77,13 +81,13 @@
 				pl.move(k, runs[j].owner)
 			}
 		}
-		given++
+		assigned++
 	}
-	return given > 0
+	return assigned > 0
 }
 
-// neighborOf returns the run beside run i whose owner is lower, or nobody. Runs that already
-// took part do so no more, since their owner or width has changed.
+// neighborOf returns the index of the run adjacent to run i whose owner has the lower level,
+// or none. Changed runs are left out: their listed owner or width is out of date.
 func (pl *plan) neighborOf(runs []run, i int) int {
 	best := none
 	for _, j := range []int{i - 1, i + 1} {
