--- a/internal/homes/append.go
+++ b/internal/homes/append.go
@@ -12,9 +12,9 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// updateLog states the homes of this domain in the log where they differ from what the log
-// has, and frees those of silent domains. Only the leader does this: it alone knows what its
-// servers may still act on.
+// updateLog appends the homes of this domain to the log where they differ from what the log
+// has, and frees those of unreachable domains. Only a leader does this, because only it knows
+// what its servers may still act on.
 func (c *Core) updateLog() {
 	if c.bundle == nil || c.state == nil || !c.state.MayLead() {
 		return
@@ -27,31 +27,32 @@
 	}
 }
 
-// stateHomes states what the domain wants and what it cannot leave yet, unless that is what it has.
+// stateHomes appends a statement of the ranges that this domain should serve, and of those
+// that it cannot give up yet, unless the log has exactly these.
 //
-// A range that a server may still act on is never left out: another domain may grant it as
-// soon as it is. And before a range is left out, a majority of the voters is taught so. A
-// successor that is cut off from the log might otherwise grant the range again while the
-// statement is under way, and both domains would serve it.
+// A range that a server may still act on is never given up, because another domain may grant
+// it as soon as the log says so. And before a range is given up, a majority of the voters
+// must have stored the new fence. Otherwise a successor that cannot reach the log might grant
+// the range again while the statement is on its way, and both domains would serve it.
 func (c *Core) stateHomes() {
 	if !c.leaderState.Settled {
 		return
 	}
 	var services []record.ServiceHomes
-	changes, leaves := false, false
+	changes, releases := false, false
 	for _, name := range c.dividedServices() {
 		taken := c.takenBy(name, c.config.Domain)
-		state := keys.Union(c.wantedOfService(name), keys.Intersect(taken.Ranges, c.leaderState.Ranges[name]))
-		given := keys.Subtract(state, c.takenByOthers(name))
-		changes = changes || taken.Evicted || taken.Notice != 0 || !slices.Equal(given, taken.Ranges)
-		leaves = leaves || !keys.Covers(given, taken.Ranges)
-		services = append(services, record.ServiceHomes{Service: name, Ranges: state})
+		stated := keys.Union(c.wantedOfService(name), keys.Intersect(taken.Ranges, c.leaderState.Ranges[name]))
+		obtained := keys.Subtract(stated, c.takenByOthers(name))
+		changes = changes || taken.Evicted || taken.Notice != 0 || !slices.Equal(obtained, taken.Ranges)
+		releases = releases || !keys.Covers(obtained, taken.Ranges)
+		services = append(services, record.ServiceHomes{Service: name, Ranges: stated})
 	}
 	if !changes {
 		return
 	}
 	base := c.base()
-	if leaves && c.leaderState.MajorityFence <= base {
+	if releases && c.leaderState.MajorityFence <= base {
 		fence := base + 1
 		c.fence = max(c.fence, fence)
 		c.effects = append(c.effects, DistributeFence{Fence: fence})
@@ -66,8 +67,8 @@
 	})
 }
 
-// dividedServices returns the divided services of the bundle and those that this domain still has
-// homes of, sorted.
+// dividedServices returns the names of the divided services of the bundle and of the services
+// of which this domain still has homes, sorted.
 func (c *Core) dividedServices() []string {
 	var names []string
 	for _, s := range c.bundle.Services {
@@ -102,8 +103,9 @@
 	return all
 }
 
-// evictUnreachable frees the ranges of domains that were not heard for long, first by notice. A domain
-// that is merely cut off from this one, but not from the log, objects to the notice.
+// evictUnreachable frees the ranges of a service that unreachable domains have taken: first
+// by a notice and, if EvictAfter passes without an objection, by an eviction. A domain that
+// is unreachable from here but can reach the log objects by stating its homes again.
 func (c *Core) evictUnreachable(s *bundle.Service) {
 	for _, t := range c.homes {
 		if t.Service != s.Name || t.Evicted || len(t.Ranges) == 0 || !c.unreachable(t.Domain) {
@@ -123,12 +125,12 @@
 	}
 }
 
-// append asks for a record. Its ID names what the statement is based on, so that a repeated
-// append folds to one, and a later statement with the same content does not.
+// append requests the append of a record. Its ID includes the base of the statement, so that
+// a repeated append counts once, but a later statement with the same content is a new one.
 func (c *Core) append(kind string, base uint64, r record.Record) {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%v", r))
 	id := fmt.Sprintf("%s/%s/%d/%s", kind, c.config.Domain, base, hex.EncodeToString(sum[:8]))
-	if at, sent := c.requestedAt[id]; sent && c.now < at+Time(c.config.AppendInterval) {
+	if at, requested := c.requestedAt[id]; requested && c.now < at+Time(c.config.AppendInterval) {
 		return
 	}
 	c.requestedAt[id] = c.now
@@ -136,7 +138,8 @@
 	c.effects = append(c.effects, Append{ID: id, Record: r})
 }
 
-// maxTrackedRequests bounds the memory of what was asked for.
+// maxTrackedRequests is the length of requestedAt above which entries older than
+// AppendInterval are removed.
 const maxTrackedRequests = 1024
 
 func (c *Core) pruneRequests() {
--- a/internal/homes/bundle_test.go
+++ b/internal/homes/bundle_test.go
@@ -9,8 +9,8 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Operators roll a bundle in which a server leaves, and no home changes. The server went on
-// getting new work: the leader was told of a bundle only when the homes of its domain changed.
+// A new bundle removes a server and changes no home. The leader must get this bundle too; if
+// it gets bundles only when homes change, the removed server goes on getting requests.
 func TestLeaderLearnsOfEachBundle(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultConfig("badulla-hall"))
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -9,8 +9,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Core keeps the homes of one failure domain at one instance. It is not safe for concurrent
-// use.
+// Core is the state machine that decides, at one instance, which ranges its failure domain
+// may serve. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	now     Time
@@ -19,29 +19,36 @@
 	bundle *bundle.Bundle
 	state  *fold.State
 	homes  []fold.Taken
-	// homesKnown says that homes were read or copied; before, nothing may be served.
-	homesKnown  bool
+	// homesKnown says that homes were read from the log or copied from a peer. Until then
+	// nothing may be served.
+	homesKnown bool
+	// leaderState is nil while this instance does not lead.
 	leaderState *LeaderState
-	// fence is the highest value of the homes fence that this instance knows of.
+	// fence is the highest value of the homes fence that this instance knows of. The homes
+	// fence is a number that the voters store: one more than the base of the newest statement
+	// that gave ranges up, or was about to. See releasePending.
 	fence uint64
-	// lastSeen is when each other domain was last heard; the first call counts as hearing all.
+	// lastSeen is when each other domain was last seen to be alive. It starts when a bundle
+	// first names the domain.
 	lastSeen map[string]Time
-	// evictedAt is when this instance last read of a new eviction of another domain, by service.
+	// evictedAt is, by service, when this instance last read a new eviction of another
+	// domain.
 	evictedAt map[string]Time
-	// seenEvictions are the offsets of those read so far, and homesAt that of the newest change
-	// of each domain.
+	// seenEvictions holds the log offsets of the evictions read so far, and homesOffset, by
+	// domain, that of the newest statement of homes.
 	seenEvictions map[uint64]bool
 	homesOffset   map[string]uint64
-	// noticeReadAt is when this instance first read each notice of an eviction.
+	// noticeReadAt is when this instance first read each notice of an eviction, by offset
+	// plus one.
 	noticeReadAt map[uint64]Time
-	allowed      map[string][]keys.Range
-	// allowedBundle is the bundle that the leader was told of last.
+	// allowed holds the ranges of the last Allow by service, and allowedBundle its bundle.
+	allowed       map[string][]keys.Range
 	allowedBundle *bundle.Bundle
-	// requestedAt is when a record was last asked for, by its ID.
+	// requestedAt is when each append was last requested, by record ID.
 	requestedAt map[string]Time
 }
 
-// New returns a core that allows nothing yet.
+// New returns a core that allows no range yet.
 func New(config Config) *Core {
 	return &Core{
 		config:        config,
@@ -54,7 +61,7 @@
 	}
 }
 
-// Handle takes an event and returns what is to be done, in order.
+// Handle takes an event and returns the effects, which must be carried out in order.
 func (c *Core) Handle(now Time, ev Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = nil
@@ -100,8 +107,8 @@
 	}
 }
 
-// trackHomes remembers when this instance read what. A domain that states its homes is there,
-// though it may be cut off from this one.
+// trackHomes remembers when this instance first read each eviction of another domain and each
+// notice. A domain that states its homes is alive, even if this instance cannot reach it.
 func (c *Core) trackHomes() {
 	for _, t := range c.homes {
 		if t.Evicted && t.Domain != c.config.Domain && !c.seenEvictions[t.Offset] {
@@ -122,26 +129,29 @@
 	return fold.TakenBy(c.homes, service, domain)
 }
 
-// base is what the next statement of this domain is based on.
+// base returns the offset plus one of the last change to the homes of this domain, on which
+// its next statement is based.
 func (c *Core) base() uint64 {
 	return fold.HomesBase(c.homes, c.config.Domain)
 }
 
-// releasePending reports whether a statement that leaves ranges out may be under way and not yet
-// folded. A leader teaches its voters the base of such a statement plus one before it asks
-// for the append, so its successor, which may be cut off from the log, learns of it.
+// releasePending reports whether a statement that gives ranges up may be on its way to the
+// log without having been folded yet. Before a leader requests such an append, it has a
+// majority of its voters store the base of the statement plus one as the fence. So a
+// successor learns of it even if it cannot reach the log.
 func (c *Core) releasePending() bool {
 	return c.fence > c.base()
 }
 
-// unreachable reports whether a domain was not heard for so long that its ranges may be freed.
+// unreachable reports whether another domain has not been seen for so long that its ranges
+// may be freed.
 func (c *Core) unreachable(domain string) bool {
 	at, known := c.lastSeen[domain]
 	return known && domain != c.config.Domain && c.now > at+Time(c.config.EvictAfter)
 }
 
-// wantedRanges returns what this domain should serve of a service: its own homes, and those that
-// were freed because their domain is silent.
+// wantedRanges returns the ranges of a service that this domain should serve: its own homes,
+// and those that were freed because their domain is unreachable.
 func (c *Core) wantedRanges(s *bundle.Service) []keys.Range {
 	var want []keys.Range
 	for _, h := range c.bundle.HomeRanges(s.Name) {
@@ -154,8 +164,8 @@
 	return keys.Union(want, nil)
 }
 
-// updateAllowed publishes what may be served if that or the bundle changed. The leader learns of a
-// bundle only so.
+// updateAllowed issues an Allow if the allowed ranges or the bundle have changed. This is the
+// only way in which the leader learns of a bundle, so it must happen for each bundle.
 func (c *Core) updateAllowed() {
 	if c.bundle == nil || !c.homesKnown {
 		return
@@ -174,23 +184,27 @@
 	c.effects = append(c.effects, Allow{Bundle: c.bundle, Ranges: next})
 }
 
+// allowedRanges returns the ranges of a service that the domain may serve now. While a
+// release may be pending, no range is added to those that servers may already act on. While
+// the former domain of freed ranges may still serve them, no range is added to those allowed
+// or assigned before.
 func (c *Core) allowedRanges(s *bundle.Service) []keys.Range {
 	if c.leaderState == nil {
 		return nil
 	}
-	may := keys.Intersect(c.wantedRanges(s), c.takenBy(s.Name, c.config.Domain).Ranges)
+	ranges := keys.Intersect(c.wantedRanges(s), c.takenBy(s.Name, c.config.Domain).Ranges)
 	if c.releasePending() {
-		return keys.Intersect(may, c.leaderState.Ranges[s.Name])
+		return keys.Intersect(ranges, c.leaderState.Ranges[s.Name])
 	}
 	until := c.takeoverWaitEnd(s)
 	if c.now > until {
-		return may
+		return ranges
 	}
-	return keys.Intersect(may, keys.Union(c.allowed[s.Name], c.assignedRanges(s.Name)))
+	return keys.Intersect(ranges, keys.Union(c.allowed[s.Name], c.assignedRanges(s.Name)))
 }
 
-// assignedRanges returns what the log says servers of this domain were assigned. Such ranges are
-// past any wait.
+// assignedRanges returns the ranges of a service that the log records as assigned to servers
+// of this domain. They were assigned after any wait, so they need not wait again.
 func (c *Core) assignedRanges(service string) []keys.Range {
 	if c.state == nil {
 		return nil
@@ -204,10 +218,13 @@
 	return all
 }
 
-// takeoverWaitEnd returns until when the former domain of freed ranges may still serve them. Its
-// last read of the log was before the record that freed them, and this instance read that
-// record later. The wait holds also when the former domain states its homes again meanwhile:
-// its servers may still act on what it lost.
+// takeoverWaitEnd returns until when the former domain of freed ranges may still serve them,
+// or -1 if no ranges were freed.
+//
+// The former domain last read the log before the record that freed the ranges was written,
+// and this instance read that record afterwards, so the wait may start at the time of this
+// read. It is not cut short when the former domain states its homes again: its servers may
+// still act on the ranges that it lost.
 func (c *Core) takeoverWaitEnd(s *bundle.Service) Time {
 	at, evicted := c.evictedAt[s.Name]
 	if !evicted {
@@ -216,13 +233,17 @@
 	return at + c.takeoverWait(s)
 }
 
+// takeoverWait returns how long the former domain of freed ranges may serve them after its
+// last read of the log: IsolationTimeout, lengthened for clock drift. If a server does not
+// check grants, the sender may be paused before it sends a request, which then runs for up to
+// its time limit, so both times are added.
 func (c *Core) takeoverWait(s *bundle.Service) Time {
-	bound := Time(c.config.IsolationTimeout)
-	bound += bound * Time(c.config.DriftPerMille) / 1000
+	wait := Time(c.config.IsolationTimeout)
+	wait += wait * Time(c.config.DriftPerMille) / 1000
 	for _, v := range s.Servers {
 		if !v.ChecksGrants {
-			return bound + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.MaxPause)
+			return wait + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.MaxPause)
 		}
 	}
-	return bound
+	return wait
 }
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -1,6 +1,7 @@
-// Package homes decides which ranges a failure domain may serve. The bundle says which ones
-// it should; the log says which ones it has taken and no other domain has. The core has no
-// input or output: Handle takes an Event with the time and returns Effects.
+// Package homes decides which ranges of the hash space a failure domain may serve. The bundle
+// says which ranges are its homes; a range may be served only after the log has recorded it
+// as taken by this domain and by no other. The core does no I/O: Handle takes the time and an
+// Event, and returns Effects.
 package homes
 
 import (
@@ -16,44 +17,45 @@
 // Time is a reading of this instance's monotonic clock in nanoseconds.
 type Time = place.Time
 
-// Event is an input of the core. The set is sealed.
+// Event is an input of the core. No other package can add events.
 type Event interface {
 	isEvent()
 }
 
-// BundleInForce says which bundle is in force.
+// BundleInForce says that a bundle is in force.
 type BundleInForce struct {
 	Bundle *bundle.Bundle
 }
 
-// LogRead is the newest folded state. It must not change afterwards.
+// LogRead is the newest state folded from the log. It must not be modified afterwards.
 type LogRead struct {
 	State *fold.State
 }
 
-// PeerHomes is what another instance of the domain has read. It counts only until this one has
-// read the log itself.
+// PeerHomes are the homes that another instance of the domain has read from the log. They
+// count only until this instance has read the log itself.
 type PeerHomes struct {
 	Homes []fold.Taken
 }
 
-// ReachableDomains says which other failure domains answered a heartbeat lately.
+// ReachableDomains lists the other failure domains that answered a heartbeat recently.
 type ReachableDomains struct {
 	Names []string
 }
 
-// LeaderState says what the leader of this domain, which runs at this instance, may have granted.
+// LeaderState is the state of the leader of this domain, which runs at this instance.
 type LeaderState struct {
-	// LogTerm is the log term under which it leads.
+	// LogTerm is the term, as claimed in the log, under which it leads.
 	LogTerm uint64
-	// Settled says that nothing granted by former leaders is left that this one has not heard
-	// of.
+	// Settled says that the leader knows of every grant by former leaders that may still be
+	// in effect.
 	Settled bool
-	// Ranges has, by divided service, the ranges that some server may act on, as far as the
-	// leader has heard.
+	// Ranges holds, by divided service, the ranges that some server may act on, as far as the
+	// leader knows.
 	Ranges map[string][]keys.Range
-	// Fence is the highest value that the voters who follow the leader have seen, and Taught
-	// the highest that a majority of them has.
+	// Fence is the highest value of the homes fence that the leader knows of, and
+	// MajorityFence the highest that a majority of its voters has stored. Core.fence says
+	// what the homes fence is.
 	Fence         uint64
 	MajorityFence uint64
 }
@@ -68,26 +70,28 @@
 func (ReachableDomains) isEvent() {}
 func (LeaderState) isEvent()      {}
 
-// Effect is an output of the core. The set is sealed.
+// Effect is an output of the core. No other package can add effects.
 type Effect interface {
 	isEffect()
 }
 
 // Allow says which ranges of each divided service the domain may serve from now on. An
-// instance that does not lead is allowed none: it knows neither what is held nor the fence.
+// instance that does not lead is allowed none, because it knows neither the ranges that
+// servers hold nor the fence.
 type Allow struct {
 	Bundle *bundle.Bundle
-	// Ranges is sorted and disjoint for each service.
+	// Ranges holds sorted, disjoint ranges by service.
 	Ranges map[string][]keys.Range
 }
 
-// Append asks for a record in the log.
+// Append asks for a record to be appended to the log. Appends with the same ID count once.
 type Append struct {
 	ID     string
 	Record record.Record
 }
 
-// DistributeFence asks the leader to tell its voters a value of the homes fence.
+// DistributeFence asks the leader to send a value of the homes fence to its voters, which
+// store it.
 type DistributeFence struct {
 	Fence uint64
 }
@@ -96,24 +100,27 @@
 func (Append) isEffect()          {}
 func (DistributeFence) isEffect() {}
 
-// Config names the domain and sets the bounds of the core.
+// Config names the failure domain and sets the times of the core.
 type Config struct {
 	Domain string
-	// IsolationTimeout is for how long after its last read of the log a domain may renew the grants
-	// of a service that may move. It must not be less than that of package leader.
+	// IsolationTimeout is how long after its last read of the log a domain may renew the
+	// grants of a service whose isolation rule is move. It must not be less than the same
+	// limit of package leader.
 	IsolationTimeout time.Duration
-	// EvictAfter is for how long a domain must not have been heard before its ranges of a
-	// service that may move are freed.
+	// EvictAfter is how long a domain must have been unreachable before its ranges of a
+	// service whose isolation rule is move are freed.
 	EvictAfter time.Duration
-	// AppendInterval bounds how often the same statement is appended again.
+	// AppendInterval is the least time before the same append is requested again.
 	AppendInterval time.Duration
-	// MaxPause bounds how long an instance may be paused between checking its right and writing.
+	// MaxPause is the longest time for which an instance may be paused between checking its
+	// lease and writing a request.
 	MaxPause time.Duration
-	// DriftPerMille bounds by how much any two clocks diverge, in thousandths.
+	// DriftPerMille is the greatest difference between the rates of any two clocks, in
+	// thousandths.
 	DriftPerMille int64
 }
 
-// DefaultConfig returns bounds that fit those of package leader.
+// DefaultConfig returns times that match the defaults of package leader.
 func DefaultConfig(domain string) Config {
 	return Config{
 		Domain:           domain,
--- a/internal/homes/release_test.go
+++ b/internal/homes/release_test.go
@@ -8,17 +8,17 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// A bundle moves a range away from a domain; its leader leaves the range out, another domain
-// takes and serves it, and is then cut off from everything. The first domain loses the log
-// before it reads of this, and learns from a neighbour of a bundle that moves the range back.
-// By what it last read it still has the range. A buyer would be sold the same cheese twice if
-// its leader, or a successor that was told nothing, served it.
-func TestLeftOutRangeIsNotServedAgain(t *testing.T) {
+// A bundle moves a range from the first domain to another, which takes it, serves it and is
+// then cut off from everything. The first domain loses the log before it reads this, and
+// learns from a peer of a bundle that moves the range back. By what it last read, the range
+// is still its own. If its leader, or a successor that does not know of the release, served
+// the range, two domains would serve it at once.
+func TestReleasedRangeIsNotServedAgain(t *testing.T) {
 	tests := map[string]struct {
-		succeeded bool
+		newLeader bool
 	}{
 		"same leader": {},
-		"successor":   {succeeded: true},
+		"successor":   {newLeader: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			second.logDown, second.unreachable = true, true
 			w.setShares(3, 6, 6, 6)
 			third.logDown = true
-			if tt.succeeded {
+			if tt.newLeader {
 				w.replaceLeader(first)
 			}
 			w.run(100)
--- a/internal/homes/world_test.go
+++ b/internal/homes/world_test.go
@@ -15,9 +15,10 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// world runs one core for each domain over one log in virtual time. What a domain serves is
-// modelled at its extremes: it grants what it is allowed at once, and goes on serving what
-// it lost for a lease, or, for a service that may move, until the bound after its last read.
+// world runs one core for each domain over one log in virtual time. Each domain does the
+// worst that it may: it serves what it is allowed at once, and goes on serving what it lost
+// for the length of a lease, but no longer than IsolationTimeout after its last read of the
+// log.
 type world struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -27,20 +28,23 @@
 	domains []*simDomain
 }
 
+// simDomain is the state of one domain in a world.
 type simDomain struct {
 	name        string
 	core        *Core
 	logDown     bool
 	unreachable bool
 	readAt      Time
-	// serves has what the servers may act on; lost has when ranges that are no longer allowed
-	// stop being served.
+	// serves holds the ranges that the servers may act on, and expiring until when they serve
+	// ranges that are no longer allowed.
 	serves   []keys.Range
 	expiring map[keys.Range]Time
 	queue    []Append
-	// fence is what the voters of the domain remember.
+	// fence is the highest value of the homes fence that the voters of the domain have
+	// stored.
 	fence uint64
-	// newLeader says that the leader was replaced and has not told what it holds yet.
+	// newLeader says that the leader was replaced and the new one has not reported what it
+	// holds.
 	newLeader bool
 }
 
@@ -58,7 +62,7 @@
 	return w
 }
 
-// setShares puts a bundle in force with shares of the hash space for the domains.
+// setShares puts a bundle in force that gives the domains these shares of the hash space.
 func (w *world) setShares(version uint64, shares ...int) {
 	b := &bundle.Bundle{Version: version}
 	s := bundle.Service{Name: worldService, Divided: true, Isolation: bundle.IsolationMove}
@@ -79,16 +83,16 @@
 	w.checkDisjoint()
 }
 
-// stepDomain lets a domain learn, decide and write. What it reads takes effect on what may be
-// served before the read itself extends the leases.
+// stepDomain lets a domain read, decide and append. Each event takes effect on the allowed
+// ranges before readAt, which extends the leases, is updated.
 func (w *world) stepDomain(d *simDomain) {
-	heard := ReachableDomains{}
+	reachable := ReachableDomains{}
 	for _, o := range w.domains {
 		if o != d && !o.unreachable && !d.unreachable {
-			heard.Names = append(heard.Names, o.name)
+			reachable.Names = append(reachable.Names, o.name)
 		}
 	}
-	w.applyEffects(d, d.core.Handle(w.now, heard))
+	w.applyEffects(d, d.core.Handle(w.now, reachable))
 	if !d.logDown || !d.unreachable {
 		w.applyEffects(d, d.core.Handle(w.now, BundleInForce{Bundle: w.state.InForce}))
 	}
@@ -101,7 +105,7 @@
 	w.writeQueue(d)
 }
 
-// reportLeaderState tells the core of a domain what its leader holds and its voters remember.
+// reportLeaderState passes the state of the domain's leader and its voters to the core.
 func (w *world) reportLeaderState(d *simDomain) {
 	w.applyEffects(d, d.core.Handle(w.now, LeaderState{
 		Settled:       true,
@@ -115,7 +119,7 @@
 	}
 }
 
-// served returns what the servers of a domain may act on now.
+// served returns the ranges that servers of a domain may act on now.
 func (w *world) served(d *simDomain) []keys.Range {
 	all := d.serves
 	if w.now > d.readAt+Time(d.core.config.IsolationTimeout) {
@@ -151,8 +155,8 @@
 	}
 }
 
-// writeQueue writes what a domain has queued, late and out of order with others, twice now and
-// then because an answer was lost.
+// writeQueue appends what a domain has queued to the log: late, out of order with other
+// domains, and sometimes twice, as when an answer was lost.
 func (w *world) writeQueue(d *simDomain) {
 	for !d.logDown && len(d.queue) > 0 && w.random.IntN(15) == 0 {
 		a := d.queue[0]
@@ -168,8 +172,8 @@
 	}
 }
 
-// replaceLeader replaces the leader of a domain. The new one knows what it last read; statements
-// of the old one are still under way.
+// replaceLeader starts a new core for a domain. It knows what the old one last read; appends
+// of the old one stay queued.
 func (w *world) replaceLeader(d *simDomain) {
 	old := d.core
 	d.core = New(DefaultConfig(d.name))
@@ -206,8 +210,8 @@
 }
 
 // Bundles move homes between domains while domains lose the log, each other, or both, and
-// come back. A buyer would see cheese sold twice if two domains served a range at once, and
-// none at all if a range stayed without a home after the faults have ended.
+// recover. No range may be served by two domains at once, and none may stay without a domain
+// after the faults have ended.
 func TestNoRangeHasTwoHomes(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -242,8 +246,9 @@
 }
 
 // A domain is lost. Its ranges of a service that may move are served by another domain after
-// notice, the eviction and the bound of the lost domain's leases, and go back on its return.
-func TestLostDomainIsSucceeded(t *testing.T) {
+// notice, eviction and the wait for the leases of the lost domain. They move back when it
+// returns.
+func TestLostDomainIsReplaced(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.setShares(1, 6, 6, 6)
@@ -261,8 +266,8 @@
 	is.True(w.allServed())
 }
 
-// A domain is cut off from the other domains but not from the log. Nothing is wrong with its
-// servers: an eviction would cost its keys half a minute. It objects to the notice.
+// A domain loses the other domains but not the log. Its servers work, and an eviction would
+// make its keys unavailable for half a minute. It must object to each notice instead.
 func TestDomainThatReadsTheLogIsNotEvicted(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// settledView returns servers of equal load, each with every nth of equal ranges, and 240 hot
-// keys.
+// settledView returns a view of n servers that own equal ranges of equal load in turn, with
+// 240 hot keys.
 func settledView(n, ranges int) View {
 	v := View{Now: 3600 * second, Homes: []keys.Range{keys.Full}, Servers: servers(n, 2)}
 	for i, r := range keys.Split(keys.Full, n*ranges) {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -21,7 +21,7 @@
 	// Owned is the present partition of Homes, sorted and disjoint. Gaps have no owner.
 	Owned []Owned
 	// HotHashes are the hashes of hot keys, as named by the bundle or found by measurement,
-	// sorted. They get ranges of their own.
+	// sorted. A Placer may give each a range of its own.
 	HotHashes []uint64
 }
 
@@ -45,7 +45,7 @@
 	Load float64
 	// LoadAt is when Load was measured, zero if never.
 	LoadAt Time
-	// MovedAt is when the range last changed its owner, zero if never.
+	// MovedAt is when the range last changed owner, zero if never.
 	MovedAt Time
 }
 
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -286,9 +286,9 @@
 	}
 }
 
-// Two keys become hot on a server and lift it above the trigger. One of them must move and
-// nothing else: moving ranges would change the owners of other keys, although these two keys
-// alone cause the load.
+// Two keys become hot on a server and lift it above the trigger. One of them must move, which
+// leaves the server just below the trigger, and nothing else: moving ranges would change the
+// owners of other keys, although these two keys alone cause the load.
 func TestHotKeyMovesAlone(t *testing.T) {
 	is := is.New(t)
 	p := New()
