--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -36,7 +36,7 @@
 
 func (e *Entry) takeTable(ctx context.Context, t *route.Table) {
 	if t != nil && e.setTable(t) {
-		e.tell(ctx, leader.Routed{Table: *t})
+		e.tell(ctx, leader.TableReceived{Table: *t})
 	}
 }
 
