--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -14,7 +14,7 @@
 func (s *State) Apply(e record.Entry) Verdict {
 	d := digestOf(e)
 	switch {
-	case e.Offset+1 == s.Next && s.Next > s.Since && d != s.last:
+	case e.Offset+1 == s.Next && s.Next > s.Since && d != s.lastDigest:
 		return Changed{Offset: e.Offset}
 	case e.Offset < s.Next:
 		return Repeated{}
@@ -22,13 +22,13 @@
 		return s.applyAfterGap(e)
 	}
 	s.Next++
-	s.last = d
-	if s.memory.knows(d) {
+	s.lastDigest = d
+	if s.recent.contains(d) {
 		return Repeated{}
 	}
 	r, err := record.Decode(e.Data)
 	if err != nil {
-		return s.refuseUnreadable(e.Offset, err)
+		return s.rejectUnreadable(e.Offset, err)
 	}
 	return s.applyRecord(e.Offset, d, r)
 }
@@ -38,13 +38,13 @@
 func (s *State) applyRecord(offset uint64, d digest, r record.Record) Verdict {
 	switch r := r.(type) {
 	case record.CheckpointMarked:
-		return s.mark()
+		return s.applyMark()
 	case record.Checkpoint:
-		return s.compareCheckpoint(offset, r)
+		return s.applyCheckpoint(offset, r)
 	}
 	v := s.applyKind(offset, r)
 	if _, accepted := v.(Accepted); accepted {
-		s.memory.add(d)
+		s.recent.add(d)
 	}
 	return v
 }
@@ -52,45 +52,45 @@
 func (s *State) applyKind(offset uint64, r record.Record) Verdict {
 	switch r := r.(type) {
 	case record.BundlePublished:
-		return s.publish(offset, r)
+		return s.applyPublished(offset, r)
 	case record.BundleApproved:
-		return s.approve(offset, r.Approval)
+		return s.applyApproved(offset, r.Approval)
 	case record.BundleRolled:
-		return s.roll(offset, r.Roll)
+		return s.applyRolled(offset, r.Roll)
 	case record.BundleProven:
-		return s.prove(offset, r.Proof)
+		return s.applyProven(offset, r.Proof)
 	case record.TermClaimed:
-		return s.claim(offset, r)
+		return s.applyTermClaimed(offset, r)
 	case record.AssignmentMade:
-		return s.assign(offset, r)
+		return s.applyAssignmentMade(offset, r)
 	case record.HomesTaken:
-		return s.takeHomes(offset, r)
+		return s.applyHomesTaken(offset, r)
 	case record.HomesEvicted:
-		return s.evictHomes(offset, r)
+		return s.applyHomesEvicted(offset, r)
 	default:
-		return refuse(offset, CauseMalformed, "no rule for %T", r)
+		return reject(offset, CauseMalformed, "no rule for %T", r)
 	}
 }
 
-// refuseUnreadable tells a record that a newer release wrote from one that is damaged. The
+// rejectUnreadable tells a record that a newer release wrote from one that is damaged. The
 // failure it guards against is a mixed fleet: an older instance would pass over what newer
 // ones obey, and reach another state. It shows as a format number above ours.
-func (s *State) refuseUnreadable(offset uint64, err error) Verdict {
-	if !errors.Is(err, record.ErrNewer) && !errors.Is(err, bundle.ErrNewerFormat) {
-		return refuse(offset, CauseMalformed, "%v", err)
+func (s *State) rejectUnreadable(offset uint64, err error) Verdict {
+	if !errors.Is(err, record.ErrNewerFormat) && !errors.Is(err, bundle.ErrNewerFormat) {
+		return reject(offset, CauseMalformed, "%v", err)
 	}
 	if s.Newer == nil {
 		s.Newer = &Newer{Offset: offset, Reason: err.Error()}
 	}
-	return refuse(offset, CauseNewer, "%v", err)
+	return reject(offset, CauseNewerRelease, "%v", err)
 }
 
-func refuse(offset uint64, cause Cause, format string, args ...any) Refused {
+func reject(offset uint64, cause Cause, format string, args ...any) Refused {
 	return Refused{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
-func refuseFor(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
-	r := refuse(offset, cause, format, args...)
+func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
+	r := reject(offset, cause, format, args...)
 	r.Reason = fmt.Sprintf("%s: %s stands", r.Reason, w)
 	r.Winner = w
 	return r
--- a/internal/fold/bench_test.go
+++ b/internal/fold/bench_test.go
@@ -10,11 +10,11 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// filled returns a state with servers over ten domains, each with an assignment of one range,
+// benchState returns a state with servers over ten domains, each with an assignment of one range,
 // and the bundle that names them in force.
-func filled(b *testing.B, servers int) (*State, *bundle.Bundle) {
+func benchState(b *testing.B, servers int) (*State, *bundle.Bundle) {
 	b.Helper()
-	v := sample(1, "a")
+	v := testBundle(1, "a")
 	v.Domains, v.Services[0].Servers = nil, nil
 	for i := range 10 {
 		v.Domains = append(v.Domains, bundle.Domain{Name: fmt.Sprintf("domain-%d", i)})
@@ -25,14 +25,14 @@
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), ChecksGrants: true, Slots: 2, Connections: 110,
 		})
 	}
-	var j journal
+	var j testLog
 	j.addAll(release(v, 0)...)
 	ranges := keys.Split(keys.Full, servers)
 	for i := range servers {
-		j.addAll(moved(i, 1, ranges[i]))
+		j.addAll(assignmentTo(i, 1, ranges[i]))
 	}
-	s := New(crew())
-	for _, verdict := range j.fold(s) {
+	s := New(testSigners())
+	for _, verdict := range j.applyTo(s) {
 		if verdict != (Accepted{}) {
 			b.Fatal(verdict)
 		}
@@ -40,7 +40,7 @@
 	return s, v
 }
 
-func moved(server int, sequence uint64, r keys.Range) record.AssignmentMade {
+func assignmentTo(server int, sequence uint64, r keys.Range) record.AssignmentMade {
 	return record.AssignmentMade{Domain: fmt.Sprintf("domain-%d", server%10), Service: "pregled", Assignments: []record.Assignment{{
 		Server: fmt.Sprintf("server-%d", server),
 		Epoch:  grant.Epoch{Term: grant.Term{Log: 1}, Sequence: sequence},
@@ -48,10 +48,10 @@
 	}}}
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, s *State, v *bundle.Bundle)) {
+func runSizes(b *testing.B, run func(b *testing.B, s *State, v *bundle.Bundle)) {
 	for _, n := range []int{50, 1000, 19000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, v := filled(b, n)
+			s, v := benchState(b, n)
 			b.ReportAllocs()
 			run(b, s, v)
 		})
@@ -60,12 +60,12 @@
 
 // BenchmarkAssignment is the cost of one assignment, with a snapshot after each.
 func BenchmarkAssignment(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		sequence := uint64(1)
 		size := 0
 		for b.Loop() {
 			sequence++
-			data := must(record.Encode(moved(7, sequence, keys.Full)))
+			data := must(record.Encode(assignmentTo(7, sequence, keys.Full)))
 			size = len(data)
 			s.Apply(record.Entry{Offset: s.Next, ID: "x", Data: data})
 			s.Snapshot()
@@ -76,7 +76,7 @@
 
 // BenchmarkRelease is the cost of the three records of a change of one server, as a delta.
 func BenchmarkRelease(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, v *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, v *bundle.Bundle) {
 		var records []record.Entry
 		next := *v
 		next.Services = append([]bundle.Service{}, v.Services...)
@@ -96,7 +96,7 @@
 			records = append(records, e)
 		}
 		for b.Loop() {
-			c := s.copyDeep()
+			c := s.clone()
 			for _, e := range records {
 				if v := c.Apply(e); v != (Accepted{}) {
 					b.Fatal(v)
@@ -110,7 +110,7 @@
 // BenchmarkCheckpoint is the cost of making a checkpoint, BenchmarkRestore that of starting
 // from one.
 func BenchmarkCheckpoint(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		size := 0
 		for b.Loop() {
 			size = len(must(s.Encode()))
@@ -120,19 +120,19 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		data := must(s.Encode())
 		for b.Loop() {
-			must(Restore(data, crew()))
+			must(Restore(data, testSigners()))
 		}
 	})
 }
 
 // BenchmarkMark is the cost of keeping the state for comparison.
 func BenchmarkMark(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		for b.Loop() {
-			s.mark()
+			s.applyMark()
 		}
 	})
 }
--- a/internal/fold/checkpoint.go
+++ b/internal/fold/checkpoint.go
@@ -16,9 +16,9 @@
 	state *State
 }
 
-// mark keeps the state for comparison. Apply has moved Next past the mark already.
-func (s *State) mark() Verdict {
-	s.marks = append(s.marks, mark{state: s.copyDeep()})
+// applyMark keeps the state for comparison. Apply has moved Next past the mark already.
+func (s *State) applyMark() Verdict {
+	s.marks = append(s.marks, mark{state: s.clone()})
 	if len(s.marks) > maxMarks {
 		s.marks = s.marks[1:]
 	}
@@ -50,36 +50,36 @@
 	return Accepted{}
 }
 
-// compareCheckpoint judges a checkpoint by the state that this reader has at its mark.
+// applyCheckpoint judges a checkpoint by the state that this reader has at its mark.
 //
 // It guards against a writer whose state is wrong: a fault, a longer gap, or another release.
 // It shows as other bytes for the same offset. A reader goes over to the other state only if
 // that was folded from an earlier record, or if it met a record that it could not read.
-func (s *State) compareCheckpoint(offset uint64, r record.Checkpoint) Verdict {
+func (s *State) applyCheckpoint(offset uint64, r record.Checkpoint) Verdict {
 	if r.Next > offset {
-		return refuse(offset, CauseMalformed, "checkpoint of offset %d stands at %d", r.Next, offset)
+		return reject(offset, CauseMalformed, "checkpoint of offset %d stands at %d", r.Next, offset)
 	}
 	other, err := Restore(r.State, s.anchors)
 	switch {
-	case errors.Is(err, ErrNewer):
+	case errors.Is(err, ErrNewerRelease):
 		if s.Newer == nil {
 			s.Newer = &Newer{Offset: offset, Reason: err.Error()}
 		}
-		return refuse(offset, CauseNewer, "%v", err)
+		return reject(offset, CauseNewerRelease, "%v", err)
 	case err != nil:
-		return refuse(offset, CauseCheckpoint, "%v", err)
+		return reject(offset, CauseCheckpoint, "%v", err)
 	case other.Next != r.Next:
-		return refuse(offset, CauseMalformed, "checkpoint of offset %d holds the state of %d", r.Next, other.Next)
+		return reject(offset, CauseMalformed, "checkpoint of offset %d holds the state of %d", r.Next, other.Next)
 	case s.Newer != nil && r.Next > s.Newer.Offset:
 		return s.adopt(other)
 	}
 	own := s.markAt(r.Next)
 	if own == nil {
-		return refuse(offset, CauseCheckpoint, "no mark before offset %d", r.Next)
+		return reject(offset, CauseCheckpoint, "no mark before offset %d", r.Next)
 	}
 	data, err := own.Encode()
 	if err != nil {
-		return refuse(offset, CauseCheckpoint, "%v", err)
+		return reject(offset, CauseCheckpoint, "%v", err)
 	}
 	switch {
 	case bytes.Equal(data, r.State):
@@ -87,7 +87,7 @@
 	case other.Since < own.Since:
 		return s.adopt(other)
 	default:
-		return refuse(offset, CauseCheckpoint, "the checkpoint of offset %d disagrees with the records", r.Next)
+		return reject(offset, CauseCheckpoint, "the checkpoint of offset %d disagrees with the records", r.Next)
 	}
 }
 
--- a/internal/fold/checkpoint_test.go
+++ b/internal/fold/checkpoint_test.go
@@ -12,10 +12,10 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// history is a journal with a release, a claim and an assignment.
-func history() *journal {
-	var j journal
-	j.addAll(release(sample(1, "a"), 0)...)
+// newHistory is a journal with a release, a claim and an assignment.
+func newHistory() *testLog {
+	var j testLog
+	j.addAll(release(testBundle(1, "a"), 0)...)
 	j.addAll(claimOf(0, "one"), record.AssignmentMade{
 		Domain: "klet", Service: "pregled",
 		Assignments: []record.Assignment{assignmentOf("pregled-1", 1, 1, keys.Full)},
@@ -24,10 +24,10 @@
 }
 
 // checkpoint appends a mark and, after further records, its checkpoint by a reader of all.
-func (j *journal) checkpoint(between ...record.Record) record.Entry {
+func (j *testLog) checkpoint(between ...record.Record) record.Entry {
 	j.addAll(record.CheckpointMarked{Instance: "one"})
-	writer := New(crew())
-	j.fold(writer)
+	writer := New(testSigners())
+	j.applyTo(writer)
 	c := must(writer.Checkpoint())
 	j.addAll(between...)
 	return j.add("checkpoint", c)
@@ -37,22 +37,22 @@
 // state of those that read everything, bundle and memory of IDs included.
 func TestReaderStartsAtCheckpoint(t *testing.T) {
 	is := is.New(t)
-	j := history()
+	j := newHistory()
 	at := j.checkpoint(claimOf(1, "two"))
 	j.addAll(claimOf(2, "three"))
-	whole, late := New(crew()), New(crew())
-	j.fold(whole)
+	whole, late := New(testSigners()), New(testSigners())
+	j.applyTo(whole)
 	is.Equal(late.Apply(j.entries[at.Offset]), Accepted{})
 	is.True(late.Next < at.Offset)
 	is.Equal(late.InForce.Version, uint64(1))
-	j.fold(late)
+	j.applyTo(late)
 	is.True(bytes.Equal(must(late.Encode()), must(whole.Encode())))
 }
 
 func TestGapWithoutCheckpoint(t *testing.T) {
 	is := is.New(t)
-	j := history()
-	s := New(crew())
+	j := newHistory()
+	s := New(testSigners())
 	is.Equal(s.Apply(j.entries[2]), Gap{Next: 0, Offset: 2})
 	is.Equal(s.Next, uint64(0))
 }
@@ -61,15 +61,15 @@
 // Readers that have the records must not follow it.
 func TestCheckpointThatDisagreesIsRefused(t *testing.T) {
 	is := is.New(t)
-	j := history()
+	j := newHistory()
 	j.addAll(record.CheckpointMarked{Instance: "one"})
-	writer := New(crew())
-	j.fold(writer)
+	writer := New(testSigners())
+	j.applyTo(writer)
 	writer.marks[0].state.Terms["klet"] = Term{Log: 9, Instance: "wrong"}
 	j.addAll(must(writer.Checkpoint()))
-	s := New(crew())
-	v := j.fold(s)
-	refusal(t, v[len(v)-1], CauseCheckpoint)
+	s := New(testSigners())
+	v := j.applyTo(s)
+	requireRejected(t, v[len(v)-1], CauseCheckpoint)
 	is.Equal(s.Terms["klet"].Log, uint64(1))
 }
 
@@ -77,17 +77,17 @@
 // read from further back writes a checkpoint; the other must go over to it, not the reverse.
 func TestShorterHistoryGivesWay(t *testing.T) {
 	is := is.New(t)
-	j := history()
-	short := NewAt(crew(), 3)
+	j := newHistory()
+	short := NewAt(testSigners(), 3)
 	j.checkpoint()
-	j.fold(short)
-	whole := New(crew())
-	j.fold(whole)
+	j.applyTo(short)
+	whole := New(testSigners())
+	j.applyTo(whole)
 	is.Equal(short.Since, uint64(0))
 	is.True(bytes.Equal(must(short.Encode()), must(whole.Encode())))
 
 	j.addAll(record.CheckpointMarked{Instance: "two"})
-	other := NewAt(crew(), 3)
+	other := NewAt(testSigners(), 3)
 	for other.Next < uint64(len(j.entries)) && other.Since == 3 {
 		e := j.entries[other.Next]
 		if r, err := record.Decode(e.Data); err == nil {
@@ -99,20 +99,20 @@
 		other.Apply(e)
 	}
 	j.addAll(must(other.Checkpoint()))
-	v := j.fold(whole)
-	refusal(t, v[len(v)-1], CauseCheckpoint)
+	v := j.applyTo(whole)
+	requireRejected(t, v[len(v)-1], CauseCheckpoint)
 }
 
 // A newer release writes a kind of record that this one does not know. This one must not
 // overwrite the newer state by a checkpoint of its own, nor lead by what it half knows.
 func TestNewerRecordStopsCheckpoints(t *testing.T) {
 	is := is.New(t)
-	j := history()
+	j := newHistory()
 	j.addAll(record.CheckpointMarked{Instance: "one"})
 	at := j.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
-	s := New(crew())
-	v := j.fold(s)
-	refusal(t, v[len(v)-1], CauseNewer)
+	s := New(testSigners())
+	v := j.applyTo(s)
+	requireRejected(t, v[len(v)-1], CauseNewerRelease)
 	is.Equal(s.Newer.Offset, at.Offset)
 	is.True(!s.MayLead())
 	_, err := s.Checkpoint()
@@ -130,18 +130,18 @@
 		"no format":      {data: `{"kind":"checkpoint","body":{}}`, want: CauseMalformed},
 		"unknown kind":   {data: `{"format":1,"kind":"nothing","body":{}}`, want: CauseMalformed},
 		"unknown member": {data: `{"format":1,"kind":"term-claimed","body":{"colour":1}}`, want: CauseMalformed},
-		"newer format":   {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: CauseNewer},
-		"newer bundle":   {data: newerBundle("ana"), want: CauseNewer},
+		"newer format":   {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: CauseNewerRelease},
+		"newer bundle":   {data: newerBundle("ana"), want: CauseNewerRelease},
 		"newer unsigned": {data: newerBundle("cene"), want: CauseSignature},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var j journal
+			var j testLog
 			j.addData("x", []byte(tt.data))
-			s := New(crew())
-			refusal(t, j.fold(s)[0], tt.want)
-			is.Equal(s.Newer != nil, tt.want == CauseNewer)
+			s := New(testSigners())
+			requireRejected(t, j.applyTo(s)[0], tt.want)
+			is.Equal(s.Newer != nil, tt.want == CauseNewerRelease)
 			is.Equal(s.Next, uint64(1))
 		})
 	}
@@ -150,7 +150,7 @@
 // newerBundle returns a published bundle of format 2, signed by somebody.
 func newerBundle(name string) string {
 	canonical := []byte(`{"format":2,"version":1,"follows":0,"colours":[]}`)
-	st := publish(sample(1, "a"), name).Statement
+	st := publish(testBundle(1, "a"), name).Statement
 	st.Hash = bundle.Hash(canonical)
 	st.Signature = ed25519.Sign(keyOf(name), st.Text())
 	signed := bundle.Signed{Canonical: canonical, Statement: st}
@@ -161,9 +161,9 @@
 // waits for. Offsets alone do not show it; the last entry it read is another one now.
 func TestNewLogIsNoticed(t *testing.T) {
 	is := is.New(t)
-	j := history()
-	s := New(crew())
-	j.fold(s)
+	j := newHistory()
+	s := New(testSigners())
+	j.applyTo(s)
 	last := j.entries[s.Next-1]
 	is.Equal(s.Apply(last), Repeated{})
 	last.ID = "another"
@@ -173,19 +173,19 @@
 // The newer release writes a checkpoint that this one can read: it is then as good as any.
 func TestCheckpointEndsTheDoubtOfANewerRecord(t *testing.T) {
 	is := is.New(t)
-	j := history()
+	j := newHistory()
 	j.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
-	s := New(crew())
-	j.fold(s)
+	s := New(testSigners())
+	j.applyTo(s)
 	is.True(!s.MayLead())
-	newer := New(crew())
-	j.fold(newer)
+	newer := New(testSigners())
+	j.applyTo(newer)
 	newer.Newer = nil
 	newer.Terms["klet"] = Term{Log: 5, Instance: "one"}
 	j.addAll(record.CheckpointMarked{Instance: "one"})
 	newer.Apply(j.entries[newer.Next])
 	j.addAll(must(newer.Checkpoint()))
-	j.fold(s)
+	j.applyTo(s)
 	is.True(s.MayLead())
 	is.Equal(s.Terms["klet"].Log, uint64(5))
 }
--- a/internal/fold/memory.go
+++ b/internal/fold/digests.go
@@ -9,10 +9,10 @@
 	"example.org/mustardring/internal/record"
 )
 
-// memorySize is the number of accepted records that are remembered to recognise a repeated
+// maxRecentDigests is the number of accepted records that are remembered to recognise a repeated
 // append. Safety does not rest on it: a bundle, term or assignment that is applied again
 // changes nothing either. It only gives the verdict Repeated in place of Refused.
-const memorySize = 4096
+const maxRecentDigests = 4096
 
 // digest identifies an entry by its ID and data, so that nobody can take an ID away from
 // another record by using it first.
@@ -28,37 +28,37 @@
 	return digest(h.Sum(nil)[:16])
 }
 
-// memory holds the digests of the newest accepted records.
-type memory struct {
+// recentDigests holds the digests of the newest accepted records.
+type recentDigests struct {
 	// ring holds the digests; once it is full, the oldest is at at.
-	ring  []digest
-	at    int
-	known map[digest]bool
+	ring   []digest
+	oldest int
+	set    map[digest]bool
 }
 
-func (m *memory) knows(d digest) bool {
-	return m.known[d]
+func (m *recentDigests) contains(d digest) bool {
+	return m.set[d]
 }
 
-func (m *memory) add(d digest) {
-	if m.known == nil {
-		m.known = make(map[digest]bool)
+func (m *recentDigests) add(d digest) {
+	if m.set == nil {
+		m.set = make(map[digest]bool)
 	}
-	m.known[d] = true
-	if len(m.ring) < memorySize {
+	m.set[d] = true
+	if len(m.ring) < maxRecentDigests {
 		m.ring = append(m.ring, d)
 		return
 	}
-	delete(m.known, m.ring[m.at])
-	m.ring[m.at] = d
-	m.at = (m.at + 1) % memorySize
+	delete(m.set, m.ring[m.oldest])
+	m.ring[m.oldest] = d
+	m.oldest = (m.oldest + 1) % maxRecentDigests
 }
 
 // list returns the digests, oldest first.
-func (m *memory) list() []digest {
-	return slices.Concat(m.ring[m.at:], m.ring[:m.at])
+func (m *recentDigests) list() []digest {
+	return slices.Concat(m.ring[m.oldest:], m.ring[:m.oldest])
 }
 
-func (m *memory) clone() memory {
-	return memory{ring: slices.Clone(m.ring), at: m.at, known: maps.Clone(m.known)}
+func (m *recentDigests) clone() recentDigests {
+	return recentDigests{ring: slices.Clone(m.ring), oldest: m.oldest, set: maps.Clone(m.set)}
 }
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -18,15 +18,15 @@
 
 // Errors of checkpoints.
 var (
-	// ErrNewer is returned when a record of a newer release was met, or a checkpoint of one.
-	ErrNewer = errors.New("fold: written by a newer release")
-	// ErrCheckpoint is returned for bytes that are not a checkpoint.
-	ErrCheckpoint = errors.New("fold: malformed checkpoint")
+	// ErrNewerRelease is returned when a record of a newer release was met, or a checkpoint of one.
+	ErrNewerRelease = errors.New("fold: written by a newer release")
+	// ErrMalformedCheckpoint is returned for bytes that are not a checkpoint.
+	ErrMalformedCheckpoint = errors.New("fold: malformed checkpoint")
 )
 
-// encoded is the form of a State in a checkpoint. Lists that stand for maps are sorted, so
+// encodedState is the form of a State in a checkpoint. Lists that stand for maps are sorted, so
 // that one state has one form.
-type encoded struct {
+type encodedState struct {
 	Format        int             `json:"format"`
 	Next          uint64          `json:"next"`
 	Since         uint64          `json:"since"`
@@ -59,10 +59,10 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *digest) UnmarshalText(text []byte) error {
 	if len(text) != 2*len(d) {
-		return fmt.Errorf("%w: digest %q", ErrCheckpoint, text)
+		return fmt.Errorf("%w: digest %q", ErrMalformedCheckpoint, text)
 	}
 	if _, err := hex.Decode(d[:], text); err != nil {
-		return fmt.Errorf("%w: digest: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: digest: %w", ErrMalformedCheckpoint, err)
 	}
 	return nil
 }
@@ -71,13 +71,13 @@
 // same records from the same offset have the same form.
 func (s *State) Encode() ([]byte, error) {
 	if s.Newer != nil {
-		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewer, s.Newer.Offset, s.Newer.Reason)
+		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewerRelease, s.Newer.Offset, s.Newer.Reason)
 	}
-	e := encoded{
+	e := encodedState{
 		Format:        encodingFormat,
 		Next:          s.Next,
 		Since:         s.Since,
-		Last:          s.last,
+		Last:          s.lastDigest,
 		Proof:         s.Proof,
 		InForceOffset: s.InForceOffset,
 		Head:          s.Head,
@@ -85,7 +85,7 @@
 		Terms:         encodeTerms(s.Terms),
 		Assigned:      encodeAssigned(s.Assigned),
 		Homes:         s.Homes,
-		Memory:        s.memory.list(),
+		Memory:        s.recent.list(),
 	}
 	return json.Marshal(e)
 }
@@ -113,17 +113,17 @@
 // Restore returns the state that Encode encoded. The bundle in force is proved against the
 // anchors, so a forged checkpoint puts none in force.
 func Restore(data []byte, anchors []bundle.Signer) (*State, error) {
-	var e encoded
+	var e encodedState
 	if err := decodeStrictly(data, &e); err != nil {
 		return nil, err
 	}
 	s := NewAt(anchors, e.Since)
 	s.Next = e.Next
-	s.last = e.Last
+	s.lastDigest = e.Last
 	s.Head = e.Head
-	if e.Next < e.Since || len(e.Memory) > memorySize || len(e.Candidates) > maxCandidates {
+	if e.Next < e.Since || len(e.Memory) > maxRecentDigests || len(e.Candidates) > maxCandidates {
 		return nil, fmt.Errorf("%w: next %d, since %d, %d digests, %d candidates",
-			ErrCheckpoint, e.Next, e.Since, len(e.Memory), len(e.Candidates))
+			ErrMalformedCheckpoint, e.Next, e.Since, len(e.Memory), len(e.Candidates))
 	}
 	if err := s.restoreProof(e); err != nil {
 		return nil, err
@@ -143,42 +143,42 @@
 	}
 	s.Homes = e.Homes
 	for _, d := range e.Memory {
-		s.memory.add(d)
+		s.recent.add(d)
 	}
 	return s, nil
 }
 
-func decodeStrictly(data []byte, e *encoded) error {
+func decodeStrictly(data []byte, e *encodedState) error {
 	var head struct {
 		Format int `json:"format"`
 	}
 	if err := json.Unmarshal(data, &head); err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if head.Format > encodingFormat {
-		return fmt.Errorf("%w: checkpoint format %d", ErrNewer, head.Format)
+		return fmt.Errorf("%w: checkpoint format %d", ErrNewerRelease, head.Format)
 	}
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(e); err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if e.Format != encodingFormat {
-		return fmt.Errorf("%w: format %d", ErrCheckpoint, e.Format)
+		return fmt.Errorf("%w: format %d", ErrMalformedCheckpoint, e.Format)
 	}
 	return nil
 }
 
-func (s *State) restoreProof(e encoded) error {
+func (s *State) restoreProof(e encodedState) error {
 	if e.Proof.IsZero() {
 		return nil
 	}
 	b, err := e.Proof.Verify(s.anchors)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if e.Head < b.Version {
-		return fmt.Errorf("%w: head %d below version %d", ErrCheckpoint, e.Head, b.Version)
+		return fmt.Errorf("%w: head %d below version %d", ErrMalformedCheckpoint, e.Head, b.Version)
 	}
 	s.InForce = b
 	s.servers = serverNames(b)
@@ -192,12 +192,12 @@
 	for _, c := range candidates {
 		b, err := c.Signed.Open()
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+			return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 		}
 		if _, err := c.Signed.Statement.Verify(s.signers()); err != nil {
-			return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+			return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 		}
-		c.parsed = b
+		c.bundle = b
 		s.Candidates = append(s.Candidates, c)
 	}
 	return nil
@@ -206,7 +206,7 @@
 // Mark returns the record that announces a checkpoint.
 func (s *State) Mark(instance string) (record.Record, error) {
 	if !s.MayLead() {
-		return nil, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return nil, fmt.Errorf("%w: at offset %d", ErrNewerRelease, s.Newer.Offset)
 	}
 	return record.CheckpointMarked{Instance: instance}, nil
 }
@@ -214,10 +214,10 @@
 // Checkpoint returns the checkpoint for the newest mark, once Apply accepted it.
 func (s *State) Checkpoint() (record.Checkpoint, error) {
 	if len(s.marks) == 0 {
-		return record.Checkpoint{}, fmt.Errorf("%w: no mark", ErrCheckpoint)
+		return record.Checkpoint{}, fmt.Errorf("%w: no mark", ErrMalformedCheckpoint)
 	}
 	if !s.MayLead() {
-		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewerRelease, s.Newer.Offset)
 	}
 	m := s.marks[len(s.marks)-1]
 	data, err := m.state.Encode()
--- a/internal/fold/fixture_test.go
+++ b/internal/fold/fixture_test.go
@@ -19,8 +19,8 @@
 	return bundle.Signer{Name: name, PublicKey: keyOf(name).Public().(ed25519.PublicKey), Roles: roles}
 }
 
-// crew has two publishers and two approvers, who also roll.
-func crew() []bundle.Signer {
+// testSigners has two publishers and two approvers, who also roll.
+func testSigners() []bundle.Signer {
 	return []bundle.Signer{
 		signer("ana", bundle.RolePublish),
 		signer("boris", bundle.RolePublish),
@@ -29,13 +29,13 @@
 	}
 }
 
-// sample returns a bundle with one server; the mark tells bundles of one version apart.
-func sample(version uint64, mark string) *bundle.Bundle {
+// testBundle returns a bundle with one server; the mark tells bundles of one version apart.
+func testBundle(version uint64, mark string) *bundle.Bundle {
 	return &bundle.Bundle{
 		Format:  bundle.FormatVersion,
 		Version: version,
 		Follows: version - 1,
-		Signers: crew(),
+		Signers: testSigners(),
 		Domains: []bundle.Domain{{Name: "klet"}},
 		Services: []bundle.Service{{
 			Name:    "pregled",
@@ -76,29 +76,29 @@
 	}
 }
 
-// journal is a list of entries with offsets from zero.
-type journal struct {
+// testLog is a list of entries with offsets from zero.
+type testLog struct {
 	entries []record.Entry
 }
 
-func (j *journal) add(id string, r record.Record) record.Entry {
+func (j *testLog) add(id string, r record.Record) record.Entry {
 	return j.addData(id, must(record.Encode(r)))
 }
 
-func (j *journal) addData(id string, data []byte) record.Entry {
+func (j *testLog) addData(id string, data []byte) record.Entry {
 	e := record.Entry{Offset: uint64(len(j.entries)), ID: id, Data: data}
 	j.entries = append(j.entries, e)
 	return e
 }
 
-func (j *journal) addAll(records ...record.Record) {
+func (j *testLog) addAll(records ...record.Record) {
 	for _, r := range records {
 		j.add(fmt.Sprintf("id-%d", len(j.entries)), r)
 	}
 }
 
-// fold applies the entries from the state's Next on.
-func (j *journal) fold(s *State) []Verdict {
+// applyTo applies the entries from the state's Next on.
+func (j *testLog) applyTo(s *State) []Verdict {
 	var verdicts []Verdict
 	for s.Next < uint64(len(j.entries)) {
 		verdicts = append(verdicts, s.Apply(j.entries[s.Next]))
@@ -106,8 +106,8 @@
 	return verdicts
 }
 
-// refusal fails the test unless the verdict is a refusal with the cause.
-func refusal(t *testing.T, v Verdict, cause Cause) Refused {
+// requireRejected fails the test unless the verdict is a refusal with the cause.
+func requireRejected(t *testing.T, v Verdict, cause Cause) Refused {
 	t.Helper()
 	r, ok := v.(Refused)
 	if !ok || r.Cause != cause {
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -46,33 +46,33 @@
 	return base
 }
 
-// takeHomes gives a domain the ranges that no other has. The order of the log decides between
+// applyHomesTaken gives a domain the ranges that no other has. The order of the log decides between
 // two domains that state the same range, so that a range has one home at every instance.
 //
 // A statement is void unless it is based on the newest change of its domain. A leader that
 // was succeeded may have left a range out in a statement that arrives late; its successor,
 // which serves the range again, has stated its homes since.
-func (s *State) takeHomes(offset uint64, r record.HomesTaken) Verdict {
+func (s *State) applyHomesTaken(offset uint64, r record.HomesTaken) Verdict {
 	if r.Domain == "" {
-		return refuse(offset, CauseMalformed, "homes name no domain")
+		return reject(offset, CauseMalformed, "homes name no domain")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return refuse(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
 	}
 	if term := s.Terms[r.Domain]; r.Log < term.Log {
-		return refuse(offset, CauseSuperseded, "log term %d of %q is over, %d is newest", r.Log, r.Domain, term.Log)
+		return reject(offset, CauseSuperseded, "log term %d of %q is over, %d is newest", r.Log, r.Domain, term.Log)
 	}
 	if base := HomesBase(s.Homes, r.Domain); r.Base != base {
-		return refuse(offset, CauseSuperseded, "homes of %q were stated after %d, at %d", r.Domain, r.Base, base)
+		return reject(offset, CauseSuperseded, "homes of %q were stated after %d, at %d", r.Domain, r.Base, base)
 	}
 	for _, v := range r.Services {
-		given := keys.Subtract(v.Ranges, s.takenByOthers(v.Service, r.Domain))
+		given := keys.Subtract(v.Ranges, s.rangesOfOthers(v.Service, r.Domain))
 		s.putHomes(Taken{Service: v.Service, Domain: r.Domain, Ranges: given, Offset: offset})
 	}
 	return Accepted{}
 }
 
-func (s *State) takenByOthers(service, domain string) []keys.Range {
+func (s *State) rangesOfOthers(service, domain string) []keys.Range {
 	var all []keys.Range
 	for _, t := range s.Homes {
 		if t.Service == service && t.Domain != domain {
@@ -82,16 +82,16 @@
 	return all
 }
 
-// evictHomes gives notice, or frees what a domain has taken of a service that may move. The
+// applyHomesEvicted gives notice, or frees what a domain has taken of a service that may move. The
 // domain's leader renews such grants only within a bound of its last read of the log, so
 // whoever takes the ranges waits for that bound after it has read the second record.
-func (s *State) evictHomes(offset uint64, r record.HomesEvicted) Verdict {
+func (s *State) applyHomesEvicted(offset uint64, r record.HomesEvicted) Verdict {
 	old := TakenBy(s.Homes, r.Service, r.Domain)
 	if len(old.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
-		return refuse(offset, CauseSuperseded, "what %q has taken of %q has changed since", r.Domain, r.Service)
+		return reject(offset, CauseSuperseded, "what %q has taken of %q has changed since", r.Domain, r.Service)
 	}
-	if s.InForce == nil || !mayMove(s.InForce, r.Service) || !hasDomain(s.InForce, r.By) || r.By == r.Domain {
-		return refuse(offset, CauseInvalid, "%q may not free what %q has taken of %q", r.By, r.Domain, r.Service)
+	if s.InForce == nil || !isMovable(s.InForce, r.Service) || !hasDomain(s.InForce, r.By) || r.By == r.Domain {
+		return reject(offset, CauseInvalid, "%q may not free what %q has taken of %q", r.By, r.Domain, r.Service)
 	}
 	next := old
 	next.Offset = offset
@@ -99,7 +99,7 @@
 	case r.Notice == 0:
 		next.Notice = offset + 1
 	case r.Notice != old.Notice:
-		return refuse(offset, CauseOrder, "there is another notice for %q of %q", r.Domain, r.Service)
+		return reject(offset, CauseOutOfOrder, "there is another notice for %q of %q", r.Domain, r.Service)
 	default:
 		next = Taken{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
 	}
@@ -107,7 +107,7 @@
 	return Accepted{}
 }
 
-func mayMove(b *bundle.Bundle, service string) bool {
+func isMovable(b *bundle.Bundle, service string) bool {
 	v := b.Service(service)
 	return v != nil && v.Isolation == bundle.IsolationMove
 }
@@ -124,7 +124,7 @@
 // putHomes replaces an entry in a copy, since snapshots share the slice.
 func (s *State) putHomes(t Taken) {
 	homes := slices.Clone(s.Homes)
-	i, found := slices.BinarySearchFunc(homes, t, compareTaken)
+	i, found := slices.BinarySearchFunc(homes, t, compareHomes)
 	if found {
 		homes[i] = t
 	} else {
@@ -133,6 +133,6 @@
 	s.Homes = homes
 }
 
-func compareTaken(a, b Taken) int {
+func compareHomes(a, b Taken) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Domain, b.Domain))
 }
--- a/internal/fold/homes_property_test.go
+++ b/internal/fold/homes_property_test.go
@@ -16,15 +16,15 @@
 func TestNoRangeHasTwoHomes(t *testing.T) {
 	domains := []string{"klet", "podstresje", "dvorana-a"}
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(crew())
-		b := sample(1, "a")
+		s := New(testSigners())
+		b := testBundle(1, "a")
 		b.Services[0].Isolation = bundle.IsolationMove
 		b.Domains = append(b.Domains, bundle.Domain{Name: "podstresje"}, bundle.Domain{Name: "dvorana-a"})
-		var j journal
+		var j testLog
 		j.addAll(release(b, 0)...)
 		var old []record.Record
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			j.fold(s)
+			j.applyTo(s)
 			domain := rapid.SampledFrom(domains).Draw(t, "domain")
 			r := record.Record(record.HomesTaken{
 				Domain: domain, Version: 1, Base: HomesBase(s.Homes, domain),
@@ -38,9 +38,9 @@
 			}
 			old = append(old, r)
 			j.addAll(rapid.SampledFrom(old).Draw(t, "lands"))
-			j.fold(s)
+			j.applyTo(s)
 			checkDisjoint(t, s.Homes)
-			restored := must(Restore(must(s.Encode()), crew()))
+			restored := must(Restore(must(s.Encode()), testSigners()))
 			if !bytes.Equal(must(restored.Encode()), must(s.Encode())) {
 				t.Fatal("other bytes after a checkpoint")
 			}
--- a/internal/fold/homes_test.go
+++ b/internal/fold/homes_test.go
@@ -14,7 +14,7 @@
 	upper = keys.Range{First: 100, Last: 199}
 )
 
-func taken(domain string, base uint64, ranges ...keys.Range) record.HomesTaken {
+func homesTaken(domain string, base uint64, ranges ...keys.Range) record.HomesTaken {
 	return record.HomesTaken{
 		Domain:   domain,
 		Base:     base,
@@ -29,11 +29,11 @@
 func TestHomesPassOnlyWhenLeftOut(t *testing.T) {
 	is := is.New(t)
 	s := New(nil)
-	is.Equal(s.takeHomes(0, taken("klet", 0, lower, upper)), Verdict(Accepted{}))
-	is.Equal(s.takeHomes(1, taken("podstresje", 0, upper)), Verdict(Accepted{}))
+	is.Equal(s.applyHomesTaken(0, homesTaken("klet", 0, lower, upper)), Verdict(Accepted{}))
+	is.Equal(s.applyHomesTaken(1, homesTaken("podstresje", 0, upper)), Verdict(Accepted{}))
 	is.Equal(len(TakenBy(s.Homes, "pregled", "podstresje").Ranges), 0)
-	is.Equal(s.takeHomes(2, taken("klet", 1, lower)), Verdict(Accepted{}))
-	is.Equal(s.takeHomes(3, taken("podstresje", 2, upper)), Verdict(Accepted{}))
+	is.Equal(s.applyHomesTaken(2, homesTaken("klet", 1, lower)), Verdict(Accepted{}))
+	is.Equal(s.applyHomesTaken(3, homesTaken("podstresje", 2, upper)), Verdict(Accepted{}))
 	is.Equal(TakenBy(s.Homes, "pregled", "podstresje").Ranges, []keys.Range{upper})
 }
 
@@ -50,12 +50,12 @@
 			is := is.New(t)
 			s := New(nil)
 			s.Terms["klet"] = Term{Log: 5}
-			first, second := taken("klet", 0, lower), taken("klet", 1, lower)
+			first, second := homesTaken("klet", 0, lower), homesTaken("klet", 1, lower)
 			first.Log, second.Log = 5, 5
-			is.Equal(s.takeHomes(0, first), Verdict(Accepted{}))
-			is.Equal(s.takeHomes(2, second), Verdict(Accepted{}))
+			is.Equal(s.applyHomesTaken(0, first), Verdict(Accepted{}))
+			is.Equal(s.applyHomesTaken(2, second), Verdict(Accepted{}))
 			r.Services = []record.ServiceHomes{{Service: "pregled"}}
-			refused, ok := s.takeHomes(5, r).(Refused)
+			refused, ok := s.applyHomesTaken(5, r).(Refused)
 			is.True(ok)
 			is.Equal(refused.Cause, CauseSuperseded)
 			is.Equal(TakenBy(s.Homes, "pregled", "klet").Ranges, []keys.Range{lower})
@@ -66,7 +66,7 @@
 func TestHomesSurviveCheckpoint(t *testing.T) {
 	is := is.New(t)
 	s := New(nil)
-	is.Equal(s.takeHomes(0, taken("klet", 0, lower)), Verdict(Accepted{}))
+	is.Equal(s.applyHomesTaken(0, homesTaken("klet", 0, lower)), Verdict(Accepted{}))
 	data, err := s.Encode()
 	is.NoErr(err)
 	restored, err := Restore(data, nil)
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -14,19 +14,19 @@
 // so that no claim uses up the terms.
 const maxFloorStep = math.MaxUint32
 
-func (s *State) claim(offset uint64, r record.TermClaimed) Verdict {
+func (s *State) applyTermClaimed(offset uint64, r record.TermClaimed) Verdict {
 	if r.Domain == "" || r.Instance == "" {
-		return refuse(offset, CauseMalformed, "a claim names a domain and an instance")
+		return reject(offset, CauseMalformed, "a claim names a domain and an instance")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return refuse(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
 	}
 	t := s.Terms[r.Domain]
 	if r.Follows != t.Log {
-		return refuseClaim(offset, r, t)
+		return rejectClaim(offset, r, t)
 	}
 	if r.Floor > r.Follows && r.Floor-r.Follows > maxFloorStep {
-		return refuse(offset, CauseMalformed, "floor %d is too far above term %d", r.Floor, r.Follows)
+		return reject(offset, CauseMalformed, "floor %d is too far above term %d", r.Floor, r.Follows)
 	}
 	s.Terms[r.Domain] = Term{
 		Log:         max(r.Follows, r.Floor) + 1,
@@ -37,24 +37,24 @@
 	return Accepted{}
 }
 
-func refuseClaim(offset uint64, r record.TermClaimed, t Term) Verdict {
+func rejectClaim(offset uint64, r record.TermClaimed, t Term) Verdict {
 	if r.Follows > t.Log {
-		return refuse(offset, CauseOrder, "the claim of domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
+		return reject(offset, CauseOutOfOrder, "the claim of domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
 	}
 	if t.Instance == r.Instance && t.Incarnation == r.Incarnation && t.Log == max(r.Follows, r.Floor)+1 {
 		return Repeated{}
 	}
 	w := Winner{Term: t.Log, Instance: t.Instance, Offset: t.Offset}
-	return refuseFor(offset, CauseLost, w, "the claim of domain %q follows term %d", r.Domain, r.Follows)
+	return rejectForWinner(offset, CauseLostRace, w, "the claim of domain %q follows term %d", r.Domain, r.Follows)
 }
 
 func hasDomain(b *bundle.Bundle, name string) bool {
 	return slices.ContainsFunc(b.Domains, func(d bundle.Domain) bool { return d.Name == name })
 }
 
-// assign keeps, for each server of the batch, the assignment of the higher epoch. The batch
+// applyAssignmentMade keeps, for each server of the batch, the assignment of the higher epoch. The batch
 // is accepted if any part of it took effect.
-func (s *State) assign(offset uint64, r record.AssignmentMade) Verdict {
+func (s *State) applyAssignmentMade(offset uint64, r record.AssignmentMade) Verdict {
 	if refusal := s.checkAssignments(offset, r); refusal != nil {
 		return refusal
 	}
@@ -63,7 +63,7 @@
 		switch s.compareAssignment(r, a) {
 		case 1:
 			made := Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
-			s.ownAssigned(r.Domain)[a.Server] = made
+			s.writableAssignments(r.Domain)[a.Server] = made
 			applied++
 		case 0:
 			repeated++
@@ -75,20 +75,20 @@
 	case repeated == len(r.Assignments):
 		return Repeated{}
 	default:
-		return refuse(offset, CauseSuperseded, "the servers have assignments of higher epochs, or are in no bundle")
+		return reject(offset, CauseSuperseded, "the servers have assignments of higher epochs, or are in no bundle")
 	}
 }
 
 func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Verdict {
 	if r.Domain == "" || r.Service == "" || len(r.Assignments) == 0 {
-		return refuse(offset, CauseMalformed, "an assignment names a domain, a service and servers")
+		return reject(offset, CauseMalformed, "an assignment names a domain, a service and servers")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return refuse(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
 	}
 	for _, a := range r.Assignments {
 		if a.Server == "" {
-			return refuse(offset, CauseMalformed, "an assignment names no server")
+			return reject(offset, CauseMalformed, "an assignment names no server")
 		}
 	}
 	return nil
@@ -122,16 +122,16 @@
 	return names
 }
 
-// pruneAssigned drops the assignments of servers that are neither in the bundle in force nor
+// pruneAssignments drops the assignments of servers that are neither in the bundle in force nor
 // in the one it replaced, or the state would grow with each server that ever was.
-func (s *State) pruneAssigned(replaced map[string]bool) {
+func (s *State) pruneAssignments(replaced map[string]bool) {
 	if replaced == nil {
 		return
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.Assigned)) {
 		for server := range s.Assigned[domain] {
 			if !replaced[server] && !s.servers[server] {
-				delete(s.ownAssigned(domain), server)
+				delete(s.writableAssignments(domain), server)
 			}
 		}
 		if len(s.Assigned[domain]) == 0 {
--- a/internal/fold/ownership_test.go
+++ b/internal/fold/ownership_test.go
@@ -18,15 +18,15 @@
 // succeed. Every reader must take the first for the leader.
 func TestFirstClaimWins(t *testing.T) {
 	is := is.New(t)
-	var j journal
+	var j testLog
 	j.addAll(claimOf(0, "one"), claimOf(0, "two"), claimOf(0, "one"), claimOf(1, "two"), claimOf(7, "one"))
-	s := New(crew())
-	v := j.fold(s)
+	s := New(testSigners())
+	v := j.applyTo(s)
 	is.Equal(v[0], Accepted{})
-	is.Equal(refusal(t, v[1], CauseLost).Winner, Winner{Term: 1, Instance: "one", Offset: 0})
+	is.Equal(requireRejected(t, v[1], CauseLostRace).Winner, Winner{Term: 1, Instance: "one", Offset: 0})
 	is.Equal(v[2], Repeated{})
 	is.Equal(v[3], Accepted{})
-	refusal(t, v[4], CauseOrder)
+	requireRejected(t, v[4], CauseOutOfOrder)
 	is.Equal(s.Terms["klet"], Term{Log: 2, Instance: "two", Incarnation: 1, Offset: 3})
 }
 
@@ -34,16 +34,16 @@
 // would be fenced for good, so it names the fence as its floor.
 func TestFloorContinuesTheTermsOfALostLog(t *testing.T) {
 	is := is.New(t)
-	var j journal
+	var j testLog
 	c := claimOf(0, "one")
 	c.Floor = 40
 	j.addAll(c)
 	c.Follows, c.Floor = 41, 1<<40
 	j.addAll(c)
-	s := New(crew())
-	v := j.fold(s)
+	s := New(testSigners())
+	v := j.applyTo(s)
 	is.Equal(s.Terms["klet"].Log, uint64(41))
-	refusal(t, v[1], CauseMalformed)
+	requireRejected(t, v[1], CauseMalformed)
 }
 
 func assignmentOf(server string, log, sequence uint64, r keys.Range) record.Assignment {
@@ -60,7 +60,7 @@
 	made := func(list ...record.Assignment) record.Record {
 		return record.AssignmentMade{Domain: "klet", Service: "pregled", Assignments: list}
 	}
-	var j journal
+	var j testLog
 	j.addAll(
 		made(assignmentOf("a", 1, 5, low)),
 		made(assignmentOf("a", 1, 4, high)),
@@ -69,12 +69,12 @@
 		made(assignmentOf("a", 1, 4, high), assignmentOf("b", 1, 1, high)),
 		made(assignmentOf("a", 2, 1, high)),
 	)
-	s := New(crew())
-	v := j.fold(s)
+	s := New(testSigners())
+	v := j.applyTo(s)
 	is.Equal(v[0], Accepted{})
-	refusal(t, v[1], CauseSuperseded)
+	requireRejected(t, v[1], CauseSuperseded)
 	is.Equal(v[2], Repeated{})
-	refusal(t, v[3], CauseSuperseded)
+	requireRejected(t, v[3], CauseSuperseded)
 	is.Equal(v[4], Accepted{})
 	is.Equal(v[5], Accepted{})
 	is.Equal(s.Assigned["klet"]["a"].Offset, uint64(5))
@@ -87,13 +87,13 @@
 		list := []record.Assignment{assignmentOf(server, 1, sequence, keys.Full)}
 		return record.AssignmentMade{Domain: "klet", Service: "pregled", Assignments: list}
 	}
-	var j journal
+	var j testLog
 	j.addAll(made("a", 1))
-	s := New(crew())
-	j.fold(s)
+	s := New(testSigners())
+	j.applyTo(s)
 	view := s.Snapshot()
 	j.addAll(made("a", 2), made("b", 1), claimOf(0, "one"))
-	j.fold(s)
+	j.applyTo(s)
 	is.Equal(view.Assigned["klet"]["a"].Offset, uint64(0))
 	is.Equal(len(view.Assigned["klet"]), 1)
 	is.Equal(len(view.Terms), 0)
@@ -106,25 +106,25 @@
 func TestAssignmentsOfRemovedServersGo(t *testing.T) {
 	is := is.New(t)
 	without := func(version uint64) record.Record {
-		b := sample(version, "a")
+		b := testBundle(version, "a")
 		b.Services[0].Servers[0].Name = "pregled-2"
 		return record.BundlePublished{Signed: publish(b, "ana")}
 	}
-	var j journal
-	j.addAll(release(sample(1, "a"), 0)...)
+	var j testLog
+	j.addAll(release(testBundle(1, "a"), 0)...)
 	j.addAll(record.AssignmentMade{
 		Domain: "klet", Service: "pregled",
 		Assignments: []record.Assignment{assignmentOf("pregled-1", 1, 1, keys.Full)},
 	})
-	s := New(crew())
-	j.fold(s)
+	s := New(testSigners())
+	j.applyTo(s)
 	for version := uint64(2); version <= 3; version++ {
 		is.Equal(len(s.Assigned["klet"]), 1)
 		r := without(version).(record.BundlePublished)
 		j.addAll(r, record.BundleApproved{Approval: approve(r.Signed, "cene")},
 			record.BundleRolled{Roll: roll(r.Signed, version-1, "dora")})
-		j.fold(s)
+		j.applyTo(s)
 	}
-	is.Equal(s.version(), uint64(3))
+	is.Equal(s.versionInForce(), uint64(3))
 	is.Equal(len(s.Assigned["klet"]), 0)
 }
--- a/internal/fold/property_test.go
+++ b/internal/fold/property_test.go
@@ -12,49 +12,49 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// play is a random history: operators and instances who act on what they read some time ago,
+// randomHistory is a random history: operators and instances who act on what they read some time ago,
 // records that reach the log late, in another order, or twice.
-type play struct {
+type randomHistory struct {
 	t *rapid.T
-	j journal
-	// views are the states after each entry.
-	views []*State
-	// flying are records on their way to the log.
-	flying []record.Entry
+	j testLog
+	// states are the states after each entry.
+	states []*State
+	// pending are records on their way to the log.
+	pending []record.Entry
 }
 
-func newPlay(t *rapid.T) *play {
-	return &play{t: t, views: []*State{New(crew())}}
+func newRandomHistory(t *rapid.T) *randomHistory {
+	return &randomHistory{t: t, states: []*State{New(testSigners())}}
 }
 
-// view returns a state that some reader may have now.
-func (p *play) view() *State {
-	back := rapid.IntRange(0, min(4, len(p.views)-1)).Draw(p.t, "back")
-	return p.views[len(p.views)-1-back]
+// drawState returns a state that some reader may have now.
+func (p *randomHistory) drawState() *State {
+	back := rapid.IntRange(0, min(4, len(p.states)-1)).Draw(p.t, "back")
+	return p.states[len(p.states)-1-back]
 }
 
-func (p *play) send(id string, r record.Record) {
-	p.flying = append(p.flying, record.Entry{ID: id, Data: must(record.Encode(r))})
+func (p *randomHistory) send(id string, r record.Record) {
+	p.pending = append(p.pending, record.Entry{ID: id, Data: must(record.Encode(r))})
 }
 
-// land appends one of the records on their way. Its answer may be lost: it stays on its way.
-func (p *play) land() {
-	if len(p.flying) == 0 {
+// appendPending appends one of the records on their way. Its answer may be lost: it stays on its way.
+func (p *randomHistory) appendPending() {
+	if len(p.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(p.flying)-1).Draw(p.t, "lands")
-	e := p.flying[i]
+	i := rapid.IntRange(0, len(p.pending)-1).Draw(p.t, "lands")
+	e := p.pending[i]
 	if !rapid.Bool().Draw(p.t, "lost-answer") {
-		p.flying = append(p.flying[:i:i], p.flying[i+1:]...)
+		p.pending = append(p.pending[:i:i], p.pending[i+1:]...)
 	}
-	s := p.views[len(p.views)-1].copyDeep()
+	s := p.states[len(p.states)-1].clone()
 	s.Apply(p.j.addData(e.ID, e.Data))
-	p.views = append(p.views, s)
+	p.states = append(p.states, s)
 }
 
-// act lets somebody do something that looks sensible in an old view.
-func (p *play) act() {
-	s := p.view()
+// drawAction lets somebody do something that looks sensible in an old view.
+func (p *randomHistory) drawAction() {
+	s := p.drawState()
 	switch rapid.IntRange(0, 6).Draw(p.t, "act") {
 	case 0:
 		p.publish(s)
@@ -73,23 +73,23 @@
 }
 
 // release brings a version into force at once, past whatever is on its way.
-func (p *play) release() {
-	s := p.views[len(p.views)-1]
-	flying := p.flying
+func (p *randomHistory) release() {
+	s := p.states[len(p.states)-1]
+	flying := p.pending
 	for _, act := range []func(*State){p.publish, p.approve, p.roll} {
-		p.flying = nil
+		p.pending = nil
 		act(s)
-		p.land()
-		s = p.views[len(p.views)-1]
+		p.appendPending()
+		s = p.states[len(p.states)-1]
 	}
-	p.flying = append(flying, p.flying...)
+	p.pending = append(flying, p.pending...)
 }
 
-func (p *play) publish(s *State) {
-	if s.Head >= s.version()+maxCandidates {
+func (p *randomHistory) publish(s *State) {
+	if s.Head >= s.versionInForce()+maxCandidates {
 		return // the naive version knows no bound
 	}
-	b := sample(s.Head+1, rapid.SampledFrom([]string{"a", "b"}).Draw(p.t, "mark"))
+	b := testBundle(s.Head+1, rapid.SampledFrom([]string{"a", "b"}).Draw(p.t, "mark"))
 	for i := range b.Signers {
 		b.Signers[i].Revoked = rapid.IntRange(0, 5).Draw(p.t, "revoked") == 0
 	}
@@ -104,7 +104,7 @@
 	p.send(signed.Statement.ID(), record.BundlePublished{Signed: signed})
 }
 
-func (p *play) approve(s *State) {
+func (p *randomHistory) approve(s *State) {
 	if len(s.Candidates) == 0 {
 		return
 	}
@@ -113,10 +113,10 @@
 	p.send(st.ID(), record.BundleApproved{Approval: st})
 }
 
-func (p *play) roll(s *State) {
+func (p *randomHistory) roll(s *State) {
 	for _, c := range s.Candidates {
 		if c.Approved() {
-			st := roll(c.Signed, s.version(), rapid.SampledFrom([]string{"cene", "dora"}).Draw(p.t, "roller"))
+			st := roll(c.Signed, s.versionInForce(), rapid.SampledFrom([]string{"cene", "dora"}).Draw(p.t, "roller"))
 			p.send(st.ID(), record.BundleRolled{Roll: st})
 			return
 		}
@@ -124,7 +124,7 @@
 	p.approve(s)
 }
 
-func (p *play) assign(s *State) {
+func (p *randomHistory) assign(s *State) {
 	r := keys.Range{First: 0, Last: rapid.Uint64Range(0, 1).Draw(p.t, "last")}
 	sequence := rapid.Uint64Range(0, 3).Draw(p.t, "sequence")
 	server := rapid.SampledFrom([]string{"pregled-1", "pregled-2"}).Draw(p.t, "server")
@@ -134,31 +134,31 @@
 	})
 }
 
-func (p *play) run() {
+func (p *randomHistory) run() {
 	for range rapid.IntRange(1, 60).Draw(p.t, "steps") {
 		if rapid.IntRange(0, 2).Draw(p.t, "what") == 0 {
-			p.land()
+			p.appendPending()
 		} else {
-			p.act()
+			p.drawAction()
 		}
 	}
-	for range min(len(p.flying), 20) {
-		p.land()
+	for range min(len(p.pending), 20) {
+		p.appendPending()
 	}
 }
 
 func TestVerdictsAreThoseOfTheNaiveVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay(t)
+		p := newRandomHistory(t)
 		p.run()
-		s, n := New(crew()), naive{anchors: crew()}
+		s, n := New(testSigners()), referenceModel{anchors: testSigners()}
 		for _, e := range p.j.entries {
 			v := s.Apply(e)
 			if got, want := outcomeOf(v), n.apply(e); got != want {
 				t.Fatalf("offset %d: %+v, want %+v; %+v on %s", e.Offset, got, want, v, e.Data)
 			}
-			if _, version := n.inForce(); s.version() != version {
-				t.Fatalf("offset %d: version %d in force, want %d", e.Offset, s.version(), version)
+			if _, version := n.inForce(); s.versionInForce() != version {
+				t.Fatalf("offset %d: version %d in force, want %d", e.Offset, s.versionInForce(), version)
 			}
 		}
 	})
@@ -168,14 +168,14 @@
 // several sittings. They must not differ in what they say.
 func TestEveryReaderReachesTheSameBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay(t)
+		p := newRandomHistory(t)
 		p.run()
-		whole := New(crew())
+		whole := New(testSigners())
 		var late *State
 		cut := rapid.IntRange(0, len(p.j.entries)).Draw(t, "cut")
 		for i, e := range p.j.entries {
 			if i == cut {
-				late = must(Restore(must(whole.Encode()), crew()))
+				late = must(Restore(must(whole.Encode()), testSigners()))
 			}
 			v := whole.Apply(e)
 			if late == nil {
@@ -193,36 +193,36 @@
 
 func TestOneWinnerAndNeverBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlay(t)
+		p := newRandomHistory(t)
 		p.run()
-		s := New(crew())
-		newest := NewNewest(crew())
+		s := New(testSigners())
+		newest := NewNewest(testSigners())
 		accepted, won := make(map[uint64]bool), make(map[string]bool)
 		for _, e := range p.j.entries {
-			before := s.version()
+			before := s.versionInForce()
 			switch v := s.Apply(e).(type) {
 			case Accepted:
 				accepted[e.Offset] = true
-				place := contested(must(record.Decode(e.Data)))
+				place := contestedSlot(must(record.Decode(e.Data)))
 				if place != "" && won[place] {
 					t.Fatalf("offset %d: a second winner for %s", e.Offset, place)
 				}
 				won[place] = true
 			case Refused:
-				if v.Cause == CauseLost && (v.Winner.IsZero() || !accepted[v.Winner.Offset]) {
+				if v.Cause == CauseLostRace && (v.Winner.IsZero() || !accepted[v.Winner.Offset]) {
 					t.Fatalf("offset %d: no winner in %+v", e.Offset, v)
 				}
 			}
-			if s.version() < before {
-				t.Fatalf("offset %d: version %d after %d", e.Offset, s.version(), before)
+			if s.versionInForce() < before {
+				t.Fatalf("offset %d: version %d after %d", e.Offset, s.versionInForce(), before)
 			}
 			checkProof(t, s, newest)
 		}
 	})
 }
 
-// contested names what only one record may win.
-func contested(r record.Record) string {
+// contestedSlot names what only one record may win.
+func contestedSlot(r record.Record) string {
 	switch r := r.(type) {
 	case record.BundlePublished:
 		return fmt.Sprintf("version %d", r.Signed.Statement.Version)
@@ -237,14 +237,14 @@
 
 // checkProof checks that a peer that followed the history accepts each bundle in force.
 func checkProof(t *rapid.T, s *State, newest *Newest) {
-	if s.InForce == nil || s.version() == newest.Proof().Version() {
+	if s.InForce == nil || s.versionInForce() == newest.Proof().Version() {
 		return
 	}
 	if err := newest.Learn(s.Proof); err != nil {
-		t.Fatalf("version %d: %v", s.version(), err)
+		t.Fatalf("version %d: %v", s.versionInForce(), err)
 	}
 	if s.Proof.Signed.Statement.Signer == s.Proof.Approval.Signer {
-		t.Fatalf("version %d was approved by its publisher", s.version())
+		t.Fatalf("version %d was approved by its publisher", s.versionInForce())
 	}
 }
 
@@ -252,16 +252,16 @@
 // time. Nothing of that may come into force.
 func TestStolenKeyPutsNothingInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var j journal
-		j.addAll(release(sample(1, "a"), 0)...)
-		s := New(crew())
-		j.fold(s)
+		var j testLog
+		j.addAll(release(testBundle(1, "a"), 0)...)
+		s := New(testSigners())
+		j.applyTo(s)
 		names := []string{"ana", "boris", "cene", "dora", "eva"}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "name")
-			b := sample(s.Head+1, "stolen")
+			b := testBundle(s.Head+1, "stolen")
 			if rapid.Bool().Draw(t, "repeated-version") {
-				b = sample(max(s.Head, 1), "stolen")
+				b = testBundle(max(s.Head, 1), "stolen")
 			}
 			signed := must(bundle.Publish(b, name, keyOf("ana")))
 			if len(s.Candidates) > 0 && rapid.Bool().Draw(t, "candidate") {
@@ -273,9 +273,9 @@
 			j.addAll(record.BundlePublished{Signed: signed},
 				record.BundleApproved{Approval: must(bundle.Approve(published, other, keyOf("ana")))},
 				record.BundleRolled{Roll: must(bundle.Roll(published, 1, other, keyOf("ana")))})
-			j.fold(s)
-			if s.version() != 1 {
-				t.Fatalf("version %d came into force", s.version())
+			j.applyTo(s)
+			if s.versionInForce() != 1 {
+				t.Fatalf("version %d came into force", s.versionInForce())
 			}
 			for _, c := range s.Candidates {
 				if c.Approved() {
--- a/internal/fold/naive_test.go
+++ b/internal/fold/reference_test.go
@@ -7,15 +7,15 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// naive judges each record by looking through the list of all that were accepted before it.
+// referenceModel judges each record by looking through the list of all that were accepted before it.
 // It keeps no state but that list. It knows no bounds, so the lists given to it stay below
 // those of the fold.
-type naive struct {
+type referenceModel struct {
 	anchors  []bundle.Signer
-	accepted []fact
+	accepted []acceptedRecord
 }
 
-type fact struct {
+type acceptedRecord struct {
 	offset uint64
 	id     string
 	data   []byte
@@ -29,9 +29,9 @@
 }
 
 var (
-	isAccepted = outcome{kind: "accepted"}
-	isRepeated = outcome{kind: "repeated"}
-	isRefused  = outcome{kind: "refused"}
+	isAccepted  = outcome{kind: "accepted"}
+	isDuplicate = outcome{kind: "repeated"}
+	isRejected  = outcome{kind: "refused"}
 )
 
 func lostTo(offset uint64) outcome {
@@ -43,53 +43,53 @@
 	case Accepted:
 		return isAccepted
 	case Repeated:
-		return isRepeated
+		return isDuplicate
 	case Refused:
-		if v.Cause == CauseLost {
+		if v.Cause == CauseLostRace {
 			return lostTo(v.Winner.Offset)
 		}
-		return isRefused
+		return isRejected
 	default:
 		return outcome{kind: "gap"}
 	}
 }
 
-func (n *naive) apply(e record.Entry) outcome {
+func (n *referenceModel) apply(e record.Entry) outcome {
 	for _, f := range n.accepted {
 		if f.id == e.ID && bytes.Equal(f.data, e.Data) {
-			return isRepeated
+			return isDuplicate
 		}
 	}
 	r, err := record.Decode(e.Data)
 	if err != nil {
-		return isRefused
+		return isRejected
 	}
-	o := n.judge(r)
+	o := n.check(r)
 	if o == isAccepted {
-		n.accepted = append(n.accepted, fact{offset: e.Offset, id: e.ID, data: e.Data, record: r})
+		n.accepted = append(n.accepted, acceptedRecord{offset: e.Offset, id: e.ID, data: e.Data, record: r})
 	}
 	return o
 }
 
-func (n *naive) judge(r record.Record) outcome {
+func (n *referenceModel) check(r record.Record) outcome {
 	switch r := r.(type) {
 	case record.BundlePublished:
-		return n.judgePublished(r.Signed)
+		return n.checkPublished(r.Signed)
 	case record.BundleApproved:
-		return n.judgeStatement(r.Approval)
+		return n.checkStatement(r.Approval)
 	case record.BundleRolled:
-		return n.judgeStatement(r.Roll)
+		return n.checkStatement(r.Roll)
 	case record.TermClaimed:
-		return n.judgeClaim(r)
+		return n.checkClaim(r)
 	case record.AssignmentMade:
-		return n.judgeAssignment(r)
+		return n.checkAssignment(r)
 	default:
-		return isRefused
+		return isRejected
 	}
 }
 
 // rolls returns the accepted rolls, and the offset of each.
-func (n *naive) rolls() (list []fact) {
+func (n *referenceModel) rolls() (list []acceptedRecord) {
 	for _, f := range n.accepted {
 		if _, ok := f.record.(record.BundleRolled); ok {
 			list = append(list, f)
@@ -98,31 +98,31 @@
 	return list
 }
 
-func (n *naive) published(version uint64) (fact, bundle.Signed, bool) {
+func (n *referenceModel) published(version uint64) (acceptedRecord, bundle.Signed, bool) {
 	for _, f := range n.accepted {
 		if p, ok := f.record.(record.BundlePublished); ok && p.Signed.Statement.Version == version {
 			return f, p.Signed, true
 		}
 	}
-	return fact{}, bundle.Signed{}, false
+	return acceptedRecord{}, bundle.Signed{}, false
 }
 
-func (n *naive) bundle(version uint64) *bundle.Bundle {
+func (n *referenceModel) bundle(version uint64) *bundle.Bundle {
 	_, signed, _ := n.published(version)
 	return must(bundle.Parse(signed.Canonical))
 }
 
 // inForce returns the roll in force and its version.
-func (n *naive) inForce() (fact, uint64) {
+func (n *referenceModel) inForce() (acceptedRecord, uint64) {
 	rolls := n.rolls()
 	if len(rolls) == 0 {
-		return fact{}, 0
+		return acceptedRecord{}, 0
 	}
 	last := rolls[len(rolls)-1]
 	return last, last.record.(record.BundleRolled).Roll.Version
 }
 
-func (n *naive) signers() []bundle.Signer {
+func (n *referenceModel) signers() []bundle.Signer {
 	if _, v := n.inForce(); v > 0 {
 		return n.bundle(v).Signers
 	}
@@ -131,7 +131,7 @@
 
 // covered reports whether a statement accepted at an offset was covered by the signers of
 // each bundle rolled since.
-func (n *naive) covered(s bundle.Statement, offset uint64) bool {
+func (n *referenceModel) covered(s bundle.Statement, offset uint64) bool {
 	for _, f := range n.rolls() {
 		if f.offset < offset {
 			continue
@@ -143,23 +143,23 @@
 	return true
 }
 
-func (n *naive) approval(version uint64) (fact, bundle.Statement, bool) {
+func (n *referenceModel) approval(version uint64) (acceptedRecord, bundle.Statement, bool) {
 	for i := len(n.accepted) - 1; i >= 0; i-- {
 		f := n.accepted[i]
 		if a, ok := f.record.(record.BundleApproved); ok && a.Approval.Version == version {
 			return f, a.Approval, n.covered(a.Approval, f.offset)
 		}
 	}
-	return fact{}, bundle.Statement{}, false
+	return acceptedRecord{}, bundle.Statement{}, false
 }
 
-func (n *naive) judgePublished(signed bundle.Signed) outcome {
+func (n *referenceModel) checkPublished(signed bundle.Signed) outcome {
 	st := signed.Statement
 	if _, err := signed.Open(); err != nil {
-		return isRefused
+		return isRejected
 	}
 	if _, err := st.Verify(n.signers()); err != nil {
-		return isRefused
+		return isRejected
 	}
 	head := uint64(0)
 	for _, f := range n.accepted {
@@ -175,36 +175,36 @@
 	case st.Version > head && st.Follows == head:
 		return isAccepted
 	case st.Version > head:
-		return isRefused
+		return isRejected
 	case same && (st.Version == version || st.Version > version && live):
-		return isRepeated
+		return isDuplicate
 	case st.Version <= version:
 		return lostTo(rolled.offset)
 	case live:
 		return lostTo(f.offset)
 	default:
-		return isRefused
+		return isRejected
 	}
 }
 
-func (n *naive) judgeStatement(st bundle.Statement) outcome {
+func (n *referenceModel) checkStatement(st bundle.Statement) outcome {
 	rolled, version := n.inForce()
 	if st.Version <= version {
-		return n.judgeLate(st, rolled, version)
+		return n.checkNotNewer(st, rolled, version)
 	}
 	f, signed, known := n.published(st.Version)
 	if !known || !n.covered(signed.Statement, f.offset) {
-		return isRefused
+		return isRejected
 	}
 	if !signed.Statement.SameBundle(st) {
 		return lostTo(f.offset)
 	}
 	approver, approval, approved := n.approval(st.Version)
 	if st.Role == bundle.RoleApprove {
-		return n.judgeApproval(signed.Statement, st, approver, approval, approved)
+		return n.checkApproval(signed.Statement, st, approver, approval, approved)
 	}
 	if !approved || bundle.VerifyRelease(signed.Statement, approval, st, n.signers()) != nil {
-		return isRefused
+		return isRejected
 	}
 	if st.Follows != version {
 		return lostTo(rolled.offset)
@@ -212,29 +212,29 @@
 	return isAccepted
 }
 
-// judgeLate judges a statement about a version that is in force or overtaken.
-func (n *naive) judgeLate(st bundle.Statement, rolled fact, version uint64) outcome {
+// checkNotNewer judges a statement about a version that is in force or overtaken.
+func (n *referenceModel) checkNotNewer(st bundle.Statement, rolled acceptedRecord, version uint64) outcome {
 	_, approval, _ := n.approval(version)
 	for _, done := range []bundle.Statement{approval, rolled.record.(record.BundleRolled).Roll} {
 		if bytes.Equal(done.Signature, st.Signature) && bytes.Equal(done.Text(), st.Text()) {
-			return isRepeated
+			return isDuplicate
 		}
 	}
 	return lostTo(rolled.offset)
 }
 
-func (n *naive) judgeApproval(published, st bundle.Statement, first fact, approval bundle.Statement, approved bool) outcome {
+func (n *referenceModel) checkApproval(published, st bundle.Statement, first acceptedRecord, approval bundle.Statement, approved bool) outcome {
 	publisher, err := published.Verify(n.signers())
 	if err != nil {
-		return isRefused
+		return isRejected
 	}
 	approver, err := st.Verify(n.signers())
 	if err != nil || st.Follows != published.Follows || bundle.Distinct(publisher, approver) != nil {
-		return isRefused
+		return isRejected
 	}
 	switch {
 	case approved && approval.Signer == st.Signer:
-		return isRepeated
+		return isDuplicate
 	case approved:
 		return lostTo(first.offset)
 	default:
@@ -242,11 +242,11 @@
 	}
 }
 
-func (n *naive) judgeClaim(r record.TermClaimed) outcome {
+func (n *referenceModel) checkClaim(r record.TermClaimed) outcome {
 	if _, v := n.inForce(); v > 0 && !hasDomain(n.bundle(v), r.Domain) {
-		return isRefused
+		return isRejected
 	}
-	var last fact
+	var last acceptedRecord
 	term := uint64(0)
 	for _, f := range n.accepted {
 		if c, ok := f.record.(record.TermClaimed); ok && c.Domain == r.Domain {
@@ -257,20 +257,20 @@
 	case r.Follows == term:
 		return isAccepted
 	case r.Follows > term:
-		return isRefused
+		return isRejected
 	case r.Follows == term-1 && last.record == record.Record(r):
-		return isRepeated
+		return isDuplicate
 	default:
 		return lostTo(last.offset)
 	}
 }
 
-// judgeAssignment knows batches of one server only.
-func (n *naive) judgeAssignment(r record.AssignmentMade) outcome {
+// checkAssignment knows batches of one server only.
+func (n *referenceModel) checkAssignment(r record.AssignmentMade) outcome {
 	mine := r.Assignments[0]
 	_, version := n.inForce()
 	if version > 0 && !hasDomain(n.bundle(version), r.Domain) {
-		return isRefused
+		return isRejected
 	}
 	known := false
 	o := isAccepted
@@ -282,21 +282,21 @@
 		known = true
 		switch c := mine.Epoch.Compare(a.Assignments[0].Epoch); {
 		case c < 0:
-			return isRefused
+			return isRejected
 		case c == 0 && mine.Ranges[0] == a.Assignments[0].Ranges[0]:
-			o = isRepeated
+			o = isDuplicate
 		case c == 0:
-			o = isRefused
+			o = isRejected
 		}
 	}
 	if !known && version > 0 && !serverNames(n.bundle(version))[mine.Server] {
-		return isRefused
+		return isRejected
 	}
 	return o
 }
 
 // dropped reports whether a server was, since an offset, in neither bundle of some roll.
-func (n *naive) dropped(server string, offset uint64) bool {
+func (n *referenceModel) dropped(server string, offset uint64) bool {
 	for _, f := range n.rolls() {
 		r := f.record.(record.BundleRolled).Roll
 		if f.offset < offset || r.Follows == 0 {
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -21,7 +21,7 @@
 	return s.InForce.Signers
 }
 
-func (s *State) version() uint64 {
+func (s *State) versionInForce() uint64 {
 	if s.InForce == nil {
 		return 0
 	}
@@ -41,27 +41,27 @@
 	return &s.Candidates[i]
 }
 
-// publish judges the signature first: only a publisher makes the instances parse anything.
-func (s *State) publish(offset uint64, r record.BundlePublished) Verdict {
+// applyPublished judges the signature first: only a publisher makes the instances parse anything.
+func (s *State) applyPublished(offset uint64, r record.BundlePublished) Verdict {
 	st := r.Signed.Statement
 	if _, err := st.Verify(s.signers()); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if st.Version <= s.Head {
-		return s.refusePublished(offset, st)
+		return s.rejectPublished(offset, st)
 	}
 	if st.Follows != s.Head {
-		return refuse(offset, CauseOrder, "version %d follows %d, but the newest published version is %d", st.Version, st.Follows, s.Head)
+		return reject(offset, CauseOutOfOrder, "version %d follows %d, but the newest published version is %d", st.Version, st.Follows, s.Head)
 	}
 	signed, b, err := s.openPublished(r)
 	switch {
 	case errors.Is(err, bundle.ErrNewerFormat):
-		return s.refuseUnreadable(offset, err)
+		return s.rejectUnreadable(offset, err)
 	case err != nil:
-		return refuse(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalid, "%v", err)
 	}
 	s.Head = st.Version
-	s.Candidates = append(slices.Clone(s.Candidates), Candidate{Signed: signed, Offset: offset, parsed: b})
+	s.Candidates = append(slices.Clone(s.Candidates), Candidate{Signed: signed, Offset: offset, bundle: b})
 	s.dropExtraCandidate()
 	return Accepted{}
 }
@@ -89,26 +89,26 @@
 	}
 	for i := range s.Candidates {
 		if c := &s.Candidates[i]; bytes.Equal(c.Signed.Statement.Hash, hash) {
-			return c.parsed, hash
+			return c.bundle, hash
 		}
 	}
 	return nil, nil
 }
 
-func (s *State) refusePublished(offset uint64, st bundle.Statement) Verdict {
+func (s *State) rejectPublished(offset uint64, st bundle.Statement) Verdict {
 	if c := s.candidate(st.Version); c != nil {
 		if c.Signed.Statement.SameBundle(st) && c.Signed.Statement.Signer == st.Signer {
 			return Repeated{}
 		}
-		return refuseFor(offset, CauseLost, winnerOf(c.Signed.Statement, c.Offset), "version %d was published first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Signed.Statement, c.Offset), "version %d was published first by another", st.Version)
 	}
 	if st.SameBundle(s.Proof.Signed.Statement) && st.Signer == s.Proof.Signed.Statement.Signer {
 		return Repeated{}
 	}
-	if s.version() >= st.Version {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
+	if s.versionInForce() >= st.Version {
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 	}
-	return refuse(offset, CauseOrder, "version %d is not newer than the newest published version %d", st.Version, s.Head)
+	return reject(offset, CauseOutOfOrder, "version %d is not newer than the newest published version %d", st.Version, s.Head)
 }
 
 func (s *State) dropExtraCandidate() {
@@ -119,31 +119,31 @@
 	s.Candidates = slices.Delete(s.Candidates, max(i, 0), max(i, 0)+1)
 }
 
-func (s *State) approve(offset uint64, st bundle.Statement) Verdict {
+func (s *State) applyApproved(offset uint64, st bundle.Statement) Verdict {
 	c, refusal := s.findCandidate(offset, st)
 	if refusal != nil {
 		return refusal
 	}
 	approver, err := st.Verify(s.signers())
 	if err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	published := c.Signed.Statement
 	if st.Role != bundle.RoleApprove || st.Follows != published.Follows {
-		return refuse(offset, CauseMalformed, "not an approval of version %d which follows %d", published.Version, published.Follows)
+		return reject(offset, CauseMalformed, "not an approval of version %d which follows %d", published.Version, published.Follows)
 	}
 	publisher, err := published.Verify(s.signers())
 	if err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if err := bundle.Distinct(publisher, approver); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if c.Approved() {
 		if c.Approval.Signer == st.Signer {
 			return Repeated{}
 		}
-		return refuseFor(offset, CauseLost, winnerOf(c.Approval, c.ApprovalOffset), "version %d was approved first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Approval, c.ApprovalOffset), "version %d was approved first by another", st.Version)
 	}
 	s.Candidates = slices.Clone(s.Candidates)
 	c = s.candidate(st.Version)
@@ -154,78 +154,78 @@
 
 // findCandidate returns the candidate that a statement is about, or the refusal.
 func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Verdict) {
-	if st.Version <= s.version() {
-		return nil, s.refuseInForce(offset, st)
+	if st.Version <= s.versionInForce() {
+		return nil, s.rejectNotNewer(offset, st)
 	}
 	c := s.candidate(st.Version)
 	if c == nil {
-		return nil, refuse(offset, CauseUnknown, "version %d was not published, or was dropped", st.Version)
+		return nil, reject(offset, CauseUnknownVersion, "version %d was not published, or was dropped", st.Version)
 	}
 	if !c.Signed.Statement.SameBundle(st) {
 		w := winnerOf(c.Signed.Statement, c.Offset)
-		return nil, refuseFor(offset, CauseLost, w, "the statement is about another version %d (%.4x)", st.Version, st.Hash)
+		return nil, rejectForWinner(offset, CauseLostRace, w, "the statement is about another version %d (%.4x)", st.Version, st.Hash)
 	}
 	return c, nil
 }
 
-// refuseInForce judges a statement about a version that is not newer than the one in force.
+// rejectNotNewer judges a statement about a version that is not newer than the one in force.
 // A statement that put it there is a repeat.
-func (s *State) refuseInForce(offset uint64, st bundle.Statement) Verdict {
+func (s *State) rejectNotNewer(offset uint64, st bundle.Statement) Verdict {
 	for _, done := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
 		if bytes.Equal(done.Text(), st.Text()) && bytes.Equal(done.Signature, st.Signature) {
 			return Repeated{}
 		}
 	}
-	return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
+	return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 }
 
-func (s *State) roll(offset uint64, st bundle.Statement) Verdict {
+func (s *State) applyRolled(offset uint64, st bundle.Statement) Verdict {
 	c, refusal := s.findCandidate(offset, st)
 	if refusal != nil {
 		return refusal
 	}
 	if !c.Approved() {
-		return refuse(offset, CauseUnapproved, "version %d is not approved", st.Version)
+		return reject(offset, CauseUnapproved, "version %d is not approved", st.Version)
 	}
 	if err := bundle.VerifyRelease(c.Signed.Statement, c.Approval, st, s.signers()); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
-	if st.Follows != s.version() {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "the roll of version %d replaces %d, which is not in force", st.Version, st.Follows)
+	if st.Follows != s.versionInForce() {
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "the roll of version %d replaces %d, which is not in force", st.Version, st.Follows)
 	}
 	next, err := s.Proof.Next(c.Signed, c.Approval, st, s.signers(), s.anchors)
 	if err != nil {
-		return refuse(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalid, "%v", err)
 	}
-	s.enforce(offset, next, c.parsed)
+	s.putInForce(offset, next, c.bundle)
 	return Accepted{}
 }
 
-// prove takes over a bundle that is in force elsewhere, when the log lost its records.
-func (s *State) prove(offset uint64, p bundle.Proof) Verdict {
-	if !s.Proof.IsZero() && p.Version() <= s.version() {
+// applyProven takes over a bundle that is in force elsewhere, when the log lost its records.
+func (s *State) applyProven(offset uint64, p bundle.Proof) Verdict {
+	if !s.Proof.IsZero() && p.Version() <= s.versionInForce() {
 		if p.Signed.Statement.SameBundle(s.Proof.Signed.Statement) {
 			return Repeated{}
 		}
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
 	}
 	b, err := p.Verify(s.anchors)
 	if err != nil {
-		if v, ok := s.refuseUnreadable(offset, err).(Refused); ok && v.Cause == CauseNewer {
+		if v, ok := s.rejectUnreadable(offset, err).(Refused); ok && v.Cause == CauseNewerRelease {
 			return v
 		}
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if err := p.Extends(s.Proof, s.anchors); err != nil {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "%v", err)
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "%v", err)
 	}
-	s.enforce(offset, p, b)
+	s.putInForce(offset, p, b)
 	return Accepted{}
 }
 
-// enforce puts a version in force. It drops candidates that it overtakes, and those whose
+// putInForce puts a version in force. It drops candidates that it overtakes, and those whose
 // statements the new signers no longer cover: a signer that is now revoked has done nothing.
-func (s *State) enforce(offset uint64, p bundle.Proof, b *bundle.Bundle) {
+func (s *State) putInForce(offset uint64, p bundle.Proof, b *bundle.Bundle) {
 	replaced := s.servers
 	s.InForce = b
 	s.servers = serverNames(b)
@@ -248,6 +248,6 @@
 		kept = append(kept, c)
 	}
 	s.Candidates = kept
-	s.pruneAssigned(replaced)
+	s.pruneAssignments(replaced)
 	s.pruneHomes()
 }
--- a/internal/fold/verdict.go
+++ b/internal/fold/result.go
@@ -46,16 +46,16 @@
 
 // The causes.
 const (
-	CauseMalformed  Cause = "malformed"
-	CauseNewer      Cause = "newer-release"
-	CauseInvalid    Cause = "invalid-bundle"
-	CauseSignature  Cause = "signature"
-	CauseLost       Cause = "lost-race"
-	CauseOrder      Cause = "out-of-order"
-	CauseUnknown    Cause = "unknown-version"
-	CauseUnapproved Cause = "unapproved"
-	CauseSuperseded Cause = "superseded"
-	CauseCheckpoint Cause = "checkpoint"
+	CauseMalformed      Cause = "malformed"
+	CauseNewerRelease   Cause = "newer-release"
+	CauseInvalid        Cause = "invalid-bundle"
+	CauseSignature      Cause = "signature"
+	CauseLostRace       Cause = "lost-race"
+	CauseOutOfOrder     Cause = "out-of-order"
+	CauseUnknownVersion Cause = "unknown-version"
+	CauseUnapproved     Cause = "unapproved"
+	CauseSuperseded     Cause = "superseded"
+	CauseCheckpoint     Cause = "checkpoint"
 )
 
 // Winner is what stands in the way of a refused record.
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -43,12 +43,12 @@
 
 	anchors []bundle.Signer
 	// servers names the servers of InForce.
-	servers map[string]bool
-	last    digest
-	memory  memory
-	marks   []mark
-	// lent names the domains whose map in Assigned a snapshot shares.
-	lent map[string]bool
+	servers    map[string]bool
+	lastDigest digest
+	recent     recentDigests
+	marks      []mark
+	// shared names the domains whose map in Assigned a snapshot shares.
+	shared map[string]bool
 }
 
 // Candidate is a published version that is not in force.
@@ -60,7 +60,7 @@
 	Approval       bundle.Statement `json:"approval"`
 	ApprovalOffset uint64           `json:"approval-offset"`
 
-	parsed *bundle.Bundle
+	bundle *bundle.Bundle
 }
 
 // Approved reports whether somebody approved the version.
@@ -106,7 +106,7 @@
 		Terms:    make(map[string]Term),
 		Assigned: make(map[string]map[string]Assigned),
 		anchors:  anchors,
-		lent:     make(map[string]bool),
+		shared:   make(map[string]bool),
 	}
 }
 
@@ -123,36 +123,36 @@
 	view.Terms = maps.Clone(s.Terms)
 	view.Assigned = maps.Clone(s.Assigned)
 	view.Candidates = s.Candidates[:len(s.Candidates):len(s.Candidates)]
-	view.memory = memory{}
+	view.recent = recentDigests{}
 	view.marks = nil
-	view.lent = nil
+	view.shared = nil
 	for domain := range s.Assigned {
-		s.lent[domain] = true
+		s.shared[domain] = true
 	}
 	return &view
 }
 
-// copyDeep returns a state that Apply may change without changing s, and the reverse.
-func (s *State) copyDeep() *State {
+// clone returns a state that Apply may change without changing s, and the reverse.
+func (s *State) clone() *State {
 	c := s.Snapshot()
-	c.memory = s.memory.clone()
-	c.lent = make(map[string]bool)
+	c.recent = s.recent.clone()
+	c.shared = make(map[string]bool)
 	for domain := range c.Assigned {
-		c.lent[domain] = true
+		c.shared[domain] = true
 	}
 	return c
 }
 
-// ownAssigned returns the inner map of a domain for writing.
-func (s *State) ownAssigned(domain string) map[string]Assigned {
+// writableAssignments returns the inner map of a domain for writing.
+func (s *State) writableAssignments(domain string) map[string]Assigned {
 	inner := s.Assigned[domain]
 	switch {
 	case inner == nil:
 		inner = make(map[string]Assigned)
-	case s.lent[domain]:
+	case s.shared[domain]:
 		inner = maps.Clone(inner)
 	}
 	s.Assigned[domain] = inner
-	s.lent[domain] = false
+	s.shared[domain] = false
 	return inner
 }
--- a/internal/fold/newest.go
+++ b/internal/fold/tracker.go
@@ -18,7 +18,7 @@
 type Newest struct {
 	anchors []bundle.Signer
 	proof   bundle.Proof
-	parsed  *bundle.Bundle
+	bundle  *bundle.Bundle
 	origin  Origin
 	offset  uint64
 }
@@ -40,7 +40,7 @@
 
 // Bundle returns the newest bundle, or nil. It must not be changed.
 func (n *Newest) Bundle() *bundle.Bundle {
-	return n.parsed
+	return n.bundle
 }
 
 // Proof returns what a peer needs to take the bundle over.
@@ -66,7 +66,7 @@
 	if err := p.Extends(n.proof, n.anchors); err != nil {
 		return err
 	}
-	n.take(p, b, OriginPeer, 0)
+	n.set(p, b, OriginPeer, 0)
 	return nil
 }
 
@@ -78,13 +78,13 @@
 	if err != nil {
 		return err
 	}
-	n.take(next.Proof, next.Bundle, OriginPeer, 0)
+	n.set(next.Proof, next.Bundle, OriginPeer, 0)
 	return nil
 }
 
 // Held returns the bundle with its proof, to make an Update from.
 func (n *Newest) Held() bundle.Held {
-	return bundle.Held{Proof: n.proof, Bundle: n.parsed}
+	return bundle.Held{Proof: n.proof, Bundle: n.bundle}
 }
 
 // Follow takes the bundle of the log over, unless it is older than the one known. It reports
@@ -100,13 +100,13 @@
 		n.origin, n.offset = OriginLog, s.InForceOffset
 		return false
 	}
-	n.take(s.Proof, s.InForce, OriginLog, s.InForceOffset)
+	n.set(s.Proof, s.InForce, OriginLog, s.InForceOffset)
 	return true
 }
 
-func (n *Newest) take(p bundle.Proof, b *bundle.Bundle, origin Origin, offset uint64) {
+func (n *Newest) set(p bundle.Proof, b *bundle.Bundle, origin Origin, offset uint64) {
 	n.proof = p
-	n.parsed = b
+	n.bundle = b
 	n.origin = origin
 	n.offset = offset
 }
@@ -115,7 +115,7 @@
 // a log which lost it. The state must be that of the end of the log, read after the bundle
 // was learned; otherwise the roll may simply not have been read yet.
 func (n *Newest) Missing(s *State) (r record.Record, id string, missing bool) {
-	if n.proof.Version() <= s.version() || n.proof.Extends(s.Proof, s.anchors) != nil {
+	if n.proof.Version() <= s.versionInForce() || n.proof.Extends(s.Proof, s.anchors) != nil {
 		return nil, "", false
 	}
 	return record.BundleProven{Proof: n.proof}, "proven-" + n.proof.Roll.ID(), true
--- a/internal/fold/newest_property_test.go
+++ b/internal/fold/tracker_property_test.go
@@ -10,80 +10,80 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// fleet is a few instances with a log that may start anew, and operators who work by what the
+// cluster is a few instances with a log that may start anew, and operators who work by what the
 // log says, however little that is.
-type fleet struct {
+type cluster struct {
 	t         *rapid.T
-	log       journal
-	instances []*reading
+	log       testLog
+	instances []*testInstance
 	releases  int
 }
 
-// reading is one instance.
-type reading struct {
-	state  *State
-	newest *Newest
-	// seen is the highest version that the instance served.
-	seen uint64
+// testInstance is one instance.
+type testInstance struct {
+	state   *State
+	tracker *Newest
+	// highest is the highest version that the instance served.
+	highest uint64
 }
 
-func newFleet(t *rapid.T) *fleet {
-	f := &fleet{t: t}
+func newCluster(t *rapid.T) *cluster {
+	f := &cluster{t: t}
 	for range 3 {
-		f.instances = append(f.instances, &reading{state: New(crew()), newest: NewNewest(crew())})
+		f.instances = append(f.instances, &testInstance{state: New(testSigners()), tracker: NewNewest(testSigners())})
 	}
 	return f
 }
 
-func (f *fleet) pick() *reading {
+func (f *cluster) drawInstance() *testInstance {
 	return rapid.SampledFrom(f.instances).Draw(f.t, "instance")
 }
 
 // read takes up to n records, from the last one known on, so that a log which started anew is
 // noticed even when it has grown past the reader.
-func (f *fleet) read(r *reading, n int) {
+func (f *cluster) read(r *testInstance, n int) {
 	length := uint64(len(f.log.entries))
 	last := max(r.state.Next, 1) - 1
 	if r.state.Next > length {
-		r.state = New(crew())
+		r.state = New(testSigners())
 		last = 0
 	}
 	for i := last; i < length && n > 0; i++ {
 		if _, changed := r.state.Apply(f.log.entries[i]).(Changed); changed {
-			r.state = New(crew())
+			r.state = New(testSigners())
 			return
 		}
 		n--
 	}
-	r.newest.Follow(r.state)
+	r.tracker.Follow(r.state)
 	f.check(r)
 }
 
-func (f *fleet) check(r *reading) {
-	version := r.newest.Proof().Version()
-	if version < r.seen {
-		f.t.Fatalf("version %d after %d", version, r.seen)
+func (f *cluster) check(r *testInstance) {
+	version := r.tracker.Proof().Version()
+	if version < r.highest {
+		f.t.Fatalf("version %d after %d", version, r.highest)
 	}
-	r.seen = version
+	r.highest = version
 }
 
 // release brings a version into force that follows what the log knows.
-func (f *fleet) release() {
-	s := New(crew())
-	f.log.fold(s)
+func (f *cluster) release() {
+	s := New(testSigners())
+	f.log.applyTo(s)
 	f.releases++
-	f.log.addAll(release(sample(s.Head+1, fmt.Sprint(f.releases)), s.version())...)
+	f.log.addAll(release(testBundle(s.Head+1, fmt.Sprint(f.releases)), s.versionInForce())...)
 }
 
-// learn hands what one instance holds to another, as an update if that fits.
-func (f *fleet) learn() {
-	from, to := f.pick(), f.pick()
-	u, err := bundle.NewUpdate(to.newest.Held(), from.newest.Held())
-	if err == nil && to.newest.Update(u) == nil {
+// exchange hands what one instance holds to another, as an update if that fits.
+func (f *cluster) exchange() {
+	from, to := f.drawInstance(), f.drawInstance()
+	u, err := bundle.NewUpdate(to.tracker.Held(), from.tracker.Held())
+	if err == nil && to.tracker.Update(u) == nil {
 		f.check(to)
 		return
 	}
-	err = to.newest.Learn(from.newest.Proof())
+	err = to.tracker.Learn(from.tracker.Proof())
 	if err != nil && !errors.Is(err, ErrOlder) && !errors.Is(err, bundle.ErrFork) {
 		f.t.Fatal(err)
 	}
@@ -91,19 +91,19 @@
 }
 
 // restore appends the bundle of an instance that read the log to its end and misses it there.
-func (f *fleet) restore(r *reading) {
+func (f *cluster) restore(r *testInstance) {
 	f.read(r, 1000)
 	if r.state.Next != uint64(len(f.log.entries)) {
 		return
 	}
-	if missing, id, found := r.newest.Missing(r.state); found {
+	if missing, id, found := r.tracker.Missing(r.state); found {
 		f.log.add(id, missing)
 	}
 }
 
-func (f *fleet) replace() {
+func (f *cluster) replaceInstance() {
 	i := rapid.IntRange(0, len(f.instances)-1).Draw(f.t, "replaced")
-	f.instances[i] = &reading{state: New(crew()), newest: NewNewest(crew())}
+	f.instances[i] = &testInstance{state: New(testSigners()), tracker: NewNewest(testSigners())}
 }
 
 // The log is lost and starts anew, instances are replaced, peers hand bundles on, and
@@ -111,21 +111,21 @@
 // are quiet all must serve the same bundle.
 func TestInstancesNeverGoBackAndAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(t)
+		f := newCluster(t)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
 				f.release()
 			case 2, 3, 4:
-				f.read(f.pick(), rapid.IntRange(1, 9).Draw(t, "records"))
+				f.read(f.drawInstance(), rapid.IntRange(1, 9).Draw(t, "records"))
 			case 5, 6:
-				f.learn()
+				f.exchange()
 			case 7:
-				f.restore(f.pick())
+				f.restore(f.drawInstance())
 			case 8:
-				f.replace()
+				f.replaceInstance()
 			case 9:
-				f.log = journal{}
+				f.log = testLog{}
 			}
 		}
 		for range 2 {
@@ -137,9 +137,9 @@
 			f.read(r, 1000)
 			f.read(r, 1000)
 		}
-		first := f.instances[0].newest.Proof().Signed.Statement
+		first := f.instances[0].tracker.Proof().Signed.Statement
 		for _, r := range f.instances {
-			got := r.newest.Proof().Signed.Statement
+			got := r.tracker.Proof().Signed.Statement
 			if !got.SameBundle(first) {
 				t.Fatalf("version %d (%.4x) and version %d (%.4x)", first.Version, first.Hash, got.Version, got.Hash)
 			}
--- a/internal/fold/newest_test.go
+++ b/internal/fold/tracker_test.go
@@ -12,12 +12,12 @@
 
 // stateOf folds releases of versions 1 to n.
 func stateOf(n uint64, mark string) *State {
-	var j journal
+	var j testLog
 	for v := uint64(1); v <= n; v++ {
-		j.addAll(release(sample(v, mark), v-1)...)
+		j.addAll(release(testBundle(v, mark), v-1)...)
 	}
-	s := New(crew())
-	j.fold(s)
+	s := New(testSigners())
+	j.applyTo(s)
 	return s
 }
 
@@ -26,7 +26,7 @@
 // back.
 func TestNewestNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
+	n := NewNewest(testSigners())
 	is.NoErr(n.Learn(stateOf(3, "a").Proof))
 	is.Equal(n.Bundle().Version, uint64(3))
 	is.Equal(n.Follow(stateOf(2, "a")), false)
@@ -44,22 +44,22 @@
 // first that reads the empty log brings the version back, and operators go on from there.
 func TestLogThatStartsAnewGetsTheBundleBack(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
+	n := NewNewest(testSigners())
 	n.Follow(stateOf(3, "a"))
-	s := New(crew())
+	s := New(testSigners())
 	r, id, missing := n.Missing(s)
 	is.True(missing)
-	var j journal
+	var j testLog
 	j.add(id, r)
 	j.add(id, r)
 	j.add("another", r)
-	j.addAll(record.BundlePublished{Signed: publish(sample(1, "b"), "ana")})
-	j.addAll(release(sample(4, "b"), 3)...)
-	v := j.fold(s)
+	j.addAll(record.BundlePublished{Signed: publish(testBundle(1, "b"), "ana")})
+	j.addAll(release(testBundle(4, "b"), 3)...)
+	v := j.applyTo(s)
 	is.Equal(v[0], Accepted{})
 	is.Equal(v[1], Repeated{})
 	is.Equal(v[2], Repeated{})
-	is.Equal(refusal(t, v[3], CauseLost).Winner.Version, uint64(3))
+	is.Equal(requireRejected(t, v[3], CauseLostRace).Winner.Version, uint64(3))
 	is.Equal(v[6], Accepted{})
 	_, _, missing = n.Missing(s)
 	is.True(!missing)
@@ -71,7 +71,7 @@
 // brought the old version 3 back. All instances must settle on one of the two.
 func TestLogSettlesTwoBundlesOfOneVersion(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
+	n := NewNewest(testSigners())
 	n.Follow(stateOf(3, "a"))
 	s := stateOf(3, "b")
 	is.True(n.Follow(s))
@@ -83,28 +83,28 @@
 // one from before their revocation, and hand it to an instance as news.
 func TestRevokedSignersCannotFork(t *testing.T) {
 	is := is.New(t)
-	var j journal
-	j.addAll(release(sample(1, "a"), 0)...)
-	clean := sample(2, "a")
-	clean.Signers = append(crew()[1:2], signer("eva", bundle.RoleApprove, bundle.RoleRoll))
+	var j testLog
+	j.addAll(release(testBundle(1, "a"), 0)...)
+	clean := testBundle(2, "a")
+	clean.Signers = append(testSigners()[1:2], signer("eva", bundle.RoleApprove, bundle.RoleRoll))
 	j.addAll(release(clean, 1)...)
-	s := New(crew())
-	j.fold(s)
-	n := NewNewest(crew())
+	s := New(testSigners())
+	j.applyTo(s)
+	n := NewNewest(testSigners())
 	n.Follow(s)
 
-	var fork journal
-	fork.addAll(release(sample(1, "a"), 0)...)
-	two, three := publish(sample(2, "f"), "ana"), publish(sample(3, "f"), "ana")
+	var fork testLog
+	fork.addAll(release(testBundle(1, "a"), 0)...)
+	two, three := publish(testBundle(2, "f"), "ana"), publish(testBundle(3, "f"), "ana")
 	fork.addAll(record.BundlePublished{Signed: two}, record.BundlePublished{Signed: three},
 		record.BundleApproved{Approval: approve(three, "cene")}, record.BundleRolled{Roll: roll(three, 1, "dora")})
-	f := New(crew())
-	fork.fold(f)
+	f := New(testSigners())
+	fork.applyTo(f)
 	is.Equal(f.InForce.Version, uint64(3))
 	is.True(errors.Is(n.Learn(f.Proof), bundle.ErrFork))
-	refusal(t, s.prove(99, f.Proof), CauseLost)
+	requireRejected(t, s.applyProven(99, f.Proof), CauseLostRace)
 	is.Equal(n.Bundle().Version, uint64(2))
-	other := NewNewest(crew())
+	other := NewNewest(testSigners())
 	is.NoErr(other.Learn(f.Proof))
 	_, _, missing := other.Missing(s)
 	is.True(!missing)
@@ -115,15 +115,15 @@
 // have signed that roll and won.
 func TestRollPastTheHeldVersionIsAFork(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
+	n := NewNewest(testSigners())
 	n.Follow(stateOf(2, "a"))
-	var j journal
-	j.addAll(release(sample(1, "a"), 0)...)
-	two, three := publish(sample(2, "f"), "ana"), publish(sample(3, "f"), "ana")
+	var j testLog
+	j.addAll(release(testBundle(1, "a"), 0)...)
+	two, three := publish(testBundle(2, "f"), "ana"), publish(testBundle(3, "f"), "ana")
 	j.addAll(record.BundlePublished{Signed: two}, record.BundlePublished{Signed: three},
 		record.BundleApproved{Approval: approve(three, "cene")}, record.BundleRolled{Roll: roll(three, 1, "dora")})
-	s := New(crew())
-	j.fold(s)
+	s := New(testSigners())
+	j.applyTo(s)
 	is.True(errors.Is(n.Learn(s.Proof), bundle.ErrFork))
 }
 
@@ -136,7 +136,7 @@
 		s := stateOf(v, "a")
 		held[v] = bundle.Held{Proof: s.Proof, Bundle: s.InForce}
 	}
-	n := NewNewest(crew())
+	n := NewNewest(testSigners())
 	is.True(errors.Is(n.Update(must(bundle.NewUpdate(held[1], held[2]))), bundle.ErrStep))
 	is.NoErr(n.Learn(held[1].Proof))
 	is.NoErr(n.Update(must(bundle.NewUpdate(held[1], held[2]))))
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -8,31 +8,32 @@
 	"io"
 )
 
-// Format is the version of the record format that this release writes. It grows with each
-// new kind or member, so that an older release can tell a record that it must not ignore
-// from one that is no record.
+// Format is the version of the record format that this release writes. It is incremented
+// with each new kind or field, so that an older release can distinguish a record of a newer
+// release, which it must not ignore, from malformed data.
 const Format = 1
 
-// Errors of decoding.
+// Decoding errors.
 var (
-	// ErrNewer is returned for a record of a format that this release does not know.
-	ErrNewer = errors.New("record: newer format")
-	// ErrKind is returned for a kind that no format up to this one has.
-	ErrKind = errors.New("record: unknown kind")
-	// ErrFormat is returned for bytes that are not a record.
-	ErrFormat = errors.New("record: malformed")
+	// ErrNewerFormat is returned for a record of a format that this release does not know.
+	ErrNewerFormat = errors.New("record: newer format")
+	// ErrUnknownKind is returned for a kind that is not in this format or an older one.
+	ErrUnknownKind = errors.New("record: unknown kind")
+	// ErrMalformed is returned for data that is not a valid record.
+	ErrMalformed = errors.New("record: malformed")
 )
 
-// Entry is a record as it stands in the log.
+// Entry is an encoded record with its position in the log.
 type Entry struct {
-	// Offset is the place in the log. Offsets grow by one.
+	// Offset is the position in the log. The offsets of consecutive entries differ by one.
 	Offset uint64 `json:"offset"`
-	// ID is chosen by the writer. A repeated append carries the ID of the first.
-	ID   string `json:"id"`
+	// ID is chosen by the writer. A retried append uses the ID of the first attempt.
+	ID string `json:"id"`
+	// Data is the JSON form that Encode returns.
 	Data []byte `json:"data"`
 }
 
-// The kind names in the encoded form.
+// Values of envelope.Kind.
 const (
 	kindPublished  = "bundle-published"
 	kindApproved   = "bundle-approved"
@@ -46,13 +47,15 @@
 	kindCheckpoint = "checkpoint"
 )
 
+// envelope is the JSON form of a record. Kind selects the type of Body.
 type envelope struct {
 	Format int             `json:"format"`
 	Kind   string          `json:"kind"`
 	Body   json.RawMessage `json:"body"`
 }
 
-// Encode returns the JSON form of a record.
+// Encode returns the JSON form of a record. It returns ErrUnknownKind for a Record type that
+// has no kind.
 func Encode(r Record) ([]byte, error) {
 	kind, err := kindOf(r)
 	if err != nil {
@@ -60,7 +63,7 @@
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
-		return nil, fmt.Errorf("record: encoding %s: %w", kind, err)
+		return nil, fmt.Errorf("record: encode body of kind %s: %w", kind, err)
 	}
 	return json.Marshal(envelope{Format: Format, Kind: kind, Body: body})
 }
@@ -88,22 +91,23 @@
 	case Checkpoint:
 		return kindCheckpoint, nil
 	default:
-		return "", fmt.Errorf("%w: %T", ErrKind, r)
+		return "", fmt.Errorf("%w: %T", ErrUnknownKind, r)
 	}
 }
 
-// Decode parses the JSON form of a record. Members that the format does not have are
-// refused: two releases must not read different things from one record.
+// Decode parses the JSON form of a record. Unknown fields of the body are an error, because
+// two releases must not read the same record differently. The error wraps ErrNewerFormat,
+// ErrUnknownKind or ErrMalformed.
 func Decode(data []byte) (Record, error) {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFormat, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	switch {
 	case e.Format > Format:
-		return nil, fmt.Errorf("%w: format %d, kind %q", ErrNewer, e.Format, e.Kind)
+		return nil, fmt.Errorf("%w: format %d, kind %q", ErrNewerFormat, e.Format, e.Kind)
 	case e.Format < 1:
-		return nil, fmt.Errorf("%w: format %d", ErrFormat, e.Format)
+		return nil, fmt.Errorf("%w: format %d", ErrMalformed, e.Format)
 	default:
 		return decodeKind(e)
 	}
@@ -132,7 +136,7 @@
 	case kindCheckpoint:
 		return decodeBody[Checkpoint](e.Body)
 	default:
-		return nil, fmt.Errorf("%w: %q", ErrKind, e.Kind)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownKind, e.Kind)
 	}
 }
 
@@ -141,10 +145,10 @@
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&r); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFormat, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("%w: text after the body", ErrFormat)
+		return nil, fmt.Errorf("%w: data after the body", ErrMalformed)
 	}
 	return r, nil
 }
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -13,8 +13,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// every holds one record of each kind.
-func every() []Record {
+// oneOfEachKind returns one record of each kind.
+func oneOfEachKind() []Record {
 	st := bundle.Statement{Role: bundle.RoleRoll, Version: 2, Follows: 1, Hash: []byte{1}, Signers: []byte{2}, Signer: "ana", Signature: []byte{3}}
 	signed := bundle.Signed{Canonical: []byte("{}"), Statement: st}
 	return []Record{
@@ -36,7 +36,7 @@
 }
 
 func TestEncodeAndDecode(t *testing.T) {
-	for _, r := range every() {
+	for _, r := range oneOfEachKind() {
 		t.Run(reflect.TypeOf(r).Name(), func(t *testing.T) {
 			is := is.New(t)
 			data, err := Encode(r)
@@ -48,19 +48,19 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	tests := map[string]struct {
 		data string
 		want error
 	}{
-		"newer format":   {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: ErrNewer},
-		"newer kind":     {data: `{"format":2,"kind":"server-lent","body":{}}`, want: ErrNewer},
-		"unknown kind":   {data: `{"format":1,"kind":"server-lent","body":{}}`, want: ErrKind},
-		"no format":      {data: `{"kind":"term-claimed","body":{}}`, want: ErrFormat},
-		"unknown member": {data: `{"format":1,"kind":"term-claimed","body":{"colour":"red"}}`, want: ErrFormat},
-		"no body":        {data: `{"format":1,"kind":"term-claimed"}`, want: ErrFormat},
-		"wrong type":     {data: `{"format":1,"kind":"term-claimed","body":{"follows":-1}}`, want: ErrFormat},
-		"no JSON":        {data: `term`, want: ErrFormat},
+		"newer format":  {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: ErrNewerFormat},
+		"newer kind":    {data: `{"format":2,"kind":"server-lent","body":{}}`, want: ErrNewerFormat},
+		"unknown kind":  {data: `{"format":1,"kind":"server-lent","body":{}}`, want: ErrUnknownKind},
+		"no format":     {data: `{"kind":"term-claimed","body":{}}`, want: ErrMalformed},
+		"unknown field": {data: `{"format":1,"kind":"term-claimed","body":{"colour":"red"}}`, want: ErrMalformed},
+		"no body":       {data: `{"format":1,"kind":"term-claimed"}`, want: ErrMalformed},
+		"wrong type":    {data: `{"format":1,"kind":"term-claimed","body":{"follows":-1}}`, want: ErrMalformed},
+		"not JSON":      {data: `term`, want: ErrMalformed},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,9 +71,10 @@
 	}
 }
 
-// FuzzDecode checks that each record that decodes has an encoded form of its own.
+// FuzzDecode checks that a decoded record survives encoding, decoding and encoding again
+// with the same bytes.
 func FuzzDecode(f *testing.F) {
-	for _, r := range every() {
+	for _, r := range oneOfEachKind() {
 		data, err := Encode(r)
 		if err != nil {
 			f.Fatal(err)
@@ -92,11 +93,11 @@
 		}
 		again, err := Decode(first)
 		if err != nil {
-			t.Fatalf("%v: %s", err, first)
+			t.Fatalf("%v when decoding %s", err, first)
 		}
 		second, err := Encode(again)
 		if err != nil || !bytes.Equal(first, second) {
-			t.Fatalf("two forms: %s and %s", first, second)
+			t.Fatalf("encodings of one record differ: %s and %s", first, second)
 		}
 	})
 }
