--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -8,9 +8,10 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Apply folds one entry and says what became of it. Entries come in the order of their
-// offsets; Next says which one is wanted. After a checkpoint was taken over, Next may be
-// lower than the entry's offset, and the reader goes on from there.
+// Apply applies one entry and returns the result for it. The caller passes the entries in the
+// order of their offsets, starting at Next. It may pass the entry before Next once more, to
+// detect that the log was replaced. If Apply adopts the state of a checkpoint, Next may
+// afterwards be lower than the offset of the entry; the reader then continues from Next.
 func (s *State) Apply(e record.Entry) Verdict {
 	d := digestOf(e)
 	switch {
@@ -33,8 +34,9 @@
 	return s.applyRecord(e.Offset, d, r)
 }
 
-// applyRecord remembers what it accepted, but for the records of checkpoints: a reader that
-// starts at a checkpoint does not see its mark.
+// applyRecord applies a record and remembers its digest if it was accepted. It does not
+// remember checkpoints and their marks: a reader that starts at a checkpoint does not see its
+// mark, and must encode the same state as all others.
 func (s *State) applyRecord(offset uint64, d digest, r record.Record) Verdict {
 	switch r := r.(type) {
 	case record.CheckpointMarked:
@@ -68,13 +70,14 @@
 	case record.HomesEvicted:
 		return s.applyHomesEvicted(offset, r)
 	default:
-		return reject(offset, CauseMalformed, "no rule for %T", r)
+		return reject(offset, CauseMalformed, "record type %T is not supported", r)
 	}
 }
 
-// rejectUnreadable tells a record that a newer release wrote from one that is damaged. The
-// failure it guards against is a mixed fleet: an older instance would pass over what newer
-// ones obey, and reach another state. It shows as a format number above ours.
+// rejectUnreadable distinguishes a record that a newer release wrote from a malformed one, by
+// a format number above ours. While instances of two releases run, an older one would skip a
+// record that newer ones apply, and its state would diverge without notice. So it notes the
+// first such record in Newer.
 func (s *State) rejectUnreadable(offset uint64, err error) Verdict {
 	if !errors.Is(err, record.ErrNewerFormat) && !errors.Is(err, bundle.ErrNewerFormat) {
 		return reject(offset, CauseMalformed, "%v", err)
@@ -89,9 +92,10 @@
 	return Refused{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
+// rejectForWinner is like reject for a record that conflicts with an earlier record w.
 func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
 	r := reject(offset, cause, format, args...)
-	r.Reason = fmt.Sprintf("%s: %s stands", r.Reason, w)
+	r.Reason = fmt.Sprintf("%s: conflicts with %s", r.Reason, w)
 	r.Winner = w
 	return r
 }
--- a/internal/fold/checkpoint.go
+++ b/internal/fold/checkpoint.go
@@ -7,16 +7,17 @@
 	"example.org/mustardring/internal/record"
 )
 
-// maxMarks is the number of announced checkpoints whose state is kept for comparison. More
-// marks than that between a mark and its checkpoint void the checkpoint.
+// maxMarks is the number of marks whose state is kept. A checkpoint is rejected if that many
+// other marks are between it and its mark.
 const maxMarks = 4
 
-// mark is the state just after a CheckpointMarked record.
+// mark holds the state right after a CheckpointMarked record, against which the checkpoint is
+// verified.
 type mark struct {
 	state *State
 }
 
-// applyMark keeps the state for comparison. Apply has moved Next past the mark already.
+// applyMark keeps a copy of the state. Apply has already advanced Next past the mark.
 func (s *State) applyMark() Verdict {
 	s.marks = append(s.marks, mark{state: s.clone()})
 	if len(s.marks) > maxMarks {
@@ -25,7 +26,8 @@
 	return Accepted{}
 }
 
-// applyAfterGap takes a checkpoint over if it leads past the gap.
+// applyAfterGap handles an entry above Next: records in between are missing. It adopts the
+// state of a checkpoint that includes more records than s, and returns Gap otherwise.
 func (s *State) applyAfterGap(e record.Entry) Verdict {
 	gap := Gap{Next: s.Next, Offset: e.Offset}
 	r, err := record.Decode(e.Data)
@@ -36,30 +38,31 @@
 	if !isCheckpoint || c.Next <= s.Next || c.Next > e.Offset {
 		return gap
 	}
-	other, err := Restore(c.State, s.anchors)
-	if err != nil || other.Next != c.Next {
+	restored, err := Restore(c.State, s.anchors)
+	if err != nil || restored.Next != c.Next {
 		return gap
 	}
-	return s.adopt(other)
+	return s.adopt(restored)
 }
 
-// adopt goes on from a checkpoint. Next is then that of the checkpoint, which comes before
-// the entry that carried it: the reader reads the records between again.
-func (s *State) adopt(other *State) Verdict {
-	*s = *other
+// adopt replaces s by the state of a checkpoint. Next is then that of the checkpoint, below
+// the offset of its entry, so the reader reads the records in between again.
+func (s *State) adopt(restored *State) Verdict {
+	*s = *restored
 	return Accepted{}
 }
 
-// applyCheckpoint judges a checkpoint by the state that this reader has at its mark.
+// applyCheckpoint compares a checkpoint with the state that this reader had at its mark.
 //
-// It guards against a writer whose state is wrong: a fault, a longer gap, or another release.
-// It shows as other bytes for the same offset. A reader goes over to the other state only if
-// that was folded from an earlier record, or if it met a record that it could not read.
+// The two differ if the state of the writer is wrong, because of a fault, a gap in its history
+// or a different release. The checkpoint is then rejected, with two exceptions. This reader
+// adopts it if the writer's history starts earlier than its own, or if this reader met a
+// record before the mark that it could not read.
 func (s *State) applyCheckpoint(offset uint64, r record.Checkpoint) Verdict {
 	if r.Next > offset {
-		return reject(offset, CauseMalformed, "checkpoint of offset %d stands at %d", r.Next, offset)
+		return reject(offset, CauseMalformed, "checkpoint for offset %d is at offset %d", r.Next, offset)
 	}
-	other, err := Restore(r.State, s.anchors)
+	restored, err := Restore(r.State, s.anchors)
 	switch {
 	case errors.Is(err, ErrNewerRelease):
 		if s.Newer == nil {
@@ -68,29 +71,30 @@
 		return reject(offset, CauseNewerRelease, "%v", err)
 	case err != nil:
 		return reject(offset, CauseCheckpoint, "%v", err)
-	case other.Next != r.Next:
-		return reject(offset, CauseMalformed, "checkpoint of offset %d holds the state of %d", r.Next, other.Next)
+	case restored.Next != r.Next:
+		return reject(offset, CauseMalformed, "checkpoint for offset %d holds the state for offset %d", r.Next, restored.Next)
 	case s.Newer != nil && r.Next > s.Newer.Offset:
-		return s.adopt(other)
+		return s.adopt(restored)
 	}
-	own := s.markAt(r.Next)
-	if own == nil {
-		return reject(offset, CauseCheckpoint, "no mark before offset %d", r.Next)
+	marked := s.markAt(r.Next)
+	if marked == nil {
+		return reject(offset, CauseCheckpoint, "no mark right before offset %d", r.Next)
 	}
-	data, err := own.Encode()
+	data, err := marked.Encode()
 	if err != nil {
 		return reject(offset, CauseCheckpoint, "%v", err)
 	}
 	switch {
 	case bytes.Equal(data, r.State):
 		return Accepted{}
-	case other.Since < own.Since:
-		return s.adopt(other)
+	case restored.Since < marked.Since:
+		return s.adopt(restored)
 	default:
-		return reject(offset, CauseCheckpoint, "the checkpoint of offset %d disagrees with the records", r.Next)
+		return reject(offset, CauseCheckpoint, "checkpoint for offset %d differs from the state of this instance", r.Next)
 	}
 }
 
+// markAt returns the state at the mark whose Next is next, or nil.
 func (s *State) markAt(next uint64) *State {
 	for _, m := range s.marks {
 		if m.state.Next == next {
--- a/internal/fold/digests.go
+++ b/internal/fold/digests.go
@@ -9,13 +9,13 @@
 	"example.org/mustardring/internal/record"
 )
 
-// maxRecentDigests is the number of accepted records that are remembered to recognise a repeated
-// append. Safety does not rest on it: a bundle, term or assignment that is applied again
-// changes nothing either. It only gives the verdict Repeated in place of Refused.
+// maxRecentDigests is the number of accepted records that are remembered to detect a
+// duplicate append. Safety does not depend on it, because a bundle, term or assignment that
+// is applied a second time changes nothing. It only turns a rejection into Repeated.
 const maxRecentDigests = 4096
 
-// digest identifies an entry by its ID and data, so that nobody can take an ID away from
-// another record by using it first.
+// digest identifies an entry by its ID and data. The ID alone would not do: a record that
+// used the ID of another one first would make that one appear as a duplicate.
 type digest [16]byte
 
 func digestOf(e record.Entry) digest {
@@ -28,37 +28,40 @@
 	return digest(h.Sum(nil)[:16])
 }
 
-// recentDigests holds the digests of the newest accepted records.
+// recentDigests is a set of the digests of the newest accepted records, with at most
+// maxRecentDigests elements.
 type recentDigests struct {
-	// ring holds the digests; once it is full, the oldest is at at.
+	// ring is a ring buffer of the digests. Once it is full, oldest is the index of the oldest
+	// one; until then oldest is zero.
 	ring   []digest
 	oldest int
-	set    map[digest]bool
+	// set contains the digests in ring.
+	set map[digest]bool
 }
 
-func (m *recentDigests) contains(d digest) bool {
-	return m.set[d]
+func (r *recentDigests) contains(d digest) bool {
+	return r.set[d]
 }
 
-func (m *recentDigests) add(d digest) {
-	if m.set == nil {
-		m.set = make(map[digest]bool)
+func (r *recentDigests) add(d digest) {
+	if r.set == nil {
+		r.set = make(map[digest]bool)
 	}
-	m.set[d] = true
-	if len(m.ring) < maxRecentDigests {
-		m.ring = append(m.ring, d)
+	r.set[d] = true
+	if len(r.ring) < maxRecentDigests {
+		r.ring = append(r.ring, d)
 		return
 	}
-	delete(m.set, m.ring[m.oldest])
-	m.ring[m.oldest] = d
-	m.oldest = (m.oldest + 1) % maxRecentDigests
+	delete(r.set, r.ring[r.oldest])
+	r.ring[r.oldest] = d
+	r.oldest = (r.oldest + 1) % maxRecentDigests
 }
 
 // list returns the digests, oldest first.
-func (m *recentDigests) list() []digest {
-	return slices.Concat(m.ring[m.oldest:], m.ring[:m.oldest])
+func (r *recentDigests) list() []digest {
+	return slices.Concat(r.ring[r.oldest:], r.ring[:r.oldest])
 }
 
-func (m *recentDigests) clone() recentDigests {
-	return recentDigests{ring: slices.Clone(m.ring), oldest: m.oldest, set: maps.Clone(m.set)}
+func (r *recentDigests) clone() recentDigests {
+	return recentDigests{ring: slices.Clone(r.ring), oldest: r.oldest, set: maps.Clone(r.set)}
 }
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -16,16 +16,17 @@
 // encodingFormat is the version of the checkpoint encoding.
 const encodingFormat = 1
 
-// Errors of checkpoints.
+// Checkpoint errors.
 var (
-	// ErrNewerRelease is returned when a record of a newer release was met, or a checkpoint of one.
+	// ErrNewerRelease is returned for a checkpoint of a newer release, and for a state that met
+	// a record of a newer release.
 	ErrNewerRelease = errors.New("fold: written by a newer release")
-	// ErrMalformedCheckpoint is returned for bytes that are not a checkpoint.
+	// ErrMalformedCheckpoint is returned for data that is not a valid checkpoint.
 	ErrMalformedCheckpoint = errors.New("fold: malformed checkpoint")
 )
 
-// encodedState is the form of a State in a checkpoint. Lists that stand for maps are sorted, so
-// that one state has one form.
+// encodedState is the form of a State in a checkpoint. Maps are encoded as sorted lists, so
+// that equal states have equal encodings.
 type encodedState struct {
 	Format        int             `json:"format"`
 	Next          uint64          `json:"next"`
@@ -67,11 +68,12 @@
 	return nil
 }
 
-// Encode returns the form of the state that goes into a checkpoint. States that folded the
-// same records from the same offset have the same form.
+// Encode returns the encoding of the state for a checkpoint. Two states that result from the
+// same records have equal encodings, byte for byte. It returns ErrNewerRelease if Newer is
+// set.
 func (s *State) Encode() ([]byte, error) {
 	if s.Newer != nil {
-		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewerRelease, s.Newer.Offset, s.Newer.Reason)
+		return nil, fmt.Errorf("%w: record at offset %d: %s", ErrNewerRelease, s.Newer.Offset, s.Newer.Reason)
 	}
 	e := encodedState{
 		Format:        encodingFormat,
@@ -110,8 +112,8 @@
 	return list
 }
 
-// Restore returns the state that Encode encoded. The bundle in force is proved against the
-// anchors, so a forged checkpoint puts none in force.
+// Restore returns the state that Encode encoded. It verifies the proof of the bundle in force
+// against the trust anchors, so a forged checkpoint cannot put a bundle in force.
 func Restore(data []byte, anchors []bundle.Signer) (*State, error) {
 	var e encodedState
 	if err := decodeStrictly(data, &e); err != nil {
@@ -122,7 +124,7 @@
 	s.lastDigest = e.Last
 	s.Head = e.Head
 	if e.Next < e.Since || len(e.Memory) > maxRecentDigests || len(e.Candidates) > maxCandidates {
-		return nil, fmt.Errorf("%w: next %d, since %d, %d digests, %d candidates",
+		return nil, fmt.Errorf("%w: invalid bounds: next %d, since %d, %d digests, %d candidates",
 			ErrMalformedCheckpoint, e.Next, e.Since, len(e.Memory), len(e.Candidates))
 	}
 	if err := s.restoreProof(e); err != nil {
@@ -135,11 +137,11 @@
 		s.Terms[t.Domain] = t.Term
 	}
 	for _, d := range e.Assigned {
-		inner := make(map[string]Assigned, len(d.Servers))
+		byServer := make(map[string]Assigned, len(d.Servers))
 		for _, a := range d.Servers {
-			inner[a.Assignment.Server] = a
+			byServer[a.Assignment.Server] = a
 		}
-		s.Assigned[d.Domain] = inner
+		s.Assigned[d.Domain] = byServer
 	}
 	s.Homes = e.Homes
 	for _, d := range e.Memory {
@@ -148,15 +150,17 @@
 	return s, nil
 }
 
+// decodeStrictly decodes a checkpoint and rejects unknown fields. It reads the format first,
+// because a checkpoint of a newer format may have fields that this release does not know.
 func decodeStrictly(data []byte, e *encodedState) error {
-	var head struct {
+	var header struct {
 		Format int `json:"format"`
 	}
-	if err := json.Unmarshal(data, &head); err != nil {
+	if err := json.Unmarshal(data, &header); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
-	if head.Format > encodingFormat {
-		return fmt.Errorf("%w: checkpoint format %d", ErrNewerRelease, head.Format)
+	if header.Format > encodingFormat {
+		return fmt.Errorf("%w: checkpoint format %d", ErrNewerRelease, header.Format)
 	}
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -178,7 +182,7 @@
 		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if e.Head < b.Version {
-		return fmt.Errorf("%w: head %d below version %d", ErrMalformedCheckpoint, e.Head, b.Version)
+		return fmt.Errorf("%w: newest published version %d is below version %d in force", ErrMalformedCheckpoint, e.Head, b.Version)
 	}
 	s.InForce = b
 	s.servers = serverNames(b)
@@ -203,21 +207,22 @@
 	return nil
 }
 
-// Mark returns the record that announces a checkpoint.
+// Mark returns a record that announces a checkpoint by an instance. It returns
+// ErrNewerRelease if MayLead is false.
 func (s *State) Mark(instance string) (record.Record, error) {
 	if !s.MayLead() {
-		return nil, fmt.Errorf("%w: at offset %d", ErrNewerRelease, s.Newer.Offset)
+		return nil, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.Newer.Offset)
 	}
 	return record.CheckpointMarked{Instance: instance}, nil
 }
 
-// Checkpoint returns the checkpoint for the newest mark, once Apply accepted it.
+// Checkpoint returns the checkpoint for the newest mark that was applied.
 func (s *State) Checkpoint() (record.Checkpoint, error) {
 	if len(s.marks) == 0 {
-		return record.Checkpoint{}, fmt.Errorf("%w: no mark", ErrMalformedCheckpoint)
+		return record.Checkpoint{}, fmt.Errorf("%w: no mark was applied", ErrMalformedCheckpoint)
 	}
 	if !s.MayLead() {
-		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewerRelease, s.Newer.Offset)
+		return record.Checkpoint{}, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.Newer.Offset)
 	}
 	m := s.marks[len(s.marks)-1]
 	data, err := m.state.Encode()
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -9,22 +9,22 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Taken is what one failure domain has taken of one divided service.
+// Taken is the set of ranges of one divided service whose home is one failure domain.
 type Taken struct {
 	Service string       `json:"service"`
 	Domain  string       `json:"domain"`
 	Ranges  []keys.Range `json:"ranges"`
-	// Offset is that of the record that last changed the entry.
+	// Offset is the offset of the record that last changed the entry.
 	Offset uint64 `json:"offset"`
-	// Evicted says that the ranges were last freed by HomesEvicted.
+	// Evicted says that the last change freed the ranges by record.HomesEvicted.
 	Evicted bool `json:"evicted,omitempty"`
-	// Notice is the offset plus one of a notice that the ranges are going to be freed; zero if
-	// there is none, or the domain has stated its homes since.
+	// Notice is the offset plus one of a notice of eviction. It is zero if there is none, or if
+	// the domain has stated its homes since.
 	Notice uint64 `json:"notice,omitempty"`
 }
 
-// TakenBy returns what a domain has taken of a service; the zero value but for the names if
-// nothing.
+// TakenBy returns the entry of a domain and a service in homes. If there is none, it returns
+// an entry without ranges.
 func TakenBy(homes []Taken, service, domain string) Taken {
 	for _, t := range homes {
 		if t.Service == service && t.Domain == domain {
@@ -34,8 +34,8 @@
 	return Taken{Service: service, Domain: domain}
 }
 
-// HomesBase returns the offset plus one of the record that last changed what a domain has
-// taken, zero if none did. It is what the next statement of the domain is based on.
+// HomesBase returns the offset plus one of the record that last changed the homes of a
+// domain, or zero if there is none. The next record about them must have it as its Base.
 func HomesBase(homes []Taken, domain string) uint64 {
 	var base uint64
 	for _, t := range homes {
@@ -46,32 +46,34 @@
 	return base
 }
 
-// applyHomesTaken gives a domain the ranges that no other has. The order of the log decides between
-// two domains that state the same range, so that a range has one home at every instance.
+// applyHomesTaken gives a domain those of the stated ranges that no other domain has. If two
+// domains state the same range, the first in the log gets it, so that every instance knows
+// the same home of a range.
 //
-// A statement is void unless it is based on the newest change of its domain. A leader that
-// was succeeded may have left a range out in a statement that arrives late; its successor,
-// which serves the range again, has stated its homes since.
+// A statement is rejected unless its Base is the newest change of the domain's homes. A
+// former leader may have released a range in a statement that arrives late, after its
+// successor has stated the range again and serves it.
 func (s *State) applyHomesTaken(offset uint64, r record.HomesTaken) Verdict {
 	if r.Domain == "" {
-		return reject(offset, CauseMalformed, "homes name no domain")
+		return reject(offset, CauseMalformed, "statement of homes has no domain")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
 		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
 	}
 	if term := s.Terms[r.Domain]; r.Log < term.Log {
-		return reject(offset, CauseSuperseded, "log term %d of %q is over, %d is newest", r.Log, r.Domain, term.Log)
+		return reject(offset, CauseSuperseded, "log term %d of domain %q is superseded by %d", r.Log, r.Domain, term.Log)
 	}
 	if base := HomesBase(s.Homes, r.Domain); r.Base != base {
-		return reject(offset, CauseSuperseded, "homes of %q were stated after %d, at %d", r.Domain, r.Base, base)
+		return reject(offset, CauseSuperseded, "statement of homes of domain %q has base %d, want %d", r.Domain, r.Base, base)
 	}
-	for _, v := range r.Services {
-		given := keys.Subtract(v.Ranges, s.rangesOfOthers(v.Service, r.Domain))
-		s.putHomes(Taken{Service: v.Service, Domain: r.Domain, Ranges: given, Offset: offset})
+	for _, h := range r.Services {
+		free := keys.Subtract(h.Ranges, s.rangesOfOthers(h.Service, r.Domain))
+		s.putHomes(Taken{Service: h.Service, Domain: r.Domain, Ranges: free, Offset: offset})
 	}
 	return Accepted{}
 }
 
+// rangesOfOthers returns the ranges of a service whose home is another domain.
 func (s *State) rangesOfOthers(service, domain string) []keys.Range {
 	var all []keys.Range
 	for _, t := range s.Homes {
@@ -82,46 +84,50 @@
 	return all
 }
 
-// applyHomesEvicted gives notice, or frees what a domain has taken of a service that may move. The
-// domain's leader renews such grants only within a bound of its last read of the log, so
-// whoever takes the ranges waits for that bound after it has read the second record.
+// applyHomesEvicted records a notice of eviction or, in the second step, frees the ranges.
+// The leader of the evicted domain renews grants of such a service only for a bounded time
+// after its last read of the log. A domain that takes the ranges must therefore wait for that
+// time after it has read the second record.
 func (s *State) applyHomesEvicted(offset uint64, r record.HomesEvicted) Verdict {
-	old := TakenBy(s.Homes, r.Service, r.Domain)
-	if len(old.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
-		return reject(offset, CauseSuperseded, "what %q has taken of %q has changed since", r.Domain, r.Service)
+	current := TakenBy(s.Homes, r.Service, r.Domain)
+	if len(current.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
+		return reject(offset, CauseSuperseded, "homes of domain %q in service %q have changed since", r.Domain, r.Service)
 	}
 	if s.InForce == nil || !isMovable(s.InForce, r.Service) || !hasDomain(s.InForce, r.By) || r.By == r.Domain {
-		return reject(offset, CauseInvalid, "%q may not free what %q has taken of %q", r.By, r.Domain, r.Service)
+		return reject(offset, CauseInvalid, "domain %q may not evict domain %q from service %q", r.By, r.Domain, r.Service)
 	}
-	next := old
-	next.Offset = offset
+	updated := current
+	updated.Offset = offset
 	switch {
 	case r.Notice == 0:
-		next.Notice = offset + 1
-	case r.Notice != old.Notice:
-		return reject(offset, CauseOutOfOrder, "there is another notice for %q of %q", r.Domain, r.Service)
+		updated.Notice = offset + 1
+	case r.Notice != current.Notice:
+		return reject(offset, CauseOutOfOrder, "eviction of domain %q from service %q names a notice that is not pending", r.Domain, r.Service)
 	default:
-		next = Taken{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
+		updated = Taken{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
 	}
-	s.putHomes(next)
+	s.putHomes(updated)
 	return Accepted{}
 }
 
+// isMovable reports whether the ranges of a service may move away from a domain that is cut
+// off.
 func isMovable(b *bundle.Bundle, service string) bool {
 	v := b.Service(service)
 	return v != nil && v.Isolation == bundle.IsolationMove
 }
 
-// pruneHomes frees the homes of domains that the bundle in force names no longer. By leaving
-// a domain out, operators state that it is lost for good. A service that is left out keeps its
-// entries: a domain that has not seen the bundle yet still serves it.
+// pruneHomes frees the homes of domains that are not in the bundle in force: operators remove
+// a domain to state that it is lost for good. Homes of a service that was removed stay,
+// because a domain that has not received the bundle yet still serves it.
 func (s *State) pruneHomes() {
 	s.Homes = slices.DeleteFunc(slices.Clone(s.Homes), func(t Taken) bool {
 		return !hasDomain(s.InForce, t.Domain)
 	})
 }
 
-// putHomes replaces an entry in a copy, since snapshots share the slice.
+// putHomes inserts or replaces an entry. It does so in a copy, because snapshots share the
+// slice.
 func (s *State) putHomes(t Taken) {
 	homes := slices.Clone(s.Homes)
 	i, found := slices.BinarySearchFunc(homes, t, compareHomes)
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -10,13 +10,13 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// maxFloorStep bounds how far a claim may lift the term of a domain over the one it follows,
-// so that no claim uses up the terms.
+// maxFloorStep is the maximum by which Floor may exceed Follows in a claim, so that no claim
+// can exhaust the 64-bit term numbers.
 const maxFloorStep = math.MaxUint32
 
 func (s *State) applyTermClaimed(offset uint64, r record.TermClaimed) Verdict {
 	if r.Domain == "" || r.Instance == "" {
-		return reject(offset, CauseMalformed, "a claim names a domain and an instance")
+		return reject(offset, CauseMalformed, "term claim without domain or instance")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
 		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
@@ -26,7 +26,7 @@
 		return rejectClaim(offset, r, t)
 	}
 	if r.Floor > r.Follows && r.Floor-r.Follows > maxFloorStep {
-		return reject(offset, CauseMalformed, "floor %d is too far above term %d", r.Floor, r.Follows)
+		return reject(offset, CauseMalformed, "floor %d of the claim is too far above term %d", r.Floor, r.Follows)
 	}
 	s.Terms[r.Domain] = Term{
 		Log:         max(r.Follows, r.Floor) + 1,
@@ -37,33 +37,35 @@
 	return Accepted{}
 }
 
+// rejectClaim returns the result for a claim that does not follow the newest term t. It is a
+// duplicate if t is what the claim itself would have brought about.
 func rejectClaim(offset uint64, r record.TermClaimed, t Term) Verdict {
 	if r.Follows > t.Log {
-		return reject(offset, CauseOutOfOrder, "the claim of domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
+		return reject(offset, CauseOutOfOrder, "claim for domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
 	}
 	if t.Instance == r.Instance && t.Incarnation == r.Incarnation && t.Log == max(r.Follows, r.Floor)+1 {
 		return Repeated{}
 	}
 	w := Winner{Term: t.Log, Instance: t.Instance, Offset: t.Offset}
-	return rejectForWinner(offset, CauseLostRace, w, "the claim of domain %q follows term %d", r.Domain, r.Follows)
+	return rejectForWinner(offset, CauseLostRace, w, "claim for domain %q follows term %d", r.Domain, r.Follows)
 }
 
 func hasDomain(b *bundle.Bundle, name string) bool {
 	return slices.ContainsFunc(b.Domains, func(d bundle.Domain) bool { return d.Name == name })
 }
 
-// applyAssignmentMade keeps, for each server of the batch, the assignment of the higher epoch. The batch
-// is accepted if any part of it took effect.
+// applyAssignmentMade records those assignments of the batch whose epoch is higher than the
+// recorded one of their server. The batch is accepted if at least one of them is recorded.
 func (s *State) applyAssignmentMade(offset uint64, r record.AssignmentMade) Verdict {
-	if refusal := s.checkAssignments(offset, r); refusal != nil {
-		return refusal
+	if rejected := s.checkAssignments(offset, r); rejected != nil {
+		return rejected
 	}
 	applied, repeated := 0, 0
 	for _, a := range r.Assignments {
 		switch s.compareAssignment(r, a) {
 		case 1:
-			made := Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
-			s.writableAssignments(r.Domain)[a.Server] = made
+			recorded := Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
+			s.writableAssignments(r.Domain)[a.Server] = recorded
 			applied++
 		case 0:
 			repeated++
@@ -75,38 +77,41 @@
 	case repeated == len(r.Assignments):
 		return Repeated{}
 	default:
-		return reject(offset, CauseSuperseded, "the servers have assignments of higher epochs, or are in no bundle")
+		return reject(offset, CauseSuperseded, "servers have assignments of the same or a higher epoch, or are not in the bundle in force")
 	}
 }
 
+// checkAssignments returns the rejection of a batch that is malformed or names an unknown
+// domain, or nil.
 func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Verdict {
 	if r.Domain == "" || r.Service == "" || len(r.Assignments) == 0 {
-		return reject(offset, CauseMalformed, "an assignment names a domain, a service and servers")
+		return reject(offset, CauseMalformed, "assignment without domain, service or servers")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
 		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
 	}
 	for _, a := range r.Assignments {
 		if a.Server == "" {
-			return reject(offset, CauseMalformed, "an assignment names no server")
+			return reject(offset, CauseMalformed, "assignment without a server name")
 		}
 	}
 	return nil
 }
 
-// compareAssignment returns 1 when an assignment replaces what is recorded, 0 when it repeats
-// it and -1 when it is superseded. One for a server that nobody knows is superseded by the
-// bundle: its record was dropped with the server, and a late one must not bring it back.
+// compareAssignment returns 1 if an assignment replaces the recorded one, 0 if it is a
+// duplicate and -1 if it is superseded. A server that has no recorded assignment and is not in
+// the bundle in force counts as superseded: its assignment was dropped with the server, and a
+// late record must not restore it.
 func (s *State) compareAssignment(r record.AssignmentMade, a record.Assignment) int {
-	old, known := s.Assigned[r.Domain][a.Server]
+	current, known := s.Assigned[r.Domain][a.Server]
 	if !known {
 		if s.InForce != nil && !s.servers[a.Server] {
 			return -1
 		}
 		return 1
 	}
-	order := a.Epoch.Compare(old.Assignment.Epoch)
-	if order == 0 && (old.Service != r.Service || !keys.Equal(old.Assignment.Ranges, a.Ranges)) {
+	order := a.Epoch.Compare(current.Assignment.Epoch)
+	if order == 0 && (current.Service != r.Service || !keys.Equal(current.Assignment.Ranges, a.Ranges)) {
 		return -1
 	}
 	return order
@@ -122,8 +127,10 @@
 	return names
 }
 
-// pruneAssignments drops the assignments of servers that are neither in the bundle in force nor
-// in the one it replaced, or the state would grow with each server that ever was.
+// pruneAssignments drops the assignments of servers that are neither in the bundle in force
+// nor in the one that it replaced. Without it, the state would grow with each server that ever
+// existed. A new leader still needs the assignments of servers that the bundle in force
+// removed. If replaced is nil, there was no bundle before, and nothing is dropped.
 func (s *State) pruneAssignments(replaced map[string]bool) {
 	if replaced == nil {
 		return
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -9,11 +9,11 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// maxCandidates bounds the published versions that wait for approval and roll. Beyond it the
-// oldest that nobody approved is dropped, then the oldest.
+// maxCandidates is the maximum number of candidates. If there are more, the oldest one that
+// is not approved is dropped, or the oldest one if all are approved.
 const maxCandidates = 8
 
-// signers are those who judge new statements.
+// signers returns the signers by whom new statements must be signed.
 func (s *State) signers() []bundle.Signer {
 	if s.InForce == nil {
 		return s.anchors
@@ -21,6 +21,7 @@
 	return s.InForce.Signers
 }
 
+// versionInForce returns the version of the bundle in force, or zero.
 func (s *State) versionInForce() uint64 {
 	if s.InForce == nil {
 		return 0
@@ -32,7 +33,7 @@
 	return winnerOf(s.Proof.Roll, s.InForceOffset)
 }
 
-// candidate returns the candidate of a version, or nil.
+// candidate returns the candidate with a version, or nil.
 func (s *State) candidate(version uint64) *Candidate {
 	i := slices.IndexFunc(s.Candidates, func(c Candidate) bool { return c.Signed.Statement.Version == version })
 	if i < 0 {
@@ -41,7 +42,8 @@
 	return &s.Candidates[i]
 }
 
-// applyPublished judges the signature first: only a publisher makes the instances parse anything.
+// applyPublished verifies the signature first, so that nobody but a publisher can make the
+// instances parse a bundle.
 func (s *State) applyPublished(offset uint64, r record.BundlePublished) Verdict {
 	st := r.Signed.Statement
 	if _, err := st.Verify(s.signers()); err != nil {
@@ -66,7 +68,8 @@
 	return Accepted{}
 }
 
-// openPublished returns the bundle of a record, whole or by a delta from one that is held.
+// openPublished returns the signed form and the bundle of a record. It applies the delta, if
+// there is one, to the bundle in force or a candidate.
 func (s *State) openPublished(r record.BundlePublished) (bundle.Signed, *bundle.Bundle, error) {
 	if r.Delta == nil {
 		b, err := r.Signed.Open()
@@ -82,7 +85,8 @@
 	return r.Delta.Open(base, hash, r.Signed.Statement)
 }
 
-// Base returns the bundle in force or waiting that has a hash, and the hash; nil if none has.
+// Base returns the bundle in force or the candidate that has a hash, as the base of a delta.
+// It returns the hash with it, and nil if there is none.
 func (s *State) Base(hash []byte) (*bundle.Bundle, []byte) {
 	if s.InForce != nil && bytes.Equal(s.InForceSigned.Statement.Hash, hash) {
 		return s.InForce, hash
@@ -95,12 +99,14 @@
 	return nil, nil
 }
 
+// rejectPublished returns the result for a published version that is not newer than Head. It
+// is a duplicate if the same signer published the same bundle.
 func (s *State) rejectPublished(offset uint64, st bundle.Statement) Verdict {
 	if c := s.candidate(st.Version); c != nil {
 		if c.Signed.Statement.SameBundle(st) && c.Signed.Statement.Signer == st.Signer {
 			return Repeated{}
 		}
-		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Signed.Statement, c.Offset), "version %d was published first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Signed.Statement, c.Offset), "version %d was published earlier", st.Version)
 	}
 	if st.SameBundle(s.Proof.Signed.Statement) && st.Signer == s.Proof.Signed.Statement.Signer {
 		return Repeated{}
@@ -119,10 +125,12 @@
 	s.Candidates = slices.Delete(s.Candidates, max(i, 0), max(i, 0)+1)
 }
 
+// applyApproved accepts the first approval of a candidate, provided that the approver is not
+// its publisher.
 func (s *State) applyApproved(offset uint64, st bundle.Statement) Verdict {
-	c, refusal := s.findCandidate(offset, st)
-	if refusal != nil {
-		return refusal
+	c, result := s.findCandidate(offset, st)
+	if result != nil {
+		return result
 	}
 	approver, err := st.Verify(s.signers())
 	if err != nil {
@@ -130,7 +138,7 @@
 	}
 	published := c.Signed.Statement
 	if st.Role != bundle.RoleApprove || st.Follows != published.Follows {
-		return reject(offset, CauseMalformed, "not an approval of version %d which follows %d", published.Version, published.Follows)
+		return reject(offset, CauseMalformed, "statement is not an approval of version %d that follows %d", published.Version, published.Follows)
 	}
 	publisher, err := published.Verify(s.signers())
 	if err != nil {
@@ -143,7 +151,7 @@
 		if c.Approval.Signer == st.Signer {
 			return Repeated{}
 		}
-		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Approval, c.ApprovalOffset), "version %d was approved first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Approval, c.ApprovalOffset), "version %d has an earlier approval by another signer", st.Version)
 	}
 	s.Candidates = slices.Clone(s.Candidates)
 	c = s.candidate(st.Version)
@@ -152,37 +160,41 @@
 	return Accepted{}
 }
 
-// findCandidate returns the candidate that a statement is about, or the refusal.
+// findCandidate returns the candidate that a statement is about, or the result if there is
+// none.
 func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Verdict) {
 	if st.Version <= s.versionInForce() {
 		return nil, s.rejectNotNewer(offset, st)
 	}
 	c := s.candidate(st.Version)
 	if c == nil {
-		return nil, reject(offset, CauseUnknownVersion, "version %d was not published, or was dropped", st.Version)
+		return nil, reject(offset, CauseUnknownVersion, "version %d is not a candidate: not published, or dropped", st.Version)
 	}
 	if !c.Signed.Statement.SameBundle(st) {
 		w := winnerOf(c.Signed.Statement, c.Offset)
-		return nil, rejectForWinner(offset, CauseLostRace, w, "the statement is about another version %d (%.4x)", st.Version, st.Hash)
+		return nil, rejectForWinner(offset, CauseLostRace, w, "statement is about a different bundle with version %d (%.4x)", st.Version, st.Hash)
 	}
 	return c, nil
 }
 
-// rejectNotNewer judges a statement about a version that is not newer than the one in force.
-// A statement that put it there is a repeat.
+// rejectNotNewer returns the result for a statement about a version that is not newer than
+// the one in force. It is a duplicate if it is one of the statements that put the bundle in
+// force.
 func (s *State) rejectNotNewer(offset uint64, st bundle.Statement) Verdict {
-	for _, done := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
-		if bytes.Equal(done.Text(), st.Text()) && bytes.Equal(done.Signature, st.Signature) {
+	for _, applied := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
+		if bytes.Equal(applied.Text(), st.Text()) && bytes.Equal(applied.Signature, st.Signature) {
 			return Repeated{}
 		}
 	}
 	return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 }
 
+// applyRolled puts an approved candidate in force, provided that the version that the roll
+// replaces is in force.
 func (s *State) applyRolled(offset uint64, st bundle.Statement) Verdict {
-	c, refusal := s.findCandidate(offset, st)
-	if refusal != nil {
-		return refusal
+	c, result := s.findCandidate(offset, st)
+	if result != nil {
+		return result
 	}
 	if !c.Approved() {
 		return reject(offset, CauseUnapproved, "version %d is not approved", st.Version)
@@ -191,7 +203,7 @@
 		return reject(offset, CauseSignature, "%v", err)
 	}
 	if st.Follows != s.versionInForce() {
-		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "the roll of version %d replaces %d, which is not in force", st.Version, st.Follows)
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "roll of version %d replaces version %d, which is not in force", st.Version, st.Follows)
 	}
 	next, err := s.Proof.Next(c.Signed, c.Approval, st, s.signers(), s.anchors)
 	if err != nil {
@@ -201,7 +213,8 @@
 	return Accepted{}
 }
 
-// applyProven takes over a bundle that is in force elsewhere, when the log lost its records.
+// applyProven puts in force a bundle that is in force at an instance, after the log has lost
+// its records.
 func (s *State) applyProven(offset uint64, p bundle.Proof) Verdict {
 	if !s.Proof.IsZero() && p.Version() <= s.versionInForce() {
 		if p.Signed.Statement.SameBundle(s.Proof.Signed.Statement) {
@@ -211,8 +224,8 @@
 	}
 	b, err := p.Verify(s.anchors)
 	if err != nil {
-		if v, ok := s.rejectUnreadable(offset, err).(Refused); ok && v.Cause == CauseNewerRelease {
-			return v
+		if r, ok := s.rejectUnreadable(offset, err).(Refused); ok && r.Cause == CauseNewerRelease {
+			return r
 		}
 		return reject(offset, CauseSignature, "%v", err)
 	}
@@ -223,8 +236,9 @@
 	return Accepted{}
 }
 
-// putInForce puts a version in force. It drops candidates that it overtakes, and those whose
-// statements the new signers no longer cover: a signer that is now revoked has done nothing.
+// putInForce puts a bundle in force. It drops the candidates that are not newer, and the
+// candidates and approvals whose signer is no longer authorized by the new bundle: statements
+// of a signer that was revoked do not count.
 func (s *State) putInForce(offset uint64, p bundle.Proof, b *bundle.Bundle) {
 	replaced := s.servers
 	s.InForce = b
--- a/internal/fold/result.go
+++ b/internal/fold/result.go
@@ -6,45 +6,47 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Verdict is what became of a record: Accepted, Repeated, Refused, Gap or Changed. The set is
-// sealed.
+// Verdict is the result of State.Apply for one record: Accepted, Repeated, Refused, Gap or
+// Changed. Only types of this package implement it.
 type Verdict interface {
 	isVerdict()
 }
 
-// Accepted says that the record took effect.
+// Accepted means that the record took effect.
 type Accepted struct{}
 
-// Repeated says that the same record, or one that says the same, was applied before.
+// Repeated means that the record, or another one with the same effect, was applied before.
 type Repeated struct{}
 
-// Refused says that the record has no effect, and why.
+// Refused means that the record is rejected and has no effect.
 type Refused struct {
 	Offset uint64
 	Cause  Cause
-	// Reason is a sentence for people. It names the winner if there is one.
+	// Reason is an explanation for operators. It describes Winner if that is set.
 	Reason string
-	// Winner is the record that came first; its zero value means that there is none.
+	// Winner is the earlier record that this one conflicts with, or the zero value.
 	Winner Winner
 }
 
-// Gap says that records before Offset are missing. The state is unchanged. The reader looks
-// for a checkpoint to go on from, and without one calls NewAt.
+// Gap means that the records from Next up to Offset are missing. The state is unchanged. The
+// reader searches for a checkpoint to continue from. If there is none, it continues with a
+// state of NewAt.
 type Gap struct {
 	Next   uint64
 	Offset uint64
 }
 
-// Changed says that the entry before Next is another one than was applied: the log started
-// anew. The state is unchanged. The reader calls New and reads from the start.
+// Changed means that the entry before Next differs from the one that was applied there: the
+// log was replaced by a new one. The state is unchanged. The reader starts again with a state
+// of New and reads the new log from its start.
 type Changed struct {
 	Offset uint64
 }
 
-// Cause classifies refusals.
+// Cause classifies rejections.
 type Cause string
 
-// The causes.
+// The values of Cause.
 const (
 	CauseMalformed      Cause = "malformed"
 	CauseNewerRelease   Cause = "newer-release"
@@ -58,20 +60,21 @@
 	CauseCheckpoint     Cause = "checkpoint"
 )
 
-// Winner is what stands in the way of a refused record.
+// Winner describes the earlier record that a rejected record conflicts with. It is encoded as
+// JSON under its field names.
 type Winner struct {
-	// Version, Hash and Signer are set for bundles.
+	// Version, Hash and Signer are set if the record is about a bundle.
 	Version uint64
 	Hash    []byte
 	Signer  string
-	// Term and Instance are set for terms.
+	// Term and Instance are set if the record is a term claim.
 	Term     uint64
 	Instance string
-	// Offset is that of the winning record.
+	// Offset is the offset of the winning record.
 	Offset uint64
 }
 
-// IsZero reports whether there is no winner.
+// IsZero reports whether no winner is set.
 func (w Winner) IsZero() bool {
 	return w.Version == 0 && w.Term == 0
 }
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -1,6 +1,6 @@
-// Package fold computes the state that the records of the platform's log agree on. The
-// fold is pure: every instance that reads the same records reaches the same state and gives
-// the same verdict on each record.
+// Package fold computes the replicated state of the system by applying the records of the
+// platform's log in order. It is deterministic and has no other input: every instance that
+// reads the same records has the same state and the same result for each record.
 package fold
 
 import (
@@ -10,99 +10,112 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// State is what the records before Next say. It is not safe for concurrent use; Snapshot
-// gives an immutable view.
+// State is the result of applying the records before Next. It is not safe for concurrent
+// use; Snapshot returns an immutable copy.
 type State struct {
 	// Next is the offset of the next record to apply.
 	Next uint64
-	// Since is the offset from which on no record is missing: zero for a state folded from
-	// the start of the log.
+	// Since is the offset of the first record that was applied, without a gap from there to
+	// Next. It is zero for a state that includes the whole log. A state that was restored from
+	// a checkpoint has that of the checkpoint.
 	Since uint64
 	// InForce is the bundle in force, or nil.
 	InForce *bundle.Bundle
-	// InForceSigned is the signed form of InForce, to be handed to peers.
+	// InForceSigned is the signed form of InForce, for sending to peers.
 	InForceSigned bundle.Signed
 	// InForceOffset is the offset of the record that put InForce in force.
 	InForceOffset uint64
-	// Proof proves InForce to whoever has the trust anchors.
+	// Proof proves that InForce was released by authorized signers, starting from the trust
+	// anchors.
 	Proof bundle.Proof
-	// Head is the newest published version, in force or not. The next one follows it.
+	// Head is the newest published version, in force or not. The next published version must
+	// follow it.
 	Head uint64
-	// Candidates are the published versions newer than the one in force, in their order.
+	// Candidates are the published versions newer than the one in force, oldest first.
 	Candidates []Candidate
-	// Terms has the newest log term of each failure domain.
+	// Terms maps each failure domain to its newest log term.
 	Terms map[string]Term
-	// Assigned has, by failure domain and server, the newest recorded assignment.
+	// Assigned maps each failure domain and server to the newest recorded assignment.
 	Assigned map[string]map[string]Assigned
-	// Homes has what each failure domain has taken of each divided service, sorted by service
-	// and domain. The ranges of one service are disjoint. The slice is never changed in place.
+	// Homes holds the ranges that each failure domain has of each divided service, sorted by
+	// service and domain. The ranges of one service are disjoint. The slice is copied before
+	// each change, because snapshots share it.
 	Homes []Taken
-	// Newer is the first record that only a newer release can read, or nil. The state may
-	// then be wrong: the instance writes no checkpoint and claims no term.
+	// Newer is the first record that only a newer release can read, or nil. If it is set, the
+	// state may be wrong, and the instance writes no checkpoint and claims no term.
 	Newer *Newer
 
 	anchors []bundle.Signer
-	// servers names the servers of InForce.
-	servers    map[string]bool
+	// servers is the set of server names in InForce.
+	servers map[string]bool
+	// lastDigest is that of the entry before Next. It shows whether the log was replaced.
 	lastDigest digest
 	recent     recentDigests
 	marks      []mark
-	// shared names the domains whose map in Assigned a snapshot shares.
+	// shared is the set of domains whose inner map in Assigned is shared with a snapshot and
+	// must be copied before a change.
 	shared map[string]bool
 }
 
-// Candidate is a published version that is not in force.
+// Candidate is a published version that is newer than the one in force.
 type Candidate struct {
 	Signed bundle.Signed `json:"signed"`
-	// Offset is that of the record that published it.
+	// Offset is the offset of the record that published the version.
 	Offset uint64 `json:"offset"`
 	// Approval is the zero Statement until the version is approved.
-	Approval       bundle.Statement `json:"approval"`
-	ApprovalOffset uint64           `json:"approval-offset"`
+	Approval bundle.Statement `json:"approval"`
+	// ApprovalOffset is the offset of the record that approved the version.
+	ApprovalOffset uint64 `json:"approval-offset"`
 
 	bundle *bundle.Bundle
 }
 
-// Approved reports whether somebody approved the version.
+// Approved reports whether the version has a valid approval.
 func (c *Candidate) Approved() bool {
 	return c.Approval.Version != 0
 }
 
-// Term is the leadership of a failure domain by the log.
+// Term is the newest leadership term of a failure domain and the instance that claimed it.
 type Term struct {
+	// Log is the number of the term. It is one more for each accepted claim, or higher if the
+	// claim has a floor.
 	Log         uint64 `json:"log"`
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
-	Offset      uint64 `json:"offset"`
+	// Offset is the offset of the claim.
+	Offset uint64 `json:"offset"`
 }
 
-// Assigned is a recorded assignment with the offset that acknowledges it.
+// Assigned is an assignment that was accepted from the log.
 type Assigned struct {
-	Service     string            `json:"service"`
-	Assignment  record.Assignment `json:"assignment"`
-	Offset      uint64            `json:"offset"`
-	Provisional bool              `json:"provisional,omitempty"`
+	Service    string            `json:"service"`
+	Assignment record.Assignment `json:"assignment"`
+	// Offset is the offset of the record, which confirms that the assignment is in the log.
+	Offset uint64 `json:"offset"`
+	// Provisional is as in record.AssignmentMade.
+	Provisional bool `json:"provisional,omitempty"`
 }
 
-// Newer says where a record stands that only a newer release can read.
+// Newer describes a record that only a newer release can read.
 type Newer struct {
 	Offset uint64
+	// Reason is the text of the decoding error.
 	Reason string
 }
 
 // New returns the state before the first record of a log. The anchors are the signers that
-// may put the first bundle in force; later ones are named by the bundle in force. All
-// instances that read one log have the same anchors.
+// may put the first bundle in force; the signers of later bundles are named by the bundle in
+// force. All instances that read the same log must have the same anchors.
 func New(anchors []bundle.Signer) *State {
 	return NewAt(anchors, 0)
 }
 
-// NewAt returns the state of a reader that has no records before an offset and found no
-// checkpoint. It holds until a reader with a longer history writes one.
-func NewAt(anchors []bundle.Signer, since uint64) *State {
+// NewAt returns the state of a reader that has no records before the offset start and found
+// no checkpoint. It is replaced when a reader with a longer history writes a checkpoint.
+func NewAt(anchors []bundle.Signer, start uint64) *State {
 	return &State{
-		Next:     since,
-		Since:    since,
+		Next:     start,
+		Since:    start,
 		Terms:    make(map[string]Term),
 		Assigned: make(map[string]map[string]Assigned),
 		anchors:  anchors,
@@ -110,14 +123,16 @@
 	}
 }
 
-// MayLead reports whether the instance may claim a term or write a checkpoint from this
-// state. A record of a newer release may have changed what a term means.
+// MayLead reports whether the instance may claim a term or write a checkpoint based on this
+// state. It may not after a record of a newer release, which may have changed the meaning of
+// terms.
 func (s *State) MayLead() bool {
 	return s.Newer == nil
 }
 
-// Snapshot returns a view that later calls of Apply do not change. Its cost grows with the
-// number of domains, not of servers: an inner map of Assigned is copied when it next changes.
+// Snapshot returns a copy that later calls of Apply do not change. Its cost grows with the
+// number of domains, not of servers, because the inner maps of Assigned are copied on write.
+// The copy serves for reading only.
 func (s *State) Snapshot() *State {
 	view := *s
 	view.Terms = maps.Clone(s.Terms)
@@ -132,7 +147,7 @@
 	return &view
 }
 
-// clone returns a state that Apply may change without changing s, and the reverse.
+// clone returns a copy that is independent of s: Apply may be called on both.
 func (s *State) clone() *State {
 	c := s.Snapshot()
 	c.recent = s.recent.clone()
@@ -143,16 +158,17 @@
 	return c
 }
 
-// writableAssignments returns the inner map of a domain for writing.
+// writableAssignments returns the assignments of a domain by server, for changes in place.
+// It creates the map, or copies one that is shared with a snapshot.
 func (s *State) writableAssignments(domain string) map[string]Assigned {
-	inner := s.Assigned[domain]
+	byServer := s.Assigned[domain]
 	switch {
-	case inner == nil:
-		inner = make(map[string]Assigned)
+	case byServer == nil:
+		byServer = make(map[string]Assigned)
 	case s.shared[domain]:
-		inner = maps.Clone(inner)
+		byServer = maps.Clone(byServer)
 	}
-	s.Assigned[domain] = inner
+	s.Assigned[domain] = byServer
 	s.shared[domain] = false
-	return inner
+	return byServer
 }
--- a/internal/fold/tracker.go
+++ b/internal/fold/tracker.go
@@ -8,13 +8,13 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// ErrOlder is returned for a proof of a version that is not newer than the one known.
+// ErrOlder is returned for a proof of a version that is not newer than the tracked one.
 var ErrOlder = errors.New("fold: bundle is not newer")
 
-// Newest is the newest bundle that one instance knows, from the log or from peers. Its
-// version never decreases, whatever becomes of the log, and a peer is not trusted: only
-// signatures count. It is kept apart from State, because State must depend on nothing but
-// the records. It is not safe for concurrent use.
+// Newest tracks the newest bundle that one instance knows, from the log or from peers. Its
+// version never decreases, even if the log is lost. Bundles of peers are accepted only by
+// their signatures. It is separate from State, because State must depend on the records only.
+// It is not safe for concurrent use.
 type Newest struct {
 	anchors []bundle.Signer
 	proof   bundle.Proof
@@ -23,41 +23,43 @@
 	offset  uint64
 }
 
-// Origin says where an instance has its bundle from.
+// Origin is the source from which an instance has its bundle.
 type Origin string
 
-// The origins.
+// The values of Origin. OriginNone means that no bundle is known.
 const (
 	OriginNone Origin = "none"
 	OriginPeer Origin = "peer"
 	OriginLog  Origin = "log"
 )
 
-// NewNewest returns a Newest that knows no bundle. The anchors are those of New.
+// NewNewest returns a Newest without a bundle. The anchors are the same as for New.
 func NewNewest(anchors []bundle.Signer) *Newest {
 	return &Newest{anchors: anchors, origin: OriginNone}
 }
 
-// Bundle returns the newest bundle, or nil. It must not be changed.
+// Bundle returns the newest bundle, or nil. The caller must not modify it.
 func (n *Newest) Bundle() *bundle.Bundle {
 	return n.bundle
 }
 
-// Proof returns what a peer needs to take the bundle over.
+// Proof returns the proof by which a peer can adopt the bundle with Learn.
 func (n *Newest) Proof() bundle.Proof {
 	return n.proof
 }
 
-// Origin says where the bundle is from, and for OriginLog at which offset it was rolled.
+// Origin returns the source of the bundle and, for OriginLog, the offset of the record that
+// put it in force.
 func (n *Newest) Origin() (Origin, uint64) {
 	return n.origin, n.offset
 }
 
-// Learn takes a bundle over from a peer. It returns ErrOlder if the version is known or
-// older, and the reason if the proof does not hold.
+// Learn adopts the bundle that a peer proves. It returns ErrOlder if its version is not newer
+// than the tracked one, and another error if the proof is invalid or does not continue the
+// history of the tracked bundle.
 func (n *Newest) Learn(p bundle.Proof) error {
 	if p.Version() <= n.proof.Version() {
-		return fmt.Errorf("%w: version %d, %d is known", ErrOlder, p.Version(), n.proof.Version())
+		return fmt.Errorf("%w: version %d, already at %d", ErrOlder, p.Version(), n.proof.Version())
 	}
 	b, err := p.Verify(n.anchors)
 	if err != nil {
@@ -70,9 +72,9 @@
 	return nil
 }
 
-// Update takes over the release that replaced the version known, as a peer handed it over.
-// It returns an error that wraps bundle.ErrStep or bundle.ErrBase if another version is known;
-// the caller then asks for the whole proof, and calls Learn.
+// Update applies an update of a peer: the release that replaced the tracked version. It
+// returns an error that wraps bundle.ErrStep or bundle.ErrBase if the update is from another
+// version. The caller then requests the complete proof and passes it to Learn.
 func (n *Newest) Update(u bundle.Update) error {
 	next, err := u.Apply(n.Held(), n.anchors)
 	if err != nil {
@@ -82,14 +84,15 @@
 	return nil
 }
 
-// Held returns the bundle with its proof, to make an Update from.
+// Held returns the bundle with its proof, as bundle.NewUpdate needs them.
 func (n *Newest) Held() bundle.Held {
 	return bundle.Held{Proof: n.proof, Bundle: n.bundle}
 }
 
-// Follow takes the bundle of the log over, unless it is older than the one known. It reports
-// whether the bundle changed. Of two bundles with one version, which only a log that started
-// anew can bring about, that of the log stands: all instances then agree again.
+// Follow adopts the bundle in force by the log, unless it is older than the tracked one. It
+// reports whether the bundle changed. After the log was lost and started again, it may hold
+// another bundle of the same version. The bundle of the log then wins, so that all instances
+// agree again.
 func (n *Newest) Follow(s *State) bool {
 	if s.InForce == nil || s.InForce.Version < n.proof.Version() {
 		return false
@@ -111,9 +114,10 @@
 	n.offset = offset
 }
 
-// Missing returns the record, and the ID to append it with, that brings the bundle back into
-// a log which lost it. The state must be that of the end of the log, read after the bundle
-// was learned; otherwise the roll may simply not have been read yet.
+// Missing returns the record that restores the bundle in a log that has lost it, and the ID
+// to append the record with. The state must include all records up to an end of the log that
+// was read after the bundle was adopted. Otherwise the log may still hold the roll, beyond
+// what has been read.
 func (n *Newest) Missing(s *State) (r record.Record, id string, missing bool) {
 	if n.proof.Version() <= s.versionInForce() || n.proof.Extends(s.Proof, s.anchors) != nil {
 		return nil, "", false
