--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -89,7 +89,7 @@
 	// folded is the newest folded state of the log, or nil.
 	folded atomic.Pointer[fold.State]
 	// copied are the homes that another instance of the domain has read, or nil.
-	copied atomic.Pointer[[]fold.Taken]
+	copied atomic.Pointer[[]fold.DomainHomes]
 
 	events        chan event
 	sends         chan leader.Send
--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -12,20 +12,20 @@
 // order of their offsets, starting at Next. It may pass the entry before Next once more, to
 // detect that the log was replaced. If Apply adopts the state of a checkpoint, Next may
 // afterwards be lower than the offset of the entry; the reader then continues from Next.
-func (s *State) Apply(e record.Entry) Verdict {
+func (s *State) Apply(e record.Entry) Result {
 	d := digestOf(e)
 	switch {
-	case e.Offset+1 == s.Next && s.Next > s.Since && d != s.lastDigest:
-		return Changed{Offset: e.Offset}
+	case e.Offset+1 == s.Next && s.Next > s.StartOffset && d != s.lastDigest:
+		return LogReplaced{Offset: e.Offset}
 	case e.Offset < s.Next:
-		return Repeated{}
+		return Duplicate{}
 	case e.Offset > s.Next:
 		return s.applyAfterGap(e)
 	}
 	s.Next++
 	s.lastDigest = d
 	if s.recent.contains(d) {
-		return Repeated{}
+		return Duplicate{}
 	}
 	r, err := record.Decode(e.Data)
 	if err != nil {
@@ -37,7 +37,7 @@
 // applyRecord applies a record and remembers its digest if it was accepted. It does not
 // remember checkpoints and their marks: a reader that starts at a checkpoint does not see its
 // mark, and must encode the same state as all others.
-func (s *State) applyRecord(offset uint64, d digest, r record.Record) Verdict {
+func (s *State) applyRecord(offset uint64, d digest, r record.Record) Result {
 	switch r := r.(type) {
 	case record.CheckpointMarked:
 		return s.applyMark()
@@ -51,7 +51,7 @@
 	return v
 }
 
-func (s *State) applyKind(offset uint64, r record.Record) Verdict {
+func (s *State) applyKind(offset uint64, r record.Record) Result {
 	switch r := r.(type) {
 	case record.BundlePublished:
 		return s.applyPublished(offset, r)
@@ -78,22 +78,22 @@
 // a format number above ours. While instances of two releases run, an older one would skip a
 // record that newer ones apply, and its state would diverge without notice. So it notes the
 // first such record in Newer.
-func (s *State) rejectUnreadable(offset uint64, err error) Verdict {
+func (s *State) rejectUnreadable(offset uint64, err error) Result {
 	if !errors.Is(err, record.ErrNewerFormat) && !errors.Is(err, bundle.ErrNewerFormat) {
 		return reject(offset, CauseMalformed, "%v", err)
 	}
-	if s.Newer == nil {
-		s.Newer = &Newer{Offset: offset, Reason: err.Error()}
+	if s.NewerRecord == nil {
+		s.NewerRecord = &NewerRecord{Offset: offset, Reason: err.Error()}
 	}
 	return reject(offset, CauseNewerRelease, "%v", err)
 }
 
-func reject(offset uint64, cause Cause, format string, args ...any) Refused {
-	return Refused{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
+func reject(offset uint64, cause Cause, format string, args ...any) Rejected {
+	return Rejected{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
 // rejectForWinner is like reject for a record that conflicts with an earlier record w.
-func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
+func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Rejected {
 	r := reject(offset, cause, format, args...)
 	r.Reason = fmt.Sprintf("%s: conflicts with %s", r.Reason, w)
 	r.Winner = w
--- a/internal/fold/checkpoint.go
+++ b/internal/fold/checkpoint.go
@@ -18,7 +18,7 @@
 }
 
 // applyMark keeps a copy of the state. Apply has already advanced Next past the mark.
-func (s *State) applyMark() Verdict {
+func (s *State) applyMark() Result {
 	s.marks = append(s.marks, mark{state: s.clone()})
 	if len(s.marks) > maxMarks {
 		s.marks = s.marks[1:]
@@ -28,7 +28,7 @@
 
 // applyAfterGap handles an entry above Next: records in between are missing. It adopts the
 // state of a checkpoint that includes more records than s, and returns Gap otherwise.
-func (s *State) applyAfterGap(e record.Entry) Verdict {
+func (s *State) applyAfterGap(e record.Entry) Result {
 	gap := Gap{Next: s.Next, Offset: e.Offset}
 	r, err := record.Decode(e.Data)
 	if err != nil {
@@ -47,7 +47,7 @@
 
 // adopt replaces s by the state of a checkpoint. Next is then that of the checkpoint, below
 // the offset of its entry, so the reader reads the records in between again.
-func (s *State) adopt(restored *State) Verdict {
+func (s *State) adopt(restored *State) Result {
 	*s = *restored
 	return Accepted{}
 }
@@ -58,22 +58,22 @@
 // or a different release. The checkpoint is then rejected, with two exceptions. This reader
 // adopts it if the writer's history starts earlier than its own, or if this reader met a
 // record before the mark that it could not read.
-func (s *State) applyCheckpoint(offset uint64, r record.Checkpoint) Verdict {
+func (s *State) applyCheckpoint(offset uint64, r record.Checkpoint) Result {
 	if r.Next > offset {
 		return reject(offset, CauseMalformed, "checkpoint for offset %d is at offset %d", r.Next, offset)
 	}
 	restored, err := Restore(r.State, s.anchors)
 	switch {
 	case errors.Is(err, ErrNewerRelease):
-		if s.Newer == nil {
-			s.Newer = &Newer{Offset: offset, Reason: err.Error()}
+		if s.NewerRecord == nil {
+			s.NewerRecord = &NewerRecord{Offset: offset, Reason: err.Error()}
 		}
 		return reject(offset, CauseNewerRelease, "%v", err)
 	case err != nil:
 		return reject(offset, CauseCheckpoint, "%v", err)
 	case restored.Next != r.Next:
 		return reject(offset, CauseMalformed, "checkpoint for offset %d holds the state for offset %d", r.Next, restored.Next)
-	case s.Newer != nil && r.Next > s.Newer.Offset:
+	case s.NewerRecord != nil && r.Next > s.NewerRecord.Offset:
 		return s.adopt(restored)
 	}
 	marked := s.markAt(r.Next)
@@ -87,7 +87,7 @@
 	switch {
 	case bytes.Equal(data, r.State):
 		return Accepted{}
-	case restored.Since < marked.Since:
+	case restored.StartOffset < marked.StartOffset:
 		return s.adopt(restored)
 	default:
 		return reject(offset, CauseCheckpoint, "checkpoint for offset %d differs from the state of this instance", r.Next)
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -38,7 +38,7 @@
 	Candidates    []Candidate     `json:"candidates"`
 	Terms         []encodedTerm   `json:"terms"`
 	Assigned      []encodedDomain `json:"assigned"`
-	Homes         []Taken         `json:"homes"`
+	Homes         []DomainHomes   `json:"homes"`
 	Memory        []digest        `json:"memory"`
 }
 
@@ -48,8 +48,8 @@
 }
 
 type encodedDomain struct {
-	Domain  string     `json:"domain"`
-	Servers []Assigned `json:"servers"`
+	Domain  string               `json:"domain"`
+	Servers []RecordedAssignment `json:"servers"`
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -72,20 +72,20 @@
 // same records have equal encodings, byte for byte. It returns ErrNewerRelease if Newer is
 // set.
 func (s *State) Encode() ([]byte, error) {
-	if s.Newer != nil {
-		return nil, fmt.Errorf("%w: record at offset %d: %s", ErrNewerRelease, s.Newer.Offset, s.Newer.Reason)
+	if s.NewerRecord != nil {
+		return nil, fmt.Errorf("%w: record at offset %d: %s", ErrNewerRelease, s.NewerRecord.Offset, s.NewerRecord.Reason)
 	}
 	e := encodedState{
 		Format:        encodingFormat,
 		Next:          s.Next,
-		Since:         s.Since,
+		Since:         s.StartOffset,
 		Last:          s.lastDigest,
 		Proof:         s.Proof,
 		InForceOffset: s.InForceOffset,
 		Head:          s.Head,
 		Candidates:    slices.Concat(s.Candidates),
 		Terms:         encodeTerms(s.Terms),
-		Assigned:      encodeAssigned(s.Assigned),
+		Assigned:      encodeAssigned(s.Assignments),
 		Homes:         s.Homes,
 		Memory:        s.recent.list(),
 	}
@@ -100,7 +100,7 @@
 	return list
 }
 
-func encodeAssigned(assigned map[string]map[string]Assigned) []encodedDomain {
+func encodeAssigned(assigned map[string]map[string]RecordedAssignment) []encodedDomain {
 	var list []encodedDomain
 	for _, domain := range slices.Sorted(maps.Keys(assigned)) {
 		d := encodedDomain{Domain: domain}
@@ -137,11 +137,11 @@
 		s.Terms[t.Domain] = t.Term
 	}
 	for _, d := range e.Assigned {
-		byServer := make(map[string]Assigned, len(d.Servers))
+		byServer := make(map[string]RecordedAssignment, len(d.Servers))
 		for _, a := range d.Servers {
 			byServer[a.Assignment.Server] = a
 		}
-		s.Assigned[d.Domain] = byServer
+		s.Assignments[d.Domain] = byServer
 	}
 	s.Homes = e.Homes
 	for _, d := range e.Memory {
@@ -207,22 +207,22 @@
 	return nil
 }
 
-// Mark returns a record that announces a checkpoint by an instance. It returns
+// NewMark returns a record that announces a checkpoint by an instance. It returns
 // ErrNewerRelease if MayLead is false.
-func (s *State) Mark(instance string) (record.Record, error) {
+func (s *State) NewMark(instance string) (record.Record, error) {
 	if !s.MayLead() {
-		return nil, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.Newer.Offset)
+		return nil, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.NewerRecord.Offset)
 	}
 	return record.CheckpointMarked{Instance: instance}, nil
 }
 
-// Checkpoint returns the checkpoint for the newest mark that was applied.
-func (s *State) Checkpoint() (record.Checkpoint, error) {
+// NewCheckpoint returns the checkpoint for the newest mark that was applied.
+func (s *State) NewCheckpoint() (record.Checkpoint, error) {
 	if len(s.marks) == 0 {
 		return record.Checkpoint{}, fmt.Errorf("%w: no mark was applied", ErrMalformedCheckpoint)
 	}
 	if !s.MayLead() {
-		return record.Checkpoint{}, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.Newer.Offset)
+		return record.Checkpoint{}, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.NewerRecord.Offset)
 	}
 	m := s.marks[len(s.marks)-1]
 	data, err := m.state.Encode()
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -9,8 +9,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Taken is the set of ranges of one divided service whose home is one failure domain.
-type Taken struct {
+// DomainHomes is the set of ranges of one divided service whose home is one failure domain.
+type DomainHomes struct {
 	Service string       `json:"service"`
 	Domain  string       `json:"domain"`
 	Ranges  []keys.Range `json:"ranges"`
@@ -23,20 +23,20 @@
 	Notice uint64 `json:"notice,omitempty"`
 }
 
-// TakenBy returns the entry of a domain and a service in homes. If there is none, it returns
+// FindHomes returns the entry of a domain and a service in homes. If there is none, it returns
 // an entry without ranges.
-func TakenBy(homes []Taken, service, domain string) Taken {
+func FindHomes(homes []DomainHomes, service, domain string) DomainHomes {
 	for _, t := range homes {
 		if t.Service == service && t.Domain == domain {
 			return t
 		}
 	}
-	return Taken{Service: service, Domain: domain}
+	return DomainHomes{Service: service, Domain: domain}
 }
 
 // HomesBase returns the offset plus one of the record that last changed the homes of a
 // domain, or zero if there is none. The next record about them must have it as its Base.
-func HomesBase(homes []Taken, domain string) uint64 {
+func HomesBase(homes []DomainHomes, domain string) uint64 {
 	var base uint64
 	for _, t := range homes {
 		if t.Domain == domain {
@@ -53,7 +53,7 @@
 // A statement is rejected unless its Base is the newest change of the domain's homes. A
 // former leader may have released a range in a statement that arrives late, after its
 // successor has stated the range again and serves it.
-func (s *State) applyHomesTaken(offset uint64, r record.HomesTaken) Verdict {
+func (s *State) applyHomesTaken(offset uint64, r record.HomesTaken) Result {
 	if r.Domain == "" {
 		return reject(offset, CauseMalformed, "statement of homes has no domain")
 	}
@@ -68,7 +68,7 @@
 	}
 	for _, h := range r.Services {
 		free := keys.Subtract(h.Ranges, s.rangesOfOthers(h.Service, r.Domain))
-		s.putHomes(Taken{Service: h.Service, Domain: r.Domain, Ranges: free, Offset: offset})
+		s.putHomes(DomainHomes{Service: h.Service, Domain: r.Domain, Ranges: free, Offset: offset})
 	}
 	return Accepted{}
 }
@@ -88,8 +88,8 @@
 // The leader of the evicted domain renews grants of such a service only for a bounded time
 // after its last read of the log. A domain that takes the ranges must therefore wait for that
 // time after it has read the second record.
-func (s *State) applyHomesEvicted(offset uint64, r record.HomesEvicted) Verdict {
-	current := TakenBy(s.Homes, r.Service, r.Domain)
+func (s *State) applyHomesEvicted(offset uint64, r record.HomesEvicted) Result {
+	current := FindHomes(s.Homes, r.Service, r.Domain)
 	if len(current.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
 		return reject(offset, CauseSuperseded, "homes of domain %q in service %q have changed since", r.Domain, r.Service)
 	}
@@ -104,7 +104,7 @@
 	case r.Notice != current.Notice:
 		return reject(offset, CauseOutOfOrder, "eviction of domain %q from service %q names a notice that is not pending", r.Domain, r.Service)
 	default:
-		updated = Taken{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
+		updated = DomainHomes{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
 	}
 	s.putHomes(updated)
 	return Accepted{}
@@ -121,14 +121,14 @@
 // a domain to state that it is lost for good. Homes of a service that was removed stay,
 // because a domain that has not received the bundle yet still serves it.
 func (s *State) pruneHomes() {
-	s.Homes = slices.DeleteFunc(slices.Clone(s.Homes), func(t Taken) bool {
+	s.Homes = slices.DeleteFunc(slices.Clone(s.Homes), func(t DomainHomes) bool {
 		return !hasDomain(s.InForce, t.Domain)
 	})
 }
 
 // putHomes inserts or replaces an entry. It does so in a copy, because snapshots share the
 // slice.
-func (s *State) putHomes(t Taken) {
+func (s *State) putHomes(t DomainHomes) {
 	homes := slices.Clone(s.Homes)
 	i, found := slices.BinarySearchFunc(homes, t, compareHomes)
 	if found {
@@ -139,6 +139,6 @@
 	s.Homes = homes
 }
 
-func compareHomes(a, b Taken) int {
+func compareHomes(a, b DomainHomes) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Domain, b.Domain))
 }
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -14,7 +14,7 @@
 // can exhaust the 64-bit term numbers.
 const maxFloorStep = math.MaxUint32
 
-func (s *State) applyTermClaimed(offset uint64, r record.TermClaimed) Verdict {
+func (s *State) applyTermClaimed(offset uint64, r record.TermClaimed) Result {
 	if r.Domain == "" || r.Instance == "" {
 		return reject(offset, CauseMalformed, "term claim without domain or instance")
 	}
@@ -39,12 +39,12 @@
 
 // rejectClaim returns the result for a claim that does not follow the newest term t. It is a
 // duplicate if t is what the claim itself would have brought about.
-func rejectClaim(offset uint64, r record.TermClaimed, t Term) Verdict {
+func rejectClaim(offset uint64, r record.TermClaimed, t Term) Result {
 	if r.Follows > t.Log {
 		return reject(offset, CauseOutOfOrder, "claim for domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
 	}
 	if t.Instance == r.Instance && t.Incarnation == r.Incarnation && t.Log == max(r.Follows, r.Floor)+1 {
-		return Repeated{}
+		return Duplicate{}
 	}
 	w := Winner{Term: t.Log, Instance: t.Instance, Offset: t.Offset}
 	return rejectForWinner(offset, CauseLostRace, w, "claim for domain %q follows term %d", r.Domain, r.Follows)
@@ -56,7 +56,7 @@
 
 // applyAssignmentMade records those assignments of the batch whose epoch is higher than the
 // recorded one of their server. The batch is accepted if at least one of them is recorded.
-func (s *State) applyAssignmentMade(offset uint64, r record.AssignmentMade) Verdict {
+func (s *State) applyAssignmentMade(offset uint64, r record.AssignmentMade) Result {
 	if rejected := s.checkAssignments(offset, r); rejected != nil {
 		return rejected
 	}
@@ -64,7 +64,7 @@
 	for _, a := range r.Assignments {
 		switch s.compareAssignment(r, a) {
 		case 1:
-			recorded := Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
+			recorded := RecordedAssignment{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
 			s.writableAssignments(r.Domain)[a.Server] = recorded
 			applied++
 		case 0:
@@ -75,7 +75,7 @@
 	case applied > 0:
 		return Accepted{}
 	case repeated == len(r.Assignments):
-		return Repeated{}
+		return Duplicate{}
 	default:
 		return reject(offset, CauseSuperseded, "servers have assignments of the same or a higher epoch, or are not in the bundle in force")
 	}
@@ -83,7 +83,7 @@
 
 // checkAssignments returns the rejection of a batch that is malformed or names an unknown
 // domain, or nil.
-func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Verdict {
+func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Result {
 	if r.Domain == "" || r.Service == "" || len(r.Assignments) == 0 {
 		return reject(offset, CauseMalformed, "assignment without domain, service or servers")
 	}
@@ -103,7 +103,7 @@
 // the bundle in force counts as superseded: its assignment was dropped with the server, and a
 // late record must not restore it.
 func (s *State) compareAssignment(r record.AssignmentMade, a record.Assignment) int {
-	current, known := s.Assigned[r.Domain][a.Server]
+	current, known := s.Assignments[r.Domain][a.Server]
 	if !known {
 		if s.InForce != nil && !s.servers[a.Server] {
 			return -1
@@ -135,14 +135,14 @@
 	if replaced == nil {
 		return
 	}
-	for _, domain := range slices.Sorted(maps.Keys(s.Assigned)) {
-		for server := range s.Assigned[domain] {
+	for _, domain := range slices.Sorted(maps.Keys(s.Assignments)) {
+		for server := range s.Assignments[domain] {
 			if !replaced[server] && !s.servers[server] {
 				delete(s.writableAssignments(domain), server)
 			}
 		}
-		if len(s.Assigned[domain]) == 0 {
-			delete(s.Assigned, domain)
+		if len(s.Assignments[domain]) == 0 {
+			delete(s.Assignments, domain)
 		}
 	}
 }
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -44,7 +44,7 @@
 
 // applyPublished verifies the signature first, so that nobody but a publisher can make the
 // instances parse a bundle.
-func (s *State) applyPublished(offset uint64, r record.BundlePublished) Verdict {
+func (s *State) applyPublished(offset uint64, r record.BundlePublished) Result {
 	st := r.Signed.Statement
 	if _, err := st.Verify(s.signers()); err != nil {
 		return reject(offset, CauseSignature, "%v", err)
@@ -78,16 +78,16 @@
 	if len(r.Signed.Canonical) > 0 {
 		return bundle.Signed{}, nil, bundle.ErrDelta
 	}
-	base, hash := s.Base(r.Delta.BaseHash)
+	base, hash := s.BundleByHash(r.Delta.BaseHash)
 	if base == nil {
 		return bundle.Signed{}, nil, bundle.ErrBase
 	}
 	return r.Delta.Open(base, hash, r.Signed.Statement)
 }
 
-// Base returns the bundle in force or the candidate that has a hash, as the base of a delta.
+// BundleByHash returns the bundle in force or the candidate that has a hash, as the base of a delta.
 // It returns the hash with it, and nil if there is none.
-func (s *State) Base(hash []byte) (*bundle.Bundle, []byte) {
+func (s *State) BundleByHash(hash []byte) (*bundle.Bundle, []byte) {
 	if s.InForce != nil && bytes.Equal(s.InForceSigned.Statement.Hash, hash) {
 		return s.InForce, hash
 	}
@@ -101,15 +101,15 @@
 
 // rejectPublished returns the result for a published version that is not newer than Head. It
 // is a duplicate if the same signer published the same bundle.
-func (s *State) rejectPublished(offset uint64, st bundle.Statement) Verdict {
+func (s *State) rejectPublished(offset uint64, st bundle.Statement) Result {
 	if c := s.candidate(st.Version); c != nil {
 		if c.Signed.Statement.SameBundle(st) && c.Signed.Statement.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Signed.Statement, c.Offset), "version %d was published earlier", st.Version)
 	}
 	if st.SameBundle(s.Proof.Signed.Statement) && st.Signer == s.Proof.Signed.Statement.Signer {
-		return Repeated{}
+		return Duplicate{}
 	}
 	if s.versionInForce() >= st.Version {
 		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
@@ -127,7 +127,7 @@
 
 // applyApproved accepts the first approval of a candidate, provided that the approver is not
 // its publisher.
-func (s *State) applyApproved(offset uint64, st bundle.Statement) Verdict {
+func (s *State) applyApproved(offset uint64, st bundle.Statement) Result {
 	c, result := s.findCandidate(offset, st)
 	if result != nil {
 		return result
@@ -149,7 +149,7 @@
 	}
 	if c.Approved() {
 		if c.Approval.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Approval, c.ApprovalOffset), "version %d has an earlier approval by another signer", st.Version)
 	}
@@ -162,7 +162,7 @@
 
 // findCandidate returns the candidate that a statement is about, or the result if there is
 // none.
-func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Verdict) {
+func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Result) {
 	if st.Version <= s.versionInForce() {
 		return nil, s.rejectNotNewer(offset, st)
 	}
@@ -180,10 +180,10 @@
 // rejectNotNewer returns the result for a statement about a version that is not newer than
 // the one in force. It is a duplicate if it is one of the statements that put the bundle in
 // force.
-func (s *State) rejectNotNewer(offset uint64, st bundle.Statement) Verdict {
+func (s *State) rejectNotNewer(offset uint64, st bundle.Statement) Result {
 	for _, applied := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
 		if bytes.Equal(applied.Text(), st.Text()) && bytes.Equal(applied.Signature, st.Signature) {
-			return Repeated{}
+			return Duplicate{}
 		}
 	}
 	return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
@@ -191,7 +191,7 @@
 
 // applyRolled puts an approved candidate in force, provided that the version that the roll
 // replaces is in force.
-func (s *State) applyRolled(offset uint64, st bundle.Statement) Verdict {
+func (s *State) applyRolled(offset uint64, st bundle.Statement) Result {
 	c, result := s.findCandidate(offset, st)
 	if result != nil {
 		return result
@@ -215,16 +215,16 @@
 
 // applyProven puts in force a bundle that is in force at an instance, after the log has lost
 // its records.
-func (s *State) applyProven(offset uint64, p bundle.Proof) Verdict {
+func (s *State) applyProven(offset uint64, p bundle.Proof) Result {
 	if !s.Proof.IsZero() && p.Version() <= s.versionInForce() {
 		if p.Signed.Statement.SameBundle(s.Proof.Signed.Statement) {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
 	}
 	b, err := p.Verify(s.anchors)
 	if err != nil {
-		if r, ok := s.rejectUnreadable(offset, err).(Refused); ok && r.Cause == CauseNewerRelease {
+		if r, ok := s.rejectUnreadable(offset, err).(Rejected); ok && r.Cause == CauseNewerRelease {
 			return r
 		}
 		return reject(offset, CauseSignature, "%v", err)
--- a/internal/fold/result.go
+++ b/internal/fold/result.go
@@ -6,20 +6,20 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Verdict is the result of State.Apply for one record: Accepted, Repeated, Refused, Gap or
+// Result is the result of State.Apply for one record: Accepted, Repeated, Refused, Gap or
 // Changed. Only types of this package implement it.
-type Verdict interface {
+type Result interface {
 	isVerdict()
 }
 
 // Accepted means that the record took effect.
 type Accepted struct{}
 
-// Repeated means that the record, or another one with the same effect, was applied before.
-type Repeated struct{}
+// Duplicate means that the record, or another one with the same effect, was applied before.
+type Duplicate struct{}
 
-// Refused means that the record is rejected and has no effect.
-type Refused struct {
+// Rejected means that the record is rejected and has no effect.
+type Rejected struct {
 	Offset uint64
 	Cause  Cause
 	// Reason is an explanation for operators. It describes Winner if that is set.
@@ -36,10 +36,10 @@
 	Offset uint64
 }
 
-// Changed means that the entry before Next differs from the one that was applied there: the
+// LogReplaced means that the entry before Next differs from the one that was applied there: the
 // log was replaced by a new one. The state is unchanged. The reader starts again with a state
 // of New and reads the new log from its start.
-type Changed struct {
+type LogReplaced struct {
 	Offset uint64
 }
 
@@ -95,8 +95,8 @@
 	return Winner{Version: s.Version, Hash: s.Hash, Signer: s.Signer, Offset: offset}
 }
 
-func (Accepted) isVerdict() {}
-func (Repeated) isVerdict() {}
-func (Refused) isVerdict()  {}
-func (Gap) isVerdict()      {}
-func (Changed) isVerdict()  {}
+func (Accepted) isVerdict()    {}
+func (Duplicate) isVerdict()   {}
+func (Rejected) isVerdict()    {}
+func (Gap) isVerdict()         {}
+func (LogReplaced) isVerdict() {}
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -15,10 +15,10 @@
 type State struct {
 	// Next is the offset of the next record to apply.
 	Next uint64
-	// Since is the offset of the first record that was applied, without a gap from there to
+	// StartOffset is the offset of the first record that was applied, without a gap from there to
 	// Next. It is zero for a state that includes the whole log. A state that was restored from
 	// a checkpoint has that of the checkpoint.
-	Since uint64
+	StartOffset uint64
 	// InForce is the bundle in force, or nil.
 	InForce *bundle.Bundle
 	// InForceSigned is the signed form of InForce, for sending to peers.
@@ -35,15 +35,15 @@
 	Candidates []Candidate
 	// Terms maps each failure domain to its newest log term.
 	Terms map[string]Term
-	// Assigned maps each failure domain and server to the newest recorded assignment.
-	Assigned map[string]map[string]Assigned
+	// Assignments maps each failure domain and server to the newest recorded assignment.
+	Assignments map[string]map[string]RecordedAssignment
 	// Homes holds the ranges that each failure domain has of each divided service, sorted by
 	// service and domain. The ranges of one service are disjoint. The slice is copied before
 	// each change, because snapshots share it.
-	Homes []Taken
-	// Newer is the first record that only a newer release can read, or nil. If it is set, the
+	Homes []DomainHomes
+	// NewerRecord is the first record that only a newer release can read, or nil. If it is set, the
 	// state may be wrong, and the instance writes no checkpoint and claims no term.
-	Newer *Newer
+	NewerRecord *NewerRecord
 
 	anchors []bundle.Signer
 	// servers is the set of server names in InForce.
@@ -86,8 +86,8 @@
 	Offset uint64 `json:"offset"`
 }
 
-// Assigned is an assignment that was accepted from the log.
-type Assigned struct {
+// RecordedAssignment is an assignment that was accepted from the log.
+type RecordedAssignment struct {
 	Service    string            `json:"service"`
 	Assignment record.Assignment `json:"assignment"`
 	// Offset is the offset of the record, which confirms that the assignment is in the log.
@@ -96,8 +96,8 @@
 	Provisional bool `json:"provisional,omitempty"`
 }
 
-// Newer describes a record that only a newer release can read.
-type Newer struct {
+// NewerRecord describes a record that only a newer release can read.
+type NewerRecord struct {
 	Offset uint64
 	// Reason is the text of the decoding error.
 	Reason string
@@ -114,12 +114,12 @@
 // no checkpoint. It is replaced when a reader with a longer history writes a checkpoint.
 func NewAt(anchors []bundle.Signer, start uint64) *State {
 	return &State{
-		Next:     start,
-		Since:    start,
-		Terms:    make(map[string]Term),
-		Assigned: make(map[string]map[string]Assigned),
-		anchors:  anchors,
-		shared:   make(map[string]bool),
+		Next:        start,
+		StartOffset: start,
+		Terms:       make(map[string]Term),
+		Assignments: make(map[string]map[string]RecordedAssignment),
+		anchors:     anchors,
+		shared:      make(map[string]bool),
 	}
 }
 
@@ -127,7 +127,7 @@
 // state. It may not after a record of a newer release, which may have changed the meaning of
 // terms.
 func (s *State) MayLead() bool {
-	return s.Newer == nil
+	return s.NewerRecord == nil
 }
 
 // Snapshot returns a copy that later calls of Apply do not change. Its cost grows with the
@@ -136,12 +136,12 @@
 func (s *State) Snapshot() *State {
 	view := *s
 	view.Terms = maps.Clone(s.Terms)
-	view.Assigned = maps.Clone(s.Assigned)
+	view.Assignments = maps.Clone(s.Assignments)
 	view.Candidates = s.Candidates[:len(s.Candidates):len(s.Candidates)]
 	view.recent = recentDigests{}
 	view.marks = nil
 	view.shared = nil
-	for domain := range s.Assigned {
+	for domain := range s.Assignments {
 		s.shared[domain] = true
 	}
 	return &view
@@ -152,7 +152,7 @@
 	c := s.Snapshot()
 	c.recent = s.recent.clone()
 	c.shared = make(map[string]bool)
-	for domain := range c.Assigned {
+	for domain := range c.Assignments {
 		c.shared[domain] = true
 	}
 	return c
@@ -160,15 +160,15 @@
 
 // writableAssignments returns the assignments of a domain by server, for changes in place.
 // It creates the map, or copies one that is shared with a snapshot.
-func (s *State) writableAssignments(domain string) map[string]Assigned {
-	byServer := s.Assigned[domain]
+func (s *State) writableAssignments(domain string) map[string]RecordedAssignment {
+	byServer := s.Assignments[domain]
 	switch {
 	case byServer == nil:
-		byServer = make(map[string]Assigned)
+		byServer = make(map[string]RecordedAssignment)
 	case s.shared[domain]:
 		byServer = maps.Clone(byServer)
 	}
-	s.Assigned[domain] = byServer
+	s.Assignments[domain] = byServer
 	s.shared[domain] = false
 	return byServer
 }
--- a/internal/fold/tracker.go
+++ b/internal/fold/tracker.go
@@ -8,14 +8,14 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// ErrOlder is returned for a proof of a version that is not newer than the tracked one.
-var ErrOlder = errors.New("fold: bundle is not newer")
+// ErrNotNewer is returned for a proof of a version that is not newer than the tracked one.
+var ErrNotNewer = errors.New("fold: bundle is not newer")
 
-// Newest tracks the newest bundle that one instance knows, from the log or from peers. Its
+// BundleTracker tracks the newest bundle that one instance knows, from the log or from peers. Its
 // version never decreases, even if the log is lost. Bundles of peers are accepted only by
 // their signatures. It is separate from State, because State must depend on the records only.
 // It is not safe for concurrent use.
-type Newest struct {
+type BundleTracker struct {
 	anchors []bundle.Signer
 	proof   bundle.Proof
 	bundle  *bundle.Bundle
@@ -33,33 +33,33 @@
 	OriginLog  Origin = "log"
 )
 
-// NewNewest returns a Newest without a bundle. The anchors are the same as for New.
-func NewNewest(anchors []bundle.Signer) *Newest {
-	return &Newest{anchors: anchors, origin: OriginNone}
+// NewBundleTracker returns a Newest without a bundle. The anchors are the same as for New.
+func NewBundleTracker(anchors []bundle.Signer) *BundleTracker {
+	return &BundleTracker{anchors: anchors, origin: OriginNone}
 }
 
 // Bundle returns the newest bundle, or nil. The caller must not modify it.
-func (n *Newest) Bundle() *bundle.Bundle {
+func (n *BundleTracker) Bundle() *bundle.Bundle {
 	return n.bundle
 }
 
 // Proof returns the proof by which a peer can adopt the bundle with Learn.
-func (n *Newest) Proof() bundle.Proof {
+func (n *BundleTracker) Proof() bundle.Proof {
 	return n.proof
 }
 
 // Origin returns the source of the bundle and, for OriginLog, the offset of the record that
 // put it in force.
-func (n *Newest) Origin() (Origin, uint64) {
+func (n *BundleTracker) Origin() (Origin, uint64) {
 	return n.origin, n.offset
 }
 
-// Learn adopts the bundle that a peer proves. It returns ErrOlder if its version is not newer
+// AdoptProof adopts the bundle that a peer proves. It returns ErrOlder if its version is not newer
 // than the tracked one, and another error if the proof is invalid or does not continue the
 // history of the tracked bundle.
-func (n *Newest) Learn(p bundle.Proof) error {
+func (n *BundleTracker) AdoptProof(p bundle.Proof) error {
 	if p.Version() <= n.proof.Version() {
-		return fmt.Errorf("%w: version %d, already at %d", ErrOlder, p.Version(), n.proof.Version())
+		return fmt.Errorf("%w: version %d, already at %d", ErrNotNewer, p.Version(), n.proof.Version())
 	}
 	b, err := p.Verify(n.anchors)
 	if err != nil {
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// Update applies an update of a peer: the release that replaced the tracked version. It
+// ApplyUpdate applies an update of a peer: the release that replaced the tracked version. It
 // returns an error that wraps bundle.ErrStep or bundle.ErrBase if the update is from another
 // version. The caller then requests the complete proof and passes it to Learn.
-func (n *Newest) Update(u bundle.Update) error {
+func (n *BundleTracker) ApplyUpdate(u bundle.Update) error {
 	next, err := u.Apply(n.Held(), n.anchors)
 	if err != nil {
 		return err
@@ -85,15 +85,15 @@
 }
 
 // Held returns the bundle with its proof, as bundle.NewUpdate needs them.
-func (n *Newest) Held() bundle.Held {
+func (n *BundleTracker) Held() bundle.Held {
 	return bundle.Held{Proof: n.proof, Bundle: n.bundle}
 }
 
-// Follow adopts the bundle in force by the log, unless it is older than the tracked one. It
+// AdoptFromLog adopts the bundle in force by the log, unless it is older than the tracked one. It
 // reports whether the bundle changed. After the log was lost and started again, it may hold
 // another bundle of the same version. The bundle of the log then wins, so that all instances
 // agree again.
-func (n *Newest) Follow(s *State) bool {
+func (n *BundleTracker) AdoptFromLog(s *State) bool {
 	if s.InForce == nil || s.InForce.Version < n.proof.Version() {
 		return false
 	}
@@ -107,18 +107,18 @@
 	return true
 }
 
-func (n *Newest) set(p bundle.Proof, b *bundle.Bundle, origin Origin, offset uint64) {
+func (n *BundleTracker) set(p bundle.Proof, b *bundle.Bundle, origin Origin, offset uint64) {
 	n.proof = p
 	n.bundle = b
 	n.origin = origin
 	n.offset = offset
 }
 
-// Missing returns the record that restores the bundle in a log that has lost it, and the ID
+// MissingRecord returns the record that restores the bundle in a log that has lost it, and the ID
 // to append the record with. The state must include all records up to an end of the log that
 // was read after the bundle was adopted. Otherwise the log may still hold the roll, beyond
 // what has been read.
-func (n *Newest) Missing(s *State) (r record.Record, id string, missing bool) {
+func (n *BundleTracker) MissingRecord(s *State) (r record.Record, id string, missing bool) {
 	if n.proof.Version() <= s.versionInForce() || n.proof.Extends(s.Proof, s.anchors) != nil {
 		return nil, "", false
 	}
--- a/internal/fold/tracker_property_test.go
+++ b/internal/fold/tracker_property_test.go
@@ -22,7 +22,7 @@
 // testInstance is one instance.
 type testInstance struct {
 	state   *State
-	tracker *Newest
+	tracker *BundleTracker
 	// highest is the highest version that the instance served.
 	highest uint64
 }
@@ -30,7 +30,7 @@
 func newCluster(t *rapid.T) *cluster {
 	f := &cluster{t: t}
 	for range 3 {
-		f.instances = append(f.instances, &testInstance{state: New(testSigners()), tracker: NewNewest(testSigners())})
+		f.instances = append(f.instances, &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())})
 	}
 	return f
 }
@@ -49,13 +49,13 @@
 		last = 0
 	}
 	for i := last; i < length && n > 0; i++ {
-		if _, changed := r.state.Apply(f.log.entries[i]).(Changed); changed {
+		if _, changed := r.state.Apply(f.log.entries[i]).(LogReplaced); changed {
 			r.state = New(testSigners())
 			return
 		}
 		n--
 	}
-	r.tracker.Follow(r.state)
+	r.tracker.AdoptFromLog(r.state)
 	f.check(r)
 }
 
@@ -79,12 +79,12 @@
 func (f *cluster) exchange() {
 	from, to := f.drawInstance(), f.drawInstance()
 	u, err := bundle.NewUpdate(to.tracker.Held(), from.tracker.Held())
-	if err == nil && to.tracker.Update(u) == nil {
+	if err == nil && to.tracker.ApplyUpdate(u) == nil {
 		f.check(to)
 		return
 	}
-	err = to.tracker.Learn(from.tracker.Proof())
-	if err != nil && !errors.Is(err, ErrOlder) && !errors.Is(err, bundle.ErrFork) {
+	err = to.tracker.AdoptProof(from.tracker.Proof())
+	if err != nil && !errors.Is(err, ErrNotNewer) && !errors.Is(err, bundle.ErrFork) {
 		f.t.Fatal(err)
 	}
 	f.check(to)
@@ -96,14 +96,14 @@
 	if r.state.Next != uint64(len(f.log.entries)) {
 		return
 	}
-	if missing, id, found := r.tracker.Missing(r.state); found {
+	if missing, id, found := r.tracker.MissingRecord(r.state); found {
 		f.log.add(id, missing)
 	}
 }
 
 func (f *cluster) replaceInstance() {
 	i := rapid.IntRange(0, len(f.instances)-1).Draw(f.t, "replaced")
-	f.instances[i] = &testInstance{state: New(testSigners()), tracker: NewNewest(testSigners())}
+	f.instances[i] = &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())}
 }
 
 // The log is lost and starts anew, instances are replaced, peers hand bundles on, and
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -18,7 +18,7 @@
 
 	bundle *bundle.Bundle
 	state  *fold.State
-	homes  []fold.Taken
+	homes  []fold.DomainHomes
 	// known says that homes were read or copied; before, nothing may be served.
 	known bool
 	held  *Held
@@ -118,8 +118,8 @@
 	}
 }
 
-func (c *Core) takenBy(service, domain string) fold.Taken {
-	return fold.TakenBy(c.homes, service, domain)
+func (c *Core) takenBy(service, domain string) fold.DomainHomes {
+	return fold.FindHomes(c.homes, service, domain)
 }
 
 // base is what the next statement of this domain is based on.
@@ -196,7 +196,7 @@
 		return nil
 	}
 	var all []keys.Range
-	for _, a := range c.state.Assigned[c.config.Domain] {
+	for _, a := range c.state.Assignments[c.config.Domain] {
 		if a.Service == service {
 			all = append(all, a.Assignment.Ranges...)
 		}
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -34,7 +34,7 @@
 // Copied is what another instance of the domain has read. It counts only until this one has
 // read the log itself.
 type Copied struct {
-	Homes []fold.Taken
+	Homes []fold.DomainHomes
 }
 
 // Domains says which other failure domains answered a heartbeat lately.
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -50,7 +50,7 @@
 	read     bool
 	away     bool
 	term     fold.Term
-	assigned map[string]fold.Assigned
+	assigned map[string]fold.RecordedAssignment
 }
 
 // peer is another instance of the domain.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -72,7 +72,7 @@
 type Folded struct {
 	ReadAt   Time
 	Term     fold.Term
-	Assigned map[string]fold.Assigned
+	Assigned map[string]fold.RecordedAssignment
 }
 
 // LogFailed says that the log could not be read or written just now.
