--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -44,11 +44,11 @@
 	case record.Checkpoint:
 		return s.applyCheckpoint(offset, r)
 	}
-	v := s.applyKind(offset, r)
-	if _, accepted := v.(Accepted); accepted {
+	result := s.applyKind(offset, r)
+	if _, accepted := result.(Accepted); accepted {
 		s.recent.add(d)
 	}
-	return v
+	return result
 }
 
 func (s *State) applyKind(offset uint64, r record.Record) Result {
@@ -74,10 +74,10 @@
 	}
 }
 
-// rejectUnreadable distinguishes a record that a newer release wrote from a malformed one, by
-// a format number above ours. While instances of two releases run, an older one would skip a
-// record that newer ones apply, and its state would diverge without notice. So it notes the
-// first such record in Newer.
+// rejectUnreadable rejects a record that cannot be decoded. A format number above ours shows
+// that a newer release wrote it. While instances of two releases run, the newer ones apply
+// such a record and the older ones cannot, so that their states differ. The first such record
+// is therefore noted in NewerRecord.
 func (s *State) rejectUnreadable(offset uint64, err error) Result {
 	if !errors.Is(err, record.ErrNewerFormat) && !errors.Is(err, bundle.ErrNewerFormat) {
 		return reject(offset, CauseMalformed, "%v", err)
@@ -92,7 +92,7 @@
 	return Rejected{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
-// rejectForWinner is like reject for a record that conflicts with an earlier record w.
+// rejectForWinner rejects a record that conflicts with the earlier record w.
 func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Rejected {
 	r := reject(offset, cause, format, args...)
 	r.Reason = fmt.Sprintf("%s: conflicts with %s", r.Reason, w)
--- a/internal/fold/bench_test.go
+++ b/internal/fold/bench_test.go
@@ -32,9 +32,9 @@
 		j.addAll(assignmentTo(i, 1, ranges[i]))
 	}
 	s := New(testSigners())
-	for _, verdict := range j.applyTo(s) {
-		if verdict != (Accepted{}) {
-			b.Fatal(verdict)
+	for _, result := range j.applyTo(s) {
+		if result != (Accepted{}) {
+			b.Fatal(result)
 		}
 	}
 	return s, v
--- a/internal/fold/digests.go
+++ b/internal/fold/digests.go
@@ -11,7 +11,7 @@
 
 // maxRecentDigests is the number of accepted records that are remembered to detect a
 // duplicate append. Safety does not depend on it, because a bundle, term or assignment that
-// is applied a second time changes nothing. It only turns a rejection into Repeated.
+// is applied a second time changes nothing. It only turns a rejection into a Duplicate.
 const maxRecentDigests = 4096
 
 // digest identifies an entry by its ID and data. The ID alone would not do: a record that
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -30,16 +30,16 @@
 type encodedState struct {
 	Format        int             `json:"format"`
 	Next          uint64          `json:"next"`
-	Since         uint64          `json:"since"`
-	Last          digest          `json:"last"`
+	StartOffset   uint64          `json:"since"`
+	LastDigest    digest          `json:"last"`
 	Proof         bundle.Proof    `json:"proof"`
 	InForceOffset uint64          `json:"in-force-offset"`
 	Head          uint64          `json:"head"`
 	Candidates    []Candidate     `json:"candidates"`
 	Terms         []encodedTerm   `json:"terms"`
-	Assigned      []encodedDomain `json:"assigned"`
+	Assignments   []encodedDomain `json:"assigned"`
 	Homes         []DomainHomes   `json:"homes"`
-	Memory        []digest        `json:"memory"`
+	RecentDigests []digest        `json:"memory"`
 }
 
 type encodedTerm struct {
@@ -69,8 +69,8 @@
 }
 
 // Encode returns the encoding of the state for a checkpoint. Two states that result from the
-// same records have equal encodings, byte for byte. It returns ErrNewerRelease if Newer is
-// set.
+// same records, read from the same offset on, have equal encodings, byte for byte. It returns
+// ErrNewerRelease if NewerRecord is set.
 func (s *State) Encode() ([]byte, error) {
 	if s.NewerRecord != nil {
 		return nil, fmt.Errorf("%w: record at offset %d: %s", ErrNewerRelease, s.NewerRecord.Offset, s.NewerRecord.Reason)
@@ -78,16 +78,16 @@
 	e := encodedState{
 		Format:        encodingFormat,
 		Next:          s.Next,
-		Since:         s.StartOffset,
-		Last:          s.lastDigest,
+		StartOffset:   s.StartOffset,
+		LastDigest:    s.lastDigest,
 		Proof:         s.Proof,
 		InForceOffset: s.InForceOffset,
 		Head:          s.Head,
 		Candidates:    slices.Concat(s.Candidates),
 		Terms:         encodeTerms(s.Terms),
-		Assigned:      encodeAssigned(s.Assignments),
+		Assignments:   encodeAssignments(s.Assignments),
 		Homes:         s.Homes,
-		Memory:        s.recent.list(),
+		RecentDigests: s.recent.list(),
 	}
 	return json.Marshal(e)
 }
@@ -100,7 +100,7 @@
 	return list
 }
 
-func encodeAssigned(assigned map[string]map[string]RecordedAssignment) []encodedDomain {
+func encodeAssignments(assigned map[string]map[string]RecordedAssignment) []encodedDomain {
 	var list []encodedDomain
 	for _, domain := range slices.Sorted(maps.Keys(assigned)) {
 		d := encodedDomain{Domain: domain}
@@ -119,13 +119,13 @@
 	if err := decodeStrictly(data, &e); err != nil {
 		return nil, err
 	}
-	s := NewAt(anchors, e.Since)
+	s := NewAt(anchors, e.StartOffset)
 	s.Next = e.Next
-	s.lastDigest = e.Last
+	s.lastDigest = e.LastDigest
 	s.Head = e.Head
-	if e.Next < e.Since || len(e.Memory) > maxRecentDigests || len(e.Candidates) > maxCandidates {
+	if e.Next < e.StartOffset || len(e.RecentDigests) > maxRecentDigests || len(e.Candidates) > maxCandidates {
 		return nil, fmt.Errorf("%w: invalid bounds: next %d, since %d, %d digests, %d candidates",
-			ErrMalformedCheckpoint, e.Next, e.Since, len(e.Memory), len(e.Candidates))
+			ErrMalformedCheckpoint, e.Next, e.StartOffset, len(e.RecentDigests), len(e.Candidates))
 	}
 	if err := s.restoreProof(e); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	for _, t := range e.Terms {
 		s.Terms[t.Domain] = t.Term
 	}
-	for _, d := range e.Assigned {
+	for _, d := range e.Assignments {
 		byServer := make(map[string]RecordedAssignment, len(d.Servers))
 		for _, a := range d.Servers {
 			byServer[a.Assignment.Server] = a
@@ -144,7 +144,7 @@
 		s.Assignments[d.Domain] = byServer
 	}
 	s.Homes = e.Homes
-	for _, d := range e.Memory {
+	for _, d := range e.RecentDigests {
 		s.recent.add(d)
 	}
 	return s, nil
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -58,7 +58,7 @@
 		return reject(offset, CauseMalformed, "statement of homes has no domain")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalidBundle, "domain %q is not in the bundle in force", r.Domain)
 	}
 	if term := s.Terms[r.Domain]; r.Log < term.Log {
 		return reject(offset, CauseSuperseded, "log term %d of domain %q is superseded by %d", r.Log, r.Domain, term.Log)
@@ -94,7 +94,7 @@
 		return reject(offset, CauseSuperseded, "homes of domain %q in service %q have changed since", r.Domain, r.Service)
 	}
 	if s.InForce == nil || !isMovable(s.InForce, r.Service) || !hasDomain(s.InForce, r.By) || r.By == r.Domain {
-		return reject(offset, CauseInvalid, "domain %q may not evict domain %q from service %q", r.By, r.Domain, r.Service)
+		return reject(offset, CauseInvalidBundle, "domain %q may not evict domain %q from service %q", r.By, r.Domain, r.Service)
 	}
 	updated := current
 	updated.Offset = offset
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -19,7 +19,7 @@
 		return reject(offset, CauseMalformed, "term claim without domain or instance")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalidBundle, "domain %q is not in the bundle in force", r.Domain)
 	}
 	t := s.Terms[r.Domain]
 	if r.Follows != t.Log {
@@ -88,7 +88,7 @@
 		return reject(offset, CauseMalformed, "assignment without domain, service or servers")
 	}
 	if s.InForce != nil && !hasDomain(s.InForce, r.Domain) {
-		return reject(offset, CauseInvalid, "domain %q is not in the bundle in force", r.Domain)
+		return reject(offset, CauseInvalidBundle, "domain %q is not in the bundle in force", r.Domain)
 	}
 	for _, a := range r.Assignments {
 		if a.Server == "" {
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -60,7 +60,7 @@
 	case errors.Is(err, bundle.ErrNewerFormat):
 		return s.rejectUnreadable(offset, err)
 	case err != nil:
-		return reject(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalidBundle, "%v", err)
 	}
 	s.Head = st.Version
 	s.Candidates = append(slices.Clone(s.Candidates), Candidate{Signed: signed, Offset: offset, bundle: b})
@@ -85,8 +85,8 @@
 	return r.Delta.Open(base, hash, r.Signed.Statement)
 }
 
-// BundleByHash returns the bundle in force or the candidate that has a hash, as the base of a delta.
-// It returns the hash with it, and nil if there is none.
+// BundleByHash returns the bundle in force or the candidate that has a hash, as the base of a
+// delta, and the hash. It returns nil if there is none.
 func (s *State) BundleByHash(hash []byte) (*bundle.Bundle, []byte) {
 	if s.InForce != nil && bytes.Equal(s.InForceSigned.Statement.Hash, hash) {
 		return s.InForce, hash
@@ -207,7 +207,7 @@
 	}
 	next, err := s.Proof.Next(c.Signed, c.Approval, st, s.signers(), s.anchors)
 	if err != nil {
-		return reject(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalidBundle, "%v", err)
 	}
 	s.putInForce(offset, next, c.bundle)
 	return Accepted{}
--- a/internal/fold/release_test.go
+++ b/internal/fold/release_test.go
@@ -232,8 +232,8 @@
 	}{
 		"from in force": {records: []record.Record{deltaOf(one, two, hash(one))}},
 		"from waiting":  {records: []record.Record{deltaOf(one, two, hash(one)), deltaOf(two, three, hash(two))}},
-		"from nothing":  {records: []record.Record{deltaOf(two, two, hash(two))}, cause: CauseInvalid},
-		"both forms":    {records: []record.Record{whole}, cause: CauseInvalid},
+		"from nothing":  {records: []record.Record{deltaOf(two, two, hash(two))}, cause: CauseInvalidBundle},
+		"both forms":    {records: []record.Record{whole}, cause: CauseInvalidBundle},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fold/result.go
+++ b/internal/fold/result.go
@@ -6,19 +6,20 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Result is the result of State.Apply for one record: Accepted, Repeated, Refused, Gap or
-// Changed. Only types of this package implement it.
+// Result says what State.Apply did with an entry: Accepted, Duplicate, Rejected, Gap or
+// LogReplaced. Only types of this package implement it.
 type Result interface {
-	isVerdict()
+	isResult()
 }
 
 // Accepted means that the record took effect.
 type Accepted struct{}
 
-// Duplicate means that the record, or another one with the same effect, was applied before.
+// Duplicate means that the entry, or a record with the same effect, was applied before.
 type Duplicate struct{}
 
-// Rejected means that the record is rejected and has no effect.
+// Rejected means that the record has no effect, because it is invalid or conflicts with the
+// state.
 type Rejected struct {
 	Offset uint64
 	Cause  Cause
@@ -36,7 +37,7 @@
 	Offset uint64
 }
 
-// LogReplaced means that the entry before Next differs from the one that was applied there: the
+// LogReplaced means that the entry at Offset differs from the one that was applied there: the
 // log was replaced by a new one. The state is unchanged. The reader starts again with a state
 // of New and reads the new log from its start.
 type LogReplaced struct {
@@ -48,16 +49,29 @@
 
 // The values of Cause.
 const (
-	CauseMalformed      Cause = "malformed"
-	CauseNewerRelease   Cause = "newer-release"
-	CauseInvalid        Cause = "invalid-bundle"
-	CauseSignature      Cause = "signature"
-	CauseLostRace       Cause = "lost-race"
-	CauseOutOfOrder     Cause = "out-of-order"
+	// CauseMalformed means that the record cannot be decoded or lacks required fields.
+	CauseMalformed Cause = "malformed"
+	// CauseNewerRelease means that only a newer release can read the record.
+	CauseNewerRelease Cause = "newer-release"
+	// CauseInvalidBundle means that the published bundle is invalid, or that the bundle in force
+	// does not permit the record.
+	CauseInvalidBundle Cause = "invalid-bundle"
+	// CauseSignature means that a signature is invalid or that its signer lacks the role.
+	CauseSignature Cause = "signature"
+	// CauseLostRace means that an earlier record, described by Winner, excludes this one.
+	CauseLostRace Cause = "lost-race"
+	// CauseOutOfOrder means that the record refers to a predecessor that the state lacks.
+	CauseOutOfOrder Cause = "out-of-order"
+	// CauseUnknownVersion means that the version is not a candidate.
 	CauseUnknownVersion Cause = "unknown-version"
-	CauseUnapproved     Cause = "unapproved"
-	CauseSuperseded     Cause = "superseded"
-	CauseCheckpoint     Cause = "checkpoint"
+	// CauseUnapproved means that the version of a roll is not approved.
+	CauseUnapproved Cause = "unapproved"
+	// CauseSuperseded means that the homes, the term or the assignments that the record refers
+	// to have changed since.
+	CauseSuperseded Cause = "superseded"
+	// CauseCheckpoint means that a checkpoint is invalid, has no known mark or differs from the
+	// reader's state.
+	CauseCheckpoint Cause = "checkpoint"
 )
 
 // Winner describes the earlier record that a rejected record conflicts with. It is encoded as
@@ -95,8 +109,8 @@
 	return Winner{Version: s.Version, Hash: s.Hash, Signer: s.Signer, Offset: offset}
 }
 
-func (Accepted) isVerdict()    {}
-func (Duplicate) isVerdict()   {}
-func (Rejected) isVerdict()    {}
-func (Gap) isVerdict()         {}
-func (LogReplaced) isVerdict() {}
+func (Accepted) isResult()    {}
+func (Duplicate) isResult()   {}
+func (Rejected) isResult()    {}
+func (Gap) isResult()         {}
+func (LogReplaced) isResult() {}
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -15,9 +15,9 @@
 type State struct {
 	// Next is the offset of the next record to apply.
 	Next uint64
-	// StartOffset is the offset of the first record that was applied, without a gap from there to
-	// Next. It is zero for a state that includes the whole log. A state that was restored from
-	// a checkpoint has that of the checkpoint.
+	// StartOffset is the offset from which on all records up to Next were applied. It is zero
+	// for a state that includes the whole log. A state that was restored from a checkpoint has
+	// the StartOffset of the checkpoint's writer.
 	StartOffset uint64
 	// InForce is the bundle in force, or nil.
 	InForce *bundle.Bundle
@@ -41,18 +41,21 @@
 	// service and domain. The ranges of one service are disjoint. The slice is copied before
 	// each change, because snapshots share it.
 	Homes []DomainHomes
-	// NewerRecord is the first record that only a newer release can read, or nil. If it is set, the
-	// state may be wrong, and the instance writes no checkpoint and claims no term.
+	// NewerRecord is the first record that only a newer release can read, or nil. If it is set,
+	// the state may be wrong, and the instance writes no checkpoint and claims no term.
 	NewerRecord *NewerRecord
 
+	// anchors are the trust anchors, as passed to New.
 	anchors []bundle.Signer
 	// servers is the set of server names in InForce.
 	servers map[string]bool
 	// lastDigest is that of the entry before Next. It shows whether the log was replaced.
 	lastDigest digest
-	recent     recentDigests
-	marks      []mark
-	// shared is the set of domains whose inner map in Assigned is shared with a snapshot and
+	// recent holds the digests of the newest accepted records, to detect duplicates.
+	recent recentDigests
+	// marks holds the states at the newest marks, oldest first.
+	marks []mark
+	// shared is the set of domains whose inner map in Assignments is shared with a snapshot and
 	// must be copied before a change.
 	shared map[string]bool
 }
@@ -130,9 +133,9 @@
 	return s.NewerRecord == nil
 }
 
-// Snapshot returns a copy that later calls of Apply do not change. Its cost grows with the
-// number of domains, not of servers, because the inner maps of Assigned are copied on write.
-// The copy serves for reading only.
+// Snapshot returns a read-only copy that later calls of Apply do not change. Its cost grows
+// with the number of domains, not of servers, because the inner maps of Assignments are copied
+// only when they next change.
 func (s *State) Snapshot() *State {
 	view := *s
 	view.Terms = maps.Clone(s.Terms)
