--- a/internal/fold/bench_test.go
+++ b/internal/fold/bench_test.go
@@ -10,8 +10,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// benchState returns a state with servers over ten domains, each with an assignment of one range,
-// and the bundle that names them in force.
+// benchState returns a state with servers in ten domains, each with an assignment of one range,
+// and the bundle in force.
 func benchState(b *testing.B, servers int) (*State, *bundle.Bundle) {
 	b.Helper()
 	v := testBundle(1, "a")
@@ -25,14 +25,14 @@
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), ChecksGrants: true, Slots: 2, Connections: 110,
 		})
 	}
-	var j testLog
-	j.addAll(release(v, 0)...)
+	var log testLog
+	log.addAll(release(v, 0)...)
 	ranges := keys.Split(keys.Full, servers)
 	for i := range servers {
-		j.addAll(assignmentTo(i, 1, ranges[i]))
+		log.addAll(assignmentTo(i, 1, ranges[i]))
 	}
 	s := New(testSigners())
-	for _, result := range j.applyTo(s) {
+	for _, result := range log.applyTo(s) {
 		if result != (Accepted{}) {
 			b.Fatal(result)
 		}
@@ -40,6 +40,7 @@
 	return s, v
 }
 
+// assignmentTo returns the record that assigns a range to the server with a number.
 func assignmentTo(server int, sequence uint64, r keys.Range) record.AssignmentMade {
 	return record.AssignmentMade{Domain: fmt.Sprintf("domain-%d", server%10), Service: "pregled", Assignments: []record.Assignment{{
 		Server: fmt.Sprintf("server-%d", server),
@@ -48,6 +49,7 @@
 	}}}
 }
 
+// runSizes runs a benchmark with states of different numbers of servers.
 func runSizes(b *testing.B, run func(b *testing.B, s *State, v *bundle.Bundle)) {
 	for _, n := range []int{50, 1000, 19000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -58,7 +60,7 @@
 	}
 }
 
-// BenchmarkAssignment is the cost of one assignment, with a snapshot after each.
+// BenchmarkAssignment measures applying one assignment and taking a snapshot.
 func BenchmarkAssignment(b *testing.B) {
 	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		sequence := uint64(1)
@@ -74,7 +76,8 @@
 	})
 }
 
-// BenchmarkRelease is the cost of the three records of a change of one server, as a delta.
+// BenchmarkRelease measures applying the three records of a release that changes one server
+// and is published as a delta.
 func BenchmarkRelease(b *testing.B) {
 	runSizes(b, func(b *testing.B, s *State, v *bundle.Bundle) {
 		var records []record.Entry
@@ -84,7 +87,7 @@
 		next.Services[0].Servers[len(v.Services[0].Servers)/2].Leaving = true
 		next.Version, next.Follows = 2, 1
 		base, hash := s.BundleByHash(s.InForceSigned.Statement.Hash)
-		published := deltaOf(base, &next, hash)
+		published := publishedDelta(base, &next, hash)
 		size := 0
 		for i, r := range []record.Record{
 			published,
@@ -98,8 +101,8 @@
 		for b.Loop() {
 			c := s.clone()
 			for _, e := range records {
-				if v := c.Apply(e); v != (Accepted{}) {
-					b.Fatal(v)
+				if result := c.Apply(e); result != (Accepted{}) {
+					b.Fatal(result)
 				}
 			}
 		}
@@ -107,8 +110,7 @@
 	})
 }
 
-// BenchmarkCheckpoint is the cost of making a checkpoint, BenchmarkRestore that of starting
-// from one.
+// BenchmarkCheckpoint measures encoding a checkpoint.
 func BenchmarkCheckpoint(b *testing.B) {
 	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		size := 0
@@ -119,6 +121,7 @@
 	})
 }
 
+// BenchmarkRestore measures restoring a state from a checkpoint.
 func BenchmarkRestore(b *testing.B) {
 	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		data := must(s.Encode())
@@ -128,7 +131,7 @@
 	})
 }
 
-// BenchmarkMark is the cost of keeping the state for comparison.
+// BenchmarkMark measures keeping a copy of the state at a mark.
 func BenchmarkMark(b *testing.B) {
 	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		for b.Loop() {
--- a/internal/fold/checkpoint_test.go
+++ b/internal/fold/checkpoint_test.go
@@ -12,84 +12,86 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// newHistory is a journal with a release, a claim and an assignment.
+// newHistory returns a log with a release, a term claim and an assignment.
 func newHistory() *testLog {
-	var j testLog
-	j.addAll(release(testBundle(1, "a"), 0)...)
-	j.addAll(claimOf(0, "one"), record.AssignmentMade{
+	var log testLog
+	log.addAll(release(testBundle(1, "a"), 0)...)
+	log.addAll(claimOf(0, "one"), record.AssignmentMade{
 		Domain: "klet", Service: "pregled",
 		Assignments: []record.Assignment{assignmentOf("pregled-1", 1, 1, keys.Full)},
 	})
-	return &j
+	return &log
 }
 
-// checkpoint appends a mark and, after further records, its checkpoint by a reader of all.
-func (j *testLog) checkpoint(between ...record.Record) record.Entry {
-	j.addAll(record.CheckpointMarked{Instance: "one"})
+// addCheckpoint appends a mark, the records in between, and the checkpoint for the mark. The
+// writer of the checkpoint has applied the whole log.
+func (l *testLog) addCheckpoint(between ...record.Record) record.Entry {
+	l.addAll(record.CheckpointMarked{Instance: "one"})
 	writer := New(testSigners())
-	j.applyTo(writer)
+	l.applyTo(writer)
 	c := must(writer.NewCheckpoint())
-	j.addAll(between...)
-	return j.add("checkpoint", c)
+	l.addAll(between...)
+	return l.add("checkpoint", c)
 }
 
-// The log forgot the records before a checkpoint. An instance that starts now must reach the
-// state of those that read everything, bundle and memory of IDs included.
+// An instance that starts when the log no longer retains the records before a checkpoint must
+// reach the state of the instances that read all records, including the bundle in force and
+// the digests of recent records.
 func TestReaderStartsAtCheckpoint(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
-	at := j.checkpoint(claimOf(1, "two"))
-	j.addAll(claimOf(2, "three"))
+	log := newHistory()
+	at := log.addCheckpoint(claimOf(1, "two"))
+	log.addAll(claimOf(2, "three"))
 	whole, late := New(testSigners()), New(testSigners())
-	j.applyTo(whole)
-	is.Equal(late.Apply(j.entries[at.Offset]), Accepted{})
+	log.applyTo(whole)
+	is.Equal(late.Apply(log.entries[at.Offset]), Accepted{})
 	is.True(late.Next < at.Offset)
 	is.Equal(late.InForce.Version, uint64(1))
-	j.applyTo(late)
+	log.applyTo(late)
 	is.True(bytes.Equal(must(late.Encode()), must(whole.Encode())))
 }
 
 func TestGapWithoutCheckpoint(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
+	log := newHistory()
 	s := New(testSigners())
-	is.Equal(s.Apply(j.entries[2]), Gap{Next: 0, Offset: 2})
+	is.Equal(s.Apply(log.entries[2]), Gap{Next: 0, Offset: 2})
 	is.Equal(s.Next, uint64(0))
 }
 
-// An instance with a fault writes a checkpoint that says something else than the records.
-// Readers that have the records must not follow it.
-func TestCheckpointThatDisagreesIsRefused(t *testing.T) {
+// A faulty instance writes a checkpoint that does not agree with the records. Readers that
+// have applied the records must reject it.
+func TestWrongCheckpointIsRejected(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
-	j.addAll(record.CheckpointMarked{Instance: "one"})
+	log := newHistory()
+	log.addAll(record.CheckpointMarked{Instance: "one"})
 	writer := New(testSigners())
-	j.applyTo(writer)
+	log.applyTo(writer)
 	writer.marks[0].state.Terms["klet"] = Term{Log: 9, Instance: "wrong"}
-	j.addAll(must(writer.NewCheckpoint()))
+	log.addAll(must(writer.NewCheckpoint()))
 	s := New(testSigners())
-	v := j.applyTo(s)
-	requireRejected(t, v[len(v)-1], CauseCheckpoint)
+	results := log.applyTo(s)
+	requireRejected(t, results[len(results)-1], CauseCheckpoint)
 	is.Equal(s.Terms["klet"].Log, uint64(1))
 }
 
-// Two instances found a gap and no checkpoint, and started at different offsets. One that
-// read from further back writes a checkpoint; the other must go over to it, not the reverse.
-func TestShorterHistoryGivesWay(t *testing.T) {
+// Two instances found a gap and no checkpoint, and started at different offsets. The one with
+// the shorter history must adopt a checkpoint of the other one, but not the reverse.
+func TestCheckpointWithLongerHistoryIsAdopted(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
+	log := newHistory()
 	short := NewAt(testSigners(), 3)
-	j.checkpoint()
-	j.applyTo(short)
+	log.addCheckpoint()
+	log.applyTo(short)
 	whole := New(testSigners())
-	j.applyTo(whole)
+	log.applyTo(whole)
 	is.Equal(short.StartOffset, uint64(0))
 	is.True(bytes.Equal(must(short.Encode()), must(whole.Encode())))
 
-	j.addAll(record.CheckpointMarked{Instance: "two"})
+	log.addAll(record.CheckpointMarked{Instance: "two"})
 	other := NewAt(testSigners(), 3)
-	for other.Next < uint64(len(j.entries)) && other.StartOffset == 3 {
-		e := j.entries[other.Next]
+	for other.Next < uint64(len(log.entries)) && other.StartOffset == 3 {
+		e := log.entries[other.Next]
 		if r, err := record.Decode(e.Data); err == nil {
 			if _, ok := r.(record.Checkpoint); ok {
 				other.Next++
@@ -98,21 +100,21 @@
 		}
 		other.Apply(e)
 	}
-	j.addAll(must(other.NewCheckpoint()))
-	v := j.applyTo(whole)
-	requireRejected(t, v[len(v)-1], CauseCheckpoint)
+	log.addAll(must(other.NewCheckpoint()))
+	results := log.applyTo(whole)
+	requireRejected(t, results[len(results)-1], CauseCheckpoint)
 }
 
-// A newer release writes a kind of record that this one does not know. This one must not
-// overwrite the newer state by a checkpoint of its own, nor lead by what it half knows.
+// A newer release writes a record of a kind that this one does not know. This release must
+// not replace the newer state by its own checkpoint, nor lead based on an incomplete state.
 func TestNewerRecordStopsCheckpoints(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
-	j.addAll(record.CheckpointMarked{Instance: "one"})
-	at := j.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
+	log := newHistory()
+	log.addAll(record.CheckpointMarked{Instance: "one"})
+	at := log.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
 	s := New(testSigners())
-	v := j.applyTo(s)
-	requireRejected(t, v[len(v)-1], CauseNewerRelease)
+	results := log.applyTo(s)
+	requireRejected(t, results[len(results)-1], CauseNewerRelease)
 	is.Equal(s.NewerRecord.Offset, at.Offset)
 	is.True(!s.MayLead())
 	_, err := s.NewCheckpoint()
@@ -121,33 +123,33 @@
 	is.True(err != nil)
 }
 
-func TestUnreadableRecordsAreRefused(t *testing.T) {
+func TestUnreadableRecordsAreRejected(t *testing.T) {
 	tests := map[string]struct {
 		data string
 		want Cause
 	}{
-		"no JSON":        {data: "seven", want: CauseMalformed},
-		"no format":      {data: `{"kind":"checkpoint","body":{}}`, want: CauseMalformed},
-		"unknown kind":   {data: `{"format":1,"kind":"nothing","body":{}}`, want: CauseMalformed},
-		"unknown member": {data: `{"format":1,"kind":"term-claimed","body":{"colour":1}}`, want: CauseMalformed},
-		"newer format":   {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: CauseNewerRelease},
-		"newer bundle":   {data: newerBundle("ana"), want: CauseNewerRelease},
-		"newer unsigned": {data: newerBundle("cene"), want: CauseSignature},
+		"not JSON":                     {data: "seven", want: CauseMalformed},
+		"no format":                    {data: `{"kind":"checkpoint","body":{}}`, want: CauseMalformed},
+		"unknown kind":                 {data: `{"format":1,"kind":"nothing","body":{}}`, want: CauseMalformed},
+		"unknown field":                {data: `{"format":1,"kind":"term-claimed","body":{"colour":1}}`, want: CauseMalformed},
+		"newer format":                 {data: `{"format":2,"kind":"term-claimed","body":{}}`, want: CauseNewerRelease},
+		"newer bundle":                 {data: newerBundle("ana"), want: CauseNewerRelease},
+		"newer by signer without role": {data: newerBundle("cene"), want: CauseSignature},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var j testLog
-			j.addData("x", []byte(tt.data))
+			var log testLog
+			log.addData("x", []byte(tt.data))
 			s := New(testSigners())
-			requireRejected(t, j.applyTo(s)[0], tt.want)
+			requireRejected(t, log.applyTo(s)[0], tt.want)
 			is.Equal(s.NewerRecord != nil, tt.want == CauseNewerRelease)
 			is.Equal(s.Next, uint64(1))
 		})
 	}
 }
 
-// newerBundle returns a published bundle of format 2, signed by somebody.
+// newerBundle returns the record of a published bundle of format 2 that name has signed.
 func newerBundle(name string) string {
 	canonical := []byte(`{"format":2,"version":1,"follows":0,"colours":[]}`)
 	st := publish(testBundle(1, "a"), name).Statement
@@ -157,35 +159,37 @@
 	return string(must(record.Encode(record.BundlePublished{Signed: signed})))
 }
 
-// The log service was replaced by an empty one and has grown past the offset that a reader
-// waits for. Offsets alone do not show it; the last entry it read is another one now.
-func TestNewLogIsNoticed(t *testing.T) {
+// The log was replaced by an empty one, which has since grown past the offset at which a
+// reader waits. Offsets do not show this; the reader detects it because the last entry that
+// it read has changed.
+func TestReplacedLogIsDetected(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
+	log := newHistory()
 	s := New(testSigners())
-	j.applyTo(s)
-	last := j.entries[s.Next-1]
+	log.applyTo(s)
+	last := log.entries[s.Next-1]
 	is.Equal(s.Apply(last), Duplicate{})
 	last.ID = "another"
 	is.Equal(s.Apply(last), LogReplaced{Offset: last.Offset})
 }
 
-// The newer release writes a checkpoint that this one can read: it is then as good as any.
-func TestCheckpointEndsTheDoubtOfANewerRecord(t *testing.T) {
+// After a record that this release cannot read, the newer release writes a checkpoint that
+// this one can read. It must adopt the checkpoint and may lead again.
+func TestReadableCheckpointAfterNewerRecordIsAdopted(t *testing.T) {
 	is := is.New(t)
-	j := newHistory()
-	j.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
+	log := newHistory()
+	log.addData("new", []byte(`{"format":2,"kind":"server-borrowed","body":{}}`))
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	is.True(!s.MayLead())
 	newer := New(testSigners())
-	j.applyTo(newer)
+	log.applyTo(newer)
 	newer.NewerRecord = nil
 	newer.Terms["klet"] = Term{Log: 5, Instance: "one"}
-	j.addAll(record.CheckpointMarked{Instance: "one"})
-	newer.Apply(j.entries[newer.Next])
-	j.addAll(must(newer.NewCheckpoint()))
-	j.applyTo(s)
+	log.addAll(record.CheckpointMarked{Instance: "one"})
+	newer.Apply(log.entries[newer.Next])
+	log.addAll(must(newer.NewCheckpoint()))
+	log.applyTo(s)
 	is.True(s.MayLead())
 	is.Equal(s.Terms["klet"].Log, uint64(5))
 }
--- a/internal/fold/fixture_test.go
+++ b/internal/fold/fixture_test.go
@@ -10,6 +10,7 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
+// keyOf returns a private key that depends on the name only.
 func keyOf(name string) ed25519.PrivateKey {
 	seed := sha256.Sum256([]byte(name))
 	return ed25519.NewKeyFromSeed(seed[:])
@@ -19,7 +20,7 @@
 	return bundle.Signer{Name: name, PublicKey: keyOf(name).Public().(ed25519.PublicKey), Roles: roles}
 }
 
-// testSigners has two publishers and two approvers, who also roll.
+// testSigners returns two publishers and two approvers, who also have the role to roll.
 func testSigners() []bundle.Signer {
 	return []bundle.Signer{
 		signer("ana", bundle.RolePublish),
@@ -29,7 +30,7 @@
 	}
 }
 
-// testBundle returns a bundle with one server; the mark tells bundles of one version apart.
+// testBundle returns a bundle with one server. Bundles of the same version differ by mark.
 func testBundle(version uint64, mark string) *bundle.Bundle {
 	return &bundle.Bundle{
 		Format:  bundle.FormatVersion,
@@ -46,7 +47,7 @@
 	}
 }
 
-// must returns v. It panics on an error, which in these tests is a fault of the test.
+// must returns v. It panics on an error, which these tests do not expect.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -76,42 +77,42 @@
 	}
 }
 
-// testLog is a list of entries with offsets from zero.
+// testLog is a log whose offsets start at zero.
 type testLog struct {
 	entries []record.Entry
 }
 
-func (j *testLog) add(id string, r record.Record) record.Entry {
-	return j.addData(id, must(record.Encode(r)))
+func (l *testLog) add(id string, r record.Record) record.Entry {
+	return l.addData(id, must(record.Encode(r)))
 }
 
-func (j *testLog) addData(id string, data []byte) record.Entry {
-	e := record.Entry{Offset: uint64(len(j.entries)), ID: id, Data: data}
-	j.entries = append(j.entries, e)
+func (l *testLog) addData(id string, data []byte) record.Entry {
+	e := record.Entry{Offset: uint64(len(l.entries)), ID: id, Data: data}
+	l.entries = append(l.entries, e)
 	return e
 }
 
-func (j *testLog) addAll(records ...record.Record) {
+func (l *testLog) addAll(records ...record.Record) {
 	for _, r := range records {
-		j.add(fmt.Sprintf("id-%d", len(j.entries)), r)
+		l.add(fmt.Sprintf("id-%d", len(l.entries)), r)
 	}
 }
 
-// applyTo applies the entries from the state's Next on.
-func (j *testLog) applyTo(s *State) []Result {
-	var verdicts []Result
-	for s.Next < uint64(len(j.entries)) {
-		verdicts = append(verdicts, s.Apply(j.entries[s.Next]))
+// applyTo applies the entries from s.Next on and returns their results.
+func (l *testLog) applyTo(s *State) []Result {
+	var results []Result
+	for s.Next < uint64(len(l.entries)) {
+		results = append(results, s.Apply(l.entries[s.Next]))
 	}
-	return verdicts
+	return results
 }
 
-// requireRejected fails the test unless the verdict is a refusal with the cause.
-func requireRejected(t *testing.T, v Result, cause Cause) Rejected {
+// requireRejected fails the test unless the result is a rejection with the cause.
+func requireRejected(t *testing.T, result Result, cause Cause) Rejected {
 	t.Helper()
-	r, ok := v.(Rejected)
+	r, ok := result.(Rejected)
 	if !ok || r.Cause != cause {
-		t.Fatalf("verdict %#v, want a refusal for %s", v, cause)
+		t.Fatalf("result %#v, want a rejection with cause %s", result, cause)
 	}
 	return r
 }
--- a/internal/fold/fuzz_test.go
+++ b/internal/fold/fuzz_test.go
@@ -7,12 +7,12 @@
 	"example.org/mustardring/internal/record"
 )
 
-// FuzzRestore checks that a checkpoint that restores has one form, and that a state made from
-// it can go on.
+// FuzzRestore checks that a checkpoint that can be restored is encoded the same way each time,
+// and that the restored state can apply further records.
 func FuzzRestore(f *testing.F) {
-	j := newHistory()
+	log := newHistory()
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	f.Add(must(s.Encode()))
 	f.Add(must(New(testSigners()).Encode()))
 	f.Add([]byte(`{"format":2}`))
@@ -24,29 +24,30 @@
 		}
 		first := must(s.Encode())
 		if second := must(must(Restore(first, testSigners())).Encode()); !bytes.Equal(first, second) {
-			t.Fatalf("two forms: %s and %s", first, second)
+			t.Fatalf("encodings of one state differ: %s and %s", first, second)
 		}
 		s.Apply(record.Entry{Offset: s.Next, Data: must(record.Encode(claimOf(s.Terms["klet"].Log, "one")))})
 	})
 }
 
-// FuzzApply checks that no bytes in the log stop a reader.
+// FuzzApply checks that a reader continues after an entry with any data: Next advances and
+// the version in force does not decrease.
 func FuzzApply(f *testing.F) {
-	j := newHistory()
-	for _, e := range j.entries {
+	log := newHistory()
+	for _, e := range log.entries {
 		f.Add(e.Data)
 	}
 	f.Add([]byte(`{"format":1,"kind":"assignment-made","body":{"domain":"klet","service":"x","assignments":[{}]}}`))
 	f.Add([]byte(`{"format":1,"kind":"bundle-proven","body":{"proof":{"chain":[{}]}}}`))
 	f.Add([]byte(`{"format":1,"kind":"homes-taken","body":{"domain":"klet","services":[{"service":"x","ranges":["0000000000000000-0000000000000000","0000000000000000-ffffffffffffffff"]}]}}`))
 	base := New(testSigners())
-	j.applyTo(base)
+	log.applyTo(base)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := base.clone()
 		before := s.versionInForce()
 		s.Apply(record.Entry{Offset: s.Next, ID: "fuzz", Data: data})
-		if s.Next != uint64(len(j.entries))+1 {
-			t.Fatalf("next is %d", s.Next)
+		if s.Next != uint64(len(log.entries))+1 {
+			t.Fatalf("Next is %d", s.Next)
 		}
 		if s.versionInForce() < before {
 			t.Fatalf("version %d after %d", s.versionInForce(), before)
--- a/internal/fold/homes_property_test.go
+++ b/internal/fold/homes_property_test.go
@@ -11,8 +11,9 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Domains state homes by old bundles, late, twice, and evict each other. No hash may have two
-// homes after any record, or two domains would serve it.
+// Domains state homes and evict each other, and their records may arrive late or twice. After
+// each record the homes of a service must be disjoint, or two domains would serve the same
+// range.
 func TestNoRangeHasTwoHomes(t *testing.T) {
 	domains := []string{"klet", "podstresje", "dvorana-a"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -20,11 +21,11 @@
 		b := testBundle(1, "a")
 		b.Services[0].Isolation = bundle.IsolationMove
 		b.Domains = append(b.Domains, bundle.Domain{Name: "podstresje"}, bundle.Domain{Name: "dvorana-a"})
-		var j testLog
-		j.addAll(release(b, 0)...)
-		var old []record.Record
+		var log testLog
+		log.addAll(release(b, 0)...)
+		var sent []record.Record
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			j.applyTo(s)
+			log.applyTo(s)
 			domain := rapid.SampledFrom(domains).Draw(t, "domain")
 			r := record.Record(record.HomesTaken{
 				Domain: domain, Version: 1, Base: HomesBase(s.Homes, domain),
@@ -36,13 +37,13 @@
 					Base: HomesBase(s.Homes, domain), Notice: FindHomes(s.Homes, "pregled", domain).Notice,
 				}
 			}
-			old = append(old, r)
-			j.addAll(rapid.SampledFrom(old).Draw(t, "lands"))
-			j.applyTo(s)
+			sent = append(sent, r)
+			log.addAll(rapid.SampledFrom(sent).Draw(t, "appended"))
+			log.applyTo(s)
 			checkDisjoint(t, s.Homes)
 			restored := must(Restore(must(s.Encode()), testSigners()))
 			if !bytes.Equal(must(restored.Encode()), must(s.Encode())) {
-				t.Fatal("other bytes after a checkpoint")
+				t.Fatal("encoded state after a checkpoint differs")
 			}
 		}
 	})
@@ -59,13 +60,14 @@
 	return list
 }
 
+// checkDisjoint checks that no range of a service has two homes.
 func checkDisjoint(t *rapid.T, homes []DomainHomes) {
 	for i, a := range homes {
 		for _, b := range homes[:i] {
 			for _, r := range a.Ranges {
 				for _, o := range b.Ranges {
 					if a.Service == b.Service && r.Overlaps(o) {
-						t.Fatalf("%v of %s is also at %s", r, a.Domain, b.Domain)
+						t.Fatalf("range %v of domain %s overlaps one of domain %s", r, a.Domain, b.Domain)
 					}
 				}
 			}
--- a/internal/fold/homes_test.go
+++ b/internal/fold/homes_test.go
@@ -23,10 +23,9 @@
 }
 
 // A bundle moves a range from one domain to another while the first is cut off from the log
-// and still serves it. The second reads the bundle, states the range, and would serve it as
-// well: a batch is claimed twice. The fold gives the range to the second only after the first
-// has left it out.
-func TestHomesPassOnlyWhenLeftOut(t *testing.T) {
+// and still serves the range. The second states the range and would serve it as well, so that
+// two servers would own the same keys. It must get the range only after the first released it.
+func TestHomesMoveOnlyAfterRelease(t *testing.T) {
 	is := is.New(t)
 	s := New(nil)
 	is.Equal(s.applyHomesTaken(0, homesTaken("klet", 0, lower, upper)), Result(Accepted{}))
@@ -37,10 +36,10 @@
 	is.Equal(FindHomes(s.Homes, "pregled", "podstresje").Ranges, []keys.Range{upper})
 }
 
-// A leader that was succeeded leaves a range out in a statement that arrives late, by an old
-// term or after its successor's statement. The successor serves the range again; were the old
-// statement obeyed, another domain would take the range and serve it too.
-func TestHomesOfOldLeaderAreRefused(t *testing.T) {
+// A former leader releases a range in a statement that arrives late: under an old term, or
+// after a statement of its successor, which serves the range again. If the late statement
+// were accepted, another domain could take the range and serve it too.
+func TestHomesOfOldLeaderAreRejected(t *testing.T) {
 	tests := map[string]record.HomesTaken{
 		"older term":           {Domain: "klet", Log: 4, Base: 3},
 		"before the successor": {Domain: "klet", Log: 5, Base: 1},
@@ -55,9 +54,9 @@
 			is.Equal(s.applyHomesTaken(0, first), Result(Accepted{}))
 			is.Equal(s.applyHomesTaken(2, second), Result(Accepted{}))
 			r.Services = []record.ServiceHomes{{Service: "pregled"}}
-			refused, ok := s.applyHomesTaken(5, r).(Rejected)
+			rejected, ok := s.applyHomesTaken(5, r).(Rejected)
 			is.True(ok)
-			is.Equal(refused.Cause, CauseSuperseded)
+			is.Equal(rejected.Cause, CauseSuperseded)
 			is.Equal(FindHomes(s.Homes, "pregled", "klet").Ranges, []keys.Range{lower})
 		})
 	}
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -38,7 +38,7 @@
 }
 
 // rejectClaim returns the result for a claim that does not follow the newest term t. It is a
-// duplicate if t is what the claim itself would have brought about.
+// duplicate if the same claim was accepted before and resulted in t.
 func rejectClaim(offset uint64, r record.TermClaimed, t Term) Result {
 	if r.Follows > t.Log {
 		return reject(offset, CauseOutOfOrder, "claim for domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
@@ -60,7 +60,7 @@
 	if rejected := s.checkAssignments(offset, r); rejected != nil {
 		return rejected
 	}
-	applied, repeated := 0, 0
+	applied, duplicates := 0, 0
 	for _, a := range r.Assignments {
 		switch s.compareAssignment(r, a) {
 		case 1:
@@ -68,13 +68,13 @@
 			s.writableAssignments(r.Domain)[a.Server] = recorded
 			applied++
 		case 0:
-			repeated++
+			duplicates++
 		}
 	}
 	switch {
 	case applied > 0:
 		return Accepted{}
-	case repeated == len(r.Assignments):
+	case duplicates == len(r.Assignments):
 		return Duplicate{}
 	default:
 		return reject(offset, CauseSuperseded, "servers have assignments of the same or a higher epoch, or are not in the bundle in force")
--- a/internal/fold/ownership_test.go
+++ b/internal/fold/ownership_test.go
@@ -14,36 +14,36 @@
 	return record.TermClaimed{Domain: "klet", Follows: follows, Instance: instance, Incarnation: 1}
 }
 
-// Two instances see the leader gone and claim the term that follows it. Both appends
-// succeed. Every reader must take the first for the leader.
+// Two instances detect that the leader has failed and claim the next term. Both appends
+// succeed. Every reader must regard the first one as the leader.
 func TestFirstClaimWins(t *testing.T) {
 	is := is.New(t)
-	var j testLog
-	j.addAll(claimOf(0, "one"), claimOf(0, "two"), claimOf(0, "one"), claimOf(1, "two"), claimOf(7, "one"))
+	var log testLog
+	log.addAll(claimOf(0, "one"), claimOf(0, "two"), claimOf(0, "one"), claimOf(1, "two"), claimOf(7, "one"))
 	s := New(testSigners())
-	v := j.applyTo(s)
-	is.Equal(v[0], Accepted{})
-	is.Equal(requireRejected(t, v[1], CauseLostRace).Winner, Winner{Term: 1, Instance: "one", Offset: 0})
-	is.Equal(v[2], Duplicate{})
-	is.Equal(v[3], Accepted{})
-	requireRejected(t, v[4], CauseOutOfOrder)
+	results := log.applyTo(s)
+	is.Equal(results[0], Accepted{})
+	is.Equal(requireRejected(t, results[1], CauseLostRace).Winner, Winner{Term: 1, Instance: "one", Offset: 0})
+	is.Equal(results[2], Duplicate{})
+	is.Equal(results[3], Accepted{})
+	requireRejected(t, results[4], CauseOutOfOrder)
 	is.Equal(s.Terms["klet"], Term{Log: 2, Instance: "two", Incarnation: 1, Offset: 3})
 }
 
-// The log lost everything and starts anew while servers remember term 40. A claim at term 1
-// would be fenced for good, so it names the fence as its floor.
-func TestFloorContinuesTheTermsOfALostLog(t *testing.T) {
+// The log was lost and starts again, while the servers are fenced at term 40. They would
+// reject a leader of term 1 forever, so its claim has the fence as its floor.
+func TestFloorContinuesTermsOfLostLog(t *testing.T) {
 	is := is.New(t)
-	var j testLog
+	var log testLog
 	c := claimOf(0, "one")
 	c.Floor = 40
-	j.addAll(c)
+	log.addAll(c)
 	c.Follows, c.Floor = 41, 1<<40
-	j.addAll(c)
+	log.addAll(c)
 	s := New(testSigners())
-	v := j.applyTo(s)
+	results := log.applyTo(s)
 	is.Equal(s.Terms["klet"].Log, uint64(41))
-	requireRejected(t, v[1], CauseMalformed)
+	requireRejected(t, results[1], CauseMalformed)
 }
 
 func assignmentOf(server string, log, sequence uint64, r keys.Range) record.Assignment {
@@ -60,8 +60,8 @@
 	made := func(list ...record.Assignment) record.Record {
 		return record.AssignmentMade{Domain: "klet", Service: "pregled", Assignments: list}
 	}
-	var j testLog
-	j.addAll(
+	var log testLog
+	log.addAll(
 		made(assignmentOf("a", 1, 5, low)),
 		made(assignmentOf("a", 1, 4, high)),
 		made(assignmentOf("a", 1, 5, low)),
@@ -70,30 +70,30 @@
 		made(assignmentOf("a", 2, 1, high)),
 	)
 	s := New(testSigners())
-	v := j.applyTo(s)
-	is.Equal(v[0], Accepted{})
-	requireRejected(t, v[1], CauseSuperseded)
-	is.Equal(v[2], Duplicate{})
-	requireRejected(t, v[3], CauseSuperseded)
-	is.Equal(v[4], Accepted{})
-	is.Equal(v[5], Accepted{})
+	results := log.applyTo(s)
+	is.Equal(results[0], Accepted{})
+	requireRejected(t, results[1], CauseSuperseded)
+	is.Equal(results[2], Duplicate{})
+	requireRejected(t, results[3], CauseSuperseded)
+	is.Equal(results[4], Accepted{})
+	is.Equal(results[5], Accepted{})
 	is.Equal(s.Assignments["klet"]["a"].Offset, uint64(5))
 	is.Equal(s.Assignments["klet"]["b"].Offset, uint64(4))
 }
 
-func TestSnapshotDoesNotChange(t *testing.T) {
+func TestSnapshotIsImmutable(t *testing.T) {
 	is := is.New(t)
 	made := func(server string, sequence uint64) record.Record {
 		list := []record.Assignment{assignmentOf(server, 1, sequence, keys.Full)}
 		return record.AssignmentMade{Domain: "klet", Service: "pregled", Assignments: list}
 	}
-	var j testLog
-	j.addAll(made("a", 1))
+	var log testLog
+	log.addAll(made("a", 1))
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	view := s.Snapshot()
-	j.addAll(made("a", 2), made("b", 1), claimOf(0, "one"))
-	j.applyTo(s)
+	log.addAll(made("a", 2), made("b", 1), claimOf(0, "one"))
+	log.applyTo(s)
 	is.Equal(view.Assignments["klet"]["a"].Offset, uint64(0))
 	is.Equal(len(view.Assignments["klet"]), 1)
 	is.Equal(len(view.Terms), 0)
@@ -101,29 +101,30 @@
 	is.Equal(len(s.Assignments["klet"]), 2)
 }
 
-// Servers come and go all day. What the log says about one that is gone must not stay for
-// ever, but a new leader still needs it for the version that removed the server.
-func TestAssignmentsOfRemovedServersGo(t *testing.T) {
+// The assignments of a removed server must be dropped, or the state would grow with each
+// server that ever existed. They must stay while the bundle that removed the server is in
+// force, because a new leader still needs them.
+func TestAssignmentsOfRemovedServersAreDropped(t *testing.T) {
 	is := is.New(t)
 	without := func(version uint64) record.Record {
 		b := testBundle(version, "a")
 		b.Services[0].Servers[0].Name = "pregled-2"
 		return record.BundlePublished{Signed: publish(b, "ana")}
 	}
-	var j testLog
-	j.addAll(release(testBundle(1, "a"), 0)...)
-	j.addAll(record.AssignmentMade{
+	var log testLog
+	log.addAll(release(testBundle(1, "a"), 0)...)
+	log.addAll(record.AssignmentMade{
 		Domain: "klet", Service: "pregled",
 		Assignments: []record.Assignment{assignmentOf("pregled-1", 1, 1, keys.Full)},
 	})
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	for version := uint64(2); version <= 3; version++ {
 		is.Equal(len(s.Assignments["klet"]), 1)
 		r := without(version).(record.BundlePublished)
-		j.addAll(r, record.BundleApproved{Approval: approve(r.Signed, "cene")},
+		log.addAll(r, record.BundleApproved{Approval: approve(r.Signed, "cene")},
 			record.BundleRolled{Roll: roll(r.Signed, version-1, "dora")})
-		j.applyTo(s)
+		log.applyTo(s)
 	}
 	is.Equal(s.versionInForce(), uint64(3))
 	is.Equal(len(s.Assignments["klet"]), 0)
--- a/internal/fold/property_test.go
+++ b/internal/fold/property_test.go
@@ -12,14 +12,14 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// randomHistory is a random history: operators and instances who act on what they read some time ago,
-// records that reach the log late, in another order, or twice.
+// randomHistory generates a log. Operators and instances act on a state that may be outdated,
+// and their records reach the log late, in another order, or twice.
 type randomHistory struct {
-	t *rapid.T
-	j testLog
-	// states are the states after each entry.
+	t   *rapid.T
+	log testLog
+	// states holds the state after each entry.
 	states []*State
-	// pending are records on their way to the log.
+	// pending holds records that were sent but are not in the log yet.
 	pending []record.Entry
 }
 
@@ -27,201 +27,207 @@
 	return &randomHistory{t: t, states: []*State{New(testSigners())}}
 }
 
-// drawState returns a state that some reader may have now.
-func (p *randomHistory) drawState() *State {
-	back := rapid.IntRange(0, min(4, len(p.states)-1)).Draw(p.t, "back")
-	return p.states[len(p.states)-1-back]
+// drawState returns one of the newest five states, as a reader that lags behind may have it.
+func (h *randomHistory) drawState() *State {
+	back := rapid.IntRange(0, min(4, len(h.states)-1)).Draw(h.t, "back")
+	return h.states[len(h.states)-1-back]
 }
 
-func (p *randomHistory) send(id string, r record.Record) {
-	p.pending = append(p.pending, record.Entry{ID: id, Data: must(record.Encode(r))})
+func (h *randomHistory) send(id string, r record.Record) {
+	h.pending = append(h.pending, record.Entry{ID: id, Data: must(record.Encode(r))})
 }
 
-// appendPending appends one of the records on their way. Its answer may be lost: it stays on its way.
-func (p *randomHistory) appendPending() {
-	if len(p.pending) == 0 {
+// appendPending appends one of the pending records. If its response is lost, the record stays
+// pending and may be appended again.
+func (h *randomHistory) appendPending() {
+	if len(h.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(p.pending)-1).Draw(p.t, "lands")
-	e := p.pending[i]
-	if !rapid.Bool().Draw(p.t, "lost-answer") {
-		p.pending = append(p.pending[:i:i], p.pending[i+1:]...)
+	i := rapid.IntRange(0, len(h.pending)-1).Draw(h.t, "appended")
+	e := h.pending[i]
+	if !rapid.Bool().Draw(h.t, "lost-answer") {
+		h.pending = append(h.pending[:i:i], h.pending[i+1:]...)
 	}
-	s := p.states[len(p.states)-1].clone()
-	s.Apply(p.j.addData(e.ID, e.Data))
-	p.states = append(p.states, s)
+	s := h.states[len(h.states)-1].clone()
+	s.Apply(h.log.addData(e.ID, e.Data))
+	h.states = append(h.states, s)
 }
 
-// drawAction lets somebody do something that looks sensible in an old view.
-func (p *randomHistory) drawAction() {
-	s := p.drawState()
-	switch rapid.IntRange(0, 6).Draw(p.t, "act") {
+// drawAction sends a record that is valid in a state that may be outdated, or appends a whole
+// release.
+func (h *randomHistory) drawAction() {
+	s := h.drawState()
+	switch rapid.IntRange(0, 6).Draw(h.t, "act") {
 	case 0:
-		p.publish(s)
+		h.publish(s)
 	case 1:
-		p.approve(s)
+		h.approve(s)
 	case 2, 3:
-		p.roll(s)
+		h.roll(s)
 	case 4:
-		instance := rapid.SampledFrom([]string{"one", "two"}).Draw(p.t, "instance")
-		p.send("claim-"+instance, claimOf(s.Terms["klet"].Log, instance))
+		instance := rapid.SampledFrom([]string{"one", "two"}).Draw(h.t, "instance")
+		h.send("claim-"+instance, claimOf(s.Terms["klet"].Log, instance))
 	case 5:
-		p.assign(s)
+		h.assign(s)
 	case 6:
-		p.release()
+		h.release()
 	}
 }
 
-// release brings a version into force at once, past whatever is on its way.
-func (p *randomHistory) release() {
-	s := p.states[len(p.states)-1]
-	flying := p.pending
-	for _, act := range []func(*State){p.publish, p.approve, p.roll} {
-		p.pending = nil
-		act(s)
-		p.appendPending()
-		s = p.states[len(p.states)-1]
+// release appends the records of a release ahead of all pending records.
+func (h *randomHistory) release() {
+	s := h.states[len(h.states)-1]
+	earlier := h.pending
+	for _, action := range []func(*State){h.publish, h.approve, h.roll} {
+		h.pending = nil
+		action(s)
+		h.appendPending()
+		s = h.states[len(h.states)-1]
 	}
-	p.pending = append(flying, p.pending...)
+	h.pending = append(earlier, h.pending...)
 }
 
-func (p *randomHistory) publish(s *State) {
+func (h *randomHistory) publish(s *State) {
 	if s.Head >= s.versionInForce()+maxCandidates {
-		return // the naive version knows no bound
+		return // the reference model does not limit the candidates
 	}
-	b := testBundle(s.Head+1, rapid.SampledFrom([]string{"a", "b"}).Draw(p.t, "mark"))
+	b := testBundle(s.Head+1, rapid.SampledFrom([]string{"a", "b"}).Draw(h.t, "mark"))
 	for i := range b.Signers {
-		b.Signers[i].Revoked = rapid.IntRange(0, 5).Draw(p.t, "revoked") == 0
+		b.Signers[i].Revoked = rapid.IntRange(0, 5).Draw(h.t, "revoked") == 0
 	}
-	if rapid.Bool().Draw(p.t, "replaced") {
+	if rapid.Bool().Draw(h.t, "replaced") {
 		b.Services[0].Servers[0].Name = "pregled-2"
 	}
-	name := rapid.SampledFrom([]string{"ana", "boris"}).Draw(p.t, "publisher")
+	name := rapid.SampledFrom([]string{"ana", "boris"}).Draw(h.t, "publisher")
 	signed, err := bundle.Publish(b, name, keyOf(name))
 	if err != nil {
-		return // nobody would be left to release
+		return // too few signers are left to release a bundle
 	}
-	p.send(signed.Statement.ID(), record.BundlePublished{Signed: signed})
+	h.send(signed.Statement.ID(), record.BundlePublished{Signed: signed})
 }
 
-func (p *randomHistory) approve(s *State) {
+func (h *randomHistory) approve(s *State) {
 	if len(s.Candidates) == 0 {
 		return
 	}
-	c := rapid.SampledFrom(s.Candidates).Draw(p.t, "candidate")
-	st := approve(c.Signed, rapid.SampledFrom([]string{"cene", "dora"}).Draw(p.t, "approver"))
-	p.send(st.ID(), record.BundleApproved{Approval: st})
+	c := rapid.SampledFrom(s.Candidates).Draw(h.t, "candidate")
+	st := approve(c.Signed, rapid.SampledFrom([]string{"cene", "dora"}).Draw(h.t, "approver"))
+	h.send(st.ID(), record.BundleApproved{Approval: st})
 }
 
-func (p *randomHistory) roll(s *State) {
+// roll sends a roll of the oldest approved candidate, or an approval if none is approved.
+func (h *randomHistory) roll(s *State) {
 	for _, c := range s.Candidates {
 		if c.Approved() {
-			st := roll(c.Signed, s.versionInForce(), rapid.SampledFrom([]string{"cene", "dora"}).Draw(p.t, "roller"))
-			p.send(st.ID(), record.BundleRolled{Roll: st})
+			st := roll(c.Signed, s.versionInForce(), rapid.SampledFrom([]string{"cene", "dora"}).Draw(h.t, "roller"))
+			h.send(st.ID(), record.BundleRolled{Roll: st})
 			return
 		}
 	}
-	p.approve(s)
+	h.approve(s)
 }
 
-func (p *randomHistory) assign(s *State) {
-	r := keys.Range{First: 0, Last: rapid.Uint64Range(0, 1).Draw(p.t, "last")}
-	sequence := rapid.Uint64Range(0, 3).Draw(p.t, "sequence")
-	server := rapid.SampledFrom([]string{"pregled-1", "pregled-2"}).Draw(p.t, "server")
-	p.send(fmt.Sprintf("assign-%d", sequence), record.AssignmentMade{
+func (h *randomHistory) assign(s *State) {
+	r := keys.Range{First: 0, Last: rapid.Uint64Range(0, 1).Draw(h.t, "last")}
+	sequence := rapid.Uint64Range(0, 3).Draw(h.t, "sequence")
+	server := rapid.SampledFrom([]string{"pregled-1", "pregled-2"}).Draw(h.t, "server")
+	h.send(fmt.Sprintf("assign-%d", sequence), record.AssignmentMade{
 		Domain: "klet", Service: "pregled",
 		Assignments: []record.Assignment{assignmentOf(server, s.Terms["klet"].Log, sequence, r)},
 	})
 }
 
-func (p *randomHistory) run() {
-	for range rapid.IntRange(1, 60).Draw(p.t, "steps") {
-		if rapid.IntRange(0, 2).Draw(p.t, "what") == 0 {
-			p.appendPending()
+func (h *randomHistory) run() {
+	for range rapid.IntRange(1, 60).Draw(h.t, "steps") {
+		if rapid.IntRange(0, 2).Draw(h.t, "what") == 0 {
+			h.appendPending()
 		} else {
-			p.drawAction()
+			h.drawAction()
 		}
 	}
-	for range min(len(p.pending), 20) {
-		p.appendPending()
+	for range min(len(h.pending), 20) {
+		h.appendPending()
 	}
 }
 
-func TestVerdictsAreThoseOfTheNaiveVersion(t *testing.T) {
+func TestResultsMatchReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newRandomHistory(t)
-		p.run()
-		s, n := New(testSigners()), referenceModel{anchors: testSigners()}
-		for _, e := range p.j.entries {
-			v := s.Apply(e)
-			if got, want := outcomeOf(v), n.apply(e); got != want {
-				t.Fatalf("offset %d: %+v, want %+v; %+v on %s", e.Offset, got, want, v, e.Data)
+		h := newRandomHistory(t)
+		h.run()
+		s, m := New(testSigners()), referenceModel{anchors: testSigners()}
+		for _, e := range h.log.entries {
+			result := s.Apply(e)
+			if got, want := outcomeOf(result), m.apply(e); got != want {
+				t.Fatalf("offset %d: %+v, want %+v; result %+v for %s", e.Offset, got, want, result, e.Data)
 			}
-			if _, version := n.inForce(); s.versionInForce() != version {
+			if _, version := m.inForce(); s.versionInForce() != version {
 				t.Fatalf("offset %d: version %d in force, want %d", e.Offset, s.versionInForce(), version)
 			}
 		}
 	})
 }
 
-// Readers differ in how they came by their state: from the start, from a checkpoint, in
-// several sittings. They must not differ in what they say.
-func TestEveryReaderReachesTheSameBytes(t *testing.T) {
+// A reader that continues from a checkpoint must return the same results and reach the same
+// encoded state as a reader of the whole log.
+func TestReadersReachTheSameEncodedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newRandomHistory(t)
-		p.run()
+		h := newRandomHistory(t)
+		h.run()
 		whole := New(testSigners())
 		var late *State
-		cut := rapid.IntRange(0, len(p.j.entries)).Draw(t, "cut")
-		for i, e := range p.j.entries {
-			if i == cut {
+		split := rapid.IntRange(0, len(h.log.entries)).Draw(t, "cut")
+		for i, e := range h.log.entries {
+			if i == split {
 				late = must(Restore(must(whole.Encode()), testSigners()))
 			}
-			v := whole.Apply(e)
+			want := whole.Apply(e)
 			if late == nil {
 				continue
 			}
-			if got := late.Apply(e); outcomeOf(got) != outcomeOf(v) {
-				t.Fatalf("offset %d: %+v after a checkpoint, %+v without", e.Offset, got, v)
+			if got := late.Apply(e); outcomeOf(got) != outcomeOf(want) {
+				t.Fatalf("offset %d: %+v after a checkpoint, %+v without", e.Offset, got, want)
 			}
 		}
 		if late != nil && !bytes.Equal(must(late.Encode()), must(whole.Encode())) {
-			t.Fatal("other bytes after a checkpoint")
+			t.Fatal("encoded state after a checkpoint differs")
 		}
 	})
 }
 
-func TestOneWinnerAndNeverBack(t *testing.T) {
+// Of records that exclude each other only one may be accepted, the others must name an
+// accepted record as winner, and the version in force must not decrease.
+func TestOneWinnerAndNoOlderVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newRandomHistory(t)
-		p.run()
+		h := newRandomHistory(t)
+		h.run()
 		s := New(testSigners())
-		newest := NewBundleTracker(testSigners())
+		tracker := NewBundleTracker(testSigners())
 		accepted, won := make(map[uint64]bool), make(map[string]bool)
-		for _, e := range p.j.entries {
+		for _, e := range h.log.entries {
 			before := s.versionInForce()
-			switch v := s.Apply(e).(type) {
+			switch result := s.Apply(e).(type) {
 			case Accepted:
 				accepted[e.Offset] = true
-				place := contestedSlot(must(record.Decode(e.Data)))
-				if place != "" && won[place] {
-					t.Fatalf("offset %d: a second winner for %s", e.Offset, place)
+				slot := contestedSlot(must(record.Decode(e.Data)))
+				if slot != "" && won[slot] {
+					t.Fatalf("offset %d: a second winner for %s", e.Offset, slot)
 				}
-				won[place] = true
+				won[slot] = true
 			case Rejected:
-				if v.Cause == CauseLostRace && (v.Winner.IsZero() || !accepted[v.Winner.Offset]) {
-					t.Fatalf("offset %d: no winner in %+v", e.Offset, v)
+				if result.Cause == CauseLostRace && (result.Winner.IsZero() || !accepted[result.Winner.Offset]) {
+					t.Fatalf("offset %d: no accepted winner in %+v", e.Offset, result)
 				}
 			}
 			if s.versionInForce() < before {
 				t.Fatalf("offset %d: version %d after %d", e.Offset, s.versionInForce(), before)
 			}
-			checkProof(t, s, newest)
+			checkProof(t, s, tracker)
 		}
 	})
 }
 
-// contestedSlot names what only one record may win.
+// contestedSlot returns a name that is the same for records of which only one may be accepted.
+// It returns the empty string for records that exclude no others.
 func contestedSlot(r record.Record) string {
 	switch r := r.(type) {
 	case record.BundlePublished:
@@ -235,12 +241,12 @@
 	}
 }
 
-// checkProof checks that a peer that followed the history accepts each bundle in force.
-func checkProof(t *rapid.T, s *State, newest *BundleTracker) {
-	if s.InForce == nil || s.versionInForce() == newest.Proof().Version() {
+// checkProof checks that a peer that adopted each bundle in force so far accepts the next one.
+func checkProof(t *rapid.T, s *State, tracker *BundleTracker) {
+	if s.InForce == nil || s.versionInForce() == tracker.Proof().Version() {
 		return
 	}
-	if err := newest.AdoptProof(s.Proof); err != nil {
+	if err := tracker.AdoptProof(s.Proof); err != nil {
 		t.Fatalf("version %d: %v", s.versionInForce(), err)
 	}
 	if s.Proof.Signed.Statement.Signer == s.Proof.Approval.Signer {
@@ -248,14 +254,14 @@
 	}
 }
 
-// A publisher's key was stolen. Its holder signs any statement in anybody's name, at any
-// time. Nothing of that may come into force.
+// With the stolen key of a publisher, an attacker signs statements of any kind in the name of
+// any signer. None of them may approve a version or put it in force.
 func TestStolenKeyPutsNothingInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var j testLog
-		j.addAll(release(testBundle(1, "a"), 0)...)
+		var log testLog
+		log.addAll(release(testBundle(1, "a"), 0)...)
 		s := New(testSigners())
-		j.applyTo(s)
+		log.applyTo(s)
 		names := []string{"ana", "boris", "cene", "dora", "eva"}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "name")
@@ -270,10 +276,10 @@
 			other := rapid.SampledFrom(names).Draw(t, "other")
 			published := signed.Statement
 			published.Signer = "nobody"
-			j.addAll(record.BundlePublished{Signed: signed},
+			log.addAll(record.BundlePublished{Signed: signed},
 				record.BundleApproved{Approval: must(bundle.Approve(published, other, keyOf("ana")))},
 				record.BundleRolled{Roll: must(bundle.Roll(published, 1, other, keyOf("ana")))})
-			j.applyTo(s)
+			log.applyTo(s)
 			if s.versionInForce() != 1 {
 				t.Fatalf("version %d came into force", s.versionInForce())
 			}
--- a/internal/fold/reference_test.go
+++ b/internal/fold/reference_test.go
@@ -7,9 +7,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// referenceModel judges each record by looking through the list of all that were accepted before it.
-// It keeps no state but that list. It knows no bounds, so the lists given to it stay below
-// those of the fold.
+// referenceModel computes the result for each record from the list of all records that were
+// accepted before. It has no other state. It does not implement the limits of State, so its
+// tests must stay within them.
 type referenceModel struct {
 	anchors  []bundle.Signer
 	accepted []acceptedRecord
@@ -22,7 +22,8 @@
 	record record.Record
 }
 
-// outcome is a verdict without its sentence.
+// outcome is the part of a Result that the model predicts: its kind and, for a lost race, the
+// offset of the winner.
 type outcome struct {
 	kind   string
 	winner uint64
@@ -30,8 +31,8 @@
 
 var (
 	isAccepted  = outcome{kind: "accepted"}
-	isDuplicate = outcome{kind: "repeated"}
-	isRejected  = outcome{kind: "refused"}
+	isDuplicate = outcome{kind: "duplicate"}
+	isRejected  = outcome{kind: "rejected"}
 )
 
 func lostTo(offset uint64) outcome {
@@ -54,9 +55,9 @@
 	}
 }
 
-func (n *referenceModel) apply(e record.Entry) outcome {
-	for _, f := range n.accepted {
-		if f.id == e.ID && bytes.Equal(f.data, e.Data) {
+func (m *referenceModel) apply(e record.Entry) outcome {
+	for _, ar := range m.accepted {
+		if ar.id == e.ID && bytes.Equal(ar.data, e.Data) {
 			return isDuplicate
 		}
 	}
@@ -64,57 +65,58 @@
 	if err != nil {
 		return isRejected
 	}
-	o := n.check(r)
+	o := m.check(r)
 	if o == isAccepted {
-		n.accepted = append(n.accepted, acceptedRecord{offset: e.Offset, id: e.ID, data: e.Data, record: r})
+		m.accepted = append(m.accepted, acceptedRecord{offset: e.Offset, id: e.ID, data: e.Data, record: r})
 	}
 	return o
 }
 
-func (n *referenceModel) check(r record.Record) outcome {
+func (m *referenceModel) check(r record.Record) outcome {
 	switch r := r.(type) {
 	case record.BundlePublished:
-		return n.checkPublished(r.Signed)
+		return m.checkPublished(r.Signed)
 	case record.BundleApproved:
-		return n.checkStatement(r.Approval)
+		return m.checkStatement(r.Approval)
 	case record.BundleRolled:
-		return n.checkStatement(r.Roll)
+		return m.checkStatement(r.Roll)
 	case record.TermClaimed:
-		return n.checkClaim(r)
+		return m.checkClaim(r)
 	case record.AssignmentMade:
-		return n.checkAssignment(r)
+		return m.checkAssignment(r)
 	default:
 		return isRejected
 	}
 }
 
-// rolls returns the accepted rolls, and the offset of each.
-func (n *referenceModel) rolls() (list []acceptedRecord) {
-	for _, f := range n.accepted {
-		if _, ok := f.record.(record.BundleRolled); ok {
-			list = append(list, f)
+// rolls returns the accepted rolls in the order of the log.
+func (m *referenceModel) rolls() (list []acceptedRecord) {
+	for _, ar := range m.accepted {
+		if _, ok := ar.record.(record.BundleRolled); ok {
+			list = append(list, ar)
 		}
 	}
 	return list
 }
 
-func (n *referenceModel) published(version uint64) (acceptedRecord, bundle.Signed, bool) {
-	for _, f := range n.accepted {
-		if p, ok := f.record.(record.BundlePublished); ok && p.Signed.Statement.Version == version {
-			return f, p.Signed, true
+// published returns the record and the bundle that were accepted for a version.
+func (m *referenceModel) published(version uint64) (acceptedRecord, bundle.Signed, bool) {
+	for _, ar := range m.accepted {
+		if p, ok := ar.record.(record.BundlePublished); ok && p.Signed.Statement.Version == version {
+			return ar, p.Signed, true
 		}
 	}
 	return acceptedRecord{}, bundle.Signed{}, false
 }
 
-func (n *referenceModel) bundle(version uint64) *bundle.Bundle {
-	_, signed, _ := n.published(version)
+func (m *referenceModel) bundle(version uint64) *bundle.Bundle {
+	_, signed, _ := m.published(version)
 	return must(bundle.Parse(signed.Canonical))
 }
 
-// inForce returns the roll in force and its version.
-func (n *referenceModel) inForce() (acceptedRecord, uint64) {
-	rolls := n.rolls()
+// inForce returns the newest roll and its version, or zero values.
+func (m *referenceModel) inForce() (acceptedRecord, uint64) {
+	rolls := m.rolls()
 	if len(rolls) == 0 {
 		return acceptedRecord{}, 0
 	}
@@ -122,88 +124,90 @@
 	return last, last.record.(record.BundleRolled).Roll.Version
 }
 
-func (n *referenceModel) signers() []bundle.Signer {
-	if _, v := n.inForce(); v > 0 {
-		return n.bundle(v).Signers
+// signers returns the signers of the bundle in force, or the trust anchors.
+func (m *referenceModel) signers() []bundle.Signer {
+	if _, v := m.inForce(); v > 0 {
+		return m.bundle(v).Signers
 	}
-	return n.anchors
+	return m.anchors
 }
 
-// covered reports whether a statement accepted at an offset was covered by the signers of
-// each bundle rolled since.
-func (n *referenceModel) covered(s bundle.Statement, offset uint64) bool {
-	for _, f := range n.rolls() {
-		if f.offset < offset {
+// authorizedSince reports whether a statement that was accepted at an offset is valid by the
+// signers of each bundle that was rolled since.
+func (m *referenceModel) authorizedSince(s bundle.Statement, offset uint64) bool {
+	for _, ar := range m.rolls() {
+		if ar.offset < offset {
 			continue
 		}
-		if _, err := s.Verify(n.bundle(f.record.(record.BundleRolled).Roll.Version).Signers); err != nil {
+		if _, err := s.Verify(m.bundle(ar.record.(record.BundleRolled).Roll.Version).Signers); err != nil {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *referenceModel) approval(version uint64) (acceptedRecord, bundle.Statement, bool) {
-	for i := len(n.accepted) - 1; i >= 0; i-- {
-		f := n.accepted[i]
-		if a, ok := f.record.(record.BundleApproved); ok && a.Approval.Version == version {
-			return f, a.Approval, n.covered(a.Approval, f.offset)
+// approval returns the newest approval of a version and whether it is still valid.
+func (m *referenceModel) approval(version uint64) (acceptedRecord, bundle.Statement, bool) {
+	for i := len(m.accepted) - 1; i >= 0; i-- {
+		ar := m.accepted[i]
+		if a, ok := ar.record.(record.BundleApproved); ok && a.Approval.Version == version {
+			return ar, a.Approval, m.authorizedSince(a.Approval, ar.offset)
 		}
 	}
 	return acceptedRecord{}, bundle.Statement{}, false
 }
 
-func (n *referenceModel) checkPublished(signed bundle.Signed) outcome {
+func (m *referenceModel) checkPublished(signed bundle.Signed) outcome {
 	st := signed.Statement
 	if _, err := signed.Open(); err != nil {
 		return isRejected
 	}
-	if _, err := st.Verify(n.signers()); err != nil {
+	if _, err := st.Verify(m.signers()); err != nil {
 		return isRejected
 	}
 	head := uint64(0)
-	for _, f := range n.accepted {
-		if p, ok := f.record.(record.BundlePublished); ok {
+	for _, ar := range m.accepted {
+		if p, ok := ar.record.(record.BundlePublished); ok {
 			head = max(head, p.Signed.Statement.Version)
 		}
 	}
-	rolled, version := n.inForce()
-	f, first, known := n.published(st.Version)
-	live := known && n.covered(first.Statement, f.offset)
+	rolled, version := m.inForce()
+	ar, first, known := m.published(st.Version)
+	valid := known && m.authorizedSince(first.Statement, ar.offset)
 	same := known && first.Statement.SameBundle(st) && first.Statement.Signer == st.Signer
 	switch {
 	case st.Version > head && st.Follows == head:
 		return isAccepted
 	case st.Version > head:
 		return isRejected
-	case same && (st.Version == version || st.Version > version && live):
+	case same && (st.Version == version || st.Version > version && valid):
 		return isDuplicate
 	case st.Version <= version:
 		return lostTo(rolled.offset)
-	case live:
-		return lostTo(f.offset)
+	case valid:
+		return lostTo(ar.offset)
 	default:
 		return isRejected
 	}
 }
 
-func (n *referenceModel) checkStatement(st bundle.Statement) outcome {
-	rolled, version := n.inForce()
+func (m *referenceModel) checkStatement(st bundle.Statement) outcome {
+	rolled, version := m.inForce()
 	if st.Version <= version {
-		return n.checkNotNewer(st, rolled, version)
+		return m.checkNotNewer(st, rolled, version)
 	}
-	f, signed, known := n.published(st.Version)
-	if !known || !n.covered(signed.Statement, f.offset) {
+	ar, signed, known := m.published(st.Version)
+	if !known || !m.authorizedSince(signed.Statement, ar.offset) {
 		return isRejected
 	}
 	if !signed.Statement.SameBundle(st) {
-		return lostTo(f.offset)
+		return lostTo(ar.offset)
 	}
-	approver, approval, approved := n.approval(st.Version)
+	approver, approval, approved := m.approval(st.Version)
 	if st.Role == bundle.RoleApprove {
-		return n.checkApproval(signed.Statement, st, approver, approval, approved)
+		return m.checkApproval(signed.Statement, st, approver, approval, approved)
 	}
-	if !approved || bundle.VerifyRelease(signed.Statement, approval, st, n.signers()) != nil {
+	if !approved || bundle.VerifyRelease(signed.Statement, approval, st, m.signers()) != nil {
 		return isRejected
 	}
 	if st.Follows != version {
@@ -212,23 +216,23 @@
 	return isAccepted
 }
 
-// checkNotNewer judges a statement about a version that is in force or overtaken.
-func (n *referenceModel) checkNotNewer(st bundle.Statement, rolled acceptedRecord, version uint64) outcome {
-	_, approval, _ := n.approval(version)
-	for _, done := range []bundle.Statement{approval, rolled.record.(record.BundleRolled).Roll} {
-		if bytes.Equal(done.Signature, st.Signature) && bytes.Equal(done.Text(), st.Text()) {
+// checkNotNewer checks a statement about a version that is not newer than the one in force.
+func (m *referenceModel) checkNotNewer(st bundle.Statement, rolled acceptedRecord, version uint64) outcome {
+	_, approval, _ := m.approval(version)
+	for _, applied := range []bundle.Statement{approval, rolled.record.(record.BundleRolled).Roll} {
+		if bytes.Equal(applied.Signature, st.Signature) && bytes.Equal(applied.Text(), st.Text()) {
 			return isDuplicate
 		}
 	}
 	return lostTo(rolled.offset)
 }
 
-func (n *referenceModel) checkApproval(published, st bundle.Statement, first acceptedRecord, approval bundle.Statement, approved bool) outcome {
-	publisher, err := published.Verify(n.signers())
+func (m *referenceModel) checkApproval(published, st bundle.Statement, first acceptedRecord, approval bundle.Statement, approved bool) outcome {
+	publisher, err := published.Verify(m.signers())
 	if err != nil {
 		return isRejected
 	}
-	approver, err := st.Verify(n.signers())
+	approver, err := st.Verify(m.signers())
 	if err != nil || st.Follows != published.Follows || bundle.Distinct(publisher, approver) != nil {
 		return isRejected
 	}
@@ -242,15 +246,15 @@
 	}
 }
 
-func (n *referenceModel) checkClaim(r record.TermClaimed) outcome {
-	if _, v := n.inForce(); v > 0 && !hasDomain(n.bundle(v), r.Domain) {
+func (m *referenceModel) checkClaim(r record.TermClaimed) outcome {
+	if _, v := m.inForce(); v > 0 && !hasDomain(m.bundle(v), r.Domain) {
 		return isRejected
 	}
 	var last acceptedRecord
 	term := uint64(0)
-	for _, f := range n.accepted {
-		if c, ok := f.record.(record.TermClaimed); ok && c.Domain == r.Domain {
-			last, term = f, term+1
+	for _, ar := range m.accepted {
+		if c, ok := ar.record.(record.TermClaimed); ok && c.Domain == r.Domain {
+			last, term = ar, term+1
 		}
 	}
 	switch {
@@ -265,44 +269,45 @@
 	}
 }
 
-// checkAssignment knows batches of one server only.
-func (n *referenceModel) checkAssignment(r record.AssignmentMade) outcome {
-	mine := r.Assignments[0]
-	_, version := n.inForce()
-	if version > 0 && !hasDomain(n.bundle(version), r.Domain) {
+// checkAssignment supports only records with one server and one range.
+func (m *referenceModel) checkAssignment(r record.AssignmentMade) outcome {
+	next := r.Assignments[0]
+	_, version := m.inForce()
+	if version > 0 && !hasDomain(m.bundle(version), r.Domain) {
 		return isRejected
 	}
 	known := false
 	o := isAccepted
-	for _, f := range n.accepted {
-		a, ok := f.record.(record.AssignmentMade)
-		if !ok || a.Domain != r.Domain || a.Assignments[0].Server != mine.Server || n.dropped(mine.Server, f.offset) {
+	for _, ar := range m.accepted {
+		a, ok := ar.record.(record.AssignmentMade)
+		if !ok || a.Domain != r.Domain || a.Assignments[0].Server != next.Server || m.droppedSince(next.Server, ar.offset) {
 			continue
 		}
 		known = true
-		switch c := mine.Epoch.Compare(a.Assignments[0].Epoch); {
+		switch c := next.Epoch.Compare(a.Assignments[0].Epoch); {
 		case c < 0:
 			return isRejected
-		case c == 0 && mine.Ranges[0] == a.Assignments[0].Ranges[0]:
+		case c == 0 && next.Ranges[0] == a.Assignments[0].Ranges[0]:
 			o = isDuplicate
 		case c == 0:
 			o = isRejected
 		}
 	}
-	if !known && version > 0 && !serverNames(n.bundle(version))[mine.Server] {
+	if !known && version > 0 && !serverNames(m.bundle(version))[next.Server] {
 		return isRejected
 	}
 	return o
 }
 
-// dropped reports whether a server was, since an offset, in neither bundle of some roll.
-func (n *referenceModel) dropped(server string, offset uint64) bool {
-	for _, f := range n.rolls() {
-		r := f.record.(record.BundleRolled).Roll
-		if f.offset < offset || r.Follows == 0 {
+// droppedSince reports whether, since an offset, a roll dropped the assignments of a server:
+// the server is neither in the rolled bundle nor in the one that it replaced.
+func (m *referenceModel) droppedSince(server string, offset uint64) bool {
+	for _, ar := range m.rolls() {
+		r := ar.record.(record.BundleRolled).Roll
+		if ar.offset < offset || r.Follows == 0 {
 			continue
 		}
-		if !serverNames(n.bundle(r.Follows))[server] && !serverNames(n.bundle(r.Version))[server] {
+		if !serverNames(m.bundle(r.Follows))[server] && !serverNames(m.bundle(r.Version))[server] {
 			return true
 		}
 	}
--- a/internal/fold/release_test.go
+++ b/internal/fold/release_test.go
@@ -11,11 +11,11 @@
 
 func TestReleaseComesIntoForce(t *testing.T) {
 	is := is.New(t)
-	var j testLog
-	j.addAll(release(testBundle(1, "a"), 0)...)
-	j.addAll(release(testBundle(2, "b"), 1)...)
+	var log testLog
+	log.addAll(release(testBundle(1, "a"), 0)...)
+	log.addAll(release(testBundle(2, "b"), 1)...)
 	s := New(testSigners())
-	for _, v := range j.applyTo(s) {
+	for _, v := range log.applyTo(s) {
 		is.Equal(v, Accepted{})
 	}
 	is.Equal(s.InForce.Version, uint64(2))
@@ -26,29 +26,30 @@
 	is.Equal(b, s.InForce)
 }
 
-// Two operators publish version 1 at the same moment. Each is told that the append
-// succeeded. The one whose record stands second in the log must learn that it lost, and to
-// whom, or it would roll a bundle that is not its own.
+// Two operators publish version 1 at the same time, and both appends succeed. The result for
+// the second record must say that it lost and to which one. Otherwise its operator would roll
+// a bundle that is not its own.
 func TestPublishRaceNamesTheWinner(t *testing.T) {
 	is := is.New(t)
 	first, second := publish(testBundle(1, "a"), "ana"), publish(testBundle(1, "b"), "boris")
-	var j testLog
-	j.addAll(record.BundlePublished{Signed: first}, record.BundlePublished{Signed: second})
-	verdicts := j.applyTo(New(testSigners()))
-	is.Equal(verdicts[0], Accepted{})
-	r := requireRejected(t, verdicts[1], CauseLostRace)
+	var log testLog
+	log.addAll(record.BundlePublished{Signed: first}, record.BundlePublished{Signed: second})
+	results := log.applyTo(New(testSigners()))
+	is.Equal(results[0], Accepted{})
+	r := requireRejected(t, results[1], CauseLostRace)
 	is.Equal(r.Winner, Winner{Version: 1, Hash: first.Statement.Hash, Signer: "ana", Offset: 0})
 	is.Equal(r.Offset, uint64(1))
 }
 
-// Two operators roll two approved versions at once, each having seen version 1 in force. The
-// second had planned its moves from version 1, so it is refused.
+// Two operators roll two approved versions at the same time, both based on version 1. The
+// second roll must be rejected, because its moves were planned from a version that is no
+// longer in force.
 func TestRollRaceNamesTheWinner(t *testing.T) {
 	is := is.New(t)
-	var j testLog
-	j.addAll(release(testBundle(1, "a"), 0)...)
+	var log testLog
+	log.addAll(release(testBundle(1, "a"), 0)...)
 	two, three := publish(testBundle(2, "b"), "ana"), publish(testBundle(3, "c"), "boris")
-	j.addAll(
+	log.addAll(
 		record.BundlePublished{Signed: two},
 		record.BundlePublished{Signed: three},
 		record.BundleApproved{Approval: approve(two, "cene")},
@@ -59,16 +60,16 @@
 		record.BundleRolled{Roll: roll(two, 3, "cene")},
 	)
 	s := New(testSigners())
-	v := j.applyTo(s)
-	is.Equal(v[7], Accepted{})
-	r := requireRejected(t, v[8], CauseLostRace)
+	results := log.applyTo(s)
+	is.Equal(results[7], Accepted{})
+	r := requireRejected(t, results[8], CauseLostRace)
 	is.Equal(r.Winner, Winner{Version: 2, Hash: two.Statement.Hash, Signer: "cene", Offset: 7})
-	is.Equal(v[9], Accepted{})
-	is.Equal(requireRejected(t, v[10], CauseLostRace).Winner.Version, uint64(3))
+	is.Equal(results[9], Accepted{})
+	is.Equal(requireRejected(t, results[10], CauseLostRace).Winner.Version, uint64(3))
 	is.Equal(s.InForce.Version, uint64(3))
 }
 
-func TestRefusedReleases(t *testing.T) {
+func TestRejectedReleases(t *testing.T) {
 	one := publish(testBundle(1, "a"), "ana")
 	published := record.BundlePublished{Signed: one}
 	approved := record.BundleApproved{Approval: approve(one, "cene")}
@@ -101,121 +102,123 @@
 			if tt.anchors == nil {
 				tt.anchors = testSigners()
 			}
-			var j testLog
-			j.addAll(tt.records...)
+			var log testLog
+			log.addAll(tt.records...)
 			s := New(tt.anchors)
-			v := j.applyTo(s)
-			requireRejected(t, v[len(v)-1], tt.want)
+			results := log.applyTo(s)
+			requireRejected(t, results[len(results)-1], tt.want)
 			is.Equal(s.InForce, nil)
 		})
 	}
 }
 
-// An operator appends a roll and the answer is lost, so the command appends it again, later
-// and after others have written. The second record must read as a repeat, not as a refusal.
-func TestRepeatAfterLostAnswer(t *testing.T) {
+// The response to an append is lost, so the command appends the record again, after other
+// records and possibly with another ID. The second record must be a duplicate, not rejected.
+func TestRetryAfterLostResponseIsDuplicate(t *testing.T) {
 	is := is.New(t)
-	var j testLog
+	var log testLog
 	records := release(testBundle(1, "a"), 0)
 	for range 2 {
 		for i, r := range records {
-			j.add(string(rune('a'+i)), r)
+			log.add(string(rune('a'+i)), r)
 		}
 	}
 	for i, r := range records {
-		j.add(string(rune('k'+i)), r)
+		log.add(string(rune('k'+i)), r)
 	}
-	v := j.applyTo(New(testSigners()))
+	results := log.applyTo(New(testSigners()))
 	for i := range 9 {
 		want := Result(Duplicate{})
 		if i < 3 {
 			want = Accepted{}
 		}
-		is.Equal(v[i], want)
+		is.Equal(results[i], want)
 	}
 }
 
-// An approver is revoked by version 3 while version 4 waits, approved by that approver. The
-// approval is worth nothing then; another approver may give a new one.
+// Version 2 revokes the approver of version 3, which is a candidate. The approval must no
+// longer count, and another approver may approve the version again.
 func TestRevokedApprovalIsDropped(t *testing.T) {
 	is := is.New(t)
-	var j testLog
-	j.addAll(release(testBundle(1, "a"), 0)...)
+	var log testLog
+	log.addAll(release(testBundle(1, "a"), 0)...)
 	two := testBundle(2, "b")
 	two.Signers[2].Revoked = true
-	j.addAll(release(two, 1)[:2]...)
+	log.addAll(release(two, 1)[:2]...)
 	three := publish(testBundle(3, "c"), "boris")
-	j.addAll(record.BundlePublished{Signed: three}, record.BundleApproved{Approval: approve(three, "cene")})
+	log.addAll(record.BundlePublished{Signed: three}, record.BundleApproved{Approval: approve(three, "cene")})
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	is.True(s.candidate(3).Approved())
 	view := s.Snapshot()
-	j.addAll(release(two, 1)[2])
-	j.addAll(record.BundleRolled{Roll: roll(three, 2, "dora")})
-	v := j.applyTo(s)
-	is.Equal(v[0], Accepted{})
-	requireRejected(t, v[1], CauseUnapproved)
+	log.addAll(release(two, 1)[2])
+	log.addAll(record.BundleRolled{Roll: roll(three, 2, "dora")})
+	results := log.applyTo(s)
+	is.Equal(results[0], Accepted{})
+	requireRejected(t, results[1], CauseUnapproved)
 	is.True(!s.candidate(3).Approved())
 	is.True(view.Candidates[1].Approved())
-	j.addAll(record.BundleApproved{Approval: approve(three, "dora")}, record.BundleRolled{Roll: roll(three, 2, "dora")})
-	v = j.applyTo(s)
-	is.Equal(v[0], Accepted{})
-	is.Equal(v[1], Accepted{})
+	log.addAll(record.BundleApproved{Approval: approve(three, "dora")}, record.BundleRolled{Roll: roll(three, 2, "dora")})
+	results = log.applyTo(s)
+	is.Equal(results[0], Accepted{})
+	is.Equal(results[1], Accepted{})
 }
 
-// As above, but the publisher of the waiting version is revoked: the version is dropped.
-func TestVersionOfRevokedPublisherIsDropped(t *testing.T) {
+// Version 1 revokes the publisher of version 2, which is a candidate. The candidate must be
+// dropped.
+func TestCandidateOfRevokedPublisherIsDropped(t *testing.T) {
 	is := is.New(t)
-	var j testLog
-	two := testBundle(1, "b")
-	two.Signers[1].Revoked = true
-	j.addAll(release(two, 0)[:2]...)
-	three := publish(testBundle(2, "c"), "boris")
-	j.addAll(record.BundlePublished{Signed: three}, release(two, 0)[2], record.BundleApproved{Approval: approve(three, "dora")})
+	var log testLog
+	one := testBundle(1, "b")
+	one.Signers[1].Revoked = true
+	log.addAll(release(one, 0)[:2]...)
+	two := publish(testBundle(2, "c"), "boris")
+	log.addAll(record.BundlePublished{Signed: two}, release(one, 0)[2], record.BundleApproved{Approval: approve(two, "dora")})
 	s := New(testSigners())
-	v := j.applyTo(s)
-	is.Equal(v[3], Accepted{})
-	requireRejected(t, v[4], CauseUnknownVersion)
+	results := log.applyTo(s)
+	is.Equal(results[3], Accepted{})
+	requireRejected(t, results[4], CauseUnknownVersion)
 	is.Equal(len(s.Candidates), 0)
 	is.Equal(s.Head, uint64(2))
 }
 
-// A reader looks at a snapshot while the fold goes on: an approval must not appear in it.
+// A reader holds a snapshot while further records are applied. A later approval must not
+// appear in the snapshot.
 func TestSnapshotKeepsCandidates(t *testing.T) {
 	is := is.New(t)
-	var j testLog
+	var log testLog
 	one := publish(testBundle(1, "a"), "ana")
-	j.addAll(record.BundlePublished{Signed: one})
+	log.addAll(record.BundlePublished{Signed: one})
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	view := s.Snapshot()
-	j.addAll(record.BundleApproved{Approval: approve(one, "cene")})
-	j.applyTo(s)
+	log.addAll(record.BundleApproved{Approval: approve(one, "cene")})
+	log.applyTo(s)
 	is.True(!view.Candidates[0].Approved())
 	is.True(s.Candidates[0].Approved())
 }
 
-// Somebody with a publisher's key publishes without end. The versions that wait stay bounded,
-// and one that is approved is not pushed out.
-func TestCandidatesAreBounded(t *testing.T) {
+// A publisher publishes without limit. The number of candidates must stay bounded, and an
+// approved candidate must not be dropped.
+func TestNumberOfCandidatesIsLimited(t *testing.T) {
 	is := is.New(t)
-	var j testLog
+	var log testLog
 	for v := uint64(1); v <= maxCandidates+4; v++ {
 		signed := publish(testBundle(v, "a"), "ana")
-		j.addAll(record.BundlePublished{Signed: signed})
+		log.addAll(record.BundlePublished{Signed: signed})
 		if v == 2 {
-			j.addAll(record.BundleApproved{Approval: approve(signed, "cene")})
+			log.addAll(record.BundleApproved{Approval: approve(signed, "cene")})
 		}
 	}
 	s := New(testSigners())
-	j.applyTo(s)
+	log.applyTo(s)
 	is.Equal(len(s.Candidates), maxCandidates)
 	is.Equal(s.Candidates[0].Signed.Statement.Version, uint64(2))
 	is.Equal(s.Candidates[1].Signed.Statement.Version, uint64(6))
 }
 
-// deltaOf returns the record of a version that is published as a delta.
-func deltaOf(base, next *bundle.Bundle, baseHash []byte) record.BundlePublished {
+// publishedDelta returns the record that publishes next as a delta from base.
+func publishedDelta(base, next *bundle.Bundle, baseHash []byte) record.BundlePublished {
 	signed := publish(next, "ana")
 	d := must(bundle.NewDelta(base, baseHash, next, signed.Statement.Hash))
 	return record.BundlePublished{Signed: bundle.Signed{Statement: signed.Statement}, Delta: &d}
@@ -224,30 +227,30 @@
 func TestPublishedDeltas(t *testing.T) {
 	one, two, three := testBundle(1, "a"), testBundle(2, "b"), testBundle(3, "c")
 	hash := func(b *bundle.Bundle) []byte { return publish(b, "ana").Statement.Hash }
-	whole := deltaOf(one, two, hash(one))
-	whole.Signed.Canonical = publish(two, "ana").Canonical
+	both := publishedDelta(one, two, hash(one))
+	both.Signed.Canonical = publish(two, "ana").Canonical
 	tests := map[string]struct {
 		records []record.Record
 		cause   Cause
 	}{
-		"from in force": {records: []record.Record{deltaOf(one, two, hash(one))}},
-		"from waiting":  {records: []record.Record{deltaOf(one, two, hash(one)), deltaOf(two, three, hash(two))}},
-		"from nothing":  {records: []record.Record{deltaOf(two, two, hash(two))}, cause: CauseInvalidBundle},
-		"both forms":    {records: []record.Record{whole}, cause: CauseInvalidBundle},
+		"from bundle in force": {records: []record.Record{publishedDelta(one, two, hash(one))}},
+		"from candidate":       {records: []record.Record{publishedDelta(one, two, hash(one)), publishedDelta(two, three, hash(two))}},
+		"from unknown base":    {records: []record.Record{publishedDelta(two, two, hash(two))}, cause: CauseInvalidBundle},
+		"both forms":           {records: []record.Record{both}, cause: CauseInvalidBundle},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var j testLog
-			j.addAll(release(one, 0)...)
-			j.addAll(tt.records...)
+			var log testLog
+			log.addAll(release(one, 0)...)
+			log.addAll(tt.records...)
 			s := New(testSigners())
-			v := j.applyTo(s)
+			results := log.applyTo(s)
 			if tt.cause != "" {
-				requireRejected(t, v[len(v)-1], tt.cause)
+				requireRejected(t, results[len(results)-1], tt.cause)
 				return
 			}
-			is.Equal(v[len(v)-1], Accepted{})
+			is.Equal(results[len(results)-1], Accepted{})
 			last := s.Candidates[len(s.Candidates)-1]
 			is.Equal(last.Signed, publish(testBundle(uint64(len(tt.records))+1, []string{"b", "c"}[len(tt.records)-1]), "ana"))
 			restored := must(Restore(must(s.Encode()), testSigners()))
--- a/internal/fold/result.go
+++ b/internal/fold/result.go
@@ -56,7 +56,8 @@
 	// CauseInvalidBundle means that the published bundle is invalid, or that the bundle in force
 	// does not permit the record.
 	CauseInvalidBundle Cause = "invalid-bundle"
-	// CauseSignature means that a signature is invalid or that its signer lacks the role.
+	// CauseSignature means that a signature or proof is invalid, or that the signer may not sign
+	// the statement.
 	CauseSignature Cause = "signature"
 	// CauseLostRace means that an earlier record, described by Winner, excludes this one.
 	CauseLostRace Cause = "lost-race"
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -1,6 +1,7 @@
-// Package fold computes the replicated state of the system by applying the records of the
-// platform's log in order. It is deterministic and has no other input: every instance that
-// reads the same records has the same state and the same result for each record.
+// Package fold computes the replicated state of the system as a fold over the platform's log:
+// it applies the records in order. It is deterministic and has no other input, so that every
+// instance that reads the same records reaches the same state, with the same result for each
+// record.
 package fold
 
 import (
--- a/internal/fold/tracker_property_test.go
+++ b/internal/fold/tracker_property_test.go
@@ -10,8 +10,8 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// cluster is a few instances with a log that may start anew, and operators who work by what the
-// log says, however little that is.
+// cluster simulates three instances and a log that may be lost and start again. Operators
+// release new versions by the content of the log only.
 type cluster struct {
 	t         *rapid.T
 	log       testLog
@@ -19,129 +19,132 @@
 	releases  int
 }
 
-// testInstance is one instance.
+// testInstance is an instance that reads the log and exchanges bundles with peers.
 type testInstance struct {
 	state   *State
 	tracker *BundleTracker
-	// highest is the highest version that the instance served.
+	// highest is the highest version that the instance has tracked.
 	highest uint64
 }
 
 func newCluster(t *rapid.T) *cluster {
-	f := &cluster{t: t}
+	c := &cluster{t: t}
 	for range 3 {
-		f.instances = append(f.instances, &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())})
+		c.instances = append(c.instances, &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())})
 	}
-	return f
+	return c
 }
 
-func (f *cluster) drawInstance() *testInstance {
-	return rapid.SampledFrom(f.instances).Draw(f.t, "instance")
+func (c *cluster) drawInstance() *testInstance {
+	return rapid.SampledFrom(c.instances).Draw(c.t, "instance")
 }
 
-// read takes up to n records, from the last one known on, so that a log which started anew is
-// noticed even when it has grown past the reader.
-func (f *cluster) read(r *testInstance, n int) {
-	length := uint64(len(f.log.entries))
-	last := max(r.state.Next, 1) - 1
-	if r.state.Next > length {
-		r.state = New(testSigners())
+// read applies up to n records, starting with the last one that was applied before, so that a
+// replaced log is detected even if it has grown past the reader.
+func (c *cluster) read(in *testInstance, n int) {
+	length := uint64(len(c.log.entries))
+	last := max(in.state.Next, 1) - 1
+	if in.state.Next > length {
+		in.state = New(testSigners())
 		last = 0
 	}
 	for i := last; i < length && n > 0; i++ {
-		if _, changed := r.state.Apply(f.log.entries[i]).(LogReplaced); changed {
-			r.state = New(testSigners())
+		if _, replaced := in.state.Apply(c.log.entries[i]).(LogReplaced); replaced {
+			in.state = New(testSigners())
 			return
 		}
 		n--
 	}
-	r.tracker.AdoptFromLog(r.state)
-	f.check(r)
+	in.tracker.AdoptFromLog(in.state)
+	c.checkVersion(in)
 }
 
-func (f *cluster) check(r *testInstance) {
-	version := r.tracker.Proof().Version()
-	if version < r.highest {
-		f.t.Fatalf("version %d after %d", version, r.highest)
+// checkVersion checks that the version of an instance has not decreased.
+func (c *cluster) checkVersion(in *testInstance) {
+	version := in.tracker.Proof().Version()
+	if version < in.highest {
+		c.t.Fatalf("version %d after %d", version, in.highest)
 	}
-	r.highest = version
+	in.highest = version
 }
 
-// release brings a version into force that follows what the log knows.
-func (f *cluster) release() {
+// release appends the release of a version that follows the newest one in the log.
+func (c *cluster) release() {
 	s := New(testSigners())
-	f.log.applyTo(s)
-	f.releases++
-	f.log.addAll(release(testBundle(s.Head+1, fmt.Sprint(f.releases)), s.versionInForce())...)
+	c.log.applyTo(s)
+	c.releases++
+	c.log.addAll(release(testBundle(s.Head+1, fmt.Sprint(c.releases)), s.versionInForce())...)
 }
 
-// exchange hands what one instance holds to another, as an update if that fits.
-func (f *cluster) exchange() {
-	from, to := f.drawInstance(), f.drawInstance()
+// exchange passes the bundle of one instance to another, as an update if that applies and as a
+// complete proof otherwise.
+func (c *cluster) exchange() {
+	from, to := c.drawInstance(), c.drawInstance()
 	u, err := bundle.NewUpdate(to.tracker.Held(), from.tracker.Held())
 	if err == nil && to.tracker.ApplyUpdate(u) == nil {
-		f.check(to)
+		c.checkVersion(to)
 		return
 	}
 	err = to.tracker.AdoptProof(from.tracker.Proof())
 	if err != nil && !errors.Is(err, ErrNotNewer) && !errors.Is(err, bundle.ErrFork) {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	f.check(to)
+	c.checkVersion(to)
 }
 
-// restore appends the bundle of an instance that read the log to its end and misses it there.
-func (f *cluster) restore(r *testInstance) {
-	f.read(r, 1000)
-	if r.state.Next != uint64(len(f.log.entries)) {
+// restore lets an instance read the log to its end, and appends the bundle of the instance if
+// the log has lost it.
+func (c *cluster) restore(in *testInstance) {
+	c.read(in, 1000)
+	if in.state.Next != uint64(len(c.log.entries)) {
 		return
 	}
-	if missing, id, found := r.tracker.MissingRecord(r.state); found {
-		f.log.add(id, missing)
+	if r, id, missing := in.tracker.MissingRecord(in.state); missing {
+		c.log.add(id, r)
 	}
 }
 
-func (f *cluster) replaceInstance() {
-	i := rapid.IntRange(0, len(f.instances)-1).Draw(f.t, "replaced")
-	f.instances[i] = &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())}
+func (c *cluster) replaceInstance() {
+	i := rapid.IntRange(0, len(c.instances)-1).Draw(c.t, "replaced")
+	c.instances[i] = &testInstance{state: New(testSigners()), tracker: NewBundleTracker(testSigners())}
 }
 
-// The log is lost and starts anew, instances are replaced, peers hand bundles on, and
-// operators release meanwhile by what the log says. No instance may go back, and once things
-// are quiet all must serve the same bundle.
-func TestInstancesNeverGoBackAndAgree(t *testing.T) {
+// The log is lost and starts again, instances are replaced, peers exchange bundles, and
+// operators release new versions by the content of the log. The version of an instance must
+// never decrease, and after the last change all instances must track the same bundle.
+func TestVersionsNeverDecreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newCluster(t)
+		c := newCluster(t)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				f.release()
+				c.release()
 			case 2, 3, 4:
-				f.read(f.drawInstance(), rapid.IntRange(1, 9).Draw(t, "records"))
+				c.read(c.drawInstance(), rapid.IntRange(1, 9).Draw(t, "records"))
 			case 5, 6:
-				f.exchange()
+				c.exchange()
 			case 7:
-				f.restore(f.drawInstance())
+				c.restore(c.drawInstance())
 			case 8:
-				f.replaceInstance()
+				c.replaceInstance()
 			case 9:
-				f.log = testLog{}
+				c.log = testLog{}
 			}
 		}
 		for range 2 {
-			for _, r := range f.instances {
-				f.restore(r)
+			for _, in := range c.instances {
+				c.restore(in)
 			}
 		}
-		for _, r := range f.instances {
-			f.read(r, 1000)
-			f.read(r, 1000)
+		for _, in := range c.instances {
+			c.read(in, 1000)
+			c.read(in, 1000)
 		}
-		first := f.instances[0].tracker.Proof().Signed.Statement
-		for _, r := range f.instances {
-			got := r.tracker.Proof().Signed.Statement
+		first := c.instances[0].tracker.Proof().Signed.Statement
+		for _, in := range c.instances {
+			got := in.tracker.Proof().Signed.Statement
 			if !got.SameBundle(first) {
-				t.Fatalf("version %d (%.4x) and version %d (%.4x)", first.Version, first.Hash, got.Version, got.Hash)
+				t.Fatalf("instances track version %d (%.4x) and version %d (%.4x)", first.Version, first.Hash, got.Version, got.Hash)
 			}
 		}
 	})
