--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -147,8 +147,8 @@
 // homesConfig takes the bounds that another domain waits for from the leader that keeps to them.
 func homesConfig(l leader.Config) homes.Config {
 	c := homes.DefaultConfig(l.Domain)
-	c.MoveBound = l.MoveBound
-	c.Pause = l.Pause
+	c.IsolationTimeout = l.IsolationTimeout
+	c.MaxPause = l.MaxPause
 	c.DriftPerMille = l.DriftPerMille
 	return c
 }
--- a/internal/entry/logduty.go
+++ b/internal/entry/logduty.go
@@ -222,7 +222,7 @@
 	e.state.takeHomes(view.Homes)
 	domain := e.deps.Settings.Domain
 	e.tellHomes(ctx, homes.LogRead{State: view})
-	e.tell(ctx, leader.Folded{
+	e.tell(ctx, leader.LogRead{
 		ReadAt:   askedAt,
 		Term:     view.Terms[domain],
 		Assigned: view.Assignments[domain],
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -36,7 +36,7 @@
 
 func (e *Entry) takeTable(ctx context.Context, t *route.Table) {
 	if t != nil && e.setTable(t) {
-		e.tell(ctx, leader.Routed{Table: *t})
+		e.tell(ctx, leader.TableReceived{Table: *t})
 	}
 }
 
@@ -68,7 +68,7 @@
 		if e.folded.Load() == nil {
 			e.state.takeHomes(result.Homes)
 		}
-		e.tellHomes(ctx, homes.Copied{Homes: result.Homes})
+		e.tellHomes(ctx, homes.PeerHomes{Homes: result.Homes})
 	}
 }
 
--- a/internal/front/meters.go
+++ b/internal/front/meters.go
@@ -77,7 +77,7 @@
 	s.core.Each(func(p policy.Capacity, busy int) {
 		server := ServerStatus{Server: p.Server, Slots: p.Slots, Busy: busy}
 		if known := s.servers[p.Server]; known != nil {
-			server.Connections = known.Open()
+			server.Connections = known.OpenConns()
 		}
 		status.Servers = append(status.Servers, server)
 	})
