--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -8,90 +8,94 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Apply folds one entry and says what became of it. Entries come in the order of their
-// offsets; Next says which one is wanted. After a checkpoint was taken over, Next may be
-// lower than the entry's offset, and the reader goes on from there.
-func (s *State) Apply(e record.Entry) Verdict {
+// Apply applies one entry and returns the result for it. The caller passes the entries in the
+// order of their offsets, starting at Next. It may pass the entry before Next once more, to
+// detect that the log was replaced. If Apply adopts the state of a checkpoint, Next may
+// afterwards be lower than the offset of the entry; the reader then continues from Next.
+func (s *State) Apply(e record.Entry) Result {
 	d := digestOf(e)
 	switch {
-	case e.Offset+1 == s.Next && s.Next > s.Since && d != s.last:
-		return Changed{Offset: e.Offset}
+	case e.Offset+1 == s.Next && s.Next > s.StartOffset && d != s.lastDigest:
+		return LogReplaced{Offset: e.Offset}
 	case e.Offset < s.Next:
-		return Repeated{}
+		return Duplicate{}
 	case e.Offset > s.Next:
 		return s.applyAfterGap(e)
 	}
 	s.Next++
-	s.last = d
-	if s.memory.knows(d) {
-		return Repeated{}
+	s.lastDigest = d
+	if s.recent.contains(d) {
+		return Duplicate{}
 	}
 	r, err := record.Decode(e.Data)
 	if err != nil {
-		return s.refuseUnreadable(e.Offset, err)
+		return s.rejectUnreadable(e.Offset, err)
 	}
 	return s.applyRecord(e.Offset, d, r)
 }
 
-// applyRecord remembers what it accepted, but for the records of checkpoints: a reader that
-// starts at a checkpoint does not see its mark.
-func (s *State) applyRecord(offset uint64, d digest, r record.Record) Verdict {
+// applyRecord applies a record and remembers its digest if it was accepted. It does not
+// remember checkpoints and their marks: a reader that starts at a checkpoint does not see its
+// mark, and must encode the same state as all others.
+func (s *State) applyRecord(offset uint64, d digest, r record.Record) Result {
 	switch r := r.(type) {
 	case record.CheckpointMarked:
-		return s.mark()
+		return s.applyMark()
 	case record.Checkpoint:
-		return s.compareCheckpoint(offset, r)
+		return s.applyCheckpoint(offset, r)
 	}
-	v := s.applyKind(offset, r)
-	if _, accepted := v.(Accepted); accepted {
-		s.memory.add(d)
+	result := s.applyKind(offset, r)
+	if _, accepted := result.(Accepted); accepted {
+		s.recent.add(d)
 	}
-	return v
+	return result
 }
 
-func (s *State) applyKind(offset uint64, r record.Record) Verdict {
+func (s *State) applyKind(offset uint64, r record.Record) Result {
 	switch r := r.(type) {
 	case record.BundlePublished:
-		return s.publish(offset, r)
+		return s.applyPublished(offset, r)
 	case record.BundleApproved:
-		return s.approve(offset, r.Approval)
+		return s.applyApproved(offset, r.Approval)
 	case record.BundleRolled:
-		return s.roll(offset, r.Roll)
+		return s.applyRolled(offset, r.Roll)
 	case record.BundleProven:
-		return s.prove(offset, r.Proof)
+		return s.applyProven(offset, r.Proof)
 	case record.TermClaimed:
-		return s.claim(offset, r)
+		return s.applyTermClaimed(offset, r)
 	case record.AssignmentMade:
-		return s.assign(offset, r)
+		return s.applyAssignmentMade(offset, r)
 	case record.HomesTaken:
-		return s.takeHomes(offset, r)
+		return s.applyHomesTaken(offset, r)
 	case record.HomesEvicted:
-		return s.evictHomes(offset, r)
+		return s.applyHomesEvicted(offset, r)
 	default:
-		return refuse(offset, CauseMalformed, "no rule for %T", r)
+		return reject(offset, CauseMalformed, "record type %T is not supported", r)
 	}
 }
 
-// refuseUnreadable tells a record that a newer release wrote from one that is damaged. The
-// failure it guards against is a mixed fleet: an older instance would pass over what newer
-// ones obey, and reach another state. It shows as a format number above ours.
-func (s *State) refuseUnreadable(offset uint64, err error) Verdict {
-	if !errors.Is(err, record.ErrNewer) && !errors.Is(err, bundle.ErrNewerFormat) {
-		return refuse(offset, CauseMalformed, "%v", err)
+// rejectUnreadable rejects a record that cannot be decoded. A format number above ours shows
+// that a newer release wrote it. While instances of two releases run, the newer ones apply
+// such a record and the older ones cannot, so that their states differ. The first such record
+// is therefore noted in NewerRecord.
+func (s *State) rejectUnreadable(offset uint64, err error) Result {
+	if !errors.Is(err, record.ErrNewerFormat) && !errors.Is(err, bundle.ErrNewerFormat) {
+		return reject(offset, CauseMalformed, "%v", err)
 	}
-	if s.Newer == nil {
-		s.Newer = &Newer{Offset: offset, Reason: err.Error()}
+	if s.NewerRecord == nil {
+		s.NewerRecord = &NewerRecord{Offset: offset, Reason: err.Error()}
 	}
-	return refuse(offset, CauseNewer, "%v", err)
+	return reject(offset, CauseNewerRelease, "%v", err)
 }
 
-func refuse(offset uint64, cause Cause, format string, args ...any) Refused {
-	return Refused{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
+func reject(offset uint64, cause Cause, format string, args ...any) Rejected {
+	return Rejected{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
-func refuseFor(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
-	r := refuse(offset, cause, format, args...)
-	r.Reason = fmt.Sprintf("%s: %s stands", r.Reason, w)
+// rejectForWinner rejects a record that conflicts with the earlier record w.
+func rejectForWinner(offset uint64, cause Cause, w Winner, format string, args ...any) Rejected {
+	r := reject(offset, cause, format, args...)
+	r.Reason = fmt.Sprintf("%s: conflicts with %s", r.Reason, w)
 	r.Winner = w
 	return r
 }
--- a/internal/fold/bench_test.go
+++ b/internal/fold/bench_test.go
@@ -10,11 +10,11 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// filled returns a state with servers over ten domains, each with an assignment of one range,
-// and the bundle that names them in force.
-func filled(b *testing.B, servers int) (*State, *bundle.Bundle) {
+// benchState returns a state with servers in ten domains, each with an assignment of one range,
+// and the bundle in force.
+func benchState(b *testing.B, servers int) (*State, *bundle.Bundle) {
 	b.Helper()
-	v := sample(1, "a")
+	v := testBundle(1, "a")
 	v.Domains, v.Services[0].Servers = nil, nil
 	for i := range 10 {
 		v.Domains = append(v.Domains, bundle.Domain{Name: fmt.Sprintf("domain-%d", i)})
@@ -25,22 +25,23 @@
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), ChecksGrants: true, Slots: 2, Connections: 110,
 		})
 	}
-	var j journal
-	j.addAll(release(v, 0)...)
+	var log testLog
+	log.addAll(release(v, 0)...)
 	ranges := keys.Split(keys.Full, servers)
 	for i := range servers {
-		j.addAll(moved(i, 1, ranges[i]))
+		log.addAll(assignmentTo(i, 1, ranges[i]))
 	}
-	s := New(crew())
-	for _, verdict := range j.fold(s) {
-		if verdict != (Accepted{}) {
-			b.Fatal(verdict)
+	s := New(testSigners())
+	for _, result := range log.applyTo(s) {
+		if result != (Accepted{}) {
+			b.Fatal(result)
 		}
 	}
 	return s, v
 }
 
-func moved(server int, sequence uint64, r keys.Range) record.AssignmentMade {
+// assignmentTo returns the record that assigns a range to the server with a number.
+func assignmentTo(server int, sequence uint64, r keys.Range) record.AssignmentMade {
 	return record.AssignmentMade{Domain: fmt.Sprintf("domain-%d", server%10), Service: "pregled", Assignments: []record.Assignment{{
 		Server: fmt.Sprintf("server-%d", server),
 		Epoch:  grant.Epoch{Term: grant.Term{Log: 1}, Sequence: sequence},
@@ -48,24 +49,25 @@
 	}}}
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, s *State, v *bundle.Bundle)) {
+// runSizes runs a benchmark with states of different numbers of servers.
+func runSizes(b *testing.B, run func(b *testing.B, s *State, v *bundle.Bundle)) {
 	for _, n := range []int{50, 1000, 19000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, v := filled(b, n)
+			s, v := benchState(b, n)
 			b.ReportAllocs()
 			run(b, s, v)
 		})
 	}
 }
 
-// BenchmarkAssignment is the cost of one assignment, with a snapshot after each.
+// BenchmarkAssignment measures applying one assignment and taking a snapshot.
 func BenchmarkAssignment(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		sequence := uint64(1)
 		size := 0
 		for b.Loop() {
 			sequence++
-			data := must(record.Encode(moved(7, sequence, keys.Full)))
+			data := must(record.Encode(assignmentTo(7, sequence, keys.Full)))
 			size = len(data)
 			s.Apply(record.Entry{Offset: s.Next, ID: "x", Data: data})
 			s.Snapshot()
@@ -74,17 +76,18 @@
 	})
 }
 
-// BenchmarkRelease is the cost of the three records of a change of one server, as a delta.
+// BenchmarkRelease measures applying the three records of a release that changes one server
+// and is published as a delta.
 func BenchmarkRelease(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, v *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, v *bundle.Bundle) {
 		var records []record.Entry
 		next := *v
 		next.Services = append([]bundle.Service{}, v.Services...)
 		next.Services[0].Servers = append([]bundle.Server{}, v.Services[0].Servers...)
 		next.Services[0].Servers[len(v.Services[0].Servers)/2].Leaving = true
 		next.Version, next.Follows = 2, 1
-		base, hash := s.Base(s.InForceSigned.Statement.Hash)
-		published := deltaOf(base, &next, hash)
+		base, hash := s.BundleByHash(s.InForceSigned.Statement.Hash)
+		published := publishedDelta(base, &next, hash)
 		size := 0
 		for i, r := range []record.Record{
 			published,
@@ -96,10 +99,10 @@
 			records = append(records, e)
 		}
 		for b.Loop() {
-			c := s.copyDeep()
+			c := s.clone()
 			for _, e := range records {
-				if v := c.Apply(e); v != (Accepted{}) {
-					b.Fatal(v)
+				if result := c.Apply(e); result != (Accepted{}) {
+					b.Fatal(result)
 				}
 			}
 		}
@@ -107,10 +110,9 @@
 	})
 }
 
-// BenchmarkCheckpoint is the cost of making a checkpoint, BenchmarkRestore that of starting
-// from one.
+// BenchmarkCheckpoint measures encoding a checkpoint.
 func BenchmarkCheckpoint(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		size := 0
 		for b.Loop() {
 			size = len(must(s.Encode()))
@@ -119,20 +121,21 @@
 	})
 }
 
+// BenchmarkRestore measures restoring a state from a checkpoint.
 func BenchmarkRestore(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		data := must(s.Encode())
 		for b.Loop() {
-			must(Restore(data, crew()))
+			must(Restore(data, testSigners()))
 		}
 	})
 }
 
-// BenchmarkMark is the cost of keeping the state for comparison.
+// BenchmarkMark measures keeping a copy of the state at a mark.
 func BenchmarkMark(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
+	runSizes(b, func(b *testing.B, s *State, _ *bundle.Bundle) {
 		for b.Loop() {
-			s.mark()
+			s.applyMark()
 		}
 	})
 }
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -16,29 +16,30 @@
 // encodingFormat is the version of the checkpoint encoding.
 const encodingFormat = 1
 
-// Errors of checkpoints.
+// Checkpoint errors.
 var (
-	// ErrNewer is returned when a record of a newer release was met, or a checkpoint of one.
-	ErrNewer = errors.New("fold: written by a newer release")
-	// ErrCheckpoint is returned for bytes that are not a checkpoint.
-	ErrCheckpoint = errors.New("fold: malformed checkpoint")
+	// ErrNewerRelease is returned for a checkpoint of a newer release, and for a state that met
+	// a record of a newer release.
+	ErrNewerRelease = errors.New("fold: written by a newer release")
+	// ErrMalformedCheckpoint is returned for data that is not a valid checkpoint.
+	ErrMalformedCheckpoint = errors.New("fold: malformed checkpoint")
 )
 
-// encoded is the form of a State in a checkpoint. Lists that stand for maps are sorted, so
-// that one state has one form.
-type encoded struct {
+// encodedState is the form of a State in a checkpoint. Maps are encoded as sorted lists, so
+// that equal states have equal encodings.
+type encodedState struct {
 	Format        int             `json:"format"`
 	Next          uint64          `json:"next"`
-	Since         uint64          `json:"since"`
-	Last          digest          `json:"last"`
+	StartOffset   uint64          `json:"since"`
+	LastDigest    digest          `json:"last"`
 	Proof         bundle.Proof    `json:"proof"`
 	InForceOffset uint64          `json:"in-force-offset"`
 	Head          uint64          `json:"head"`
 	Candidates    []Candidate     `json:"candidates"`
 	Terms         []encodedTerm   `json:"terms"`
-	Assigned      []encodedDomain `json:"assigned"`
-	Homes         []Taken         `json:"homes"`
-	Memory        []digest        `json:"memory"`
+	Assignments   []encodedDomain `json:"assigned"`
+	Homes         []DomainHomes   `json:"homes"`
+	RecentDigests []digest        `json:"memory"`
 }
 
 type encodedTerm struct {
@@ -47,8 +48,8 @@
 }
 
 type encodedDomain struct {
-	Domain  string     `json:"domain"`
-	Servers []Assigned `json:"servers"`
+	Domain  string               `json:"domain"`
+	Servers []RecordedAssignment `json:"servers"`
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -59,33 +60,34 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *digest) UnmarshalText(text []byte) error {
 	if len(text) != 2*len(d) {
-		return fmt.Errorf("%w: digest %q", ErrCheckpoint, text)
+		return fmt.Errorf("%w: digest %q", ErrMalformedCheckpoint, text)
 	}
 	if _, err := hex.Decode(d[:], text); err != nil {
-		return fmt.Errorf("%w: digest: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: digest: %w", ErrMalformedCheckpoint, err)
 	}
 	return nil
 }
 
-// Encode returns the form of the state that goes into a checkpoint. States that folded the
-// same records from the same offset have the same form.
+// Encode returns the encoding of the state for a checkpoint. Two states that result from the
+// same records, read from the same offset on, have equal encodings, byte for byte. It returns
+// ErrNewerRelease if NewerRecord is set.
 func (s *State) Encode() ([]byte, error) {
-	if s.Newer != nil {
-		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewer, s.Newer.Offset, s.Newer.Reason)
+	if s.NewerRecord != nil {
+		return nil, fmt.Errorf("%w: record at offset %d: %s", ErrNewerRelease, s.NewerRecord.Offset, s.NewerRecord.Reason)
 	}
-	e := encoded{
+	e := encodedState{
 		Format:        encodingFormat,
 		Next:          s.Next,
-		Since:         s.Since,
-		Last:          s.last,
+		StartOffset:   s.StartOffset,
+		LastDigest:    s.lastDigest,
 		Proof:         s.Proof,
 		InForceOffset: s.InForceOffset,
 		Head:          s.Head,
 		Candidates:    slices.Concat(s.Candidates),
 		Terms:         encodeTerms(s.Terms),
-		Assigned:      encodeAssigned(s.Assigned),
+		Assignments:   encodeAssignments(s.Assignments),
 		Homes:         s.Homes,
-		Memory:        s.memory.list(),
+		RecentDigests: s.recent.list(),
 	}
 	return json.Marshal(e)
 }
@@ -98,7 +100,7 @@
 	return list
 }
 
-func encodeAssigned(assigned map[string]map[string]Assigned) []encodedDomain {
+func encodeAssignments(assigned map[string]map[string]RecordedAssignment) []encodedDomain {
 	var list []encodedDomain
 	for _, domain := range slices.Sorted(maps.Keys(assigned)) {
 		d := encodedDomain{Domain: domain}
@@ -110,20 +112,20 @@
 	return list
 }
 
-// Restore returns the state that Encode encoded. The bundle in force is proved against the
-// anchors, so a forged checkpoint puts none in force.
+// Restore returns the state that Encode encoded. It verifies the proof of the bundle in force
+// against the trust anchors, so a forged checkpoint cannot put a bundle in force.
 func Restore(data []byte, anchors []bundle.Signer) (*State, error) {
-	var e encoded
+	var e encodedState
 	if err := decodeStrictly(data, &e); err != nil {
 		return nil, err
 	}
-	s := NewAt(anchors, e.Since)
+	s := NewAt(anchors, e.StartOffset)
 	s.Next = e.Next
-	s.last = e.Last
+	s.lastDigest = e.LastDigest
 	s.Head = e.Head
-	if e.Next < e.Since || len(e.Memory) > memorySize || len(e.Candidates) > maxCandidates {
-		return nil, fmt.Errorf("%w: next %d, since %d, %d digests, %d candidates",
-			ErrCheckpoint, e.Next, e.Since, len(e.Memory), len(e.Candidates))
+	if e.Next < e.StartOffset || len(e.RecentDigests) > maxRecentDigests || len(e.Candidates) > maxCandidates {
+		return nil, fmt.Errorf("%w: invalid bounds: next %d, since %d, %d digests, %d candidates",
+			ErrMalformedCheckpoint, e.Next, e.StartOffset, len(e.RecentDigests), len(e.Candidates))
 	}
 	if err := s.restoreProof(e); err != nil {
 		return nil, err
@@ -134,51 +136,53 @@
 	for _, t := range e.Terms {
 		s.Terms[t.Domain] = t.Term
 	}
-	for _, d := range e.Assigned {
-		inner := make(map[string]Assigned, len(d.Servers))
+	for _, d := range e.Assignments {
+		byServer := make(map[string]RecordedAssignment, len(d.Servers))
 		for _, a := range d.Servers {
-			inner[a.Assignment.Server] = a
+			byServer[a.Assignment.Server] = a
 		}
-		s.Assigned[d.Domain] = inner
+		s.Assignments[d.Domain] = byServer
 	}
 	s.Homes = e.Homes
-	for _, d := range e.Memory {
-		s.memory.add(d)
+	for _, d := range e.RecentDigests {
+		s.recent.add(d)
 	}
 	return s, nil
 }
 
-func decodeStrictly(data []byte, e *encoded) error {
-	var head struct {
+// decodeStrictly decodes a checkpoint and rejects unknown fields. It reads the format first,
+// because a checkpoint of a newer format may have fields that this release does not know.
+func decodeStrictly(data []byte, e *encodedState) error {
+	var header struct {
 		Format int `json:"format"`
 	}
-	if err := json.Unmarshal(data, &head); err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+	if err := json.Unmarshal(data, &header); err != nil {
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
-	if head.Format > encodingFormat {
-		return fmt.Errorf("%w: checkpoint format %d", ErrNewer, head.Format)
+	if header.Format > encodingFormat {
+		return fmt.Errorf("%w: checkpoint format %d", ErrNewerRelease, header.Format)
 	}
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(e); err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if e.Format != encodingFormat {
-		return fmt.Errorf("%w: format %d", ErrCheckpoint, e.Format)
+		return fmt.Errorf("%w: format %d", ErrMalformedCheckpoint, e.Format)
 	}
 	return nil
 }
 
-func (s *State) restoreProof(e encoded) error {
+func (s *State) restoreProof(e encodedState) error {
 	if e.Proof.IsZero() {
 		return nil
 	}
 	b, err := e.Proof.Verify(s.anchors)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+		return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 	}
 	if e.Head < b.Version {
-		return fmt.Errorf("%w: head %d below version %d", ErrCheckpoint, e.Head, b.Version)
+		return fmt.Errorf("%w: newest published version %d is below version %d in force", ErrMalformedCheckpoint, e.Head, b.Version)
 	}
 	s.InForce = b
 	s.servers = serverNames(b)
@@ -192,32 +196,33 @@
 	for _, c := range candidates {
 		b, err := c.Signed.Open()
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+			return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 		}
 		if _, err := c.Signed.Statement.Verify(s.signers()); err != nil {
-			return fmt.Errorf("%w: %w", ErrCheckpoint, err)
+			return fmt.Errorf("%w: %w", ErrMalformedCheckpoint, err)
 		}
-		c.parsed = b
+		c.bundle = b
 		s.Candidates = append(s.Candidates, c)
 	}
 	return nil
 }
 
-// Mark returns the record that announces a checkpoint.
-func (s *State) Mark(instance string) (record.Record, error) {
+// NewMark returns a record that announces a checkpoint by an instance. It returns
+// ErrNewerRelease if MayLead is false.
+func (s *State) NewMark(instance string) (record.Record, error) {
 	if !s.MayLead() {
-		return nil, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return nil, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.NewerRecord.Offset)
 	}
 	return record.CheckpointMarked{Instance: instance}, nil
 }
 
-// Checkpoint returns the checkpoint for the newest mark, once Apply accepted it.
-func (s *State) Checkpoint() (record.Checkpoint, error) {
+// NewCheckpoint returns the checkpoint for the newest mark that was applied.
+func (s *State) NewCheckpoint() (record.Checkpoint, error) {
 	if len(s.marks) == 0 {
-		return record.Checkpoint{}, fmt.Errorf("%w: no mark", ErrCheckpoint)
+		return record.Checkpoint{}, fmt.Errorf("%w: no mark was applied", ErrMalformedCheckpoint)
 	}
 	if !s.MayLead() {
-		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return record.Checkpoint{}, fmt.Errorf("%w: record at offset %d", ErrNewerRelease, s.NewerRecord.Offset)
 	}
 	m := s.marks[len(s.marks)-1]
 	data, err := m.state.Encode()
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -9,11 +9,11 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// maxCandidates bounds the published versions that wait for approval and roll. Beyond it the
-// oldest that nobody approved is dropped, then the oldest.
+// maxCandidates is the maximum number of candidates. If there are more, the oldest one that
+// is not approved is dropped, or the oldest one if all are approved.
 const maxCandidates = 8
 
-// signers are those who judge new statements.
+// signers returns the signers by whom new statements must be signed.
 func (s *State) signers() []bundle.Signer {
 	if s.InForce == nil {
 		return s.anchors
@@ -21,7 +21,8 @@
 	return s.InForce.Signers
 }
 
-func (s *State) version() uint64 {
+// versionInForce returns the version of the bundle in force, or zero.
+func (s *State) versionInForce() uint64 {
 	if s.InForce == nil {
 		return 0
 	}
@@ -32,7 +33,7 @@
 	return winnerOf(s.Proof.Roll, s.InForceOffset)
 }
 
-// candidate returns the candidate of a version, or nil.
+// candidate returns the candidate with a version, or nil.
 func (s *State) candidate(version uint64) *Candidate {
 	i := slices.IndexFunc(s.Candidates, func(c Candidate) bool { return c.Signed.Statement.Version == version })
 	if i < 0 {
@@ -41,32 +42,34 @@
 	return &s.Candidates[i]
 }
 
-// publish judges the signature first: only a publisher makes the instances parse anything.
-func (s *State) publish(offset uint64, r record.BundlePublished) Verdict {
+// applyPublished verifies the signature first, so that nobody but a publisher can make the
+// instances parse a bundle.
+func (s *State) applyPublished(offset uint64, r record.BundlePublished) Result {
 	st := r.Signed.Statement
 	if _, err := st.Verify(s.signers()); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if st.Version <= s.Head {
-		return s.refusePublished(offset, st)
+		return s.rejectPublished(offset, st)
 	}
 	if st.Follows != s.Head {
-		return refuse(offset, CauseOrder, "version %d follows %d, but the newest published version is %d", st.Version, st.Follows, s.Head)
+		return reject(offset, CauseOutOfOrder, "version %d follows %d, but the newest published version is %d", st.Version, st.Follows, s.Head)
 	}
 	signed, b, err := s.openPublished(r)
 	switch {
 	case errors.Is(err, bundle.ErrNewerFormat):
-		return s.refuseUnreadable(offset, err)
+		return s.rejectUnreadable(offset, err)
 	case err != nil:
-		return refuse(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalidBundle, "%v", err)
 	}
 	s.Head = st.Version
-	s.Candidates = append(slices.Clone(s.Candidates), Candidate{Signed: signed, Offset: offset, parsed: b})
+	s.Candidates = append(slices.Clone(s.Candidates), Candidate{Signed: signed, Offset: offset, bundle: b})
 	s.dropExtraCandidate()
 	return Accepted{}
 }
 
-// openPublished returns the bundle of a record, whole or by a delta from one that is held.
+// openPublished returns the signed form and the bundle of a record. It applies the delta, if
+// there is one, to the bundle in force or a candidate.
 func (s *State) openPublished(r record.BundlePublished) (bundle.Signed, *bundle.Bundle, error) {
 	if r.Delta == nil {
 		b, err := r.Signed.Open()
@@ -75,40 +78,43 @@
 	if len(r.Signed.Canonical) > 0 {
 		return bundle.Signed{}, nil, bundle.ErrDelta
 	}
-	base, hash := s.Base(r.Delta.BaseHash)
+	base, hash := s.BundleByHash(r.Delta.BaseHash)
 	if base == nil {
 		return bundle.Signed{}, nil, bundle.ErrBase
 	}
 	return r.Delta.Open(base, hash, r.Signed.Statement)
 }
 
-// Base returns the bundle in force or waiting that has a hash, and the hash; nil if none has.
-func (s *State) Base(hash []byte) (*bundle.Bundle, []byte) {
+// BundleByHash returns the bundle in force or the candidate that has a hash, as the base of a
+// delta, and the hash. It returns nil if there is none.
+func (s *State) BundleByHash(hash []byte) (*bundle.Bundle, []byte) {
 	if s.InForce != nil && bytes.Equal(s.InForceSigned.Statement.Hash, hash) {
 		return s.InForce, hash
 	}
 	for i := range s.Candidates {
 		if c := &s.Candidates[i]; bytes.Equal(c.Signed.Statement.Hash, hash) {
-			return c.parsed, hash
+			return c.bundle, hash
 		}
 	}
 	return nil, nil
 }
 
-func (s *State) refusePublished(offset uint64, st bundle.Statement) Verdict {
+// rejectPublished returns the result for a published version that is not newer than Head. It
+// is a duplicate if the same signer published the same bundle.
+func (s *State) rejectPublished(offset uint64, st bundle.Statement) Result {
 	if c := s.candidate(st.Version); c != nil {
 		if c.Signed.Statement.SameBundle(st) && c.Signed.Statement.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
-		return refuseFor(offset, CauseLost, winnerOf(c.Signed.Statement, c.Offset), "version %d was published first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Signed.Statement, c.Offset), "version %d was published earlier", st.Version)
 	}
 	if st.SameBundle(s.Proof.Signed.Statement) && st.Signer == s.Proof.Signed.Statement.Signer {
-		return Repeated{}
+		return Duplicate{}
 	}
-	if s.version() >= st.Version {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
+	if s.versionInForce() >= st.Version {
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 	}
-	return refuse(offset, CauseOrder, "version %d is not newer than the newest published version %d", st.Version, s.Head)
+	return reject(offset, CauseOutOfOrder, "version %d is not newer than the newest published version %d", st.Version, s.Head)
 }
 
 func (s *State) dropExtraCandidate() {
@@ -119,31 +125,33 @@
 	s.Candidates = slices.Delete(s.Candidates, max(i, 0), max(i, 0)+1)
 }
 
-func (s *State) approve(offset uint64, st bundle.Statement) Verdict {
-	c, refusal := s.findCandidate(offset, st)
-	if refusal != nil {
-		return refusal
+// applyApproved accepts the first approval of a candidate, provided that the approver is not
+// its publisher.
+func (s *State) applyApproved(offset uint64, st bundle.Statement) Result {
+	c, result := s.findCandidate(offset, st)
+	if result != nil {
+		return result
 	}
 	approver, err := st.Verify(s.signers())
 	if err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	published := c.Signed.Statement
 	if st.Role != bundle.RoleApprove || st.Follows != published.Follows {
-		return refuse(offset, CauseMalformed, "not an approval of version %d which follows %d", published.Version, published.Follows)
+		return reject(offset, CauseMalformed, "statement is not an approval of version %d that follows %d", published.Version, published.Follows)
 	}
 	publisher, err := published.Verify(s.signers())
 	if err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if err := bundle.Distinct(publisher, approver); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if c.Approved() {
 		if c.Approval.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
-		return refuseFor(offset, CauseLost, winnerOf(c.Approval, c.ApprovalOffset), "version %d was approved first by another", st.Version)
+		return rejectForWinner(offset, CauseLostRace, winnerOf(c.Approval, c.ApprovalOffset), "version %d has an earlier approval by another signer", st.Version)
 	}
 	s.Candidates = slices.Clone(s.Candidates)
 	c = s.candidate(st.Version)
@@ -152,80 +160,86 @@
 	return Accepted{}
 }
 
-// findCandidate returns the candidate that a statement is about, or the refusal.
-func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Verdict) {
-	if st.Version <= s.version() {
-		return nil, s.refuseInForce(offset, st)
+// findCandidate returns the candidate that a statement is about, or the result if there is
+// none.
+func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Result) {
+	if st.Version <= s.versionInForce() {
+		return nil, s.rejectNotNewer(offset, st)
 	}
 	c := s.candidate(st.Version)
 	if c == nil {
-		return nil, refuse(offset, CauseUnknown, "version %d was not published, or was dropped", st.Version)
+		return nil, reject(offset, CauseUnknownVersion, "version %d is not a candidate: not published, or dropped", st.Version)
 	}
 	if !c.Signed.Statement.SameBundle(st) {
 		w := winnerOf(c.Signed.Statement, c.Offset)
-		return nil, refuseFor(offset, CauseLost, w, "the statement is about another version %d (%.4x)", st.Version, st.Hash)
+		return nil, rejectForWinner(offset, CauseLostRace, w, "statement is about a different bundle with version %d (%.4x)", st.Version, st.Hash)
 	}
 	return c, nil
 }
 
-// refuseInForce judges a statement about a version that is not newer than the one in force.
-// A statement that put it there is a repeat.
-func (s *State) refuseInForce(offset uint64, st bundle.Statement) Verdict {
-	for _, done := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
-		if bytes.Equal(done.Text(), st.Text()) && bytes.Equal(done.Signature, st.Signature) {
-			return Repeated{}
+// rejectNotNewer returns the result for a statement about a version that is not newer than
+// the one in force. It is a duplicate if it is one of the statements that put the bundle in
+// force.
+func (s *State) rejectNotNewer(offset uint64, st bundle.Statement) Result {
+	for _, applied := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
+		if bytes.Equal(applied.Text(), st.Text()) && bytes.Equal(applied.Signature, st.Signature) {
+			return Duplicate{}
 		}
 	}
-	return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
+	return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 }
 
-func (s *State) roll(offset uint64, st bundle.Statement) Verdict {
-	c, refusal := s.findCandidate(offset, st)
-	if refusal != nil {
-		return refusal
+// applyRolled puts an approved candidate in force, provided that the version that the roll
+// replaces is in force.
+func (s *State) applyRolled(offset uint64, st bundle.Statement) Result {
+	c, result := s.findCandidate(offset, st)
+	if result != nil {
+		return result
 	}
 	if !c.Approved() {
-		return refuse(offset, CauseUnapproved, "version %d is not approved", st.Version)
+		return reject(offset, CauseUnapproved, "version %d is not approved", st.Version)
 	}
 	if err := bundle.VerifyRelease(c.Signed.Statement, c.Approval, st, s.signers()); err != nil {
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
-	if st.Follows != s.version() {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "the roll of version %d replaces %d, which is not in force", st.Version, st.Follows)
+	if st.Follows != s.versionInForce() {
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "roll of version %d replaces version %d, which is not in force", st.Version, st.Follows)
 	}
 	next, err := s.Proof.Next(c.Signed, c.Approval, st, s.signers(), s.anchors)
 	if err != nil {
-		return refuse(offset, CauseInvalid, "%v", err)
+		return reject(offset, CauseInvalidBundle, "%v", err)
 	}
-	s.enforce(offset, next, c.parsed)
+	s.putInForce(offset, next, c.bundle)
 	return Accepted{}
 }
 
-// prove takes over a bundle that is in force elsewhere, when the log lost its records.
-func (s *State) prove(offset uint64, p bundle.Proof) Verdict {
-	if !s.Proof.IsZero() && p.Version() <= s.version() {
+// applyProven puts in force a bundle that is in force at an instance, after the log has lost
+// its records.
+func (s *State) applyProven(offset uint64, p bundle.Proof) Result {
+	if !s.Proof.IsZero() && p.Version() <= s.versionInForce() {
 		if p.Signed.Statement.SameBundle(s.Proof.Signed.Statement) {
-			return Repeated{}
+			return Duplicate{}
 		}
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
 	}
 	b, err := p.Verify(s.anchors)
 	if err != nil {
-		if v, ok := s.refuseUnreadable(offset, err).(Refused); ok && v.Cause == CauseNewer {
-			return v
+		if r, ok := s.rejectUnreadable(offset, err).(Rejected); ok && r.Cause == CauseNewerRelease {
+			return r
 		}
-		return refuse(offset, CauseSignature, "%v", err)
+		return reject(offset, CauseSignature, "%v", err)
 	}
 	if err := p.Extends(s.Proof, s.anchors); err != nil {
-		return refuseFor(offset, CauseLost, s.inForceWinner(), "%v", err)
+		return rejectForWinner(offset, CauseLostRace, s.inForceWinner(), "%v", err)
 	}
-	s.enforce(offset, p, b)
+	s.putInForce(offset, p, b)
 	return Accepted{}
 }
 
-// enforce puts a version in force. It drops candidates that it overtakes, and those whose
-// statements the new signers no longer cover: a signer that is now revoked has done nothing.
-func (s *State) enforce(offset uint64, p bundle.Proof, b *bundle.Bundle) {
+// putInForce puts a bundle in force. It drops the candidates that are not newer, and the
+// candidates and approvals whose signer is no longer authorized by the new bundle: statements
+// of a signer that was revoked do not count.
+func (s *State) putInForce(offset uint64, p bundle.Proof, b *bundle.Bundle) {
 	replaced := s.servers
 	s.InForce = b
 	s.servers = serverNames(b)
@@ -248,6 +262,6 @@
 		kept = append(kept, c)
 	}
 	s.Candidates = kept
-	s.pruneAssigned(replaced)
+	s.pruneAssignments(replaced)
 	s.pruneHomes()
 }
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -18,7 +18,7 @@
 
 	bundle *bundle.Bundle
 	state  *fold.State
-	homes  []fold.Taken
+	homes  []fold.DomainHomes
 	// homesKnown says that homes were read from the log or copied from a peer. Until then
 	// nothing may be served.
 	homesKnown bool
@@ -125,8 +125,8 @@
 	}
 }
 
-func (c *Core) takenBy(service, domain string) fold.Taken {
-	return fold.TakenBy(c.homes, service, domain)
+func (c *Core) takenBy(service, domain string) fold.DomainHomes {
+	return fold.FindHomes(c.homes, service, domain)
 }
 
 // base returns the offset plus one of the last change to the homes of this domain, on which
@@ -210,7 +210,7 @@
 		return nil
 	}
 	var all []keys.Range
-	for _, a := range c.state.Assigned[c.config.Domain] {
+	for _, a := range c.state.Assignments[c.config.Domain] {
 		if a.Service == service {
 			all = append(all, a.Assignment.Ranges...)
 		}
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -35,7 +35,7 @@
 // PeerHomes are the homes that another instance of the domain has read from the log. They
 // count only until this instance has read the log itself.
 type PeerHomes struct {
-	Homes []fold.Taken
+	Homes []fold.DomainHomes
 }
 
 // ReachableDomains lists the other failure domains that answered a heartbeat recently.
