--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -47,11 +47,11 @@
 	const entries = 200_000
 	for b.Loop() {
 		before := heapBytes()
-		m := NewMemory(Bounds{Entries: entries})
+		m := NewIdempotencyTable(Bounds{Entries: entries})
 		for i := range entries {
-			s := Sent{Name: NameOf("oddaja", "", fmt.Sprint(i)), Print: 1, Until: Time(i)}
+			s := Submission{RequestID: NameOf("oddaja", "", fmt.Sprint(i)), Fingerprint: 1, ExpiresAt: Time(i)}
 			m.Begin(-1, s)
-			m.Ran(s, 201, nil)
+			m.RecordRan(s, 201, nil)
 		}
 		b.ReportMetric(float64(heapBytes()-before)/entries, "B/request")
 		runtime.KeepAlive(m)
--- a/internal/policy/core.go
+++ b/internal/policy/core.go
@@ -15,9 +15,9 @@
 
 // The limits of a service that states none.
 const (
-	defaultQueue        = 256
-	defaultCrashServers = 2
-	defaultBlock        = 10 * time.Minute
+	defaultMaxWaiting    = 256
+	defaultCrashServers  = 2
+	defaultBlockDuration = 10 * time.Minute
 )
 
 // Request is a request at the gate.
@@ -37,18 +37,18 @@
 	// Replayable says that the whole body can be sent once more.
 	Replayable bool
 
-	tries      int
-	remembered bool
-	suspect    bool
+	attempts int
+	recorded bool
+	suspect  bool
 }
 
-// sent returns the request as the memory knows it.
-func (r *Request) sent() Sent {
-	return Sent{Name: r.Name, Hash: r.Hash, Sending: r.Sending, Print: r.Print, Until: r.Deadline.Add(MemoryTime)}
+// submission returns the request as the memory knows it.
+func (r *Request) submission() Submission {
+	return Submission{RequestID: r.Name, Hash: r.Hash, ID: r.Sending, Fingerprint: r.Print, ExpiresAt: r.Deadline.Add(MemoryTime)}
 }
 
 // Remembered reports whether the memory holds the request on behalf of this sending.
-func (r *Request) Remembered() bool { return r.remembered }
+func (r *Request) Remembered() bool { return r.recorded }
 
 // Slot is a slot that a request holds.
 type Slot struct {
@@ -60,23 +60,23 @@
 
 // Core is the policy of one service at one instance.
 type Core struct {
-	service  string
-	limits   bundle.Limits
-	memory   *Memory
-	suspects *Suspects
-	budget   Budget
-	queues   map[string]*Queue
-	waiting  map[Ticket]*Request
-	// originMillis is the Unix time in milliseconds at Time zero.
-	originMillis int64
+	service string
+	limits  bundle.Limits
+	table   *IdempotencyTable
+	crashes *CrashTracker
+	budget  RetryBudget
+	queues  map[string]*Queue
+	waiting map[Ticket]*Request
+	// originUnixMillis is the Unix time in milliseconds at Time zero.
+	originUnixMillis int64
 }
 
 // NewCore returns the policy of a service. The last parameter is the Unix time in
 // milliseconds at Time zero.
 func NewCore(service string, b Bounds, originMillis int64) *Core {
 	return &Core{
-		service: service, memory: NewMemory(b), suspects: NewSuspects(service),
-		queues: make(map[string]*Queue), waiting: make(map[Ticket]*Request), originMillis: originMillis,
+		service: service, table: NewIdempotencyTable(b), crashes: NewCrashTracker(service),
+		queues: make(map[string]*Queue), waiting: make(map[Ticket]*Request), originUnixMillis: originMillis,
 	}
 }
 
@@ -91,23 +91,23 @@
 	}
 	limit := limits.Queue
 	if limit <= 0 {
-		limit = defaultQueue
+		limit = defaultMaxWaiting
 	}
-	if q.Same(limit, servers) {
+	if q.IsConfigured(limit, servers) {
 		return nil
 	}
-	return c.settle(q.Configure(now, limit, servers))
+	return c.applyQueueDecisions(q.Configure(now, limit, servers))
 }
 
 // Recollect asks the memory about a request. If it returns Fresh, the memory holds this
 // sending from now on, until Answered, Failed with a Final, Leave or Withdraw, or a verdict that
 // sheds it. A request without a name, or one that is idempotent, is always Fresh.
 func (c *Core) Recollect(now Time, r *Request) Recollection {
-	if r.Idempotent || r.Name.IsZero() || r.remembered {
+	if r.Idempotent || r.Name.IsZero() || r.recorded {
 		return Fresh{}
 	}
-	known := c.memory.Begin(now, r.sent())
-	_, r.remembered = known.(Fresh)
+	known := c.table.Begin(now, r.submission())
+	_, r.recorded = known.(Fresh)
 	return known
 }
 
@@ -119,43 +119,43 @@
 	if _, fresh := known.(Fresh); !fresh {
 		return []Verdict{Known{Ticket: r.Ticket, Recollection: known}}
 	}
-	if r.tries == 0 {
+	if r.attempts == 0 {
 		c.budget.Earn()
 	}
-	switch c.degree(now, r.Print) {
+	switch c.suspicion(now, r.Print) {
 	case Blocked:
-		c.forget(r)
+		c.recordNotRun(r)
 		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonBlocked, RetryAt: c.blockedUntil(now, r.Print)}}
 	case Suspect:
 		r.suspect = true
 	case Unsuspected:
 	}
-	return c.ask(now, r)
+	return c.enqueue(now, r)
 }
 
 // blockedUntil returns when a blocked request may be sent again: soon, while it is still
 // being found out whether the server was lost.
 func (c *Core) blockedUntil(now Time, p Print) Time {
-	return max(c.time(c.suspects.Until(p)), now.Add(retryFloor))
+	return max(c.time(c.crashes.BlockedUntil(p)), now.Add(minRetryDelay))
 }
 
-func (c *Core) ask(now Time, r *Request) []Verdict {
+func (c *Core) enqueue(now Time, r *Request) []Verdict {
 	q := c.queues[r.Pool]
 	if q == nil {
-		c.forget(r)
-		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(retryFloor)}}
+		c.recordNotRun(r)
+		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(minRetryDelay)}}
 	}
-	verdicts := q.Ask(now, Ask{Ticket: r.Ticket, Caller: r.Caller, Deadline: r.Deadline, Suspect: r.suspect})
+	verdicts := q.Admit(now, SlotRequest{Ticket: r.Ticket, Caller: r.Caller, Deadline: r.Deadline, Suspect: r.suspect})
 	switch verdicts[0].(type) {
 	case Wait:
 		c.waiting[r.Ticket] = r
 	case Start:
-		r.tries++
+		r.attempts++
 	case Shed:
-		c.forget(r)
+		c.recordNotRun(r)
 	case Known, Moved:
 	}
-	c.settle(verdicts[1:])
+	c.applyQueueDecisions(verdicts[1:])
 	return verdicts
 }
 
@@ -166,8 +166,8 @@
 		return false
 	}
 	delete(c.waiting, r.Ticket)
-	c.forget(r)
-	return c.queues[r.Pool].Leave(r.Ticket)
+	c.recordNotRun(r)
+	return c.queues[r.Pool].Remove(r.Ticket)
 }
 
 // Move takes out the waiting requests of a pool whose gate is elsewhere now.
@@ -187,12 +187,12 @@
 // Withdraw says that a request will not run here: it goes on to another gate, or is refused
 // before a byte was written.
 func (c *Core) Withdraw(r *Request) {
-	c.forget(r)
+	c.recordNotRun(r)
 }
 
 // Doubt says that a request may have run, and that its answer did not come whole.
 func (c *Core) Doubt(r *Request) {
-	c.doubt(r)
+	c.recordUnknown(r)
 }
 
 // Held returns the slot of a request that was started at a server.
@@ -203,7 +203,7 @@
 // Freed returns a slot after a request that ran for the given time, zero if it did not run.
 // The verdicts are on waiting requests, and valid until the next call.
 func (c *Core) Freed(now Time, s Slot, ran time.Duration) []Verdict {
-	return c.settle(c.queues[s.Pool].Release(now, s.Server, ran, s.Suspect))
+	return c.applyQueueDecisions(c.queues[s.Pool].Release(now, s.Server, ran, s.Suspect))
 }
 
 // Advance starts or sheds waiting requests of all pools after time has passed.
@@ -211,7 +211,7 @@
 	var verdicts []Verdict
 	for _, q := range c.queues {
 		if q.Waiting() > 0 {
-			verdicts = append(verdicts, c.settle(q.Advance(now))...)
+			verdicts = append(verdicts, c.applyQueueDecisions(q.Advance(now))...)
 		}
 	}
 	return verdicts
@@ -219,54 +219,54 @@
 
 // Answered says that the request had its whole answer. Kept may be nil.
 func (c *Core) Answered(now Time, r *Request, status int, k *Kept) {
-	if r.remembered {
-		c.memory.Ran(r.sent(), status, k)
-		r.remembered = false
+	if r.recorded {
+		c.table.RecordRan(r.submission(), status, k)
+		r.recorded = false
 	}
 	if r.Print != 0 {
-		c.suspects.Clear(r.Print, c.nanos(now))
+		c.crashes.Clear(r.Print, c.nanos(now))
 	}
 }
 
 // Busy suspends a server that said it has too much work.
 func (c *Core) Busy(now Time, s Slot, until Time) {
-	c.queues[s.Pool].Suspend(s.Server, min(until, now.Add(downMost)))
+	c.queues[s.Pool].Eject(s.Server, min(until, now.Add(maxEjection)))
 }
 
 // Failed decides what becomes of a request after a fault.
 func (c *Core) Failed(now Time, r *Request, s Slot, f Fault) Decision {
 	if f == NotSent {
-		c.queues[s.Pool].Down(now, s.Server)
+		c.queues[s.Pool].EjectUnreachable(now, s.Server)
 	}
 	ran := f == InDoubt || f == Lost
-	if ran && f == Lost && c.degree(now, r.Print) == Blocked {
-		c.doubt(r)
+	if ran && f == Lost && c.suspicion(now, r.Print) == Blocked {
+		c.recordUnknown(r)
 		return Final{Outcome: caller.Unknown, Blocked: true}
 	}
-	again := (!ran || r.Idempotent) && r.Replayable && r.tries < maxTries && now < r.Deadline
+	again := (!ran || r.Idempotent) && r.Replayable && r.attempts < maxAttempts && now < r.Deadline
 	if again && c.budget.Spend() {
 		return Retry{}
 	}
 	if ran {
-		c.doubt(r)
+		c.recordUnknown(r)
 		return Final{Outcome: caller.Unknown}
 	}
-	c.forget(r)
+	c.recordNotRun(r)
 	return Final{Outcome: caller.NotRun}
 }
 
-// settle keeps account of verdicts on waiting requests.
-func (c *Core) settle(verdicts []Verdict) []Verdict {
+// applyQueueDecisions keeps account of verdicts on waiting requests.
+func (c *Core) applyQueueDecisions(verdicts []Verdict) []Verdict {
 	for _, v := range verdicts {
 		switch v := v.(type) {
 		case Start:
 			if r := c.waiting[v.Ticket]; r != nil {
-				r.tries++
+				r.attempts++
 				delete(c.waiting, v.Ticket)
 			}
 		case Shed:
 			if r := c.waiting[v.Ticket]; r != nil {
-				c.forget(r)
+				c.recordNotRun(r)
 				delete(c.waiting, v.Ticket)
 			}
 		case Wait, Known, Moved:
@@ -275,51 +275,51 @@
 	return verdicts
 }
 
-// forget says that this sending did not run.
-func (c *Core) forget(r *Request) {
-	if r.remembered {
-		c.memory.NotRun(r.sent())
-		r.remembered = false
+// recordNotRun says that this sending did not run.
+func (c *Core) recordNotRun(r *Request) {
+	if r.recorded {
+		c.table.RecordNotRun(r.submission())
+		r.recorded = false
 	}
 }
 
-// doubt says that this sending may have run.
-func (c *Core) doubt(r *Request) {
-	if r.remembered {
-		c.memory.Doubt(r.sent())
-		r.remembered = false
+// recordUnknown says that this sending may have run.
+func (c *Core) recordUnknown(r *Request) {
+	if r.recorded {
+		c.table.RecordUnknown(r.submission())
+		r.recorded = false
 	}
 }
 
-func (c *Core) degree(now Time, p Print) Suspicion {
-	if p == 0 || !c.suspects.Any() {
+func (c *Core) suspicion(now Time, p Print) Suspicion {
+	if p == 0 || !c.crashes.Any() {
 		return Unsuspected
 	}
 	losses := c.limits.CrashServers
 	if losses <= 0 {
 		losses = defaultCrashServers
 	}
-	return c.suspects.Degree(p, losses, c.millis(now))
+	return c.crashes.SuspicionOf(p, losses, c.millis(now))
 }
 
-func (c *Core) blockTime() time.Duration {
+func (c *Core) blockDuration() time.Duration {
 	if c.limits.BlockMillis > 0 {
 		return time.Duration(c.limits.BlockMillis) * time.Millisecond
 	}
-	return defaultBlock
+	return defaultBlockDuration
 }
 
 // millis returns the Unix time in milliseconds.
 func (c *Core) millis(t Time) int64 {
-	return c.originMillis + int64(t)/int64(time.Millisecond)
+	return c.originUnixMillis + int64(t)/int64(time.Millisecond)
 }
 
 // nanos returns the Unix time in nanoseconds.
 func (c *Core) nanos(t Time) int64 {
-	return c.originMillis*int64(time.Millisecond) + int64(t)
+	return c.originUnixMillis*int64(time.Millisecond) + int64(t)
 }
 
 // time returns the Time of a Unix time in milliseconds.
 func (c *Core) time(millis int64) Time {
-	return Time((millis - c.originMillis) * int64(time.Millisecond))
+	return Time((millis - c.originUnixMillis) * int64(time.Millisecond))
 }
--- a/internal/policy/core_test.go
+++ b/internal/policy/core_test.go
@@ -16,7 +16,7 @@
 func newCore() *Core {
 	c := NewCore("oddaja", Bounds{Entries: 100, KeptBytes: 1 << 10}, 0)
 	c.Configure(0, "", testLimits, []Capacity{{Server: "a", Slots: 2}, {Server: "b", Slots: 2}})
-	c.budget.saved = retryMost
+	c.budget.saved = maxSavedRetries
 	return c
 }
 
--- a/internal/policy/suspect.go
+++ b/internal/policy/crash.go
@@ -69,72 +69,72 @@
 	Blocked
 )
 
-// Suspects finds requests that crash the servers which run them. A request is blocked after a
+// CrashTracker finds requests that crash the servers which run them. A request is blocked after a
 // number of losses between which it never had an answer. One that merely ran beside the
 // cause is cleared by its next answer.
-type Suspects struct {
+type CrashTracker struct {
 	service string
-	blocks  map[Print]*Block
+	records map[Print]*Block
 	lifted  map[Print]struct{}
-	// held holds the ends of connections that are being found out about.
-	held map[Print][]Loss
+	// pending holds the ends of connections that are being found out about.
+	pending map[Print][]Loss
 }
 
-// NewSuspects returns the suspects of a service.
-func NewSuspects(service string) *Suspects {
-	return &Suspects{
-		service: service, blocks: make(map[Print]*Block), lifted: make(map[Print]struct{}), held: make(map[Print][]Loss),
+// NewCrashTracker returns the suspects of a service.
+func NewCrashTracker(service string) *CrashTracker {
+	return &CrashTracker{
+		service: service, records: make(map[Print]*Block), lifted: make(map[Print]struct{}), pending: make(map[Print][]Loss),
 	}
 }
 
 // Any reports whether there are any suspects. While there are none, no Print is needed.
-func (s *Suspects) Any() bool { return len(s.blocks)+len(s.held) > 0 }
+func (s *CrashTracker) Any() bool { return len(s.records)+len(s.pending) > 0 }
 
-// Lost says that a server was lost while the request ran there.
-func (s *Suspects) Lost(p Print, l Loss, untilMillis int64) {
-	s.take(Block{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
+// RecordCrash says that a server was lost while the request ran there.
+func (s *CrashTracker) RecordCrash(p Print, l Loss, untilMillis int64) {
+	s.add(Block{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
-// Hold says that a connection to a server was lost while the request ran, and that it is being
+// AddPendingLoss says that a connection to a server was lost while the request ran, and that it is being
 // found out whether the server was. Until Settle it counts as a loss of the server.
-func (s *Suspects) Hold(p Print, l Loss) {
-	s.held[p] = append(s.held[p], l)
+func (s *CrashTracker) AddPendingLoss(p Print, l Loss) {
+	s.pending[p] = append(s.pending[p], l)
 }
 
-// Settle ends a Hold. Died says that the server was lost, not only a connection.
-func (s *Suspects) Settle(p Print, l Loss, died bool, untilMillis int64) {
-	if i := slices.Index(s.held[p], l); i >= 0 {
-		s.held[p] = slices.Delete(s.held[p], i, i+1)
+// ResolvePendingLoss ends a Hold. Died says that the server was lost, not only a connection.
+func (s *CrashTracker) ResolvePendingLoss(p Print, l Loss, died bool, untilMillis int64) {
+	if i := slices.Index(s.pending[p], l); i >= 0 {
+		s.pending[p] = slices.Delete(s.pending[p], i, i+1)
 	}
-	if len(s.held[p]) == 0 {
-		delete(s.held, p)
+	if len(s.pending[p]) == 0 {
+		delete(s.pending, p)
 	}
 	if died {
-		s.Lost(p, l, untilMillis)
+		s.RecordCrash(p, l, untilMillis)
 	}
 }
 
 // Clear says that the request had a whole answer.
-func (s *Suspects) Clear(p Print, nowNanos int64) {
-	b := s.blocks[p]
+func (s *CrashTracker) Clear(p Print, nowNanos int64) {
+	b := s.records[p]
 	if b == nil || len(b.Losses) == 0 {
 		return
 	}
 	b.merge(Block{ClearedNanos: nowNanos})
 }
 
-// Degree returns how far a request is suspected, blocked being from a number of losses on.
-func (s *Suspects) Degree(p Print, losses int, nowMillis int64) Suspicion {
+// SuspicionOf returns how far a request is suspected, blocked being from a number of losses on.
+func (s *CrashTracker) SuspicionOf(p Print, losses int, nowMillis int64) Suspicion {
 	if _, lifted := s.lifted[p]; lifted {
 		return Unsuspected
 	}
 	// A loss that is still being found out counts, lest a caller who resends quickly walks
 	// through more servers meanwhile.
-	known := slices.Clone(s.held[p])
-	if b := s.blocks[p]; b != nil && b.UntilMillis > nowMillis {
+	known := slices.Clone(s.pending[p])
+	if b := s.records[p]; b != nil && b.UntilMillis > nowMillis {
 		known = append(known, b.Losses...)
 	}
-	count := crashes(known)
+	count := countCrashes(known)
 	switch {
 	case count >= losses:
 		return Blocked
@@ -145,8 +145,8 @@
 	}
 }
 
-// crashes returns how many crashes of servers the losses tell of.
-func crashes(losses []Loss) int {
+// countCrashes returns how many crashes of servers the losses tell of.
+func countCrashes(losses []Loss) int {
 	slices.SortFunc(losses, func(x, y Loss) int { return cmp.Compare(x.AtNanos, y.AtNanos) })
 	count := 0
 	for i, l := range losses {
@@ -158,37 +158,37 @@
 	return count
 }
 
-// Lift replaces the set of requests that operators let pass.
-func (s *Suspects) Lift(prints []Print) {
+// SetLifted replaces the set of requests that operators let pass.
+func (s *CrashTracker) SetLifted(prints []Print) {
 	clear(s.lifted)
 	for _, p := range prints {
 		s.lifted[p] = struct{}{}
 	}
 }
 
-// Until returns when a block ends, in Unix milliseconds.
-func (s *Suspects) Until(p Print) int64 {
-	if b := s.blocks[p]; b != nil {
+// BlockedUntil returns when a block ends, in Unix milliseconds.
+func (s *CrashTracker) BlockedUntil(p Print) int64 {
+	if b := s.records[p]; b != nil {
 		return b.UntilMillis
 	}
 	return 0
 }
 
 // Merge takes in what another instance knows.
-func (s *Suspects) Merge(blocks []Block) {
+func (s *CrashTracker) Merge(blocks []Block) {
 	for _, b := range blocks {
 		if b.Service == s.service {
-			s.take(b)
+			s.add(b)
 		}
 	}
 }
 
-// Blocks returns copies of what is known, in the order of prints.
-func (s *Suspects) Blocks(nowMillis int64) []Block {
-	blocks := make([]Block, 0, len(s.blocks))
-	for p, b := range s.blocks {
+// Records returns copies of what is known, in the order of prints.
+func (s *CrashTracker) Records(nowMillis int64) []Block {
+	blocks := make([]Block, 0, len(s.records))
+	for p, b := range s.records {
 		if b.UntilMillis <= nowMillis {
-			delete(s.blocks, p)
+			delete(s.records, p)
 			continue
 		}
 		known := *b
@@ -199,25 +199,25 @@
 	return blocks
 }
 
-func (s *Suspects) take(o Block) {
-	b := s.blocks[o.Print]
+func (s *CrashTracker) add(o Block) {
+	b := s.records[o.Print]
 	if b == nil {
-		s.makeRoom()
+		s.evictOldest()
 		b = &Block{Service: s.service, Print: o.Print}
-		s.blocks[o.Print] = b
+		s.records[o.Print] = b
 	}
 	b.merge(o)
 }
 
-func (s *Suspects) makeRoom() {
-	if len(s.blocks) < maxSuspects {
+func (s *CrashTracker) evictOldest() {
+	if len(s.records) < maxSuspects {
 		return
 	}
 	var oldest *Block
-	for _, b := range s.blocks {
+	for _, b := range s.records {
 		if oldest == nil || b.UntilMillis < oldest.UntilMillis {
 			oldest = b
 		}
 	}
-	delete(s.blocks, oldest.Print)
+	delete(s.records, oldest.Print)
 }
--- a/internal/policy/suspect_test.go
+++ b/internal/policy/crash_test.go
@@ -14,28 +14,28 @@
 // first time has an answer the next time, and is never refused.
 func TestSuspectsFindTheCause(t *testing.T) {
 	is := is.New(t)
-	s := NewSuspects("pregled")
+	s := NewCrashTracker("pregled")
 	const cause, bystander Print = 1, 2
 	for _, p := range []Print{cause, bystander} {
-		s.Lost(p, Loss{Server: "a", AtNanos: 10}, blockEnd)
-		is.Equal(s.Degree(p, 2, 10), Suspect)
+		s.RecordCrash(p, Loss{Server: "a", AtNanos: 10}, blockEnd)
+		is.Equal(s.SuspicionOf(p, 2, 10), Suspect)
 	}
 	s.Clear(bystander, 20)
-	is.Equal(s.Degree(bystander, 2, 20), Unsuspected)
-	s.Lost(cause, Loss{Server: "b", AtNanos: 30}, blockEnd)
-	s.Lost(bystander, Loss{Server: "b", AtNanos: 30}, blockEnd)
-	is.Equal(s.Degree(cause, 2, 30), Blocked)
-	is.Equal(s.Degree(bystander, 2, 30), Suspect)
+	is.Equal(s.SuspicionOf(bystander, 2, 20), Unsuspected)
+	s.RecordCrash(cause, Loss{Server: "b", AtNanos: 30}, blockEnd)
+	s.RecordCrash(bystander, Loss{Server: "b", AtNanos: 30}, blockEnd)
+	is.Equal(s.SuspicionOf(cause, 2, 30), Blocked)
+	is.Equal(s.SuspicionOf(bystander, 2, 30), Suspect)
 
-	other := NewSuspects("pregled")
-	other.Merge(s.Blocks(30))
-	is.Equal(other.Degree(cause, 2, 30), Blocked)
-	is.Equal(other.Degree(bystander, 2, 30), Suspect)
+	other := NewCrashTracker("pregled")
+	other.Merge(s.Records(30))
+	is.Equal(other.SuspicionOf(cause, 2, 30), Blocked)
+	is.Equal(other.SuspicionOf(bystander, 2, 30), Suspect)
 
-	other.Lift([]Print{cause})
-	is.Equal(other.Degree(cause, 2, 30), Unsuspected)
-	is.Equal(s.Degree(cause, 2, blockEnd), Unsuspected)
-	is.Equal(len(s.Blocks(blockEnd)), 0)
+	other.SetLifted([]Print{cause})
+	is.Equal(other.SuspicionOf(cause, 2, 30), Unsuspected)
+	is.Equal(s.SuspicionOf(cause, 2, blockEnd), Unsuspected)
+	is.Equal(len(s.Records(blockEnd)), 0)
 }
 
 // An order crashed its server, at which two orders of other callers with the same content as one
@@ -45,35 +45,35 @@
 	is := is.New(t)
 	const second = int64(1_000_000_000)
 	const bystander Print = 1
-	s := NewSuspects("pregled")
+	s := NewCrashTracker("pregled")
 	first, beside := Loss{Server: "a", AtNanos: second}, Loss{Server: "a", AtNanos: second + 3_000_000}
-	s.Hold(bystander, first)
-	s.Hold(bystander, beside)
-	is.Equal(s.Degree(bystander, 2, 10), Suspect) // while it is being found out
-	s.Settle(bystander, first, true, blockEnd)
-	is.Equal(s.Degree(bystander, 2, 10), Suspect) // half found out
-	s.Settle(bystander, beside, true, blockEnd)
-	is.Equal(s.Degree(bystander, 2, 10), Suspect)
-	s.Lost(bystander, Loss{Server: "a", AtNanos: 2 * second}, blockEnd)
-	is.Equal(s.Degree(bystander, 2, 10), Blocked) // a second crash of the same server counts
+	s.AddPendingLoss(bystander, first)
+	s.AddPendingLoss(bystander, beside)
+	is.Equal(s.SuspicionOf(bystander, 2, 10), Suspect) // while it is being found out
+	s.ResolvePendingLoss(bystander, first, true, blockEnd)
+	is.Equal(s.SuspicionOf(bystander, 2, 10), Suspect) // half found out
+	s.ResolvePendingLoss(bystander, beside, true, blockEnd)
+	is.Equal(s.SuspicionOf(bystander, 2, 10), Suspect)
+	s.RecordCrash(bystander, Loss{Server: "a", AtNanos: 2 * second}, blockEnd)
+	is.Equal(s.SuspicionOf(bystander, 2, 10), Blocked) // a second crash of the same server counts
 }
 
 // A server closes one connection without an answer, and lives. Its request is watched while
 // that is found out, and not blamed.
 func TestSuspectsHoldUntilSettled(t *testing.T) {
 	is := is.New(t)
-	s := NewSuspects("pregled")
+	s := NewCrashTracker("pregled")
 	held := Loss{Server: "a", AtNanos: 10}
-	s.Hold(1, held)
+	s.AddPendingLoss(1, held)
 	is.True(s.Any())
-	is.Equal(s.Degree(1, 2, 10), Suspect)
-	is.Equal(len(s.Blocks(10)), 0)
-	s.Settle(1, held, false, 0)
-	is.Equal(s.Degree(1, 2, 10), Unsuspected)
+	is.Equal(s.SuspicionOf(1, 2, 10), Suspect)
+	is.Equal(len(s.Records(10)), 0)
+	s.ResolvePendingLoss(1, held, false, 0)
+	is.Equal(s.SuspicionOf(1, 2, 10), Unsuspected)
 	is.True(!s.Any())
-	s.Hold(1, held)
-	s.Settle(1, held, true, blockEnd)
-	is.Equal(s.Degree(1, 1, 10), Blocked)
+	s.AddPendingLoss(1, held)
+	s.ResolvePendingLoss(1, held, true, blockEnd)
+	is.Equal(s.SuspicionOf(1, 1, 10), Blocked)
 }
 
 // Gossip arrives in any order and more than once. All instances must end with the same.
@@ -91,12 +91,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		blocks := rapid.SliceOfN(block, 1, 6).Draw(t, "blocks")
 		again := rapid.Permutation(append(blocks, blocks[0])).Draw(t, "again")
-		one, two := NewSuspects("pregled"), NewSuspects("pregled")
+		one, two := NewCrashTracker("pregled"), NewCrashTracker("pregled")
 		one.Merge(blocks)
 		for _, b := range again {
 			two.Merge([]Block{b})
 		}
-		x, y := one.Blocks(0), two.Blocks(0)
+		x, y := one.Records(0), two.Records(0)
 		if len(x) != 1 || len(y) != 1 {
 			t.Fatalf("%d and %d blocks", len(x), len(y))
 		}
@@ -108,11 +108,11 @@
 
 func TestSuspectsAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := NewSuspects("pregled")
+	s := NewCrashTracker("pregled")
 	for i := range maxSuspects + 10 {
-		s.Lost(Print(i+1), Loss{Server: "a", AtNanos: 1}, int64(100+i))
+		s.RecordCrash(Print(i+1), Loss{Server: "a", AtNanos: 1}, int64(100+i))
 	}
-	is.Equal(len(s.Blocks(0)), maxSuspects)
-	is.Equal(s.Degree(1, 1, 0), Unsuspected)
-	is.Equal(s.Degree(maxSuspects+10, 1, 0), Blocked)
+	is.Equal(len(s.Records(0)), maxSuspects)
+	is.Equal(s.SuspicionOf(1, 1, 0), Unsuspected)
+	is.Equal(s.SuspicionOf(maxSuspects+10, 1, 0), Blocked)
 }
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -2,21 +2,21 @@
 
 // expiry is when to look at a remembered request again.
 type expiry struct {
-	name Name
-	at   Time
+	id Name
+	at Time
 }
 
-// expiries is a binary heap of expiries, the earliest first.
-type expiries []expiry
+// expiryHeap is a binary heap of expiries, the earliest first.
+type expiryHeap []expiry
 
-func (x expiries) first() (expiry, bool) {
+func (x expiryHeap) first() (expiry, bool) {
 	if len(x) == 0 {
 		return expiry{}, false
 	}
 	return x[0], true
 }
 
-func (x *expiries) push(e expiry) {
+func (x *expiryHeap) push(e expiry) {
 	h := append(*x, e)
 	i := len(h) - 1
 	for i > 0 {
@@ -30,7 +30,7 @@
 	*x = h
 }
 
-func (x *expiries) pop() {
+func (x *expiryHeap) pop() {
 	h := *x
 	last := len(h) - 1
 	h[0] = h[last]
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -35,13 +35,13 @@
 		if json.Unmarshal(text, &blocks) != nil {
 			return
 		}
-		s := NewSuspects("pregled")
+		s := NewCrashTracker("pregled")
 		s.Merge(blocks)
-		for _, b := range s.Blocks(0) {
+		for _, b := range s.Records(0) {
 			if len(b.Losses) > maxLosses {
 				t.Fatalf("%d losses", len(b.Losses))
 			}
-			if s.Degree(b.Print, 1, 0) != Blocked && len(b.Losses) > 0 {
+			if s.SuspicionOf(b.Print, 1, 0) != Blocked && len(b.Losses) > 0 {
 				t.Fatalf("%+v is not blocked", b)
 			}
 		}
--- a/internal/policy/name.go
+++ b/internal/policy/id.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrText is returned for text that is no Name or Print.
-var ErrText = errors.New("policy: malformed hexadecimal text")
+// ErrMalformedHex is returned for text that is no Name or Print.
+var ErrMalformedHex = errors.New("policy: malformed hexadecimal text")
 
 // Name stands for a request id within a service and key. All sendings of one piece of work
 // have one Name. It is a hash that callers cannot make collide.
@@ -39,10 +39,10 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (n *Name) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(n)) {
-		return fmt.Errorf("%w: %q", ErrText, text)
+		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
 	if _, err := hex.Decode(n[:], text); err != nil {
-		return fmt.Errorf("%w: %q", ErrText, text)
+		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
 	return nil
 }
@@ -94,10 +94,10 @@
 func (p *Print) UnmarshalText(text []byte) error {
 	var raw [8]byte
 	if len(text) != hex.EncodedLen(len(raw)) {
-		return fmt.Errorf("%w: %q", ErrText, text)
+		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
 	if _, err := hex.Decode(raw[:], text); err != nil {
-		return fmt.Errorf("%w: %q", ErrText, text)
+		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
 	*p = Print(binary.BigEndian.Uint64(raw[:]))
 	return nil
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -8,34 +8,34 @@
 
 // The running time of requests, as the queue estimates it.
 const (
-	// defaultRun is assumed before any request ended.
-	defaultRun = 20 * time.Millisecond
-	// runWeight is the share of the newest running time in the mean, as a divisor.
-	runWeight = 8
+	// defaultRunTime is assumed before any request ended.
+	defaultRunTime = 20 * time.Millisecond
+	// runTimeDivisor is the share of the newest running time in the mean, as a divisor.
+	runTimeDivisor = 8
 )
 
 // The shortest and longest time after which a refused caller is told to come back.
 const (
-	retryFloor   = 50 * time.Millisecond
-	retryCeiling = 30 * time.Second
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 30 * time.Second
 )
 
 // A server that could not be reached is tried again after downFirst, then after twice that,
 // up to downMost.
 const (
-	downFirst = 100 * time.Millisecond
-	downMost  = 5 * time.Second
+	minEjection = 100 * time.Millisecond
+	maxEjection = 5 * time.Second
 )
 
 // A new or returned server is cold: it gets work in half its slots until it has ended
 // warmRuns requests, or warmTime after the first one started.
 const (
-	warmRuns = 4
-	warmTime = time.Second
+	warmupRequests = 4
+	warmupTime     = time.Second
 )
 
-// Ask is a request for a slot.
-type Ask struct {
+// SlotRequest is a request for a slot.
+type SlotRequest struct {
 	Ticket Ticket
 	// Caller is the identity between which the queue is fair.
 	Caller string
@@ -56,43 +56,43 @@
 // Queue hands out the slots of the servers behind one gate. Requests without a slot wait,
 // fairly between callers and by deadline for one caller.
 type Queue struct {
-	limit   int
-	servers []place
-	callers map[string]*line
+	maxWaiting int
+	servers    []serverState
+	callers    map[string]*callerQueue
 	// order holds the callers with waiting requests; the next slot goes to the first.
-	order   []*line
-	waiting int
-	meanRun time.Duration
-	// verdicts is returned by the methods, and reused by the next call.
-	verdicts []Verdict
+	order       []*callerQueue
+	waiting     int
+	meanRunTime time.Duration
+	// decisions is returned by the methods, and reused by the next call.
+	decisions []Verdict
 }
 
-// place is a server with the number of its slots in use.
-type place struct {
+// serverState is a server with the number of its slots in use.
+type serverState struct {
 	Capacity
-	busy int
-	// suspect says that a suspect runs there.
-	suspect bool
-	// gone says that the server left while requests still run there.
-	gone bool
-	// downUntil is when the server may be tried again after it could not be reached, and
+	slotsInUse int
+	// runsSuspect says that a suspect runs there.
+	runsSuspect bool
+	// removed says that the server left while requests still run there.
+	removed bool
+	// ejectedUntil is when the server may be tried again after it could not be reached, and
 	// failures how often that happened in a row.
-	downUntil Time
-	failures  int
-	// ended counts the requests that ended since the server appeared, up to warmRuns.
-	ended int
-	// startedAt is when the newest request started.
-	startedAt Time
-	// warmAt is when the cold start is over in any case; zero until the first request.
-	warmAt Time
+	ejectedUntil     Time
+	unreachableCount int
+	// completed counts the requests that ended since the server appeared, up to warmRuns.
+	completed int
+	// lastStartAt is when the newest request started.
+	lastStartAt Time
+	// coldUntil is when the cold start is over in any case; zero until the first request.
+	coldUntil Time
 }
 
-// usable returns the number of slots that may be in use now.
-func (p *place) usable(now Time) int {
+// usableSlots returns the number of slots that may be in use now.
+func (p *serverState) usableSlots(now Time) int {
 	switch {
-	case p.gone || p.downUntil > now:
+	case p.removed || p.ejectedUntil > now:
 		return 0
-	case p.ended < warmRuns && (p.warmAt == 0 || now < p.warmAt):
+	case p.completed < warmupRequests && (p.coldUntil == 0 || now < p.coldUntil):
 		return max(p.Slots/2, 1)
 	default:
 		return p.Slots
@@ -101,41 +101,41 @@
 
 // NewQueue returns a queue without servers, in which at most limit requests wait.
 func NewQueue(limit int) *Queue {
-	return &Queue{limit: limit, callers: make(map[string]*line), meanRun: defaultRun}
+	return &Queue{maxWaiting: limit, callers: make(map[string]*callerQueue), meanRunTime: defaultRunTime}
 }
 
 // Configure replaces the servers and the limit. Slots that are in use at a server that is no
 // longer named stay counted until they are released. The result, valid until the next call,
 // names the requests that may start because of the change.
 func (q *Queue) Configure(now Time, limit int, servers []Capacity) []Verdict {
-	q.verdicts = q.verdicts[:0]
-	q.limit = limit
+	q.decisions = q.decisions[:0]
+	q.maxWaiting = limit
 	for i := range q.servers {
-		q.servers[i].gone = true
+		q.servers[i].removed = true
 	}
 	for _, c := range servers {
 		if p := q.find(c.Server); p != nil {
-			p.Capacity, p.gone = c, false
+			p.Capacity, p.removed = c, false
 			continue
 		}
-		q.servers = append(q.servers, place{Capacity: c})
+		q.servers = append(q.servers, serverState{Capacity: c})
 	}
-	q.forget()
+	q.removeIdle()
 	q.advance(now)
-	return q.verdicts
+	return q.decisions
 }
 
-// Same reports whether the queue is configured as given.
-func (q *Queue) Same(limit int, servers []Capacity) bool {
-	if q.limit != limit {
+// IsConfigured reports whether the queue is configured as given.
+func (q *Queue) IsConfigured(limit int, servers []Capacity) bool {
+	if q.maxWaiting != limit {
 		return false
 	}
-	if slices.EqualFunc(q.servers, servers, func(p place, c Capacity) bool { return !p.gone && p.Capacity == c }) {
+	if slices.EqualFunc(q.servers, servers, func(p serverState, c Capacity) bool { return !p.removed && p.Capacity == c }) {
 		return true
 	}
 	present := 0
 	for i := range q.servers {
-		if !q.servers[i].gone {
+		if !q.servers[i].removed {
 			present++
 		}
 	}
@@ -143,46 +143,46 @@
 		return false
 	}
 	for _, c := range servers {
-		if p := q.find(c.Server); p == nil || p.gone || p.Capacity != c {
+		if p := q.find(c.Server); p == nil || p.removed || p.Capacity != c {
 			return false
 		}
 	}
 	return true
 }
 
-// Ask takes a request in. The first verdict is on the request itself, any others on requests
+// Admit takes a request in. The first verdict is on the request itself, any others on requests
 // that wait. The result is valid until the next call.
-func (q *Queue) Ask(now Time, a Ask) []Verdict {
-	q.verdicts = q.verdicts[:0]
-	q.judge(now, a)
+func (q *Queue) Admit(now Time, a SlotRequest) []Verdict {
+	q.decisions = q.decisions[:0]
+	q.decide(now, a)
 	q.advance(now)
-	return q.verdicts
+	return q.decisions
 }
 
-// judge adds the verdict on a new request.
-func (q *Queue) judge(now Time, a Ask) {
+// decide adds the verdict on a new request.
+func (q *Queue) decide(now Time, a SlotRequest) {
 	switch {
 	case a.Deadline <= now:
-		q.shed(now, a.Ticket, ReasonExpired)
-	case !q.reachable(now):
-		q.shed(now, a.Ticket, ReasonNoServer)
-	case q.startNow(now, a):
-	case now.Add(q.expected(now, a.Caller)+q.meanRun) > a.Deadline:
-		q.shed(now, a.Ticket, ReasonTooLate)
-	case q.waiting < q.limit:
-		q.verdicts = append(q.verdicts, Wait{Ticket: a.Ticket})
+		q.reject(now, a.Ticket, ReasonExpired)
+	case !q.anyUsable(now):
+		q.reject(now, a.Ticket, ReasonNoServer)
+	case q.tryStart(now, a):
+	case now.Add(q.expectedWait(now, a.Caller)+q.meanRunTime) > a.Deadline:
+		q.reject(now, a.Ticket, ReasonTooLate)
+	case q.waiting < q.maxWaiting:
+		q.decisions = append(q.decisions, Wait{Ticket: a.Ticket})
 		q.enqueue(a)
 	default:
-		q.displace(now, a)
+		q.enqueueByDisplacing(now, a)
 	}
 }
 
-// startNow starts a request that need not wait behind others.
-func (q *Queue) startNow(now Time, a Ask) bool {
-	if q.waiting > 0 && !a.Suspect && q.startable(now) {
+// tryStart starts a request that need not wait behind others.
+func (q *Queue) tryStart(now Time, a SlotRequest) bool {
+	if q.waiting > 0 && !a.Suspect && q.canStartWaiting(now) {
 		return false
 	}
-	p := q.free(now, a.Suspect)
+	p := q.freeServer(now, a.Suspect)
 	if p == nil {
 		return false
 	}
@@ -190,14 +190,14 @@
 	return true
 }
 
-// startable reports whether a waiting request could start, which then goes first.
-func (q *Queue) startable(now Time) bool {
-	if q.free(now, false) == nil {
+// canStartWaiting reports whether a waiting request could start, which then goes first.
+func (q *Queue) canStartWaiting(now Time) bool {
+	if q.freeServer(now, false) == nil {
 		return false
 	}
 	for _, l := range q.order {
-		for _, a := range l.asks {
-			if q.free(now, a.Suspect) != nil {
+		for _, a := range l.requests {
+			if q.freeServer(now, a.Suspect) != nil {
 				return true
 			}
 		}
@@ -205,17 +205,17 @@
 	return false
 }
 
-// displace lets a request in by shedding the last one of the caller with the longest line.
-func (q *Queue) displace(now Time, a Ask) {
-	longest := q.longest()
-	if longest == nil || len(longest.asks) <= q.lineLength(a.Caller)+1 {
-		q.shed(now, a.Ticket, ReasonQueueFull)
+// enqueueByDisplacing lets a request in by shedding the last one of the caller with the longest line.
+func (q *Queue) enqueueByDisplacing(now Time, a SlotRequest) {
+	longest := q.longestQueue()
+	if longest == nil || len(longest.requests) <= q.queueLength(a.Caller)+1 {
+		q.reject(now, a.Ticket, ReasonQueueFull)
 		return
 	}
-	last := longest.asks[len(longest.asks)-1]
+	last := longest.requests[len(longest.requests)-1]
 	q.remove(last.Ticket)
-	q.verdicts = append(q.verdicts, Wait{Ticket: a.Ticket})
-	q.shed(now, last.Ticket, ReasonOutOfShare)
+	q.decisions = append(q.decisions, Wait{Ticket: a.Ticket})
+	q.reject(now, last.Ticket, ReasonOutOfShare)
 	q.enqueue(a)
 }
 
@@ -223,62 +223,62 @@
 // did not run. The result, valid until the next call, names the requests that start or are
 // shed in consequence.
 func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Verdict {
-	q.verdicts = q.verdicts[:0]
+	q.decisions = q.decisions[:0]
 	p := q.find(server)
-	if p == nil || p.busy == 0 {
-		return q.verdicts
+	if p == nil || p.slotsInUse == 0 {
+		return q.decisions
 	}
-	p.busy--
+	p.slotsInUse--
 	if suspect {
-		p.suspect = false
+		p.runsSuspect = false
 	}
 	if ran > 0 {
-		q.meanRun += (ran - q.meanRun) / runWeight
-		p.ended = min(p.ended+1, warmRuns)
-		p.failures = 0
+		q.meanRunTime += (ran - q.meanRunTime) / runTimeDivisor
+		p.completed = min(p.completed+1, warmupRequests)
+		p.unreachableCount = 0
 	}
-	q.forget()
+	q.removeIdle()
 	q.advance(now)
-	return q.verdicts
+	return q.decisions
 }
 
-// Suspend gives a server no work until a time: it said that it has too much. Afterwards it
+// Eject gives a server no work until a time: it said that it has too much. Afterwards it
 // starts cold. Waiting requests stay in the queue.
-func (q *Queue) Suspend(server string, until Time) {
+func (q *Queue) Eject(server string, until Time) {
 	if p := q.find(server); p != nil {
-		p.downUntil = max(p.downUntil, until)
-		p.ended, p.warmAt = 0, 0
+		p.ejectedUntil = max(p.ejectedUntil, until)
+		p.completed, p.coldUntil = 0, 0
 	}
 }
 
-// Down suspends a server that could not be reached, for longer each time in a row.
-func (q *Queue) Down(now Time, server string) {
-	if p := q.find(server); p != nil && p.downUntil <= now {
-		q.Suspend(server, now.Add(min(downFirst<<min(p.failures, 10), downMost)))
-		p.failures++
+// EjectUnreachable suspends a server that could not be reached, for longer each time in a row.
+func (q *Queue) EjectUnreachable(now Time, server string) {
+	if p := q.find(server); p != nil && p.ejectedUntil <= now {
+		q.Eject(server, now.Add(min(minEjection<<min(p.unreachableCount, 10), maxEjection)))
+		p.unreachableCount++
 	}
 }
 
 // Advance starts or sheds waiting requests after time has passed. The result is valid until
 // the next call.
 func (q *Queue) Advance(now Time) []Verdict {
-	q.verdicts = q.verdicts[:0]
+	q.decisions = q.decisions[:0]
 	q.advance(now)
-	return q.verdicts
+	return q.decisions
 }
 
-// Leave takes a waiting request out. It reports false when the request does not wait.
-func (q *Queue) Leave(t Ticket) bool {
+// Remove takes a waiting request out. It reports false when the request does not wait.
+func (q *Queue) Remove(t Ticket) bool {
 	return q.remove(t)
 }
 
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Busy returns the number of slots in use at a server.
-func (q *Queue) Busy(server string) int {
+// SlotsInUse returns the number of slots in use at a server.
+func (q *Queue) SlotsInUse(server string) int {
 	if p := q.find(server); p != nil {
-		return p.busy
+		return p.slotsInUse
 	}
 	return 0
 }
@@ -286,77 +286,77 @@
 // Each calls visit for each server with its slots in use.
 func (q *Queue) Each(visit func(c Capacity, busy int)) {
 	for i := range q.servers {
-		visit(q.servers[i].Capacity, q.servers[i].busy)
+		visit(q.servers[i].Capacity, q.servers[i].slotsInUse)
 	}
 }
 
 // advance starts waiting requests while slots are free and sheds those that are too late.
 func (q *Queue) advance(now Time) {
 	for q.waiting > 0 {
-		a, p := q.next(now)
+		a, p := q.dequeueNext(now)
 		if p == nil {
 			return
 		}
 		if a.Deadline <= now {
-			q.shed(now, a.Ticket, ReasonExpired)
+			q.reject(now, a.Ticket, ReasonExpired)
 			continue
 		}
 		q.start(now, p, a)
 	}
 }
 
-func (q *Queue) start(now Time, p *place, a Ask) {
-	p.busy++
-	p.startedAt = now
-	if p.warmAt == 0 {
-		p.warmAt = now.Add(warmTime)
+func (q *Queue) start(now Time, p *serverState, a SlotRequest) {
+	p.slotsInUse++
+	p.lastStartAt = now
+	if p.coldUntil == 0 {
+		p.coldUntil = now.Add(warmupTime)
 	}
-	p.suspect = p.suspect || a.Suspect
-	q.verdicts = append(q.verdicts, Start{Ticket: a.Ticket, Server: p.Server})
+	p.runsSuspect = p.runsSuspect || a.Suspect
+	q.decisions = append(q.decisions, Start{Ticket: a.Ticket, Server: p.Server})
 }
 
-func (q *Queue) shed(now Time, t Ticket, reason Reason) {
-	wait := min(max(q.expected(now, ""), retryFloor), retryCeiling)
-	q.verdicts = append(q.verdicts, Shed{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
+func (q *Queue) reject(now Time, t Ticket, reason Reason) {
+	wait := min(max(q.expectedWait(now, ""), minRetryDelay), maxRetryDelay)
+	q.decisions = append(q.decisions, Shed{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
 }
 
-// free returns the server with the smallest share of its slots in use, nil if none is free.
-func (q *Queue) free(now Time, suspect bool) *place {
-	var best *place
+// freeServer returns the server with the smallest share of its slots in use, nil if none is free.
+func (q *Queue) freeServer(now Time, suspect bool) *serverState {
+	var best *serverState
 	for i := range q.servers {
 		p := &q.servers[i]
-		if p.busy >= p.usable(now) || suspect && p.suspect {
+		if p.slotsInUse >= p.usableSlots(now) || suspect && p.runsSuspect {
 			continue
 		}
-		if best == nil || less(p, best) {
+		if best == nil || lessLoaded(p, best) {
 			best = p
 		}
 	}
 	return best
 }
 
-func less(a, b *place) bool {
-	if c := cmp.Compare(a.busy*b.Slots, b.busy*a.Slots); c != 0 {
+func lessLoaded(a, b *serverState) bool {
+	if c := cmp.Compare(a.slotsInUse*b.Slots, b.slotsInUse*a.Slots); c != 0 {
 		return c < 0
 	}
 	if c := cmp.Compare(a.Hint, b.Hint); c != 0 {
 		return c < 0
 	}
 	// Ties that always went to the first server would give it more than its share.
-	return a.startedAt < b.startedAt
+	return a.lastStartAt < b.lastStartAt
 }
 
-// reachable reports whether any server may be given work.
-func (q *Queue) reachable(now Time) bool {
+// anyUsable reports whether any server may be given work.
+func (q *Queue) anyUsable(now Time) bool {
 	for i := range q.servers {
-		if q.servers[i].usable(now) > 0 {
+		if q.servers[i].usableSlots(now) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (q *Queue) find(server string) *place {
+func (q *Queue) find(server string) *serverState {
 	for i := range q.servers {
 		if q.servers[i].Server == server {
 			return &q.servers[i]
@@ -365,7 +365,7 @@
 	return nil
 }
 
-// forget drops the servers that left and run nothing more.
-func (q *Queue) forget() {
-	q.servers = slices.DeleteFunc(q.servers, func(p place) bool { return p.gone && p.busy == 0 })
+// removeIdle drops the servers that left and run nothing more.
+func (q *Queue) removeIdle() {
+	q.servers = slices.DeleteFunc(q.servers, func(p serverState) bool { return p.removed && p.slotsInUse == 0 })
 }
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -16,40 +16,40 @@
 func warm(limit, slots int) *Queue {
 	q := NewQueue(limit)
 	q.Configure(0, limit, []Capacity{{Server: "a", Slots: slots}})
-	for i := range warmRuns {
-		q.Ask(0, Ask{Ticket: Ticket(1_000_000 + i), Caller: "warm", Deadline: 1000 * ms})
-		q.Release(0, "a", defaultRun, false)
+	for i := range warmupRequests {
+		q.Admit(0, SlotRequest{Ticket: Ticket(1_000_000 + i), Caller: "warm", Deadline: 1000 * ms})
+		q.Release(0, "a", defaultRunTime, false)
 	}
 	return q
 }
 
-func ask(t Ticket, caller string, deadline Time) Ask {
-	return Ask{Ticket: t, Caller: caller, Deadline: deadline}
+func ask(t Ticket, caller string, deadline Time) SlotRequest {
+	return SlotRequest{Ticket: t, Caller: caller, Deadline: deadline}
 }
 
 func TestQueueVerdicts(t *testing.T) {
 	tests := map[string]struct {
-		asks []Ask
+		asks []SlotRequest
 		want []Verdict
 	}{
 		"slots then wait": {
-			asks: []Ask{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms)},
+			asks: []SlotRequest{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms)},
 			want: []Verdict{Start{1, "a"}, Start{2, "a"}, Wait{3}},
 		},
 		"deadline passed": {
-			asks: []Ask{ask(1, "x", 0)},
+			asks: []SlotRequest{ask(1, "x", 0)},
 			want: []Verdict{Shed{1, ReasonExpired, 50 * ms}},
 		},
 		"would wait too long": {
-			asks: []Ask{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 25*ms)},
+			asks: []SlotRequest{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 25*ms)},
 			want: []Verdict{Start{1, "a"}, Start{2, "a"}, Shed{3, ReasonTooLate, 50 * ms}},
 		},
 		"full": {
-			asks: []Ask{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms), ask(4, "x", 500*ms), ask(5, "x", 500*ms)},
+			asks: []SlotRequest{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms), ask(4, "x", 500*ms), ask(5, "x", 500*ms)},
 			want: []Verdict{Start{1, "a"}, Start{2, "a"}, Wait{3}, Wait{4}, Shed{5, ReasonQueueFull, 50 * ms}},
 		},
 		"full of one caller": {
-			asks: []Ask{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms), ask(4, "x", 500*ms), ask(5, "y", 500*ms)},
+			asks: []SlotRequest{ask(1, "x", 500*ms), ask(2, "x", 500*ms), ask(3, "x", 500*ms), ask(4, "x", 500*ms), ask(5, "y", 500*ms)},
 			want: []Verdict{Start{1, "a"}, Start{2, "a"}, Wait{3}, Wait{4}, Wait{5}, Shed{4, ReasonOutOfShare, 50 * ms}},
 		},
 	}
@@ -59,7 +59,7 @@
 			q := warm(2, 2)
 			var got []Verdict
 			for _, a := range tt.asks {
-				got = append(got, q.Ask(0, a)...)
+				got = append(got, q.Admit(0, a)...)
 			}
 			for i, v := range got {
 				if s, shed := v.(Shed); shed && s.Reason != ReasonExpired {
@@ -77,13 +77,13 @@
 func TestQueueIsFairBetweenCallers(t *testing.T) {
 	is := is.New(t)
 	q := warm(200, 1)
-	q.Ask(0, ask(1, "program", 60_000*ms))
+	q.Admit(0, ask(1, "program", 60_000*ms))
 	for i := range 100 {
-		q.Ask(0, ask(Ticket(10+i), "program", 60_000*ms))
+		q.Admit(0, ask(Ticket(10+i), "program", 60_000*ms))
 	}
-	q.Ask(0, ask(500, "volunteer", 60_000*ms))
-	q.Release(0, "a", defaultRun, false)
-	verdicts := q.Release(0, "a", defaultRun, false)
+	q.Admit(0, ask(500, "volunteer", 60_000*ms))
+	q.Release(0, "a", defaultRunTime, false)
+	verdicts := q.Release(0, "a", defaultRunTime, false)
 	is.Equal(verdicts[0], Start{Ticket: 500, Server: "a"})
 }
 
@@ -92,9 +92,9 @@
 func TestQueueShedsWhenServerIsFrozen(t *testing.T) {
 	is := is.New(t)
 	q := warm(100, 2)
-	q.Ask(0, ask(1, "x", 60_000*ms))
-	q.Ask(0, ask(2, "x", 60_000*ms))
-	shed, ok := q.Ask(5000*ms, ask(3, "y", 6000*ms))[0].(Shed)
+	q.Admit(0, ask(1, "x", 60_000*ms))
+	q.Admit(0, ask(2, "x", 60_000*ms))
+	shed, ok := q.Admit(5000*ms, ask(3, "y", 6000*ms))[0].(Shed)
 	is.True(ok)
 	is.Equal(shed.Reason, ReasonTooLate)
 }
@@ -104,14 +104,14 @@
 	is := is.New(t)
 	q := NewQueue(10)
 	q.Configure(0, 10, []Capacity{{Server: "a", Slots: 4}, {Server: "b", Slots: 4}})
-	q.Down(0, "a")
+	q.EjectUnreachable(0, "a")
 	for i := range 2 {
-		is.Equal(q.Ask(0, ask(Ticket(i), "x", 500*ms))[0], Start{Ticket: Ticket(i), Server: "b"})
+		is.Equal(q.Admit(0, ask(Ticket(i), "x", 500*ms))[0], Start{Ticket: Ticket(i), Server: "b"})
 	}
-	is.Equal(q.Ask(0, ask(3, "x", 500*ms))[0], Wait{Ticket: 3})
+	is.Equal(q.Admit(0, ask(3, "x", 500*ms))[0], Wait{Ticket: 3})
 	is.Equal(q.Advance(100*ms), []Verdict{Start{Ticket: 3, Server: "a"}})
-	is.Equal(q.Ask(100*ms, ask(4, "x", 500*ms))[0], Start{Ticket: 4, Server: "a"})
-	is.Equal(q.Ask(100*ms, ask(5, "x", 500*ms))[0], Wait{Ticket: 5})
+	is.Equal(q.Admit(100*ms, ask(4, "x", 500*ms))[0], Start{Ticket: 4, Server: "a"})
+	is.Equal(q.Admit(100*ms, ask(5, "x", 500*ms))[0], Wait{Ticket: 5})
 	is.Equal(q.Advance(1000*ms), []Verdict{Shed{Ticket: 5, Reason: ReasonExpired, RetryAt: 1050 * ms}})
 }
 
@@ -119,11 +119,11 @@
 func TestQueueSeparatesSuspects(t *testing.T) {
 	is := is.New(t)
 	q := warm(10, 2)
-	is.Equal(q.Ask(0, Ask{Ticket: 1, Caller: "x", Deadline: 500 * ms, Suspect: true})[0], Start{1, "a"})
-	is.Equal(q.Ask(0, Ask{Ticket: 2, Caller: "x", Deadline: 500 * ms, Suspect: true})[0], Wait{2})
-	is.Equal(q.Ask(0, ask(3, "x", 500*ms))[0], Start{3, "a"})
-	is.Equal(len(q.Release(0, "a", defaultRun, false)), 0)
-	is.Equal(q.Release(0, "a", defaultRun, true), []Verdict{Start{2, "a"}})
+	is.Equal(q.Admit(0, SlotRequest{Ticket: 1, Caller: "x", Deadline: 500 * ms, Suspect: true})[0], Start{1, "a"})
+	is.Equal(q.Admit(0, SlotRequest{Ticket: 2, Caller: "x", Deadline: 500 * ms, Suspect: true})[0], Wait{2})
+	is.Equal(q.Admit(0, ask(3, "x", 500*ms))[0], Start{3, "a"})
+	is.Equal(len(q.Release(0, "a", defaultRunTime, false)), 0)
+	is.Equal(q.Release(0, "a", defaultRunTime, true), []Verdict{Start{2, "a"}})
 }
 
 // The slots in use never exceed those of the server, whatever happens, and each request gets
@@ -163,22 +163,22 @@
 			now += Time(r.IntN(40)) * ms
 			switch r.IntN(6) {
 			case 0, 1, 2:
-				take(q.Ask(now, Ask{
+				take(q.Admit(now, SlotRequest{
 					Ticket: Ticket(i), Caller: fmt.Sprint(r.IntN(3)), Deadline: now + Time(r.IntN(400))*ms, Suspect: r.IntN(10) == 0,
 				}))
 			case 3, 4:
 				name := servers[r.IntN(2)].Server
 				if len(running[name]) > 0 {
 					running[name] = running[name][1:]
-					take(q.Release(now, name, defaultRun, r.IntN(10) == 0))
+					take(q.Release(now, name, defaultRunTime, r.IntN(10) == 0))
 				}
 			case 5:
-				q.Down(now, servers[r.IntN(2)].Server)
+				q.EjectUnreachable(now, servers[r.IntN(2)].Server)
 				take(q.Advance(now))
 			}
 			for _, s := range servers {
-				if len(running[s.Server]) > s.Slots || q.Busy(s.Server) != len(running[s.Server]) {
-					t.Fatalf("%s runs %d, counted %d, slots %d", s.Server, len(running[s.Server]), q.Busy(s.Server), s.Slots)
+				if len(running[s.Server]) > s.Slots || q.SlotsInUse(s.Server) != len(running[s.Server]) {
+					t.Fatalf("%s runs %d, counted %d, slots %d", s.Server, len(running[s.Server]), q.SlotsInUse(s.Server), s.Slots)
 				}
 			}
 			if q.Waiting() != len(waiting) || q.Waiting() > 5 {
--- a/internal/policy/budget.go
+++ b/internal/policy/retrybudget.go
@@ -4,25 +4,25 @@
 // Thus retries add at most a tenth to the load, and a fault that meets all requests is not
 // made worse by them.
 const (
-	retryShare = 0.1
-	retryMost  = 10
+	retriesPerRequest = 0.1
+	maxSavedRetries   = 10
 )
 
-// maxTries is the number of times that one request is sent at most.
-const maxTries = 3
+// maxAttempts is the number of times that one request is sent at most.
+const maxAttempts = 3
 
-// Budget limits retries to a share of the requests.
-type Budget struct {
+// RetryBudget limits retries to a share of the requests.
+type RetryBudget struct {
 	saved float64
 }
 
 // Earn counts a first try.
-func (b *Budget) Earn() {
-	b.saved = min(b.saved+retryShare, retryMost)
+func (b *RetryBudget) Earn() {
+	b.saved = min(b.saved+retriesPerRequest, maxSavedRetries)
 }
 
 // Spend reports whether a retry is within the budget, and counts it.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	if b.saved < 1 {
 		return false
 	}
--- a/internal/policy/differ_test.go
+++ b/internal/policy/schedule_test.go
@@ -259,7 +259,7 @@
 func (w *world) lose(instance int) {
 	w.cores[instance] = nil
 	for _, s := range w.sendings {
-		if s.outcome == "" && s.gate == instance && s.request.remembered {
+		if s.outcome == "" && s.gate == instance && s.request.recorded {
 			s.outcome = caller.Unknown
 		}
 	}
--- a/internal/policy/ties_test.go
+++ b/internal/policy/ties_test.go
@@ -16,11 +16,11 @@
 	ran := make(map[string]int)
 	for i := range 90 {
 		now := Time(i+1) * ms
-		for _, v := range q.Ask(now, ask(Ticket(i), "x", now+500*ms)) {
+		for _, v := range q.Admit(now, ask(Ticket(i), "x", now+500*ms)) {
 			s, started := v.(Start)
 			is.True(started)
 			ran[s.Server]++
-			q.Release(now, s.Server, defaultRun, false)
+			q.Release(now, s.Server, defaultRunTime, false)
 		}
 	}
 	is.Equal(ran, map[string]int{"a": 30, "b": 30, "c": 30})
--- a/internal/route/directory.go
+++ b/internal/route/router.go
@@ -39,7 +39,7 @@
 
 // Directory is a Finder over the newest View. It is safe for concurrent use.
 type Directory struct {
-	index atomic.Pointer[index]
+	index atomic.Pointer[routeIndex]
 }
 
 // NewDirectory returns a directory without a bundle.
@@ -78,8 +78,8 @@
 	return s.owners[i], true
 }
 
-// index is a View arranged for look-up.
-type index struct {
+// routeIndex is a View arranged for look-up.
+type routeIndex struct {
 	view     View
 	services map[string]*serviceIndex
 	members  map[string]Member
@@ -95,13 +95,13 @@
 	// pool are the servers of this domain that accept work, for a service that is not divided.
 	pool     []Target
 	poolGate string
-	// elsewhere are the other domains with servers of the service, domains all of them.
-	elsewhere []string
-	domains   []string
+	// otherDomains are the other domains with servers of the service, domains all of them.
+	otherDomains []string
+	domains      []string
 }
 
-func newIndex(v View) *index {
-	x := &index{
+func newIndex(v View) *routeIndex {
+	x := &routeIndex{
 		view:     v,
 		services: make(map[string]*serviceIndex),
 		members:  make(map[string]Member, len(v.Members)),
@@ -129,7 +129,7 @@
 		gates:   make(map[string]string),
 	}
 	for i := range s.Servers {
-		x.add(&s.Servers[i], v.Domain)
+		x.addServer(&s.Servers[i], v.Domain)
 	}
 	if v.Table != nil {
 		x.addTable(v.Table)
@@ -137,7 +137,7 @@
 	return x
 }
 
-func (x *serviceIndex) add(server *bundle.Server, domain string) {
+func (x *serviceIndex) addServer(server *bundle.Server, domain string) {
 	x.servers[server.Name] = server
 	if !slices.Contains(x.domains, server.Domain) {
 		x.domains = append(x.domains, server.Domain)
@@ -146,8 +146,8 @@
 	case server.Leaving:
 	case server.Domain == domain:
 		x.pool = append(x.pool, Target{Server: server})
-	case !slices.Contains(x.elsewhere, server.Domain):
-		x.elsewhere = append(x.elsewhere, server.Domain)
+	case !slices.Contains(x.otherDomains, server.Domain):
+		x.otherDomains = append(x.otherDomains, server.Domain)
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-func (x *index) find(service string, hash uint64) Destination {
+func (x *routeIndex) find(service string, hash uint64) Destination {
 	if x.view.Bundle == nil {
 		return Absent{Reason: AbsentBundle}
 	}
@@ -182,7 +182,7 @@
 	}
 }
 
-func (x *index) findHome(service string, hash uint64) Destination {
+func (x *routeIndex) findHome(service string, hash uint64) Destination {
 	s, found := x.services[service]
 	if !found || s.service.Divided {
 		return x.find(service, hash)
@@ -194,7 +194,7 @@
 	return x.forwardToDomains(s, []string{domain})
 }
 
-func (x *index) findOwner(s *serviceIndex, hash uint64) Destination {
+func (x *routeIndex) findOwner(s *serviceIndex, hash uint64) Destination {
 	i := keys.FindBy(s.homes, hash, func(h Home) keys.Range { return h.Range })
 	if i < 0 {
 		return Absent{Reason: AbsentOwner}
@@ -214,14 +214,14 @@
 	return x.viaGate(s, s.gates[owner.Server], []Target{{Server: server, Epoch: owner.Epoch}})
 }
 
-func (x *index) findPool(s *serviceIndex) Destination {
+func (x *routeIndex) findPool(s *serviceIndex) Destination {
 	if len(s.pool) == 0 {
-		return x.forwardToDomains(s, s.elsewhere)
+		return x.forwardToDomains(s, s.otherDomains)
 	}
 	return x.viaGate(s, s.poolGate, s.pool)
 }
 
-func (x *index) viaGate(s *serviceIndex, gate string, targets []Target) Destination {
+func (x *routeIndex) viaGate(s *serviceIndex, gate string, targets []Target) Destination {
 	if gate == "" {
 		return Absent{Reason: AbsentGate}
 	}
@@ -235,7 +235,7 @@
 	return Forward{Service: s.service, Domain: m.Domain, Addresses: []string{m.Address}}
 }
 
-func (x *index) forwardToDomains(s *serviceIndex, domains []string) Destination {
+func (x *routeIndex) forwardToDomains(s *serviceIndex, domains []string) Destination {
 	for _, domain := range domains {
 		if addresses := x.domains[domain]; len(addresses) > 0 {
 			return Forward{Service: s.service, Domain: domain, Addresses: addresses}
--- a/internal/sketch/hot.go
+++ b/internal/sketch/hotkeys.go
@@ -9,26 +9,26 @@
 	// Leave is the share that a hot key may surely not reach to become cold. It lies below
 	// Enter, so that a key near the border does not come and go.
 	Leave float64
-	// Most bounds the number of hot keys.
-	Most int
+	// MaxKeys bounds the number of hot keys.
+	MaxKeys int
 }
 
 // RuleFor returns the rule for a service whose load servers share equally: a key is hot when
 // it alone brings the given part of one server's share.
 func RuleFor(servers int, part float64, most int) Rule {
 	enter := part / float64(max(servers, 1))
-	return Rule{Enter: enter, Leave: enter / 2, Most: most}
+	return Rule{Enter: enter, Leave: enter / 2, MaxKeys: most}
 }
 
 // Hot returns the hashes of the hot keys, sorted, given those that were hot until now.
 func Hot(s *Sketch, present []uint64, r Rule) []uint64 {
 	total := s.Total()
-	hot := make([]uint64, 0, min(r.Most, len(s.heap)))
+	hot := make([]uint64, 0, min(r.MaxKeys, len(s.heap)))
 	if total <= 0 {
 		return hot
 	}
 	for _, c := range s.Counters() {
-		if len(hot) == r.Most {
+		if len(hot) == r.MaxKeys {
 			break
 		}
 		_, was := slices.BinarySearch(present, c.Hash)
--- a/internal/sketch/sketch.go
+++ b/internal/sketch/sketch.go
@@ -22,8 +22,8 @@
 type Sketch struct {
 	capacity int
 	total    float64
-	// missed bounds the weight of any key without a counter that merging has dropped.
-	missed float64
+	// maxDropped bounds the weight of any key without a counter that merging has dropped.
+	maxDropped float64
 	// heap has the smallest count first, and position finds a hash in it.
 	heap     []Counter
 	position map[uint64]int
@@ -45,20 +45,20 @@
 	s.total += weight
 	if at, found := s.position[hash]; found {
 		s.heap[at].Count += weight
-		s.down(at)
+		s.siftDown(at)
 		return
 	}
 	if len(s.heap) < s.capacity {
-		s.heap = append(s.heap, Counter{Hash: hash, Count: s.missed + weight, Error: s.missed})
+		s.heap = append(s.heap, Counter{Hash: hash, Count: s.maxDropped + weight, Error: s.maxDropped})
 		s.position[hash] = len(s.heap) - 1
-		s.up(len(s.heap) - 1)
+		s.siftUp(len(s.heap) - 1)
 		return
 	}
 	least := s.heap[0]
 	delete(s.position, least.Hash)
 	s.heap[0] = Counter{Hash: hash, Count: least.Count + weight, Error: least.Count}
 	s.position[hash] = 0
-	s.down(0)
+	s.siftDown(0)
 }
 
 // Total returns the weight that was added, aged by Decay.
@@ -66,19 +66,19 @@
 	return s.total
 }
 
-// Unseen returns the most weight that a key without a counter can have.
-func (s *Sketch) Unseen() float64 {
+// MaxUncounted returns the most weight that a key without a counter can have.
+func (s *Sketch) MaxUncounted() float64 {
 	if len(s.heap) < s.capacity {
-		return s.missed
+		return s.maxDropped
 	}
-	return max(s.missed, s.heap[0].Count)
+	return max(s.maxDropped, s.heap[0].Count)
 }
 
 // Decay multiplies all weights by a factor in (0, 1], so that keys which are hot no more
 // make way.
 func (s *Sketch) Decay(factor float64) {
 	s.total *= factor
-	s.missed *= factor
+	s.maxDropped *= factor
 	for i := range s.heap {
 		s.heap[i].Count *= factor
 		s.heap[i].Error *= factor
@@ -97,7 +97,7 @@
 // Merge adds what another Sketch has counted. The bound on the error holds for the sum if
 // both have the same number of counters.
 func (s *Sketch) Merge(o *Sketch) {
-	unseen, otherUnseen := s.Unseen(), o.Unseen()
+	unseen, otherUnseen := s.MaxUncounted(), o.MaxUncounted()
 	merged := make([]Counter, 0, len(s.heap)+len(o.heap))
 	for _, c := range s.heap {
 		if at, found := o.position[c.Hash]; found {
@@ -118,18 +118,18 @@
 		merged = append(merged, c)
 	}
 	s.total += o.total
-	s.keep(merged, unseen+otherUnseen)
+	s.keepLargest(merged, unseen+otherUnseen)
 }
 
-// keep makes the largest of the counters those of the sketch. Unseen bounds the weight of
+// keepLargest makes the largest of the counters those of the sketch. Unseen bounds the weight of
 // any key that has none of them.
-func (s *Sketch) keep(counters []Counter, unseen float64) {
+func (s *Sketch) keepLargest(counters []Counter, unseen float64) {
 	slices.SortFunc(counters, func(a, b Counter) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Hash, b.Hash))
 	})
-	s.missed = unseen
+	s.maxDropped = unseen
 	if len(counters) > s.capacity {
-		s.missed = max(unseen, counters[s.capacity].Count)
+		s.maxDropped = max(unseen, counters[s.capacity].Count)
 		counters = counters[:s.capacity]
 	}
 	slices.Reverse(counters)
@@ -140,8 +140,8 @@
 	}
 }
 
-// up moves a counter towards the root while it is smaller than its parent.
-func (s *Sketch) up(i int) {
+// siftUp moves a counter towards the root while it is smaller than its parent.
+func (s *Sketch) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if s.heap[parent].Count <= s.heap[i].Count {
@@ -152,8 +152,8 @@
 	}
 }
 
-// down moves a counter away from the root while it is larger than a child.
-func (s *Sketch) down(i int) {
+// siftDown moves a counter away from the root while it is larger than a child.
+func (s *Sketch) siftDown(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(s.heap); child++ {
--- a/internal/sketch/sketch_test.go
+++ b/internal/sketch/sketch_test.go
@@ -32,8 +32,8 @@
 		total += weight
 		at, found := s.position[hash]
 		if !found {
-			if weight > s.Unseen()+rounding {
-				t.Fatalf("key %d of weight %v is unseen, bound %v", hash, weight, s.Unseen())
+			if weight > s.MaxUncounted()+rounding {
+				t.Fatalf("key %d of weight %v is unseen, bound %v", hash, weight, s.MaxUncounted())
 			}
 			continue
 		}
@@ -48,8 +48,8 @@
 			t.Fatalf("error %v, bound %v", c.Error, bound)
 		}
 	}
-	if s.Unseen() > bound && len(exact) > 0 {
-		t.Fatalf("unseen %v, bound %v", s.Unseen(), bound)
+	if s.MaxUncounted() > bound && len(exact) > 0 {
+		t.Fatalf("unseen %v, bound %v", s.MaxUncounted(), bound)
 	}
 }
 
@@ -78,7 +78,7 @@
 
 func TestHotKeysComeAndGo(t *testing.T) {
 	is := is.New(t)
-	s, rule := New(64), Rule{Enter: 0.05, Leave: 0.025, Most: 240}
+	s, rule := New(64), Rule{Enter: 0.05, Leave: 0.025, MaxKeys: 240}
 	var hot []uint64
 	sizes := map[string]int{}
 	for _, phase := range []struct {
