--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -56,7 +56,7 @@
 	TableTerm   grant.Term `json:"table-term"`
 	TableSerial uint64     `json:"table-serial"`
 	// Blocks are requests that may crash servers.
-	Blocks []policy.Block `json:"blocks,omitempty"`
+	Blocks []policy.CrashRecord `json:"blocks,omitempty"`
 }
 
 // TablePush hands over a routing table. A nil table in a result says that there is none.
--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -52,7 +52,7 @@
 	return h
 }
 
-func compareBlocks(a, b policy.Block) int {
+func compareBlocks(a, b policy.CrashRecord) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
 }
 
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -15,7 +15,7 @@
 // state is what the duties of an instance share: the bundle in force, the routing table and
 // the live instances. Each change makes a new view for the directory.
 type state struct {
-	directory *route.Directory
+	directory *route.Router
 
 	mu     sync.Mutex
 	view   route.View
@@ -29,7 +29,7 @@
 
 func newState(settings config.Run) *state {
 	return &state{
-		directory: route.NewDirectory(),
+		directory: route.NewRouter(),
 		newest:    fold.NewNewest(settings.Roots),
 		view:      route.View{Self: settings.Name, Domain: settings.Domain},
 	}
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -27,12 +27,12 @@
 	AtNanos int64 `json:"at-ns"`
 }
 
-// Block is what is known of a request that is suspected to crash servers. Two Blocks of one
+// CrashRecord is what is known of a request that is suspected to crash servers. Two Blocks of one
 // request merge into one that holds the losses of both.
-type Block struct {
-	Service string `json:"service"`
-	Print   Print  `json:"print"`
-	Losses  []Loss `json:"losses,omitempty"`
+type CrashRecord struct {
+	Service string      `json:"service"`
+	Print   Fingerprint `json:"print"`
+	Losses  []Loss      `json:"losses,omitempty"`
 	// ClearedNanos is when the request last had a whole answer. Losses up to then do not
 	// count: a request that crashes servers has no answers.
 	ClearedNanos int64 `json:"cleared-ns,omitempty"`
@@ -41,7 +41,7 @@
 }
 
 // merge takes in the losses of another block.
-func (b *Block) merge(o Block) {
+func (b *CrashRecord) merge(o CrashRecord) {
 	b.ClearedNanos = max(b.ClearedNanos, o.ClearedNanos)
 	b.UntilMillis = max(b.UntilMillis, o.UntilMillis)
 	for _, l := range o.Losses {
@@ -74,16 +74,16 @@
 // cause is cleared by its next answer.
 type CrashTracker struct {
 	service string
-	records map[Print]*Block
-	lifted  map[Print]struct{}
+	records map[Fingerprint]*CrashRecord
+	lifted  map[Fingerprint]struct{}
 	// pending holds the ends of connections that are being found out about.
-	pending map[Print][]Loss
+	pending map[Fingerprint][]Loss
 }
 
 // NewCrashTracker returns the suspects of a service.
 func NewCrashTracker(service string) *CrashTracker {
 	return &CrashTracker{
-		service: service, records: make(map[Print]*Block), lifted: make(map[Print]struct{}), pending: make(map[Print][]Loss),
+		service: service, records: make(map[Fingerprint]*CrashRecord), lifted: make(map[Fingerprint]struct{}), pending: make(map[Fingerprint][]Loss),
 	}
 }
 
@@ -91,18 +91,18 @@
 func (s *CrashTracker) Any() bool { return len(s.records)+len(s.pending) > 0 }
 
 // RecordCrash says that a server was lost while the request ran there.
-func (s *CrashTracker) RecordCrash(p Print, l Loss, untilMillis int64) {
-	s.add(Block{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
+func (s *CrashTracker) RecordCrash(p Fingerprint, l Loss, untilMillis int64) {
+	s.add(CrashRecord{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
 // AddPendingLoss says that a connection to a server was lost while the request ran, and that it is being
 // found out whether the server was. Until Settle it counts as a loss of the server.
-func (s *CrashTracker) AddPendingLoss(p Print, l Loss) {
+func (s *CrashTracker) AddPendingLoss(p Fingerprint, l Loss) {
 	s.pending[p] = append(s.pending[p], l)
 }
 
 // ResolvePendingLoss ends a Hold. Died says that the server was lost, not only a connection.
-func (s *CrashTracker) ResolvePendingLoss(p Print, l Loss, died bool, untilMillis int64) {
+func (s *CrashTracker) ResolvePendingLoss(p Fingerprint, l Loss, died bool, untilMillis int64) {
 	if i := slices.Index(s.pending[p], l); i >= 0 {
 		s.pending[p] = slices.Delete(s.pending[p], i, i+1)
 	}
@@ -115,16 +115,16 @@
 }
 
 // Clear says that the request had a whole answer.
-func (s *CrashTracker) Clear(p Print, nowNanos int64) {
+func (s *CrashTracker) Clear(p Fingerprint, nowNanos int64) {
 	b := s.records[p]
 	if b == nil || len(b.Losses) == 0 {
 		return
 	}
-	b.merge(Block{ClearedNanos: nowNanos})
+	b.merge(CrashRecord{ClearedNanos: nowNanos})
 }
 
 // SuspicionOf returns how far a request is suspected, blocked being from a number of losses on.
-func (s *CrashTracker) SuspicionOf(p Print, losses int, nowMillis int64) Suspicion {
+func (s *CrashTracker) SuspicionOf(p Fingerprint, losses int, nowMillis int64) Suspicion {
 	if _, lifted := s.lifted[p]; lifted {
 		return Unsuspected
 	}
@@ -159,7 +159,7 @@
 }
 
 // SetLifted replaces the set of requests that operators let pass.
-func (s *CrashTracker) SetLifted(prints []Print) {
+func (s *CrashTracker) SetLifted(prints []Fingerprint) {
 	clear(s.lifted)
 	for _, p := range prints {
 		s.lifted[p] = struct{}{}
@@ -167,7 +167,7 @@
 }
 
 // BlockedUntil returns when a block ends, in Unix milliseconds.
-func (s *CrashTracker) BlockedUntil(p Print) int64 {
+func (s *CrashTracker) BlockedUntil(p Fingerprint) int64 {
 	if b := s.records[p]; b != nil {
 		return b.UntilMillis
 	}
@@ -175,7 +175,7 @@
 }
 
 // Merge takes in what another instance knows.
-func (s *CrashTracker) Merge(blocks []Block) {
+func (s *CrashTracker) Merge(blocks []CrashRecord) {
 	for _, b := range blocks {
 		if b.Service == s.service {
 			s.add(b)
@@ -184,8 +184,8 @@
 }
 
 // Records returns copies of what is known, in the order of prints.
-func (s *CrashTracker) Records(nowMillis int64) []Block {
-	blocks := make([]Block, 0, len(s.records))
+func (s *CrashTracker) Records(nowMillis int64) []CrashRecord {
+	blocks := make([]CrashRecord, 0, len(s.records))
 	for p, b := range s.records {
 		if b.UntilMillis <= nowMillis {
 			delete(s.records, p)
@@ -195,15 +195,15 @@
 		known.Losses = slices.Clone(b.Losses)
 		blocks = append(blocks, known)
 	}
-	slices.SortFunc(blocks, func(a, b Block) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(blocks, func(a, b CrashRecord) int { return cmp.Compare(a.Print, b.Print) })
 	return blocks
 }
 
-func (s *CrashTracker) add(o Block) {
+func (s *CrashTracker) add(o CrashRecord) {
 	b := s.records[o.Print]
 	if b == nil {
 		s.evictOldest()
-		b = &Block{Service: s.service, Print: o.Print}
+		b = &CrashRecord{Service: s.service, Print: o.Print}
 		s.records[o.Print] = b
 	}
 	b.merge(o)
@@ -213,7 +213,7 @@
 	if len(s.records) < maxSuspects {
 		return
 	}
-	var oldest *Block
+	var oldest *CrashRecord
 	for _, b := range s.records {
 		if oldest == nil || b.UntilMillis < oldest.UntilMillis {
 			oldest = b
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -45,12 +45,12 @@
 	Suspect bool
 }
 
-// Capacity is one backend server behind a Queue.
-type Capacity struct {
-	Server string
-	Slots  int
-	// Hint breaks ties between servers that are equally busy: the lower goes first.
-	Hint float64
+// Server is one backend server behind a Queue.
+type Server struct {
+	Name  string
+	Slots int
+	// LoadHint breaks ties between servers that are equally busy: the lower goes first.
+	LoadHint float64
 }
 
 // Queue hands out the slots of the servers behind one gate. Requests without a slot wait,
@@ -64,12 +64,12 @@
 	waiting     int
 	meanRunTime time.Duration
 	// decisions is returned by the methods, and reused by the next call.
-	decisions []Verdict
+	decisions []Decision
 }
 
 // serverState is a server with the number of its slots in use.
 type serverState struct {
-	Capacity
+	Server
 	slotsInUse int
 	// runsSuspect says that a suspect runs there.
 	runsSuspect bool
@@ -107,18 +107,18 @@
 // Configure replaces the servers and the limit. Slots that are in use at a server that is no
 // longer named stay counted until they are released. The result, valid until the next call,
 // names the requests that may start because of the change.
-func (q *Queue) Configure(now Time, limit int, servers []Capacity) []Verdict {
+func (q *Queue) Configure(now Time, limit int, servers []Server) []Decision {
 	q.decisions = q.decisions[:0]
 	q.maxWaiting = limit
 	for i := range q.servers {
 		q.servers[i].removed = true
 	}
 	for _, c := range servers {
-		if p := q.find(c.Server); p != nil {
-			p.Capacity, p.removed = c, false
+		if p := q.find(c.Name); p != nil {
+			p.Server, p.removed = c, false
 			continue
 		}
-		q.servers = append(q.servers, serverState{Capacity: c})
+		q.servers = append(q.servers, serverState{Server: c})
 	}
 	q.removeIdle()
 	q.advance(now)
@@ -126,11 +126,11 @@
 }
 
 // IsConfigured reports whether the queue is configured as given.
-func (q *Queue) IsConfigured(limit int, servers []Capacity) bool {
+func (q *Queue) IsConfigured(limit int, servers []Server) bool {
 	if q.maxWaiting != limit {
 		return false
 	}
-	if slices.EqualFunc(q.servers, servers, func(p serverState, c Capacity) bool { return !p.removed && p.Capacity == c }) {
+	if slices.EqualFunc(q.servers, servers, func(p serverState, c Server) bool { return !p.removed && p.Server == c }) {
 		return true
 	}
 	present := 0
@@ -143,7 +143,7 @@
 		return false
 	}
 	for _, c := range servers {
-		if p := q.find(c.Server); p == nil || p.removed || p.Capacity != c {
+		if p := q.find(c.Name); p == nil || p.removed || p.Server != c {
 			return false
 		}
 	}
@@ -152,7 +152,7 @@
 
 // Admit takes a request in. The first verdict is on the request itself, any others on requests
 // that wait. The result is valid until the next call.
-func (q *Queue) Admit(now Time, a SlotRequest) []Verdict {
+func (q *Queue) Admit(now Time, a SlotRequest) []Decision {
 	q.decisions = q.decisions[:0]
 	q.decide(now, a)
 	q.advance(now)
@@ -163,14 +163,14 @@
 func (q *Queue) decide(now Time, a SlotRequest) {
 	switch {
 	case a.Deadline <= now:
-		q.reject(now, a.Ticket, ReasonExpired)
+		q.reject(now, a.Ticket, ReasonDeadlinePassed)
 	case !q.anyUsable(now):
 		q.reject(now, a.Ticket, ReasonNoServer)
 	case q.tryStart(now, a):
 	case now.Add(q.expectedWait(now, a.Caller)+q.meanRunTime) > a.Deadline:
-		q.reject(now, a.Ticket, ReasonTooLate)
+		q.reject(now, a.Ticket, ReasonDeadlineTooNear)
 	case q.waiting < q.maxWaiting:
-		q.decisions = append(q.decisions, Wait{Ticket: a.Ticket})
+		q.decisions = append(q.decisions, Queued{Ticket: a.Ticket})
 		q.enqueue(a)
 	default:
 		q.enqueueByDisplacing(now, a)
@@ -214,15 +214,15 @@
 	}
 	last := longest.requests[len(longest.requests)-1]
 	q.remove(last.Ticket)
-	q.decisions = append(q.decisions, Wait{Ticket: a.Ticket})
-	q.reject(now, last.Ticket, ReasonOutOfShare)
+	q.decisions = append(q.decisions, Queued{Ticket: a.Ticket})
+	q.reject(now, last.Ticket, ReasonCallerOverShare)
 	q.enqueue(a)
 }
 
 // Release returns a slot of a server after a request that ran for the given time, zero if it
 // did not run. The result, valid until the next call, names the requests that start or are
 // shed in consequence.
-func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Verdict {
+func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Decision {
 	q.decisions = q.decisions[:0]
 	p := q.find(server)
 	if p == nil || p.slotsInUse == 0 {
@@ -261,7 +261,7 @@
 
 // Advance starts or sheds waiting requests after time has passed. The result is valid until
 // the next call.
-func (q *Queue) Advance(now Time) []Verdict {
+func (q *Queue) Advance(now Time) []Decision {
 	q.decisions = q.decisions[:0]
 	q.advance(now)
 	return q.decisions
@@ -284,9 +284,9 @@
 }
 
 // Each calls visit for each server with its slots in use.
-func (q *Queue) Each(visit func(c Capacity, busy int)) {
+func (q *Queue) Each(visit func(c Server, busy int)) {
 	for i := range q.servers {
-		visit(q.servers[i].Capacity, q.servers[i].slotsInUse)
+		visit(q.servers[i].Server, q.servers[i].slotsInUse)
 	}
 }
 
@@ -298,7 +298,7 @@
 			return
 		}
 		if a.Deadline <= now {
-			q.reject(now, a.Ticket, ReasonExpired)
+			q.reject(now, a.Ticket, ReasonDeadlinePassed)
 			continue
 		}
 		q.start(now, p, a)
@@ -312,12 +312,12 @@
 		p.coldUntil = now.Add(warmupTime)
 	}
 	p.runsSuspect = p.runsSuspect || a.Suspect
-	q.decisions = append(q.decisions, Start{Ticket: a.Ticket, Server: p.Server})
+	q.decisions = append(q.decisions, Admitted{Ticket: a.Ticket, Server: p.Name})
 }
 
 func (q *Queue) reject(now Time, t Ticket, reason Reason) {
 	wait := min(max(q.expectedWait(now, ""), minRetryDelay), maxRetryDelay)
-	q.decisions = append(q.decisions, Shed{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
+	q.decisions = append(q.decisions, Rejected{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
 }
 
 // freeServer returns the server with the smallest share of its slots in use, nil if none is free.
@@ -339,7 +339,7 @@
 	if c := cmp.Compare(a.slotsInUse*b.Slots, b.slotsInUse*a.Slots); c != 0 {
 		return c < 0
 	}
-	if c := cmp.Compare(a.Hint, b.Hint); c != 0 {
+	if c := cmp.Compare(a.LoadHint, b.LoadHint); c != 0 {
 		return c < 0
 	}
 	// Ties that always went to the first server would give it more than its share.
@@ -358,7 +358,7 @@
 
 func (q *Queue) find(server string) *serverState {
 	for i := range q.servers {
-		if q.servers[i].Server == server {
+		if q.servers[i].Name == server {
 			return &q.servers[i]
 		}
 	}
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -7,65 +7,65 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Kept is a whole answer that is kept for a resend.
-type Kept struct {
+// StoredResponse is a whole answer that is kept for a resend.
+type StoredResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
 // size estimates the memory that a kept answer takes.
-func (k *Kept) size() int {
+func (k *StoredResponse) size() int {
 	const perHeader = 64
 	return len(k.Body) + perHeader*(len(k.Header)+1)
 }
 
-// Bounds bound a Memory.
-type Bounds struct {
+// TableLimits bound a Memory.
+type TableLimits struct {
 	// Entries is the number of requests that are remembered at once.
 	Entries int
 	// KeptBytes is the memory for kept answers.
 	KeptBytes int
 }
 
-// DefaultBounds suit an instance of today's sizes.
-var DefaultBounds = Bounds{Entries: 1 << 18, KeptBytes: 32 << 20}
+// DefaultTableLimits suit an instance of today's sizes.
+var DefaultTableLimits = TableLimits{Entries: 1 << 18, KeptBytes: 32 << 20}
 
-// Recollection is what a Memory knows of a request: Fresh, Doubtful, Finished, Reused or
+// CheckResult is what a Memory knows of a request: Fresh, Doubtful, Finished, Reused or
 // Full. The set is sealed.
-type Recollection interface {
+type CheckResult interface {
 	isRecollection()
 }
 
 // Fresh says that no sending of the request ran. The memory now holds this one.
 type Fresh struct{}
 
-// Doubtful says that an earlier sending runs, or may have run.
-type Doubtful struct{}
+// MayHaveRun says that an earlier sending runs, or may have run.
+type MayHaveRun struct{}
 
-// Finished says that an earlier sending ran. Kept is nil if its answer is not held.
-type Finished struct {
-	Status int
-	Kept   *Kept
+// AlreadyRan says that an earlier sending ran. Kept is nil if its answer is not held.
+type AlreadyRan struct {
+	Status   int
+	Response *StoredResponse
 }
 
-// Reused says that the id was used for a request with another content.
-type Reused struct{}
+// IDReused says that the id was used for a request with another content.
+type IDReused struct{}
 
-// Full says that the memory has no room: nothing may be forgotten yet.
-type Full struct{}
+// TableFull says that the memory has no room: nothing may be forgotten yet.
+type TableFull struct{}
 
-func (Fresh) isRecollection()    {}
-func (Doubtful) isRecollection() {}
-func (Finished) isRecollection() {}
-func (Reused) isRecollection()   {}
-func (Full) isRecollection()     {}
+func (Fresh) isRecollection()      {}
+func (MayHaveRun) isRecollection() {}
+func (AlreadyRan) isRecollection() {}
+func (IDReused) isRecollection()   {}
+func (TableFull) isRecollection()  {}
 
 // IdempotencyTable remembers named non-idempotent requests of one service, so that none runs twice.
 // It never forgets one before its time: it refuses new ones when it is full.
 type IdempotencyTable struct {
-	limits  Bounds
-	records map[Name]record
+	limits  TableLimits
+	records map[ID]record
 	// expiries holds the names in about the order in which they expire.
 	expiries      expiryHeap
 	responseBytes int
@@ -74,10 +74,10 @@
 // record is one remembered request.
 type record struct {
 	hash         uint64
-	submissionID Name
-	print        Print
+	submissionID ID
+	print        Fingerprint
 	expiresAt    Time
-	response     *Kept
+	response     *StoredResponse
 	status       int16
 	outcome      outcome
 	custody      custody
@@ -105,22 +105,22 @@
 )
 
 // NewIdempotencyTable returns an empty memory.
-func NewIdempotencyTable(b Bounds) *IdempotencyTable {
-	return &IdempotencyTable{limits: b, records: make(map[Name]record)}
+func NewIdempotencyTable(b TableLimits) *IdempotencyTable {
+	return &IdempotencyTable{limits: b, records: make(map[ID]record)}
 }
 
 // Submission is one sending of a request, as a Memory takes it in.
 type Submission struct {
-	RequestID   Name
+	RequestID   ID
 	Hash        uint64
-	ID          Name
-	Fingerprint Print
+	ID          ID
+	Fingerprint Fingerprint
 	// ExpiresAt is when it may be forgotten.
 	ExpiresAt Time
 }
 
 // Begin asks what is known of a request, and takes it in if nothing is.
-func (m *IdempotencyTable) Begin(now Time, s Submission) Recollection {
+func (m *IdempotencyTable) Begin(now Time, s Submission) CheckResult {
 	m.expire(now)
 	e, found := m.records[s.RequestID]
 	passedOn := found && e.submissionID == s.ID && e.custody == custodyOther && e.outcome == outcomeUnknown
@@ -128,24 +128,24 @@
 		return e.checkResult(s.Fingerprint)
 	}
 	if !found && len(m.records) >= m.limits.Entries {
-		return Full{}
+		return TableFull{}
 	}
 	m.put(s.RequestID, record{hash: s.Hash, submissionID: s.ID, print: s.Fingerprint, expiresAt: s.ExpiresAt, custody: custodyOwn}, !found)
 	return Fresh{}
 }
 
-func (e record) checkResult(p Print) Recollection {
+func (e record) checkResult(p Fingerprint) CheckResult {
 	if e.print != p && e.print != 0 && p != 0 {
-		return Reused{}
+		return IDReused{}
 	}
 	if e.outcome == outcomeRan {
-		return Finished{Status: int(e.status), Kept: e.response}
+		return AlreadyRan{Status: int(e.status), Response: e.response}
 	}
-	return Doubtful{}
+	return MayHaveRun{}
 }
 
 // Lookup returns what is known of a request without taking it in.
-func (m *IdempotencyTable) Lookup(now Time, n Name) Recollection {
+func (m *IdempotencyTable) Lookup(now Time, n ID) CheckResult {
 	m.expire(now)
 	e, found := m.records[n]
 	if !found {
@@ -155,7 +155,7 @@
 }
 
 // RecordRan says that a request ran. The answer may be nil.
-func (m *IdempotencyTable) RecordRan(s Submission, status int, k *Kept) {
+func (m *IdempotencyTable) RecordRan(s Submission, status int, k *StoredResponse) {
 	e, found := m.records[s.RequestID]
 	if !found || e.submissionID != s.ID {
 		return
@@ -233,7 +233,7 @@
 // Len returns the number of remembered requests.
 func (m *IdempotencyTable) Len() int { return len(m.records) }
 
-func (m *IdempotencyTable) put(n Name, e record, fresh bool) {
+func (m *IdempotencyTable) put(n ID, e record, fresh bool) {
 	m.records[n] = e
 	if fresh {
 		m.expiries.push(expiry{id: n, at: e.expiresAt})
--- a/internal/replay/part.go
+++ b/internal/replay/part.go
@@ -126,7 +126,7 @@
 		}
 	}
 	rule := sketch.RuleFor(len(p.members), hotPart, place.DefaultMaxHot)
-	p.hot = sketch.Hot(p.sketch, p.hot, rule)
+	p.hot = sketch.HotKeys(p.sketch, p.hot, rule)
 }
 
 // load returns the load of a range.
