--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// BenchmarkCore is one idempotent request through the core: arrival, answer and the return of
-// its slot.
+// BenchmarkCore measures admitting one idempotent request and releasing its slot.
 func BenchmarkCore(b *testing.B) {
-	c := newCore()
+	c := newTestCore()
 	b.ReportAllocs()
 	now := Time(0)
 	for n := 0; b.Loop(); n++ {
 		now += 1000
 		r := &Request{Ticket: Ticket(n), Caller: "x", Deadline: now + 1000*ms, Idempotent: true, Replayable: true}
-		start := c.Admit(now, r)[0].(Admitted)
-		c.Release(now, c.SlotOf(r, start.Server), time.Microsecond)
+		admitted := c.Admit(now, r)[0].(Admitted)
+		c.Release(now, c.SlotOf(r, admitted.Server), time.Microsecond)
 	}
 }
 
-// BenchmarkCoreRemembered is the same for one that must not run twice.
-func BenchmarkCoreRemembered(b *testing.B) {
-	c := NewCore("oddaja", TableLimits{Entries: 1 << 30}, 0)
+// BenchmarkCoreNonIdempotent measures admitting a non-idempotent request, recording its response
+// and releasing its slot.
+func BenchmarkCoreNonIdempotent(b *testing.B) {
+	c := NewCore("oddaja", TableLimits{MaxRecords: 1 << 30}, 0)
 	c.Configure(0, "", testLimits, []Server{{Name: "a", Slots: 2}})
-	names := make([]ID, 1<<16)
-	for i := range names {
-		names[i] = HashRequestID("oddaja", "", fmt.Sprint(i))
+	ids := make([]ID, 1<<16)
+	for i := range ids {
+		ids[i] = HashRequestID("oddaja", "", fmt.Sprint(i))
 	}
 	b.ReportAllocs()
 	now := Time(0)
 	for n := 0; b.Loop(); n++ {
-		// A full turn of names takes longer than the memory's time.
+		// The ids repeat only after longer than RecordRetention.
 		now += 10 * ms
-		name := names[n%len(names)]
-		r := &Request{Ticket: Ticket(n), RequestID: name, SubmissionID: name, Fingerprint: 1, Caller: "x", Deadline: now + 1000*ms}
-		start := c.Admit(now, r)[0].(Admitted)
+		id := ids[n%len(ids)]
+		r := &Request{Ticket: Ticket(n), RequestID: id, SubmissionID: id, Fingerprint: 1, Caller: "x", Deadline: now + 1000*ms}
+		admitted := c.Admit(now, r)[0].(Admitted)
 		c.Complete(now, r, 201, nil)
-		c.Release(now, c.SlotOf(r, start.Server), time.Microsecond)
+		c.Release(now, c.SlotOf(r, admitted.Server), time.Microsecond)
 	}
 }
 
-// BenchmarkMemoryPerRequest reports the bytes of heap for each remembered request.
-func BenchmarkMemoryPerRequest(b *testing.B) {
-	const entries = 200_000
+// BenchmarkTableBytesPerRecord reports the heap bytes per record.
+func BenchmarkTableBytesPerRecord(b *testing.B) {
+	const records = 200_000
 	for b.Loop() {
 		before := heapBytes()
-		m := NewIdempotencyTable(TableLimits{Entries: entries})
-		for i := range entries {
+		table := NewIdempotencyTable(TableLimits{MaxRecords: records})
+		for i := range records {
 			s := Submission{RequestID: HashRequestID("oddaja", "", fmt.Sprint(i)), Fingerprint: 1, ExpiresAt: Time(i)}
-			m.Begin(-1, s)
-			m.RecordRan(s, 201, nil)
+			table.Begin(-1, s)
+			table.RecordRan(s, 201, nil)
 		}
-		b.ReportMetric(float64(heapBytes()-before)/entries, "B/request")
-		runtime.KeepAlive(m)
+		b.ReportMetric(float64(heapBytes()-before)/records, "B/request")
+		runtime.KeepAlive(table)
 	}
 }
 
--- a/internal/policy/callerqueue.go
+++ b/internal/policy/callerqueue.go
@@ -5,80 +5,81 @@
 	"slices"
 )
 
-// callerQueue is the waiting requests of one caller, earliest deadline first.
+// callerQueue holds the waiting requests of one caller, earliest deadline first.
 type callerQueue struct {
 	caller   string
 	requests []SlotRequest
 }
 
 func (q *Queue) queueLength(caller string) int {
-	if l := q.callers[caller]; l != nil {
-		return len(l.requests)
+	if c := q.callers[caller]; c != nil {
+		return len(c.requests)
 	}
 	return 0
 }
 
 func (q *Queue) longestQueue() *callerQueue {
 	var longest *callerQueue
-	for _, l := range q.order {
-		if longest == nil || len(l.requests) > len(longest.requests) {
-			longest = l
+	for _, c := range q.order {
+		if longest == nil || len(c.requests) > len(longest.requests) {
+			longest = c
 		}
 	}
 	return longest
 }
 
-func (q *Queue) enqueue(a SlotRequest) {
-	l := q.callers[a.Caller]
-	if l == nil {
-		l = &callerQueue{caller: a.Caller}
-		q.callers[a.Caller] = l
-		q.order = append(q.order, l)
+func (q *Queue) enqueue(r SlotRequest) {
+	c := q.callers[r.Caller]
+	if c == nil {
+		c = &callerQueue{caller: r.Caller}
+		q.callers[r.Caller] = c
+		q.order = append(q.order, c)
 	}
-	i, _ := slices.BinarySearchFunc(l.requests, a, func(x, y SlotRequest) int {
-		return cmp.Or(cmp.Compare(x.Deadline, y.Deadline), cmp.Compare(x.Ticket, y.Ticket))
+	i, _ := slices.BinarySearchFunc(c.requests, r, func(a, b SlotRequest) int {
+		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Ticket, b.Ticket))
 	})
-	l.requests = slices.Insert(l.requests, i, a)
+	c.requests = slices.Insert(c.requests, i, r)
 	q.waiting++
 }
 
-// dequeueNext takes out the first request that can start, in the order of the callers' turns, and
-// the server for it. The server is nil if there is none.
+// dequeueNext removes the first waiting request that a server has a free slot for, and returns
+// it with that server. Callers take turns: the caller of that request goes to the end of the
+// order. The server is nil if no request can start.
 func (q *Queue) dequeueNext(now Time) (SlotRequest, *serverState) {
 	if q.freeServer(now, false) == nil {
 		return SlotRequest{}, nil
 	}
-	for turn, l := range q.order {
-		for i, a := range l.requests {
-			p := q.freeServer(now, a.Suspect)
-			if p == nil {
+	for turn, c := range q.order {
+		for i, r := range c.requests {
+			s := q.freeServer(now, r.Suspect)
+			if s == nil {
 				continue
 			}
-			l.requests = slices.Delete(l.requests, i, i+1)
+			c.requests = slices.Delete(c.requests, i, i+1)
 			q.waiting--
 			q.order = slices.Delete(q.order, turn, turn+1)
-			if len(l.requests) > 0 {
-				q.order = append(q.order, l)
+			if len(c.requests) > 0 {
+				q.order = append(q.order, c)
 			} else {
-				delete(q.callers, l.caller)
+				delete(q.callers, c.caller)
 			}
-			return a, p
+			return r, s
 		}
 	}
 	return SlotRequest{}, nil
 }
 
 func (q *Queue) remove(t Ticket) bool {
-	for i, l := range q.order {
-		at := slices.IndexFunc(l.requests, func(a SlotRequest) bool { return a.Ticket == t })
+	for i, c := range q.order {
+		at := slices.IndexFunc(c.requests, func(r SlotRequest) bool { return r.Ticket == t })
 		if at < 0 {
 			continue
 		}
-		l.requests = slices.Delete(l.requests, at, at+1)
+		c.requests = slices.Delete(c.requests, at, at+1)
 		q.waiting--
-		if len(l.requests) == 0 {
+		if len(c.requests) == 0 {
 			q.order = slices.Delete(q.order, i, i+1)
-			delete(q.callers, l.caller)
+			delete(q.callers, c.caller)
 		}
 		return true
 	}
--- a/internal/policy/corestate.go
+++ b/internal/policy/corestate.go
@@ -5,69 +5,74 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// AddPendingLoss says that the connection was lost at a time while the request ran, before Failed.
-func (c *Core) AddPendingLoss(lostAt Time, p Fingerprint, server string) {
-	c.crashes.AddPendingLoss(p, Loss{Server: server, AtNanos: c.nanos(lostAt)})
+// AddPendingLoss records that the connection to a server was lost while the request ran. Call
+// it before HandleFault.
+func (c *Core) AddPendingLoss(lostAt Time, f Fingerprint, server string) {
+	c.crashes.AddPendingLoss(f, Loss{Server: server, AtNanos: c.nanos(lostAt)})
 }
 
-// ResolvePendingLoss says whether the loss of a connection that was held was that of the server.
-func (c *Core) ResolvePendingLoss(now, lostAt Time, p Fingerprint, server string, died bool) {
+// ResolvePendingLoss records whether the server itself was lost (died), or only the connection.
+// The arguments lostAt, f and server are those of AddPendingLoss.
+func (c *Core) ResolvePendingLoss(now, lostAt Time, f Fingerprint, server string, died bool) {
 	until := c.millis(now) + c.blockDuration().Milliseconds()
-	c.crashes.ResolvePendingLoss(p, Loss{Server: server, AtNanos: c.nanos(lostAt)}, died, until)
+	c.crashes.ResolvePendingLoss(f, Loss{Server: server, AtNanos: c.nanos(lostAt)}, died, until)
 }
 
-// EarnRetry counts a request that goes on to another instance.
+// EarnRetry adds a request that is forwarded to another instance to the retry budget.
 func (c *Core) EarnRetry() { c.budget.Earn() }
 
-// SpendRetry reports whether such a request may be sent once more.
+// SpendRetry reports whether the retry budget allows such a request to be sent again, and
+// takes the retry from the budget if so.
 func (c *Core) SpendRetry() bool { return c.budget.Spend() }
 
-// HasSuspects reports whether any request is suspected, so that Prints are needed.
+// HasSuspects reports whether any request may be suspected to crash servers. Requests need a
+// Fingerprint only then.
 func (c *Core) HasSuspects() bool { return c.crashes.Any() }
 
-// CrashRecords returns what is known of requests that may crash servers.
+// CrashRecords returns the records of requests that are suspected to crash servers.
 func (c *Core) CrashRecords(now Time) []CrashRecord { return c.crashes.Records(c.millis(now)) }
 
-// MergeCrashRecords takes in what other instances know of such requests.
-func (c *Core) MergeCrashRecords(blocks []CrashRecord) { c.crashes.Merge(blocks) }
+// MergeCrashRecords adds the crash records of other instances.
+func (c *Core) MergeCrashRecords(records []CrashRecord) { c.crashes.Merge(records) }
 
-// SetLiftedBlocks replaces the set of blocked requests that operators let pass.
-func (c *Core) SetLiftedBlocks(prints []Fingerprint) { c.crashes.SetLifted(prints) }
+// SetLiftedBlocks replaces the set of requests that operators have unblocked.
+func (c *Core) SetLiftedBlocks(fingerprints []Fingerprint) { c.crashes.SetLifted(fingerprints) }
 
-// AddRecord takes in a mark of another instance. It reports false when there is no room.
-func (c *Core) AddRecord(now Time, m IdempotencyRecord) bool {
-	s := Submission{RequestID: m.RequestID, Hash: m.Hash, ID: m.SubmissionID, Fingerprint: m.Fingerprint, ExpiresAt: c.time(m.UntilMillis)}
-	return c.table.Merge(now, s, m.Outcome, m.Status)
+// AddRecord adds an idempotency record of another instance. It returns false if the table is
+// full.
+func (c *Core) AddRecord(now Time, r IdempotencyRecord) bool {
+	s := Submission{RequestID: r.RequestID, Hash: r.Hash, ID: r.SubmissionID, Fingerprint: r.Fingerprint, ExpiresAt: c.time(r.UntilMillis)}
+	return c.table.Merge(now, s, r.Outcome, r.Status)
 }
 
-// Records returns the remembered requests in a range.
-func (c *Core) Records(now Time, r keys.Range) []IdempotencyRecord {
-	var marks []IdempotencyRecord
-	c.table.Each(now, r, func(s Submission, o caller.Outcome, status int) {
-		marks = append(marks, c.newRecord(s, o, status))
+// Records returns the idempotency records of requests whose hash is in a range.
+func (c *Core) Records(now Time, hashes keys.Range) []IdempotencyRecord {
+	var records []IdempotencyRecord
+	c.table.Each(now, hashes, func(s Submission, o caller.Outcome, status int) {
+		records = append(records, c.newRecord(s, o, status))
 	})
-	return marks
+	return records
 }
 
-// RecordOf returns the mark of a request, as other instances take it.
+// RecordOf returns the idempotency record of a request for other instances.
 func (c *Core) RecordOf(r *Request, o caller.Outcome) IdempotencyRecord {
 	return c.newRecord(r.submission(), o, 0)
 }
 
-// Lookup returns what is known of a request without taking it in.
-func (c *Core) Lookup(now Time, n ID) CheckResult { return c.table.Lookup(now, n) }
+// Lookup returns what is known of a request without recording anything.
+func (c *Core) Lookup(now Time, id ID) CheckResult { return c.table.Lookup(now, id) }
 
-// NumRecords returns the number of remembered requests.
+// NumRecords returns the number of idempotency records.
 func (c *Core) NumRecords() int { return c.table.Len() }
 
-// EachServer calls visit for each server of each pool with its slots in use.
-func (c *Core) EachServer(visit func(p Server, busy int)) {
+// EachServer calls visit for each server of each pool with its number of slots in use.
+func (c *Core) EachServer(visit func(s Server, slotsInUse int)) {
 	for _, q := range c.queues {
 		q.Each(visit)
 	}
 }
 
-// Waiting returns the number of waiting requests.
+// Waiting returns the number of waiting requests of all pools.
 func (c *Core) Waiting() int { return len(c.waiting) }
 
 func (c *Core) newRecord(s Submission, o caller.Outcome, status int) IdempotencyRecord {
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// The bounds of what is kept of the suspects of one service. The oldest suspects give way, and
-// of one suspect's losses the newest are kept.
+// The limits of the crash records of one service. When there are more suspects, the record that
+// expires first is evicted; of the losses of one suspect, the newest are kept.
 const (
 	maxSuspects = 1024
 	maxLosses   = 16
 )
 
-// crashWindow is how far apart the ends of two connections may be seen if one crash of a server
-// ended both: orders with the same content run beside one another, and one that crashes the server
-// took the others, which had lost it as often as they were running, for known causes. The ends are seen
-// within 0.1 seconds, and a server needs longer to start again.
+// crashWindow is the time within which losses at one server count as one crash. Requests with
+// the same fingerprint run at the same server concurrently, and when it crashes each of them
+// sees its connection end: counted one by one, a single crash would block a request that only
+// ran beside the cause. The ends of the connections are seen within 0.1 seconds, and a server
+// takes longer than that to start again.
 const crashWindow = 200 * time.Millisecond
 
 // Loss is the loss of a server while a request ran there.
@@ -27,116 +28,123 @@
 	AtNanos int64 `json:"at-ns"`
 }
 
-// CrashRecord is what is known of a request that is suspected to crash servers. Two Blocks of one
-// request merge into one that holds the losses of both.
+// CrashRecord is what is known of a request that is suspected to crash servers. Instances
+// exchange these records; merging two records of one request keeps the losses of both.
 type CrashRecord struct {
 	Service string      `json:"service"`
 	Print   Fingerprint `json:"print"`
 	Losses  []Loss      `json:"losses,omitempty"`
-	// ClearedNanos is when the request last had a whole answer. Losses up to then do not
-	// count: a request that crashes servers has no answers.
+	// ClearedNanos is when the request last got a complete response, in Unix nanoseconds.
+	// Losses up to then do not count: a request that crashes servers gets no response.
 	ClearedNanos int64 `json:"cleared-ns,omitempty"`
-	// UntilMillis is when all this is forgotten, in Unix milliseconds.
+	// UntilMillis is when the record expires, in Unix milliseconds.
 	UntilMillis int64 `json:"until-ms"`
 }
 
-// merge takes in the losses of another block.
-func (b *CrashRecord) merge(o CrashRecord) {
-	b.ClearedNanos = max(b.ClearedNanos, o.ClearedNanos)
-	b.UntilMillis = max(b.UntilMillis, o.UntilMillis)
-	for _, l := range o.Losses {
-		if !slices.Contains(b.Losses, l) {
-			b.Losses = append(b.Losses, l)
+// merge adds what another record of the same request says. The result does not depend on the
+// order in which records are merged.
+func (r *CrashRecord) merge(other CrashRecord) {
+	r.ClearedNanos = max(r.ClearedNanos, other.ClearedNanos)
+	r.UntilMillis = max(r.UntilMillis, other.UntilMillis)
+	for _, l := range other.Losses {
+		if !slices.Contains(r.Losses, l) {
+			r.Losses = append(r.Losses, l)
 		}
 	}
-	b.Losses = slices.DeleteFunc(b.Losses, func(l Loss) bool { return l.AtNanos <= b.ClearedNanos })
-	slices.SortFunc(b.Losses, func(x, y Loss) int {
-		return cmp.Or(cmp.Compare(x.AtNanos, y.AtNanos), cmp.Compare(x.Server, y.Server))
+	r.Losses = slices.DeleteFunc(r.Losses, func(l Loss) bool { return l.AtNanos <= r.ClearedNanos })
+	slices.SortFunc(r.Losses, func(a, b Loss) int {
+		return cmp.Or(cmp.Compare(a.AtNanos, b.AtNanos), cmp.Compare(a.Server, b.Server))
 	})
-	if len(b.Losses) > maxLosses {
-		b.Losses = slices.Delete(b.Losses, 0, len(b.Losses)-maxLosses)
+	if len(r.Losses) > maxLosses {
+		r.Losses = slices.Delete(r.Losses, 0, len(r.Losses)-maxLosses)
 	}
 }
 
-// Suspicion is the degree to which a request is suspected.
+// Suspicion is the degree to which a request is suspected to crash servers.
 type Suspicion int
 
-// The degrees. A Suspect may run, but not beside another suspect on one server: when both
-// are there as the server is lost, neither would be known as the cause.
+// The degrees of suspicion. A Suspect request may run, but never at the same server as another
+// suspect: if the server were lost, it would be unknown which of the two caused it. A Blocked
+// request is rejected.
 const (
 	Unsuspected Suspicion = iota
 	Suspect
 	Blocked
 )
 
-// CrashTracker finds requests that crash the servers which run them. A request is blocked after a
-// number of losses between which it never had an answer. One that merely ran beside the
-// cause is cleared by its next answer.
+// CrashTracker finds the requests of one service that crash the servers which run them. A
+// request is blocked after a number of crashes between which it got no response. A request that
+// only ran beside the cause is cleared by its next response.
 type CrashTracker struct {
 	service string
 	records map[Fingerprint]*CrashRecord
-	lifted  map[Fingerprint]struct{}
-	// pending holds the ends of connections that are being found out about.
+	// lifted holds the requests that operators have unblocked.
+	lifted map[Fingerprint]struct{}
+	// pending holds the lost connections of which it is not known yet whether the server was
+	// lost.
 	pending map[Fingerprint][]Loss
 }
 
-// NewCrashTracker returns the suspects of a service.
+// NewCrashTracker returns a tracker without records for a service.
 func NewCrashTracker(service string) *CrashTracker {
 	return &CrashTracker{
 		service: service, records: make(map[Fingerprint]*CrashRecord), lifted: make(map[Fingerprint]struct{}), pending: make(map[Fingerprint][]Loss),
 	}
 }
 
-// Any reports whether there are any suspects. While there are none, no Print is needed.
-func (s *CrashTracker) Any() bool { return len(s.records)+len(s.pending) > 0 }
+// Any reports whether there are records or pending losses. While there are none, no request is
+// suspected and no Fingerprint is needed.
+func (t *CrashTracker) Any() bool { return len(t.records)+len(t.pending) > 0 }
 
-// RecordCrash says that a server was lost while the request ran there.
-func (s *CrashTracker) RecordCrash(p Fingerprint, l Loss, untilMillis int64) {
-	s.add(CrashRecord{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
+// RecordCrash records that a server was lost while the request ran there.
+func (t *CrashTracker) RecordCrash(f Fingerprint, l Loss, untilMillis int64) {
+	t.add(CrashRecord{Service: t.service, Print: f, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
-// AddPendingLoss says that a connection to a server was lost while the request ran, and that it is being
-// found out whether the server was. Until Settle it counts as a loss of the server.
-func (s *CrashTracker) AddPendingLoss(p Fingerprint, l Loss) {
-	s.pending[p] = append(s.pending[p], l)
+// AddPendingLoss records that a connection to a server was lost while the request ran. Until
+// ResolvePendingLoss says whether the server itself was lost, the loss counts as a crash.
+func (t *CrashTracker) AddPendingLoss(f Fingerprint, l Loss) {
+	t.pending[f] = append(t.pending[f], l)
 }
 
-// ResolvePendingLoss ends a Hold. Died says that the server was lost, not only a connection.
-func (s *CrashTracker) ResolvePendingLoss(p Fingerprint, l Loss, died bool, untilMillis int64) {
-	if i := slices.Index(s.pending[p], l); i >= 0 {
-		s.pending[p] = slices.Delete(s.pending[p], i, i+1)
+// ResolvePendingLoss removes a pending loss. If died is true, the server itself was lost, and
+// the loss is recorded as a crash.
+func (t *CrashTracker) ResolvePendingLoss(f Fingerprint, l Loss, died bool, untilMillis int64) {
+	if i := slices.Index(t.pending[f], l); i >= 0 {
+		t.pending[f] = slices.Delete(t.pending[f], i, i+1)
 	}
-	if len(s.pending[p]) == 0 {
-		delete(s.pending, p)
+	if len(t.pending[f]) == 0 {
+		delete(t.pending, f)
 	}
 	if died {
-		s.RecordCrash(p, l, untilMillis)
+		t.RecordCrash(f, l, untilMillis)
 	}
 }
 
-// Clear says that the request had a whole answer.
-func (s *CrashTracker) Clear(p Fingerprint, nowNanos int64) {
-	b := s.records[p]
-	if b == nil || len(b.Losses) == 0 {
+// Clear records that the request got a complete response.
+func (t *CrashTracker) Clear(f Fingerprint, nowNanos int64) {
+	r := t.records[f]
+	if r == nil || len(r.Losses) == 0 {
 		return
 	}
-	b.merge(CrashRecord{ClearedNanos: nowNanos})
+	r.merge(CrashRecord{ClearedNanos: nowNanos})
 }
 
-// SuspicionOf returns how far a request is suspected, blocked being from a number of losses on.
-func (s *CrashTracker) SuspicionOf(p Fingerprint, losses int, nowMillis int64) Suspicion {
-	if _, lifted := s.lifted[p]; lifted {
+// SuspicionOf returns the degree of suspicion of a request. It is Blocked if the request has
+// crashLimit crashes or more.
+func (t *CrashTracker) SuspicionOf(f Fingerprint, crashLimit int, nowMillis int64) Suspicion {
+	if _, lifted := t.lifted[f]; lifted {
 		return Unsuspected
 	}
-	// A loss that is still being found out counts, lest a caller who resends quickly walks
-	// through more servers meanwhile.
-	known := slices.Clone(s.pending[p])
-	if b := s.records[p]; b != nil && b.UntilMillis > nowMillis {
-		known = append(known, b.Losses...)
+	// Pending losses count, because otherwise a caller who resends quickly could crash more
+	// servers before the first loss is resolved.
+	losses := slices.Clone(t.pending[f])
+	if r := t.records[f]; r != nil && r.UntilMillis > nowMillis {
+		losses = append(losses, r.Losses...)
 	}
-	count := countCrashes(known)
+	count := countCrashes(losses)
 	switch {
-	case count >= losses:
+	case count >= crashLimit:
 		return Blocked
 	case count > 0:
 		return Suspect
@@ -145,79 +153,81 @@
 	}
 }
 
-// countCrashes returns how many crashes of servers the losses tell of.
+// countCrashes returns the number of crashes that the losses amount to. It sorts the losses.
 func countCrashes(losses []Loss) int {
-	slices.SortFunc(losses, func(x, y Loss) int { return cmp.Compare(x.AtNanos, y.AtNanos) })
+	slices.SortFunc(losses, func(a, b Loss) int { return cmp.Compare(a.AtNanos, b.AtNanos) })
 	count := 0
 	for i, l := range losses {
-		same := func(o Loss) bool { return o.Server == l.Server && l.AtNanos-o.AtNanos <= crashWindow.Nanoseconds() }
-		if !slices.ContainsFunc(losses[:i], same) {
+		sameCrash := func(o Loss) bool { return o.Server == l.Server && l.AtNanos-o.AtNanos <= crashWindow.Nanoseconds() }
+		if !slices.ContainsFunc(losses[:i], sameCrash) {
 			count++
 		}
 	}
 	return count
 }
 
-// SetLifted replaces the set of requests that operators let pass.
-func (s *CrashTracker) SetLifted(prints []Fingerprint) {
-	clear(s.lifted)
-	for _, p := range prints {
-		s.lifted[p] = struct{}{}
+// SetLifted replaces the set of requests that operators have unblocked.
+func (t *CrashTracker) SetLifted(fingerprints []Fingerprint) {
+	clear(t.lifted)
+	for _, f := range fingerprints {
+		t.lifted[f] = struct{}{}
 	}
 }
 
-// BlockedUntil returns when a block ends, in Unix milliseconds.
-func (s *CrashTracker) BlockedUntil(p Fingerprint) int64 {
-	if b := s.records[p]; b != nil {
-		return b.UntilMillis
+// BlockedUntil returns when the record of a request expires, in Unix milliseconds, or 0 if
+// there is none.
+func (t *CrashTracker) BlockedUntil(f Fingerprint) int64 {
+	if r := t.records[f]; r != nil {
+		return r.UntilMillis
 	}
 	return 0
 }
 
-// Merge takes in what another instance knows.
-func (s *CrashTracker) Merge(blocks []CrashRecord) {
-	for _, b := range blocks {
-		if b.Service == s.service {
-			s.add(b)
+// Merge adds the records of another instance. It ignores those of other services.
+func (t *CrashTracker) Merge(records []CrashRecord) {
+	for _, r := range records {
+		if r.Service == t.service {
+			t.add(r)
 		}
 	}
 }
 
-// Records returns copies of what is known, in the order of prints.
-func (s *CrashTracker) Records(nowMillis int64) []CrashRecord {
-	blocks := make([]CrashRecord, 0, len(s.records))
-	for p, b := range s.records {
-		if b.UntilMillis <= nowMillis {
-			delete(s.records, p)
+// Records drops the expired records and returns copies of the others, ordered by fingerprint.
+func (t *CrashTracker) Records(nowMillis int64) []CrashRecord {
+	records := make([]CrashRecord, 0, len(t.records))
+	for f, r := range t.records {
+		if r.UntilMillis <= nowMillis {
+			delete(t.records, f)
 			continue
 		}
-		known := *b
-		known.Losses = slices.Clone(b.Losses)
-		blocks = append(blocks, known)
+		copied := *r
+		copied.Losses = slices.Clone(r.Losses)
+		records = append(records, copied)
 	}
-	slices.SortFunc(blocks, func(a, b CrashRecord) int { return cmp.Compare(a.Print, b.Print) })
-	return blocks
+	slices.SortFunc(records, func(a, b CrashRecord) int { return cmp.Compare(a.Print, b.Print) })
+	return records
 }
 
-func (s *CrashTracker) add(o CrashRecord) {
-	b := s.records[o.Print]
-	if b == nil {
-		s.evictOldest()
-		b = &CrashRecord{Service: s.service, Print: o.Print}
-		s.records[o.Print] = b
+func (t *CrashTracker) add(added CrashRecord) {
+	r := t.records[added.Print]
+	if r == nil {
+		t.evictOldest()
+		r = &CrashRecord{Service: t.service, Print: added.Print}
+		t.records[added.Print] = r
 	}
-	b.merge(o)
+	r.merge(added)
 }
 
-func (s *CrashTracker) evictOldest() {
-	if len(s.records) < maxSuspects {
+// evictOldest makes room for one record by dropping the one that expires first.
+func (t *CrashTracker) evictOldest() {
+	if len(t.records) < maxSuspects {
 		return
 	}
 	var oldest *CrashRecord
-	for _, b := range s.records {
-		if oldest == nil || b.UntilMillis < oldest.UntilMillis {
-			oldest = b
+	for _, r := range t.records {
+		if oldest == nil || r.UntilMillis < oldest.UntilMillis {
+			oldest = r
 		}
 	}
-	delete(s.records, oldest.Print)
+	delete(t.records, oldest.Print)
 }
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -1,12 +1,12 @@
 package policy
 
-// expiry is when to look at a remembered request again.
+// expiry says when to check again whether the record of a request has expired.
 type expiry struct {
 	id ID
 	at Time
 }
 
-// expiryHeap is a binary heap of expiries, the earliest first.
+// expiryHeap is a binary min-heap by time.
 type expiryHeap []expiry
 
 func (x expiryHeap) first() (expiry, bool) {
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -5,44 +5,46 @@
 	"testing"
 )
 
-// FuzzMark gives what other instances send any text: a mark that is read is written the same.
-func FuzzMark(f *testing.F) {
+// FuzzIdempotencyRecord decodes arbitrary text, as another instance may send it. A record that
+// is decoded without error must not change when it is encoded and decoded again.
+func FuzzIdempotencyRecord(f *testing.F) {
 	f.Add([]byte(`{"service":"oddaja","name":"00112233445566778899aabbccddeeff","hash":7,` +
 		`"sending":"ffeeddccbbaa99887766554433221100","print":"00000000000000ff","until-ms":1,"outcome":"ran","status":201}`))
 	f.Add([]byte(`{"name":"zz"}`))
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var m, again IdempotencyRecord
-		if json.Unmarshal(text, &m) != nil {
+		var r, decoded IdempotencyRecord
+		if json.Unmarshal(text, &r) != nil {
 			return
 		}
-		out, err := json.Marshal(m)
+		out, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := json.Unmarshal(out, &again); err != nil || again != m {
+		if err := json.Unmarshal(out, &decoded); err != nil || decoded != r {
 			t.Fatalf("%s: %v", out, err)
 		}
 	})
 }
 
-// FuzzBlocks merges any blocks. What is known stays within its bounds.
-func FuzzBlocks(f *testing.F) {
+// FuzzCrashRecords merges arbitrary records. The number of losses must stay within its limit,
+// and any loss that remains must count.
+func FuzzCrashRecords(f *testing.F) {
 	f.Add([]byte(`[{"service":"pregled","print":"00000000000000ff","losses":[{"server":"a","at-ns":3}],"until-ms":9}]`))
 	f.Add([]byte(`[{"service":"pregled","print":"0000000000000000","cleared-ns":-1}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var blocks []CrashRecord
-		if json.Unmarshal(text, &blocks) != nil {
+		var records []CrashRecord
+		if json.Unmarshal(text, &records) != nil {
 			return
 		}
-		s := NewCrashTracker("pregled")
-		s.Merge(blocks)
-		for _, b := range s.Records(0) {
-			if len(b.Losses) > maxLosses {
-				t.Fatalf("%d losses", len(b.Losses))
+		tracker := NewCrashTracker("pregled")
+		tracker.Merge(records)
+		for _, r := range tracker.Records(0) {
+			if len(r.Losses) > maxLosses {
+				t.Fatalf("%d losses", len(r.Losses))
 			}
-			if s.SuspicionOf(b.Print, 1, 0) != Blocked && len(b.Losses) > 0 {
-				t.Fatalf("%+v is not blocked", b)
+			if tracker.SuspicionOf(r.Print, 1, 0) != Blocked && len(r.Losses) > 0 {
+				t.Fatalf("%+v is not blocked", r)
 			}
 		}
 	})
--- a/internal/policy/home.go
+++ b/internal/policy/home.go
@@ -6,10 +6,10 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// HomeDomain returns the domain that remembers a named request of a service that is not divided:
-// the first by rendezvous hashing, so that instances of all domains agree without asking, and
-// a domain that comes or goes changes the home of its own share only. It returns "" for no
-// domains.
+// HomeDomain returns the domain that keeps the idempotency record of a request with an id to a
+// service that is not divided. It uses rendezvous hashing: instances of all domains agree
+// without communicating, and adding or removing a domain changes the home only of the requests
+// that are its own. It returns "" if there are no domains.
 func HomeDomain(domains []string, hash uint64) string {
 	best, bestWeight := "", uint64(0)
 	for _, d := range domains {
@@ -21,7 +21,7 @@
 	return best
 }
 
-// mix spreads the bits of a number (the finaliser of MurmurHash3).
+// mix is the 64-bit finalizer of MurmurHash3: each bit of x affects all bits of the result.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/policy/id.go
+++ b/internal/policy/id.go
@@ -10,14 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrMalformedHex is returned for text that is no Name or Print.
+// ErrMalformedHex is returned by UnmarshalText for text that is not the hexadecimal form of an
+// ID or a Fingerprint.
 var ErrMalformedHex = errors.New("policy: malformed hexadecimal text")
 
-// ID stands for a request id within a service and key. All sendings of one piece of work
-// have one Name. It is a hash that callers cannot make collide.
+// ID identifies a request or one of its submissions. As a request id it is a hash of the id
+// that the caller chose, the service and the key, so that all submissions of one request share
+// it. The hash is cryptographic: callers cannot make two ids collide.
 type ID [16]byte
 
-// HashRequestID returns the Name of a request id. The key is empty in a service that is not divided.
+// HashRequestID returns the ID of a request whose caller chose the given id. The key is empty
+// in a service that is not divided.
 func HashRequestID(service, key, id string) ID {
 	buffer := make([]byte, 0, 256)
 	for _, part := range [...]string{service, key, id} {
@@ -28,43 +31,44 @@
 	return ID(sum[:16])
 }
 
-// IsZero reports whether the request has no name.
-func (n ID) IsZero() bool { return n == ID{} }
+// IsZero reports whether the request has no id.
+func (i ID) IsZero() bool { return i == ID{} }
 
 // MarshalText implements encoding.TextMarshaler.
-func (n ID) MarshalText() ([]byte, error) {
-	return hex.AppendEncode(nil, n[:]), nil
+func (i ID) MarshalText() ([]byte, error) {
+	return hex.AppendEncode(nil, i[:]), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (n *ID) UnmarshalText(text []byte) error {
-	if len(text) != hex.EncodedLen(len(n)) {
+func (i *ID) UnmarshalText(text []byte) error {
+	if len(text) != hex.EncodedLen(len(i)) {
 		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
-	if _, err := hex.Decode(n[:], text); err != nil {
+	if _, err := hex.Decode(i[:], text); err != nil {
 		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
 	return nil
 }
 
-// Fingerprint stands for what a request asks: two requests with the same service, method, path, key
-// and body have the same Print, whatever their ids. Zero means that it was not computed.
+// Fingerprint is a hash of the content of a request: two requests with the same service,
+// method, path, key and body have the same Fingerprint, whatever their ids. Zero means that it
+// was not computed.
 type Fingerprint uint64
 
-// Content is what a Print is made of.
+// Content is what a Fingerprint is computed from.
 type Content struct {
 	Service string
 	Method  string
-	// Path holds the query as well.
+	// Path includes the query.
 	Path string
 	Key  string
-	// Body is the body, or the first part of a long one.
+	// Body is the body, or the beginning of a long one.
 	Body []byte
-	// Length is that of the whole body, -1 if unknown.
+	// Length is the length of the whole body in bytes, -1 if unknown.
 	Length int64
 }
 
-// FingerprintOf returns the Print of a request.
+// FingerprintOf returns the Fingerprint of a request. It is never zero.
 func FingerprintOf(c Content) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
@@ -81,17 +85,17 @@
 }
 
 // String returns the text form: 16 hexadecimal digits.
-func (p Fingerprint) String() string {
-	return fmt.Sprintf("%016x", uint64(p))
+func (f Fingerprint) String() string {
+	return fmt.Sprintf("%016x", uint64(f))
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Fingerprint) MarshalText() ([]byte, error) {
-	return []byte(p.String()), nil
+func (f Fingerprint) MarshalText() ([]byte, error) {
+	return []byte(f.String()), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Fingerprint) UnmarshalText(text []byte) error {
+func (f *Fingerprint) UnmarshalText(text []byte) error {
 	var raw [8]byte
 	if len(text) != hex.EncodedLen(len(raw)) {
 		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
@@ -99,6 +103,6 @@
 	if _, err := hex.Decode(raw[:], text); err != nil {
 		return fmt.Errorf("%w: %q", ErrMalformedHex, text)
 	}
-	*p = Fingerprint(binary.BigEndian.Uint64(raw[:]))
+	*f = Fingerprint(binary.BigEndian.Uint64(raw[:]))
 	return nil
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy decides what becomes of requests at the gate of a backend server: which may
-// run, which wait, and which are refused. It has no input or output: time comes in with each
-// call, and nothing here is safe for use by several goroutines at once.
+// Package policy decides what happens to requests at the gate of a backend server: which are
+// admitted, which are queued and which are rejected. It does no I/O and reads no clock: each
+// call passes the time. Nothing in this package is safe for concurrent use.
 package policy
 
 import "time"
@@ -21,10 +21,11 @@
 // Ticket identifies a request at one gate.
 type Ticket uint64
 
-// Reason says why a request was refused. Its text is the last part of the problem type.
+// Reason says why a request was rejected. Its text is the last part of the problem type that
+// the caller receives.
 type Reason string
 
-// The reasons for which a Queue refuses.
+// The reasons for which a Queue rejects a request.
 const (
 	ReasonQueueFull       Reason = "queue-full"
 	ReasonDeadlineTooNear Reason = "deadline-too-near"
@@ -33,7 +34,7 @@
 	ReasonCallerOverShare Reason = "caller-over-share"
 )
 
-// The reasons for which a Core refuses.
+// The reasons for which a Core rejects a request.
 const (
 	ReasonBlocked    Reason = "blocked"
 	ReasonInProgress Reason = "in-progress"
@@ -42,10 +43,10 @@
 	ReasonMemoryFull Reason = "memory-full"
 )
 
-// Decision is what a Queue says of a request: Start, Wait or Shed. A Core says Known and Moved as
-// well. The set is sealed.
+// Decision is one of Admitted, Queued, Rejected, CheckFailed and Moved. A Queue returns only
+// the first three, a Core all of them.
 type Decision interface {
-	isVerdict()
+	isDecision()
 }
 
 // Admitted says that the request holds a slot of Server from now on.
@@ -54,33 +55,35 @@
 	Server string
 }
 
-// Queued says that the request is queued. A later Start or Shed names its ticket.
+// Queued says that the request waits for a slot. A later Admitted or Rejected has the same
+// ticket, or a Moved if the gate moves meanwhile.
 type Queued struct {
 	Ticket Ticket
 }
 
-// Rejected says that the request was refused before it ran. RetryAt is when a resend is likely
-// to be accepted.
+// Rejected says that the request was rejected before it ran. RetryAt is when a resend is
+// likely to be admitted.
 type Rejected struct {
 	Ticket  Ticket
 	Reason  Reason
 	RetryAt Time
 }
 
-// CheckFailed says that an earlier sending of the request ran or may have run. The Recollection is
-// not Fresh.
+// CheckFailed says that the idempotency check does not let the request run. Result is not
+// Fresh.
 type CheckFailed struct {
 	Ticket Ticket
 	Result CheckResult
 }
 
-// Moved says that the request no longer belongs at this gate. It did not run.
+// Moved says that the request did not run and that the gate of its pool is now at another
+// instance.
 type Moved struct {
 	Ticket Ticket
 }
 
-func (CheckFailed) isVerdict() {}
-func (Moved) isVerdict()       {}
-func (Admitted) isVerdict()    {}
-func (Queued) isVerdict()      {}
-func (Rejected) isVerdict()    {}
+func (CheckFailed) isDecision() {}
+func (Moved) isDecision()       {}
+func (Admitted) isDecision()    {}
+func (Queued) isDecision()      {}
+func (Rejected) isDecision()    {}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// The running time of requests, as the queue estimates it.
+// The estimate of the run time of requests.
 const (
-	// defaultRunTime is assumed before any request ended.
+	// defaultRunTime is the estimate before any request completes.
 	defaultRunTime = 20 * time.Millisecond
-	// runTimeDivisor is the share of the newest running time in the mean, as a divisor.
+	// runTimeDivisor is the inverse of the weight of a new run time in the moving average.
 	runTimeDivisor = 8
 )
 
-// The shortest and longest time after which a refused caller is told to come back.
+// The bounds of the delay after which a rejected caller is told to retry.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 30 * time.Second
 )
 
-// A server that could not be reached is tried again after downFirst, then after twice that,
-// up to downMost.
+// An unreachable server is ejected for minEjection, then for twice as long each time it is
+// still unreachable, up to maxEjection.
 const (
 	minEjection = 100 * time.Millisecond
 	maxEjection = 5 * time.Second
 )
 
-// A new or returned server is cold: it gets work in half its slots until it has ended
-// warmRuns requests, or warmTime after the first one started.
+// A server that is new or returns from an ejection is cold: only half its slots are used until
+// it has completed warmupRequests requests, or until warmupTime after the first of them
+// started.
 const (
 	warmupRequests = 4
 	warmupTime     = time.Second
@@ -37,100 +38,104 @@
 // SlotRequest is a request for a slot.
 type SlotRequest struct {
 	Ticket Ticket
-	// Caller is the identity between which the queue is fair.
+	// Caller is the identity by which the queue is fair.
 	Caller string
-	// Deadline is when the request must have its answer.
+	// Deadline is when the response must be complete.
 	Deadline Time
-	// Suspect says that the request may crash servers.
+	// Suspect says that the request is suspected to crash servers.
 	Suspect bool
 }
 
-// Server is one backend server behind a Queue.
+// Server is a backend server behind a Queue.
 type Server struct {
 	Name  string
 	Slots int
-	// LoadHint breaks ties between servers that are equally busy: the lower goes first.
+	// LoadHint breaks ties between servers with the same share of slots in use: the lower one
+	// is preferred.
 	LoadHint float64
 }
 
-// Queue hands out the slots of the servers behind one gate. Requests without a slot wait,
-// fairly between callers and by deadline for one caller.
+// Queue assigns the slots of the servers behind one gate. Requests that get no slot wait:
+// callers take turns, and the requests of one caller are ordered by deadline.
 type Queue struct {
 	maxWaiting int
 	servers    []serverState
 	callers    map[string]*callerQueue
-	// order holds the callers with waiting requests; the next slot goes to the first.
+	// order holds the callers with waiting requests. The next free slot goes to the first one
+	// with a request that can start.
 	order       []*callerQueue
 	waiting     int
 	meanRunTime time.Duration
-	// decisions is returned by the methods, and reused by the next call.
+	// decisions is returned by the methods and reused by the next call.
 	decisions []Decision
 }
 
-// serverState is a server with the number of its slots in use.
+// serverState is a server with the state of its slots.
 type serverState struct {
 	Server
 	slotsInUse int
-	// runsSuspect says that a suspect runs there.
+	// runsSuspect says that a suspect request runs at the server.
 	runsSuspect bool
-	// removed says that the server left while requests still run there.
+	// removed says that the server is no longer configured but still runs requests.
 	removed bool
-	// ejectedUntil is when the server may be tried again after it could not be reached, and
-	// failures how often that happened in a row.
-	ejectedUntil     Time
+	// ejectedUntil is when the server gets requests again after an ejection.
+	ejectedUntil Time
+	// unreachableCount is the number of times in a row that the server was unreachable.
 	unreachableCount int
-	// completed counts the requests that ended since the server appeared, up to warmRuns.
+	// completed counts the requests that completed since the server was cold, up to
+	// warmupRequests.
 	completed int
-	// lastStartAt is when the newest request started.
+	// lastStartAt is when a request last started.
 	lastStartAt Time
-	// coldUntil is when the cold start is over in any case; zero until the first request.
+	// coldUntil is when the server stops being cold even if fewer than warmupRequests have
+	// completed. It is zero until the first request starts.
 	coldUntil Time
 }
 
 // usableSlots returns the number of slots that may be in use now.
-func (p *serverState) usableSlots(now Time) int {
+func (s *serverState) usableSlots(now Time) int {
 	switch {
-	case p.removed || p.ejectedUntil > now:
+	case s.removed || s.ejectedUntil > now:
 		return 0
-	case p.completed < warmupRequests && (p.coldUntil == 0 || now < p.coldUntil):
-		return max(p.Slots/2, 1)
+	case s.completed < warmupRequests && (s.coldUntil == 0 || now < s.coldUntil):
+		return max(s.Slots/2, 1)
 	default:
-		return p.Slots
+		return s.Slots
 	}
 }
 
-// NewQueue returns a queue without servers, in which at most limit requests wait.
-func NewQueue(limit int) *Queue {
-	return &Queue{maxWaiting: limit, callers: make(map[string]*callerQueue), meanRunTime: defaultRunTime}
+// NewQueue returns a queue without servers, in which at most maxWaiting requests wait.
+func NewQueue(maxWaiting int) *Queue {
+	return &Queue{maxWaiting: maxWaiting, callers: make(map[string]*callerQueue), meanRunTime: defaultRunTime}
 }
 
-// Configure replaces the servers and the limit. Slots that are in use at a server that is no
-// longer named stay counted until they are released. The result, valid until the next call,
-// names the requests that may start because of the change.
-func (q *Queue) Configure(now Time, limit int, servers []Server) []Decision {
+// Configure replaces the servers and the maximum number of waiting requests. Slots in use at a
+// server that is no longer listed stay counted until they are released. The result holds the
+// decisions about waiting requests, and is valid until the next call.
+func (q *Queue) Configure(now Time, maxWaiting int, servers []Server) []Decision {
 	q.decisions = q.decisions[:0]
-	q.maxWaiting = limit
+	q.maxWaiting = maxWaiting
 	for i := range q.servers {
 		q.servers[i].removed = true
 	}
-	for _, c := range servers {
-		if p := q.find(c.Name); p != nil {
-			p.Server, p.removed = c, false
+	for _, s := range servers {
+		if known := q.find(s.Name); known != nil {
+			known.Server, known.removed = s, false
 			continue
 		}
-		q.servers = append(q.servers, serverState{Server: c})
+		q.servers = append(q.servers, serverState{Server: s})
 	}
 	q.removeIdle()
 	q.advance(now)
 	return q.decisions
 }
 
-// IsConfigured reports whether the queue is configured as given.
-func (q *Queue) IsConfigured(limit int, servers []Server) bool {
-	if q.maxWaiting != limit {
+// IsConfigured reports whether Configure with these arguments would change nothing.
+func (q *Queue) IsConfigured(maxWaiting int, servers []Server) bool {
+	if q.maxWaiting != maxWaiting {
 		return false
 	}
-	if slices.EqualFunc(q.servers, servers, func(p serverState, c Server) bool { return !p.removed && p.Server == c }) {
+	if slices.EqualFunc(q.servers, servers, func(known serverState, s Server) bool { return !known.removed && known.Server == s }) {
 		return true
 	}
 	present := 0
@@ -142,62 +147,63 @@
 	if present != len(servers) {
 		return false
 	}
-	for _, c := range servers {
-		if p := q.find(c.Name); p == nil || p.removed || p.Server != c {
+	for _, s := range servers {
+		if known := q.find(s.Name); known == nil || known.removed || known.Server != s {
 			return false
 		}
 	}
 	return true
 }
 
-// Admit takes a request in. The first verdict is on the request itself, any others on requests
-// that wait. The result is valid until the next call.
-func (q *Queue) Admit(now Time, a SlotRequest) []Decision {
+// Admit decides about a new request. The first decision is about this request, any others are
+// about waiting ones. The result is valid until the next call.
+func (q *Queue) Admit(now Time, r SlotRequest) []Decision {
 	q.decisions = q.decisions[:0]
-	q.decide(now, a)
+	q.decide(now, r)
 	q.advance(now)
 	return q.decisions
 }
 
-// decide adds the verdict on a new request.
-func (q *Queue) decide(now Time, a SlotRequest) {
+// decide appends the decision about a new request, and about the one that it displaces.
+func (q *Queue) decide(now Time, r SlotRequest) {
 	switch {
-	case a.Deadline <= now:
-		q.reject(now, a.Ticket, ReasonDeadlinePassed)
+	case r.Deadline <= now:
+		q.reject(now, r.Ticket, ReasonDeadlinePassed)
 	case !q.anyUsable(now):
-		q.reject(now, a.Ticket, ReasonNoServer)
-	case q.tryStart(now, a):
-	case now.Add(q.expectedWait(now, a.Caller)+q.meanRunTime) > a.Deadline:
-		q.reject(now, a.Ticket, ReasonDeadlineTooNear)
+		q.reject(now, r.Ticket, ReasonNoServer)
+	case q.tryStart(now, r):
+	case now.Add(q.expectedWait(now, r.Caller)+q.meanRunTime) > r.Deadline:
+		q.reject(now, r.Ticket, ReasonDeadlineTooNear)
 	case q.waiting < q.maxWaiting:
-		q.decisions = append(q.decisions, Queued{Ticket: a.Ticket})
-		q.enqueue(a)
+		q.decisions = append(q.decisions, Queued{Ticket: r.Ticket})
+		q.enqueue(r)
 	default:
-		q.enqueueByDisplacing(now, a)
+		q.enqueueByDisplacing(now, r)
 	}
 }
 
-// tryStart starts a request that need not wait behind others.
-func (q *Queue) tryStart(now Time, a SlotRequest) bool {
-	if q.waiting > 0 && !a.Suspect && q.canStartWaiting(now) {
+// tryStart starts a request if a slot is free for it. A request that is not suspect does not
+// overtake waiting requests that could start now.
+func (q *Queue) tryStart(now Time, r SlotRequest) bool {
+	if q.waiting > 0 && !r.Suspect && q.canStartWaiting(now) {
 		return false
 	}
-	p := q.freeServer(now, a.Suspect)
-	if p == nil {
+	s := q.freeServer(now, r.Suspect)
+	if s == nil {
 		return false
 	}
-	q.start(now, p, a)
+	q.start(now, s, r)
 	return true
 }
 
-// canStartWaiting reports whether a waiting request could start, which then goes first.
+// canStartWaiting reports whether any waiting request could start now.
 func (q *Queue) canStartWaiting(now Time) bool {
 	if q.freeServer(now, false) == nil {
 		return false
 	}
-	for _, l := range q.order {
-		for _, a := range l.requests {
-			if q.freeServer(now, a.Suspect) != nil {
+	for _, c := range q.order {
+		for _, r := range c.requests {
+			if q.freeServer(now, r.Suspect) != nil {
 				return true
 			}
 		}
@@ -205,61 +211,63 @@
 	return false
 }
 
-// enqueueByDisplacing lets a request in by shedding the last one of the caller with the longest line.
-func (q *Queue) enqueueByDisplacing(now Time, a SlotRequest) {
+// enqueueByDisplacing queues a request in a full queue by rejecting the last request of the
+// caller with the most waiting requests. It rejects the new request instead if its own caller
+// would then have as many.
+func (q *Queue) enqueueByDisplacing(now Time, r SlotRequest) {
 	longest := q.longestQueue()
-	if longest == nil || len(longest.requests) <= q.queueLength(a.Caller)+1 {
-		q.reject(now, a.Ticket, ReasonQueueFull)
+	if longest == nil || len(longest.requests) <= q.queueLength(r.Caller)+1 {
+		q.reject(now, r.Ticket, ReasonQueueFull)
 		return
 	}
 	last := longest.requests[len(longest.requests)-1]
 	q.remove(last.Ticket)
-	q.decisions = append(q.decisions, Queued{Ticket: a.Ticket})
+	q.decisions = append(q.decisions, Queued{Ticket: r.Ticket})
 	q.reject(now, last.Ticket, ReasonCallerOverShare)
-	q.enqueue(a)
+	q.enqueue(r)
 }
 
-// Release returns a slot of a server after a request that ran for the given time, zero if it
-// did not run. The result, valid until the next call, names the requests that start or are
-// shed in consequence.
+// Release gives back a slot of a server after a request that ran for the given time, zero if
+// it did not run. The result holds the decisions about waiting requests, and is valid until
+// the next call.
 func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Decision {
 	q.decisions = q.decisions[:0]
-	p := q.find(server)
-	if p == nil || p.slotsInUse == 0 {
+	s := q.find(server)
+	if s == nil || s.slotsInUse == 0 {
 		return q.decisions
 	}
-	p.slotsInUse--
+	s.slotsInUse--
 	if suspect {
-		p.runsSuspect = false
+		s.runsSuspect = false
 	}
 	if ran > 0 {
 		q.meanRunTime += (ran - q.meanRunTime) / runTimeDivisor
-		p.completed = min(p.completed+1, warmupRequests)
-		p.unreachableCount = 0
+		s.completed = min(s.completed+1, warmupRequests)
+		s.unreachableCount = 0
 	}
 	q.removeIdle()
 	q.advance(now)
 	return q.decisions
 }
 
-// Eject gives a server no work until a time: it said that it has too much. Afterwards it
-// starts cold. Waiting requests stay in the queue.
+// Eject lets no request start at a server until the given time. The server is cold
+// afterwards. Waiting requests stay in the queue.
 func (q *Queue) Eject(server string, until Time) {
-	if p := q.find(server); p != nil {
-		p.ejectedUntil = max(p.ejectedUntil, until)
-		p.completed, p.coldUntil = 0, 0
+	if s := q.find(server); s != nil {
+		s.ejectedUntil = max(s.ejectedUntil, until)
+		s.completed, s.coldUntil = 0, 0
 	}
 }
 
-// EjectUnreachable suspends a server that could not be reached, for longer each time in a row.
+// EjectUnreachable ejects a server that could not be reached, for longer each time in a row.
 func (q *Queue) EjectUnreachable(now Time, server string) {
-	if p := q.find(server); p != nil && p.ejectedUntil <= now {
-		q.Eject(server, now.Add(min(minEjection<<min(p.unreachableCount, 10), maxEjection)))
-		p.unreachableCount++
+	if s := q.find(server); s != nil && s.ejectedUntil <= now {
+		q.Eject(server, now.Add(min(minEjection<<min(s.unreachableCount, 10), maxEjection)))
+		s.unreachableCount++
 	}
 }
 
-// Advance starts or sheds waiting requests after time has passed. The result is valid until
+// Advance starts or rejects waiting requests after time has passed. The result is valid until
 // the next call.
 func (q *Queue) Advance(now Time) []Decision {
 	q.decisions = q.decisions[:0]
@@ -267,7 +275,7 @@
 	return q.decisions
 }
 
-// Remove takes a waiting request out. It reports false when the request does not wait.
+// Remove removes a waiting request. It returns false if the request is not waiting.
 func (q *Queue) Remove(t Ticket) bool {
 	return q.remove(t)
 }
@@ -277,59 +285,62 @@
 
 // SlotsInUse returns the number of slots in use at a server.
 func (q *Queue) SlotsInUse(server string) int {
-	if p := q.find(server); p != nil {
-		return p.slotsInUse
+	if s := q.find(server); s != nil {
+		return s.slotsInUse
 	}
 	return 0
 }
 
-// Each calls visit for each server with its slots in use.
-func (q *Queue) Each(visit func(c Server, busy int)) {
+// Each calls visit for each server with its number of slots in use. This includes servers
+// that are no longer configured but still run requests.
+func (q *Queue) Each(visit func(s Server, slotsInUse int)) {
 	for i := range q.servers {
 		visit(q.servers[i].Server, q.servers[i].slotsInUse)
 	}
 }
 
-// advance starts waiting requests while slots are free and sheds those that are too late.
+// advance starts waiting requests while slots are free for them. A request whose turn comes
+// after its deadline is rejected.
 func (q *Queue) advance(now Time) {
 	for q.waiting > 0 {
-		a, p := q.dequeueNext(now)
-		if p == nil {
+		r, s := q.dequeueNext(now)
+		if s == nil {
 			return
 		}
-		if a.Deadline <= now {
-			q.reject(now, a.Ticket, ReasonDeadlinePassed)
+		if r.Deadline <= now {
+			q.reject(now, r.Ticket, ReasonDeadlinePassed)
 			continue
 		}
-		q.start(now, p, a)
+		q.start(now, s, r)
 	}
 }
 
-func (q *Queue) start(now Time, p *serverState, a SlotRequest) {
-	p.slotsInUse++
-	p.lastStartAt = now
-	if p.coldUntil == 0 {
-		p.coldUntil = now.Add(warmupTime)
+func (q *Queue) start(now Time, s *serverState, r SlotRequest) {
+	s.slotsInUse++
+	s.lastStartAt = now
+	if s.coldUntil == 0 {
+		s.coldUntil = now.Add(warmupTime)
 	}
-	p.runsSuspect = p.runsSuspect || a.Suspect
-	q.decisions = append(q.decisions, Admitted{Ticket: a.Ticket, Server: p.Name})
+	s.runsSuspect = s.runsSuspect || r.Suspect
+	q.decisions = append(q.decisions, Admitted{Ticket: r.Ticket, Server: s.Name})
 }
 
 func (q *Queue) reject(now Time, t Ticket, reason Reason) {
-	wait := min(max(q.expectedWait(now, ""), minRetryDelay), maxRetryDelay)
-	q.decisions = append(q.decisions, Rejected{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
+	delay := min(max(q.expectedWait(now, ""), minRetryDelay), maxRetryDelay)
+	q.decisions = append(q.decisions, Rejected{Ticket: t, Reason: reason, RetryAt: now.Add(delay)})
 }
 
-// freeServer returns the server with the smallest share of its slots in use, nil if none is free.
+// freeServer returns the server with the smallest share of its slots in use, or nil if no
+// server has a free slot. A suspect request gets no server where another suspect runs.
 func (q *Queue) freeServer(now Time, suspect bool) *serverState {
 	var best *serverState
 	for i := range q.servers {
-		p := &q.servers[i]
-		if p.slotsInUse >= p.usableSlots(now) || suspect && p.runsSuspect {
+		s := &q.servers[i]
+		if s.slotsInUse >= s.usableSlots(now) || suspect && s.runsSuspect {
 			continue
 		}
-		if best == nil || lessLoaded(p, best) {
-			best = p
+		if best == nil || lessLoaded(s, best) {
+			best = s
 		}
 	}
 	return best
@@ -342,11 +353,11 @@
 	if c := cmp.Compare(a.LoadHint, b.LoadHint); c != 0 {
 		return c < 0
 	}
-	// Ties that always went to the first server would give it more than its share.
+	// If ties went to the first server, it would get more than its share.
 	return a.lastStartAt < b.lastStartAt
 }
 
-// anyUsable reports whether any server may be given work.
+// anyUsable reports whether any server has usable slots, free or not.
 func (q *Queue) anyUsable(now Time) bool {
 	for i := range q.servers {
 		if q.servers[i].usableSlots(now) > 0 {
@@ -365,7 +376,7 @@
 	return nil
 }
 
-// removeIdle drops the servers that left and run nothing more.
+// removeIdle removes the servers that are no longer configured and run no request.
 func (q *Queue) removeIdle() {
-	q.servers = slices.DeleteFunc(q.servers, func(p serverState) bool { return p.removed && p.slotsInUse == 0 })
+	q.servers = slices.DeleteFunc(q.servers, func(s serverState) bool { return s.removed && s.slotsInUse == 0 })
 }
--- a/internal/policy/record.go
+++ b/internal/policy/record.go
@@ -2,23 +2,23 @@
 
 import "example.org/mustardring/pkg/caller"
 
-// IdempotencyRecord is the memory that a non-idempotent request was sent, as instances tell it to each
-// other.
+// IdempotencyRecord says that a non-idempotent request was submitted and what came of it.
+// Instances exchange these records, so that a resend through any instance is recognised.
 type IdempotencyRecord struct {
 	Service   string `json:"service"`
 	RequestID ID     `json:"name"`
-	// Hash is the request's place in the hash space.
+	// Hash is the position of the request in the hash space.
 	Hash uint64 `json:"hash"`
-	// SubmissionID identifies one sending of the request. A request that is passed on to another
-	// gate before it ran keeps it; a caller's resend has another one.
+	// SubmissionID identifies one submission of the request. It stays the same when the
+	// request is forwarded to another gate before it ran, and differs in a resend.
 	SubmissionID ID `json:"sending"`
-	// Fingerprint is that of the first sending.
+	// Fingerprint is that of the first submission, or zero if it was not computed.
 	Fingerprint Fingerprint `json:"print"`
-	// UntilMillis is when the mark may be forgotten, in Unix milliseconds.
+	// UntilMillis is when the record expires, in Unix milliseconds.
 	UntilMillis int64 `json:"until-ms"`
-	// Outcome is Unknown until the gate has told what became of the request. NotRun takes
-	// the mark back.
+	// Outcome is Unknown until the gate reports the outcome. NotRun makes the receiver drop
+	// its record of this submission.
 	Outcome caller.Outcome `json:"outcome"`
-	// Status is the HTTP status of the answer if Outcome is Ran.
+	// Status is the HTTP status of the response if Outcome is Ran.
 	Status int `json:"status,omitempty"`
 }
--- a/internal/policy/schedule_test.go
+++ b/internal/policy/schedule_test.go
@@ -12,324 +12,330 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// The schedule of the differential test: works are submitted and sent again by impatient
-// callers through any of three instances, each of which may be the gate. Forwarded requests
-// are late and cross each other, the gate moves or is lost, servers fail before and after
-// running. The naive gate runs whatever comes, in a queue without bound.
+// This file simulates callers who submit requests and resend them before they get a response,
+// through any of four instances, each of which may be the gate. Forwarded requests are delayed
+// and arrive out of order, the gate moves or crashes, and servers fail before and after running
+// a request. For comparison, it counts what a gate without an idempotency table would run.
 
-// event is something that happens at a time in a schedule.
+// event is a function that runs at a simulated time.
 type event struct {
 	at    Time
 	order int
 	do    func()
 }
 
-type schedule []event
+// eventHeap implements heap.Interface. Events at the same time are in the order of creation.
+type eventHeap []event
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
-	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].order < s[j].order
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(x any)   { *s = append(*s, x.(event)) }
-func (s *schedule) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// world is one run of a schedule.
-type world struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      Time
-	events   schedule
-	order    int
-	cores    []*Core
-	gate     int
-	tickets  Ticket
-	sendings map[Ticket]*sending
-	// runs counts the runs of each work; naive what a gate without memory would have run.
-	runs, naive map[string]int
+// simulation is one run of a random schedule.
+type simulation struct {
+	t           *testing.T
+	random      *rand.Rand
+	now         Time
+	events      eventHeap
+	lastOrder   int
+	cores       []*Core
+	gate        int
+	lastTicket  Ticket
+	submissions map[Ticket]*submission
+	// runs counts the runs of each request, and runsWithoutTable those that a gate without an
+	// idempotency table would have made.
+	runs, runsWithoutTable map[string]int
 }
 
-// sending is one sending of a work by its caller.
-type sending struct {
-	work  string
-	entry int
-	gate  int
-	// path holds the instances that passed the sending on, or were told of it.
-	path    []int
-	request *Request
-	ran     bool
-	outcome caller.Outcome
+// submission is one submission of a request by its caller.
+type submission struct {
+	requestID string
+	entry     int
+	gate      int
+	// informed holds the instances that have a record of the submission because they forwarded
+	// it or got the record from another instance.
+	informed []int
+	request  *Request
+	ran      bool
+	outcome  caller.Outcome
 }
 
-func (w *world) after(d int, do func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + Time(d)*ms, order: w.order, do: do})
+// after schedules a function in d milliseconds.
+func (sim *simulation) after(d int, do func()) {
+	sim.lastOrder++
+	heap.Push(&sim.events, event{at: sim.now + Time(d)*ms, order: sim.lastOrder, do: do})
 }
 
-// live returns the first instance from i on that lives.
-func (w *world) live(i int) int {
-	for w.cores[i%len(w.cores)] == nil {
+// firstLive returns the first instance from i on that has not crashed.
+func (sim *simulation) firstLive(i int) int {
+	for sim.cores[i%len(sim.cores)] == nil {
 		i++
 	}
-	return i % len(w.cores)
+	return i % len(sim.cores)
 }
 
-// submit sends a work through a random instance, and perhaps again later.
-func (w *world) submit(work string, resends int) {
-	w.tickets++
-	s := &sending{work: work, entry: w.live(w.random.IntN(len(w.cores))), gate: -1}
+// submit submits a request through a random instance, and resends it later up to resends times.
+func (sim *simulation) submit(requestID string, resends int) {
+	sim.lastTicket++
+	s := &submission{requestID: requestID, entry: sim.firstLive(sim.random.IntN(len(sim.cores))), gate: -1}
 	s.request = &Request{
-		Ticket: w.tickets, RequestID: HashRequestID("oddaja", "", work), SubmissionID: HashRequestID("", "", fmt.Sprint(w.tickets)),
-		Caller: fmt.Sprint(w.random.IntN(3)), Deadline: w.now + Time(50+w.random.IntN(500))*ms, Fingerprint: 1, Replayable: true,
+		Ticket: sim.lastTicket, RequestID: HashRequestID("oddaja", "", requestID), SubmissionID: HashRequestID("", "", fmt.Sprint(sim.lastTicket)),
+		Caller: fmt.Sprint(sim.random.IntN(3)), Deadline: sim.now + Time(50+sim.random.IntN(500))*ms, Fingerprint: 1, Replayable: true,
 	}
-	w.sendings[w.tickets] = s
-	w.naive[work]++
-	w.arrive(s, s.entry, 0)
+	sim.submissions[sim.lastTicket] = s
+	sim.runsWithoutTable[requestID]++
+	sim.arrive(s, s.entry, 0)
 	if resends > 0 {
-		w.after(w.random.IntN(400), func() { w.submit(work, resends-1) })
+		sim.after(sim.random.IntN(400), func() { sim.submit(requestID, resends-1) })
 	}
 }
 
-// arrive brings a sending to an instance: its entry, or one that was the gate when it was
-// sent there. An instance that passes it on remembers it.
-func (w *world) arrive(s *sending, instance, hops int) {
+// arrive delivers a submission to an instance: its entry instance, or the one that was the gate
+// when the submission was forwarded. An instance that is not the gate forwards it.
+func (sim *simulation) arrive(s *submission, instance, hops int) {
 	switch {
-	case w.cores[instance] == nil:
-		w.end(s, caller.Unknown)
+	case sim.cores[instance] == nil:
+		sim.setOutcome(s, caller.Unknown)
 		return
-	case instance != w.gate && hops > 2:
-		w.end(s, caller.NotRun)
+	case instance != sim.gate && hops > 2:
+		sim.setOutcome(s, caller.NotRun)
 		return
-	case instance != w.gate:
-		w.pass(s, instance, hops)
+	case instance != sim.gate:
+		sim.forward(s, instance, hops)
 		return
 	}
 	s.gate = instance
 	if hops == 0 {
-		w.tell(s, w.live(instance+1))
+		sim.addRecord(s, sim.firstLive(instance+1))
 	}
-	w.take(instance, w.cores[instance].Admit(w.now, s.request))
+	sim.apply(instance, sim.cores[instance].Admit(sim.now, s.request))
 }
 
-// pass sends a sending on to the gate.
-func (w *world) pass(s *sending, instance, hops int) {
-	w.tell(s, instance)
-	target := w.gate
-	w.after(w.random.IntN(60), func() { w.arrive(s, target, hops+1) })
+// forward records a submission at an instance and sends it to the gate with a delay.
+func (sim *simulation) forward(s *submission, instance, hops int) {
+	sim.addRecord(s, instance)
+	target := sim.gate
+	sim.after(sim.random.IntN(60), func() { sim.arrive(s, target, hops+1) })
 }
 
-// tell makes an instance remember a sending.
-func (w *world) tell(s *sending, instance int) {
-	s.path = append(s.path, instance)
-	w.cores[instance].AddRecord(w.now, w.cores[instance].RecordOf(s.request, caller.Unknown))
+// addRecord adds the record of a submission to an instance.
+func (sim *simulation) addRecord(s *submission, instance int) {
+	s.informed = append(s.informed, instance)
+	sim.cores[instance].AddRecord(sim.now, sim.cores[instance].RecordOf(s.request, caller.Unknown))
 }
 
-// take acts on the verdicts of a gate.
-func (w *world) take(gate int, verdicts []Decision) {
-	for _, v := range append([]Decision{}, verdicts...) {
-		switch v := v.(type) {
+// apply acts on the decisions of a gate.
+func (sim *simulation) apply(gate int, decisions []Decision) {
+	for _, d := range append([]Decision{}, decisions...) {
+		switch d := d.(type) {
 		case Admitted:
-			s := w.sendings[v.Ticket]
-			slot := w.cores[gate].SlotOf(s.request, v.Server)
-			w.after(0, func() { w.send(s, gate, slot) })
+			s := sim.submissions[d.Ticket]
+			slot := sim.cores[gate].SlotOf(s.request, d.Server)
+			sim.after(0, func() { sim.send(s, gate, slot) })
 		case Rejected:
-			w.end(w.sendings[v.Ticket], caller.NotRun)
+			sim.setOutcome(sim.submissions[d.Ticket], caller.NotRun)
 		case CheckFailed:
-			switch v.Result.(type) {
+			switch d.Result.(type) {
 			case AlreadyRan:
-				w.end(w.sendings[v.Ticket], caller.Ran)
+				sim.setOutcome(sim.submissions[d.Ticket], caller.Ran)
 			default:
-				w.end(w.sendings[v.Ticket], caller.Unknown)
+				sim.setOutcome(sim.submissions[d.Ticket], caller.Unknown)
 			}
 		case Moved:
-			w.pass(w.sendings[v.Ticket], gate, 1)
+			sim.forward(sim.submissions[d.Ticket], gate, 1)
 		case Queued:
-			s := w.sendings[v.Ticket]
-			w.after(int(s.request.Deadline-w.now)/int(ms)+1, func() { w.expire(s, gate) })
-			w.after(100, func() { w.advance(gate) })
+			s := sim.submissions[d.Ticket]
+			sim.after(int(s.request.Deadline-sim.now)/int(ms)+1, func() { sim.expire(s, gate) })
+			sim.after(100, func() { sim.advance(gate) })
 		}
 	}
 }
 
-// expire gives up on a sending that waited until its deadline.
-func (w *world) expire(s *sending, gate int) {
-	if core := w.cores[gate]; core != nil && core.Dequeue(s.request) {
-		w.end(s, caller.NotRun)
+// expire dequeues a submission that waited until its deadline.
+func (sim *simulation) expire(s *submission, gate int) {
+	if core := sim.cores[gate]; core != nil && core.Dequeue(s.request) {
+		sim.setOutcome(s, caller.NotRun)
 	}
 }
 
-// advance tells a gate that time has passed.
-func (w *world) advance(gate int) {
-	if core := w.cores[gate]; core != nil {
-		w.take(gate, core.Advance(w.now))
+// advance calls Advance of a gate that has not crashed.
+func (sim *simulation) advance(gate int) {
+	if core := sim.cores[gate]; core != nil {
+		sim.apply(gate, core.Advance(sim.now))
 	}
 }
 
-// send tries a sending at a server, unless the gate moved while it waited.
-func (w *world) send(s *sending, gate int, slot Slot) {
-	core := w.cores[gate]
+// send sends a submission to a server, unless the gate moved meanwhile.
+func (sim *simulation) send(s *submission, gate int, slot Slot) {
+	core := sim.cores[gate]
 	if core == nil {
 		return
 	}
-	if gate != w.gate {
+	if gate != sim.gate {
 		core.Cancel(s.request)
-		w.take(gate, core.Release(w.now, slot, 0))
-		w.pass(s, gate, 1)
+		sim.apply(gate, core.Release(sim.now, slot, 0))
+		sim.forward(s, gate, 1)
 		return
 	}
-	fault := Fault(w.random.IntN(8))
-	ran := fault > ConnectionLost || (fault == InDoubt || fault == ConnectionLost) && w.random.IntN(2) == 0
+	fault := Fault(sim.random.IntN(8))
+	ran := fault > ConnectionLost || (fault == InDoubt || fault == ConnectionLost) && sim.random.IntN(2) == 0
 	if ran {
-		w.runs[s.work]++
+		sim.runs[s.requestID]++
 		s.ran = true
 	}
-	w.after(1+w.random.IntN(30), func() { w.back(s, gate, slot, fault) })
+	sim.after(1+sim.random.IntN(30), func() { sim.finishAttempt(s, gate, slot, fault) })
 }
 
-// back ends a try.
-func (w *world) back(s *sending, gate int, slot Slot, fault Fault) {
-	core := w.cores[gate]
+// finishAttempt handles the response or fault of an attempt. A fault beyond ConnectionLost means
+// that there was none.
+func (sim *simulation) finishAttempt(s *submission, gate int, slot Slot, fault Fault) {
+	core := sim.cores[gate]
 	if core == nil {
 		return
 	}
 	if fault > ConnectionLost {
-		core.Complete(w.now, s.request, 201, nil)
-		w.end(s, caller.Ran)
-		w.take(gate, core.Release(w.now, slot, 10*1e6))
+		core.Complete(sim.now, s.request, 201, nil)
+		sim.setOutcome(s, caller.Ran)
+		sim.apply(gate, core.Release(sim.now, slot, 10*1e6))
 		return
 	}
-	switch d := core.HandleFault(w.now, s.request, slot, fault).(type) {
+	switch d := core.HandleFault(sim.now, s.request, slot, fault).(type) {
 	case Final:
-		w.end(s, d.Outcome)
-		w.take(gate, core.Release(w.now, slot, 0))
+		sim.setOutcome(s, d.Outcome)
+		sim.apply(gate, core.Release(sim.now, slot, 0))
 	case Retry:
-		w.take(gate, core.Release(w.now, slot, 0))
-		if gate != w.gate {
+		sim.apply(gate, core.Release(sim.now, slot, 0))
+		if gate != sim.gate {
 			core.Cancel(s.request)
-			w.arrive(s, gate, 1)
+			sim.arrive(s, gate, 1)
 			return
 		}
-		w.take(gate, core.Admit(w.now, s.request))
+		sim.apply(gate, core.Admit(sim.now, s.request))
 	}
 }
 
-// end gives a sending its outcome, which the witness learns as well.
-func (w *world) end(s *sending, o caller.Outcome) {
+// setOutcome sets the outcome of a submission and updates the records at other instances.
+func (sim *simulation) setOutcome(s *submission, o caller.Outcome) {
 	if s.outcome != "" {
-		w.t.Fatalf("work %s: second outcome %s after %s", s.work, o, s.outcome)
+		sim.t.Fatalf("request %s: second outcome %s after %s", s.requestID, o, s.outcome)
 	}
 	s.outcome = o
-	for _, instance := range s.path {
-		if core := w.cores[instance]; core != nil {
-			core.AddRecord(w.now, core.RecordOf(s.request, o))
+	for _, instance := range s.informed {
+		if core := sim.cores[instance]; core != nil {
+			core.AddRecord(sim.now, core.RecordOf(s.request, o))
 		}
 	}
 }
 
-// move makes another instance the gate. It recalls the marks of all instances that live.
-func (w *world) move(lose bool) {
-	old := w.gate
-	w.gate = (old + 1 + w.random.IntN(len(w.cores)-1)) % len(w.cores)
-	if w.cores[w.gate] == nil {
-		w.gate = old
+// moveGate makes another instance the gate, which gets the records of all other instances. If
+// crash is set, the old gate crashes.
+func (sim *simulation) moveGate(crash bool) {
+	old := sim.gate
+	sim.gate = (old + 1 + sim.random.IntN(len(sim.cores)-1)) % len(sim.cores)
+	if sim.cores[sim.gate] == nil {
+		sim.gate = old
 		return
 	}
-	if lose {
-		w.lose(old)
-	} else if w.random.IntN(2) == 0 {
-		w.take(old, w.cores[old].DequeuePool(""))
+	if crash {
+		sim.crashInstance(old)
+	} else if sim.random.IntN(2) == 0 {
+		sim.apply(old, sim.cores[old].DequeuePool(""))
 	}
-	for _, core := range w.cores {
-		if core == nil || core == w.cores[w.gate] {
+	for _, core := range sim.cores {
+		if core == nil || core == sim.cores[sim.gate] {
 			continue
 		}
-		for _, m := range core.Records(w.now, keys.Full) {
-			if !w.cores[w.gate].AddRecord(w.now, m) {
-				w.t.Fatal("no room for a mark")
+		for _, r := range core.Records(sim.now, keys.Full) {
+			if !sim.cores[sim.gate].AddRecord(sim.now, r) {
+				sim.t.Fatal("no room for a record")
 			}
 		}
 	}
 }
 
-// lose ends an instance. Callers whose requests it held learn nothing.
-func (w *world) lose(instance int) {
-	w.cores[instance] = nil
-	for _, s := range w.sendings {
+// crashInstance crashes an instance. The outcome of the submissions that it handled is unknown.
+func (sim *simulation) crashInstance(instance int) {
+	sim.cores[instance] = nil
+	for _, s := range sim.submissions {
 		if s.outcome == "" && s.gate == instance && s.request.recorded {
 			s.outcome = caller.Unknown
 		}
 	}
 }
 
-// run plays a schedule to its end.
-func (w *world) run() {
+// run creates a random schedule and runs it to its end.
+func (sim *simulation) run() {
 	for i := range 40 {
-		w.after(w.random.IntN(1500), func() { w.submit(fmt.Sprint(i), w.random.IntN(4)) })
+		sim.after(sim.random.IntN(1500), func() { sim.submit(fmt.Sprint(i), sim.random.IntN(4)) })
 	}
 	for range 3 {
-		w.after(w.random.IntN(1500), func() { w.move(false) })
+		sim.after(sim.random.IntN(1500), func() { sim.moveGate(false) })
 	}
-	w.after(w.random.IntN(1500), func() { w.move(true) })
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+	sim.after(sim.random.IntN(1500), func() { sim.moveGate(true) })
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.do()
 	}
 }
 
-// A volunteer's program sends a submission again and again, through different instances,
-// while the gate moves, is lost, and servers fail at each point. Two copies would set
-// reviewers arguing. Against a gate without memory, which doubles in each schedule, none of
-// 2,000 schedules may double, and none may tell "not run" of a sending that ran.
+// A caller resends a non-idempotent request through different instances while the gate moves or
+// crashes and servers fail. In none of 2,000 random schedules may a request run twice or a
+// submission that ran get the outcome "not run". A gate without an idempotency table would run
+// many of the requests twice.
 func TestAtMostOnceUnderRandomSchedules(t *testing.T) {
 	is := is.New(t)
-	ran, doubledNaive, notRun, unknown := 0, 0, 0, 0
+	ran, duplicatesWithoutTable, notRun, unknown := 0, 0, 0, 0
 	for seed := range uint64(2000) {
-		w := &world{
-			t: t, random: rand.New(rand.NewPCG(seed, 4)), sendings: map[Ticket]*sending{},
-			runs: map[string]int{}, naive: map[string]int{},
+		sim := &simulation{
+			t: t, random: rand.New(rand.NewPCG(seed, 4)), submissions: map[Ticket]*submission{},
+			runs: map[string]int{}, runsWithoutTable: map[string]int{},
 		}
 		for range 4 {
-			c := NewCore("oddaja", TableLimits{Entries: 1000}, 0)
+			c := NewCore("oddaja", TableLimits{MaxRecords: 1000}, 0)
 			c.Configure(0, "", testLimits, []Server{{Name: "a", Slots: 2}, {Name: "b", Slots: 2}})
-			w.cores = append(w.cores, c)
+			sim.cores = append(sim.cores, c)
 		}
-		w.run()
-		for work, runs := range w.runs {
+		sim.run()
+		for requestID, runs := range sim.runs {
 			if runs > 1 {
-				t.Fatalf("seed %d: work %s ran %d times", seed, work, runs)
+				t.Fatalf("seed %d: request %s ran %d times", seed, requestID, runs)
 			}
 			ran++
 		}
-		for _, runs := range w.naive {
+		for _, runs := range sim.runsWithoutTable {
 			if runs > 1 {
-				doubledNaive++
+				duplicatesWithoutTable++
 			}
 		}
-		for _, s := range w.sendings {
+		for _, s := range sim.submissions {
 			switch s.outcome {
 			case caller.NotRun:
 				notRun++
 				if s.ran {
-					t.Fatalf("seed %d: work %s ran and was told not run", seed, s.work)
+					t.Fatalf("seed %d: request %s ran and has the outcome not run", seed, s.requestID)
 				}
 			case caller.Unknown:
 				unknown++
 			case caller.Ran:
-				if w.runs[s.work] == 0 {
-					t.Fatalf("seed %d: work %s was told ran and did not", seed, s.work)
+				if sim.runs[s.requestID] == 0 {
+					t.Fatalf("seed %d: request %s has the outcome ran and did not run", seed, s.requestID)
 				}
 			default:
-				t.Fatalf("seed %d: a sending of work %s has no outcome", seed, s.work)
+				t.Fatalf("seed %d: a submission of request %s has no outcome", seed, s.requestID)
 			}
 		}
 	}
-	t.Logf("ran %d, naive doubled %d, not run %d, unknown %d", ran, doubledNaive, notRun, unknown)
+	t.Logf("ran %d, duplicates without table %d, not run %d, unknown %d", ran, duplicatesWithoutTable, notRun, unknown)
 	is.True(ran > 10_000)
-	is.True(doubledNaive > 10_000)
+	is.True(duplicatesWithoutTable > 10_000)
 	is.True(notRun > 1000)
 }
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -7,71 +7,75 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// StoredResponse is a whole answer that is kept for a resend.
+// StoredResponse is a complete response that is replayed when the caller resends the request.
 type StoredResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// size estimates the memory that a kept answer takes.
-func (k *StoredResponse) size() int {
+// size estimates the memory that the response takes.
+func (r *StoredResponse) size() int {
 	const perHeader = 64
-	return len(k.Body) + perHeader*(len(k.Header)+1)
+	return len(r.Body) + perHeader*(len(r.Header)+1)
 }
 
-// TableLimits bound a Memory.
+// TableLimits are the limits of an IdempotencyTable.
 type TableLimits struct {
-	// Entries is the number of requests that are remembered at once.
-	Entries int
-	// KeptBytes is the memory for kept answers.
-	KeptBytes int
+	// MaxRecords is the maximum number of records.
+	MaxRecords int
+	// MaxResponseBytes is the maximum memory for stored responses.
+	MaxResponseBytes int
 }
 
-// DefaultTableLimits suit an instance of today's sizes.
-var DefaultTableLimits = TableLimits{Entries: 1 << 18, KeptBytes: 32 << 20}
+// DefaultTableLimits are the limits per service of an instance that sets none.
+var DefaultTableLimits = TableLimits{MaxRecords: 1 << 18, MaxResponseBytes: 32 << 20}
 
-// CheckResult is what a Memory knows of a request: Fresh, Doubtful, Finished, Reused or
-// Full. The set is sealed.
+// CheckResult is what an IdempotencyTable knows of a request: Fresh, MayHaveRun, AlreadyRan,
+// IDReused or TableFull.
 type CheckResult interface {
-	isRecollection()
+	isCheckResult()
 }
 
-// Fresh says that no sending of the request ran. The memory now holds this one.
+// Fresh says that no submission of the request ran. When Begin returns it, the table now has a
+// record of this submission.
 type Fresh struct{}
 
-// MayHaveRun says that an earlier sending runs, or may have run.
+// MayHaveRun says that an earlier submission is in progress or may have run.
 type MayHaveRun struct{}
 
-// AlreadyRan says that an earlier sending ran. Kept is nil if its answer is not held.
+// AlreadyRan says that an earlier submission ran. Response is nil if it is not stored.
 type AlreadyRan struct {
 	Status   int
 	Response *StoredResponse
 }
 
-// IDReused says that the id was used for a request with another content.
+// IDReused says that the request id was used for a request with different content.
 type IDReused struct{}
 
-// TableFull says that the memory has no room: nothing may be forgotten yet.
+// TableFull says that the table has no room for a record and that none has expired.
 type TableFull struct{}
 
-func (Fresh) isRecollection()      {}
-func (MayHaveRun) isRecollection() {}
-func (AlreadyRan) isRecollection() {}
-func (IDReused) isRecollection()   {}
-func (TableFull) isRecollection()  {}
+func (Fresh) isCheckResult()      {}
+func (MayHaveRun) isCheckResult() {}
+func (AlreadyRan) isCheckResult() {}
+func (IDReused) isCheckResult()   {}
+func (TableFull) isCheckResult()  {}
 
-// IdempotencyTable remembers named non-idempotent requests of one service, so that none runs twice.
-// It never forgets one before its time: it refuses new ones when it is full.
+// IdempotencyTable holds records of the non-idempotent requests with an id of one service, so
+// that none of them runs twice. It never drops a record before it expires: when it is full, it
+// takes no new ones.
 type IdempotencyTable struct {
 	limits  TableLimits
 	records map[ID]record
-	// expiries holds the names in about the order in which they expire.
-	expiries      expiryHeap
+	// expiries holds the request ids, ordered by when their records are next checked for
+	// expiry.
+	expiries expiryHeap
+	// responseBytes is the memory that stored responses take.
 	responseBytes int
 }
 
-// record is one remembered request.
+// record is what the table holds of one request.
 type record struct {
 	hash         uint64
 	submissionID ID
@@ -83,16 +87,16 @@
 	custody      custody
 }
 
-// custody says who has a sending in hand.
+// custody says which instance may still run the submission of a record.
 type custody uint8
 
 const (
-	// custodyOther is a mark of another instance. The sending itself may still come here, if
-	// the other instance passes it on before it ran.
+	// The record came from another instance. The submission may still arrive here, if that
+	// instance forwards it before it ran.
 	custodyOther custody = iota
-	// custodyOwn is a sending at this instance's gate.
+	// The submission is at the gate of this instance.
 	custodyOwn
-	// custodyDone is a sending that this gate is done with. It cannot come again.
+	// This instance must not run the submission any more.
 	custodyDone
 )
 
@@ -104,163 +108,173 @@
 	outcomeRan
 )
 
-// NewIdempotencyTable returns an empty memory.
-func NewIdempotencyTable(b TableLimits) *IdempotencyTable {
-	return &IdempotencyTable{limits: b, records: make(map[ID]record)}
+// NewIdempotencyTable returns an empty table.
+func NewIdempotencyTable(l TableLimits) *IdempotencyTable {
+	return &IdempotencyTable{limits: l, records: make(map[ID]record)}
 }
 
-// Submission is one sending of a request, as a Memory takes it in.
+// Submission is one submission of a request by its caller: either the first one or a resend.
 type Submission struct {
-	RequestID   ID
-	Hash        uint64
+	RequestID ID
+	// Hash is the position of the request in the hash space.
+	Hash uint64
+	// ID differs between the submissions of one request.
 	ID          ID
 	Fingerprint Fingerprint
-	// ExpiresAt is when it may be forgotten.
+	// ExpiresAt is when the record of the submission may be dropped.
 	ExpiresAt Time
 }
 
-// Begin asks what is known of a request, and takes it in if nothing is.
-func (m *IdempotencyTable) Begin(now Time, s Submission) CheckResult {
-	m.expire(now)
-	e, found := m.records[s.RequestID]
-	passedOn := found && e.submissionID == s.ID && e.custody == custodyOther && e.outcome == outcomeUnknown
-	if found && !passedOn {
-		return e.checkResult(s.Fingerprint)
+// Begin checks whether a submission may run. If the request is unknown, or if another instance
+// forwarded this submission before it ran, Begin records the submission as being at this gate
+// and returns Fresh.
+func (t *IdempotencyTable) Begin(now Time, s Submission) CheckResult {
+	t.expire(now)
+	r, found := t.records[s.RequestID]
+	forwarded := found && r.submissionID == s.ID && r.custody == custodyOther && r.outcome == outcomeUnknown
+	if found && !forwarded {
+		return r.check(s.Fingerprint)
 	}
-	if !found && len(m.records) >= m.limits.Entries {
+	if !found && len(t.records) >= t.limits.MaxRecords {
 		return TableFull{}
 	}
-	m.put(s.RequestID, record{hash: s.Hash, submissionID: s.ID, print: s.Fingerprint, expiresAt: s.ExpiresAt, custody: custodyOwn}, !found)
+	t.put(s.RequestID, record{hash: s.Hash, submissionID: s.ID, print: s.Fingerprint, expiresAt: s.ExpiresAt, custody: custodyOwn}, !found)
 	return Fresh{}
 }
 
-func (e record) checkResult(p Fingerprint) CheckResult {
-	if e.print != p && e.print != 0 && p != 0 {
+// check returns what the record says of a resend. A fingerprint of zero matches any other.
+func (r record) check(f Fingerprint) CheckResult {
+	if r.print != f && r.print != 0 && f != 0 {
 		return IDReused{}
 	}
-	if e.outcome == outcomeRan {
-		return AlreadyRan{Status: int(e.status), Response: e.response}
+	if r.outcome == outcomeRan {
+		return AlreadyRan{Status: int(r.status), Response: r.response}
 	}
 	return MayHaveRun{}
 }
 
-// Lookup returns what is known of a request without taking it in.
-func (m *IdempotencyTable) Lookup(now Time, n ID) CheckResult {
-	m.expire(now)
-	e, found := m.records[n]
+// Lookup returns what is known of a request without recording anything.
+func (t *IdempotencyTable) Lookup(now Time, id ID) CheckResult {
+	t.expire(now)
+	r, found := t.records[id]
 	if !found {
 		return Fresh{}
 	}
-	return e.checkResult(0)
+	return r.check(0)
 }
 
-// RecordRan says that a request ran. The answer may be nil.
-func (m *IdempotencyTable) RecordRan(s Submission, status int, k *StoredResponse) {
-	e, found := m.records[s.RequestID]
-	if !found || e.submissionID != s.ID {
+// RecordRan records that a submission ran. The response may be nil; it is not stored if it
+// does not fit.
+func (t *IdempotencyTable) RecordRan(s Submission, status int, response *StoredResponse) {
+	r, found := t.records[s.RequestID]
+	if !found || r.submissionID != s.ID {
 		return
 	}
-	e.outcome, e.status, e.custody = outcomeRan, int16(status), custodyDone
-	if k != nil && m.responseBytes+k.size() <= m.limits.KeptBytes {
-		e.response = k
-		m.responseBytes += k.size()
+	r.outcome, r.status, r.custody = outcomeRan, int16(status), custodyDone
+	if response != nil && t.responseBytes+response.size() <= t.limits.MaxResponseBytes {
+		r.response = response
+		t.responseBytes += response.size()
 	}
-	m.records[s.RequestID] = e
+	t.records[s.RequestID] = r
 }
 
-// RecordUnknown says that this instance is done with a request without knowing its outcome.
-func (m *IdempotencyTable) RecordUnknown(s Submission) {
-	if e, found := m.records[s.RequestID]; found && e.submissionID == s.ID {
-		e.custody = custodyDone
-		m.records[s.RequestID] = e
+// RecordUnknown records that this instance no longer handles a submission, and that it may
+// have run.
+func (t *IdempotencyTable) RecordUnknown(s Submission) {
+	if r, found := t.records[s.RequestID]; found && r.submissionID == s.ID {
+		r.custody = custodyDone
+		t.records[s.RequestID] = r
 	}
 }
 
-// RecordNotRun says that a sending did not run, nor will. The next sending is a first one.
-func (m *IdempotencyTable) RecordNotRun(s Submission) {
-	e, found := m.records[s.RequestID]
-	if found && e.submissionID == s.ID && e.custody != custodyDone {
-		delete(m.records, s.RequestID)
+// RecordNotRun records that a submission did not run and will not. It drops the record, so
+// that the next submission counts as the first.
+func (t *IdempotencyTable) RecordNotRun(s Submission) {
+	r, found := t.records[s.RequestID]
+	if found && r.submissionID == s.ID && r.custody != custodyDone {
+		delete(t.records, s.RequestID)
 	}
 }
 
-// Merge takes in what another instance told. It reports false when there is no room.
-func (m *IdempotencyTable) Merge(now Time, s Submission, o caller.Outcome, status int) bool {
-	m.expire(now)
-	e, found := m.records[s.RequestID]
+// Merge adds a record of another instance, or updates the present one. The outcome NotRun drops
+// the record of that submission, unless the submission reached this gate. Merge returns false
+// if the table is full.
+func (t *IdempotencyTable) Merge(now Time, s Submission, o caller.Outcome, status int) bool {
+	t.expire(now)
+	r, found := t.records[s.RequestID]
 	switch {
 	case o == caller.NotRun:
-		if e.custody == custodyOther {
-			m.RecordNotRun(s)
+		if r.custody == custodyOther {
+			t.RecordNotRun(s)
 		}
 		return true
 	case !found:
-		if len(m.records) >= m.limits.Entries {
+		if len(t.records) >= t.limits.MaxRecords {
 			return false
 		}
-		e = record{hash: s.Hash, submissionID: s.ID, print: s.Fingerprint, expiresAt: s.ExpiresAt}
-	case e.custody != custodyOther && o != caller.Ran:
+		r = record{hash: s.Hash, submissionID: s.ID, print: s.Fingerprint, expiresAt: s.ExpiresAt}
+	case r.custody != custodyOther && o != caller.Ran:
 		return true
 	}
-	e.expiresAt = max(e.expiresAt, s.ExpiresAt)
-	if e.submissionID != s.ID {
-		// Two sendings of one request are on their way. Should one come here, the other may
-		// have run already.
-		e.custody = custodyDone
+	r.expiresAt = max(r.expiresAt, s.ExpiresAt)
+	if r.submissionID != s.ID {
+		// Two submissions of one request are in flight. If one arrives here, the other may
+		// already have run.
+		r.custody = custodyDone
 	}
 	if o == caller.Ran {
-		e.outcome, e.status, e.custody = outcomeRan, int16(status), custodyDone
+		r.outcome, r.status, r.custody = outcomeRan, int16(status), custodyDone
 	}
-	m.put(s.RequestID, e, !found)
+	t.put(s.RequestID, r, !found)
 	return true
 }
 
-// Each calls visit for each remembered request in a range.
-func (m *IdempotencyTable) Each(now Time, r keys.Range, visit func(s Submission, o caller.Outcome, status int)) {
-	m.expire(now)
-	for n, e := range m.records {
-		if !r.Contains(e.hash) {
+// Each calls visit for each record whose hash is in a range.
+func (t *IdempotencyTable) Each(now Time, hashes keys.Range, visit func(s Submission, o caller.Outcome, status int)) {
+	t.expire(now)
+	for id, r := range t.records {
+		if !hashes.Contains(r.hash) {
 			continue
 		}
 		o := caller.Unknown
-		if e.outcome == outcomeRan {
+		if r.outcome == outcomeRan {
 			o = caller.Ran
 		}
-		visit(Submission{RequestID: n, Hash: e.hash, ID: e.submissionID, Fingerprint: e.print, ExpiresAt: e.expiresAt}, o, int(e.status))
+		visit(Submission{RequestID: id, Hash: r.hash, ID: r.submissionID, Fingerprint: r.print, ExpiresAt: r.expiresAt}, o, int(r.status))
 	}
 }
 
-// Len returns the number of remembered requests.
-func (m *IdempotencyTable) Len() int { return len(m.records) }
+// Len returns the number of records.
+func (t *IdempotencyTable) Len() int { return len(t.records) }
 
-func (m *IdempotencyTable) put(n ID, e record, fresh bool) {
-	m.records[n] = e
-	if fresh {
-		m.expiries.push(expiry{id: n, at: e.expiresAt})
+func (t *IdempotencyTable) put(id ID, r record, isNew bool) {
+	t.records[id] = r
+	if isNew {
+		t.expiries.push(expiry{id: id, at: r.expiresAt})
 	}
 }
 
-// expire forgets the requests whose time is over. A request in the hands of the gate is
-// never forgotten.
-func (m *IdempotencyTable) expire(now Time) {
+// expire drops expired records. The record of a submission at this gate is never dropped: it
+// is checked again after minRetryDelay.
+func (t *IdempotencyTable) expire(now Time) {
 	for {
-		first, any := m.expiries.first()
+		first, any := t.expiries.first()
 		if !any || first.at > now {
 			return
 		}
-		m.expiries.pop()
-		e, found := m.records[first.id]
+		t.expiries.pop()
+		r, found := t.records[first.id]
 		switch {
 		case !found:
-		case e.custody == custodyOwn:
-			m.expiries.push(expiry{id: first.id, at: now.Add(minRetryDelay)})
-		case e.expiresAt > now:
-			m.expiries.push(expiry{id: first.id, at: e.expiresAt})
+		case r.custody == custodyOwn:
+			t.expiries.push(expiry{id: first.id, at: now.Add(minRetryDelay)})
+		case r.expiresAt > now:
+			t.expiries.push(expiry{id: first.id, at: r.expiresAt})
 		default:
-			if e.response != nil {
-				m.responseBytes -= e.response.size()
+			if r.response != nil {
+				t.responseBytes -= r.response.size()
 			}
-			delete(m.records, first.id)
+			delete(t.records, first.id)
 		}
 	}
 }
--- a/internal/policy/ties_test.go
+++ b/internal/policy/ties_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// Submissions come one at a time to a service with three equal servers. Each found all of
-// them idle, and each went to the first: it ran all the work and its answers grew slow while
-// two servers did nothing.
+// Requests come one at a time to a service with three equal servers, and each finds all of them
+// idle. If ties went to the first server, it would run all the requests and become slow while
+// the other two did nothing.
 func TestIdleServersTakeTurns(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(8)
@@ -16,11 +16,11 @@
 	ran := make(map[string]int)
 	for i := range 90 {
 		now := Time(i+1) * ms
-		for _, v := range q.Admit(now, ask(Ticket(i), "x", now+500*ms)) {
-			s, started := v.(Admitted)
-			is.True(started)
-			ran[s.Server]++
-			q.Release(now, s.Server, defaultRunTime, false)
+		for _, d := range q.Admit(now, newSlotRequest(Ticket(i), "x", now+500*ms)) {
+			a, admitted := d.(Admitted)
+			is.True(admitted)
+			ran[a.Server]++
+			q.Release(now, a.Server, defaultRunTime, false)
 		}
 	}
 	is.Equal(ran, map[string]int{"a": 30, "b": 30, "c": 30})
--- a/internal/policy/waittime.go
+++ b/internal/policy/waittime.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// expectedWait returns the time that a new request of a caller is likely to wait. Callers take
-// turns, so a caller with a short line is served before the long lines end.
+// expectedWait estimates how long a new request of a caller would wait. Callers take turns, so
+// a request waits only behind as many requests of each other caller as its own caller has
+// waiting, itself included. Without a caller, it waits behind all requests.
 //
-// When a server is frozen no request ends, and the mean running time stays as it was. The
-// time since the newest start then grows, and takes the mean's place.
+// No request completes at a frozen server, so the mean run time does not grow. The estimate
+// therefore uses the time since the last start at a server if that is longer, provided that no
+// usable server has a free slot.
 func (q *Queue) expectedWait(now Time, caller string) time.Duration {
 	ahead := q.waiting
 	if caller != "" {
 		turn := q.queueLength(caller) + 1
 		ahead = 0
-		for _, l := range q.order {
-			ahead += min(len(l.requests), turn)
+		for _, c := range q.order {
+			ahead += min(len(c.requests), turn)
 		}
 	}
 	slots := 0
-	quiet := time.Duration(-1)
+	stalled := time.Duration(-1)
 	for i := range q.servers {
-		p := &q.servers[i]
-		usable := p.usableSlots(now)
+		s := &q.servers[i]
+		usable := s.usableSlots(now)
 		slots += usable
 		if usable == 0 {
 			continue
 		}
-		since := time.Duration(0)
-		if p.slotsInUse >= usable {
-			since = time.Duration(now - p.lastStartAt)
+		sinceStart := time.Duration(0)
+		if s.slotsInUse >= usable {
+			sinceStart = time.Duration(now - s.lastStartAt)
 		}
-		if quiet < 0 || since < quiet {
-			quiet = since
+		if stalled < 0 || sinceStart < stalled {
+			stalled = sinceStart
 		}
 	}
-	run := max(q.meanRunTime, quiet)
-	return run * time.Duration(ahead+1) / time.Duration(max(slots, 1))
+	runTime := max(q.meanRunTime, stalled)
+	return runTime * time.Duration(ahead+1) / time.Duration(max(slots, 1))
 }
