--- a/internal/route/destination.go
+++ b/internal/route/destination.go
@@ -5,13 +5,13 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Destination is where a request goes next: Here, Forward or Absent. The set is sealed.
+// Destination is where a request goes next: Local, Forward or Unavailable.
 type Destination interface {
 	isDestination()
 }
 
-// Local says that this instance is the gate: it sends the request to one of Servers. A
-// divided service has exactly one.
+// Local says that this instance is the gate and sends the request to one of Servers. For a
+// divided service, Servers holds only the owner.
 type Local struct {
 	Service *bundle.Service
 	Servers []Target
@@ -20,22 +20,23 @@
 // Target is a backend server that may run a request.
 type Target struct {
 	Server *bundle.Server
-	// Epoch is that of the owner's grant; zero for a service that is not divided.
+	// Epoch is the epoch of the owner's grant, or zero for a service that is not divided.
 	Epoch grant.Epoch
 }
 
-// Forward says that another instance is nearer to the owner. Addresses holds its forward
-// address, or those of several instances of the domain any of which will do.
+// Forward says that the request goes to another instance: to the gate if it is in this domain,
+// otherwise to any instance of Domain. Addresses holds the forward addresses to choose from.
 type Forward struct {
 	Service   *bundle.Service
 	Domain    string
 	Addresses []string
 }
 
-// Reason says why a request has no destination.
+// Reason says why a request has no destination. Its text is the last part of the problem type
+// that the caller receives.
 type Reason string
 
-// The reasons.
+// The reasons of Unavailable.
 const (
 	ReasonUnknownService    Reason = "unknown-service"
 	ReasonNoOwner           Reason = "no-owner"
@@ -44,7 +45,7 @@
 	ReasonNoBundle          Reason = "no-bundle"
 )
 
-// Unavailable says that the request cannot be sent now.
+// Unavailable says that the request cannot be sent anywhere now.
 type Unavailable struct {
 	Reason Reason
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -10,26 +10,28 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Member is an entry instance that can take forwarded requests now.
+// Member is an entry instance that accepts forwarded requests now.
 type Member struct {
-	Name    string `json:"name"`
-	Domain  string `json:"domain"`
+	Name   string `json:"name"`
+	Domain string `json:"domain"`
+	// Address is the host and port for forwarded requests.
 	Address string `json:"address"`
 }
 
-// Home is the part of a service's hash space that belongs to one failure domain.
+// Home is a range of a service's hash space with the failure domain that may serve it.
 type Home struct {
 	Domain string
 	Range  keys.Range
 }
 
-// View is all that destinations depend on.
+// View is the state that destinations are computed from.
 type View struct {
+	// Self and Domain are the name and failure domain of this instance.
 	Self   string
 	Domain string
 	// Bundle is the bundle in force, or nil.
 	Bundle *bundle.Bundle
-	// Homes has the division of each divided service's hash space, sorted by range.
+	// Homes holds the homes of each divided service, sorted by range.
 	Homes map[string][]Home
 	// Table is the newest routing table of this domain, or nil.
 	Table *Table
@@ -37,37 +39,39 @@
 	Members []Member
 }
 
-// Router is a Finder over the newest View. It is safe for concurrent use.
+// Router implements Finder with the newest View. It is safe for concurrent use.
 type Router struct {
 	index atomic.Pointer[routeIndex]
 }
 
-// NewRouter returns a directory without a bundle.
+// NewRouter returns a Router with an empty View.
 func NewRouter() *Router {
-	d := &Router{}
-	d.Set(View{})
-	return d
+	r := &Router{}
+	r.Set(View{})
+	return r
 }
 
 // Set replaces the view.
-func (d *Router) Set(v View) {
-	d.index.Store(newIndex(v))
+func (r *Router) Set(v View) {
+	r.index.Store(newIndex(v))
 }
 
 // Find implements Finder.
-func (d *Router) Find(service string, hash uint64) Destination {
-	return d.index.Load().find(service, hash)
+func (r *Router) Find(service string, hash uint64) Destination {
+	return r.index.Load().find(service, hash)
 }
 
-// FindHome returns the destination of a request that must meet the memory of its first
-// sending: in a service that is not divided, the gate in the domain that policy.Home names.
-func (d *Router) FindHome(service string, hash uint64) Destination {
-	return d.index.Load().findHome(service, hash)
+// FindHome returns the destination of a non-idempotent request with an id. For a service that
+// is not divided this is the gate in the domain that policy.HomeDomain returns, so that a
+// resend reaches the instance that holds the idempotency record.
+func (r *Router) FindHome(service string, hash uint64) Destination {
+	return r.index.Load().findHome(service, hash)
 }
 
-// Owner returns the ownership of a hash by the routing table of this domain.
-func (d *Router) Owner(service string, hash uint64) (Owner, bool) {
-	s, found := d.index.Load().services[service]
+// Owner returns the owner of a hash in the routing table of this domain, and false if there is
+// none.
+func (r *Router) Owner(service string, hash uint64) (Owner, bool) {
+	s, found := r.index.Load().services[service]
 	if !found {
 		return Owner{}, false
 	}
@@ -78,26 +82,34 @@
 	return s.owners[i], true
 }
 
-// routeIndex is a View arranged for look-up.
+// routeIndex is a View indexed for lookup.
 type routeIndex struct {
 	view     View
 	services map[string]*serviceIndex
-	members  map[string]Member
-	domains  map[string][]string
+	// members holds the members by name.
+	members map[string]Member
+	// domains holds the addresses of the members of each domain.
+	domains map[string][]string
 }
 
+// serviceIndex holds what the View says about one service.
 type serviceIndex struct {
 	service *bundle.Service
 	homes   []Home
+	// owners is sorted by range.
 	owners  []Owner
 	servers map[string]*bundle.Server
-	gates   map[string]string
-	// pool are the servers of this domain that accept work, for a service that is not divided.
-	pool     []Target
+	// gates holds the name of the gate instance of each server.
+	gates map[string]string
+	// pool holds the servers of this domain that are not leaving. It is used only if the
+	// service is not divided.
+	pool []Target
+	// poolGate is the gate of the pool: all its servers have the same gate.
 	poolGate string
-	// otherDomains are the other domains with servers of the service, domains all of them.
+	// otherDomains lists the domains other than this one with servers that are not leaving.
 	otherDomains []string
-	domains      []string
+	// domains lists all domains with servers of the service.
+	domains []string
 }
 
 func newIndex(v View) *routeIndex {
@@ -221,6 +233,7 @@
 	return x.viaGate(s, s.poolGate, s.pool)
 }
 
+// viaGate returns Local if this instance is the gate, else the way to the gate.
 func (x *routeIndex) viaGate(s *serviceIndex, gate string, targets []Target) Destination {
 	if gate == "" {
 		return Unavailable{Reason: ReasonNoGate}
@@ -235,6 +248,7 @@
 	return Forward{Service: s.service, Domain: m.Domain, Addresses: []string{m.Address}}
 }
 
+// forwardToDomains forwards to the first of the domains that has a live instance.
 func (x *routeIndex) forwardToDomains(s *serviceIndex, domains []string) Destination {
 	for _, domain := range domains {
 		if addresses := x.domains[domain]; len(addresses) > 0 {
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// describe gives a destination a short form to compare.
+// describe returns a short text form of a destination for comparison.
 func describe(d Destination) string {
 	switch d := d.(type) {
 	case Local:
@@ -73,15 +73,15 @@
 		"own gate":               {service: "pregled", hash: 5, want: "here p-1"},
 		"gate of another":        {service: "pregled", hash: 15, want: "forward klet [127.0.0.2:1]"},
 		"server not in bundle":   {service: "pregled", hash: 25, want: "absent no-owner"},
-		"nobody owns it":         {service: "pregled", hash: 50, want: "absent no-owner"},
+		"no owner":               {service: "pregled", hash: 50, want: "absent no-owner"},
 		"home elsewhere":         {service: "pregled", hash: 500, want: "forward podstresje [127.0.0.3:1]"},
 		"undivided, not leaving": {service: "oddaja", want: "here o-1"},
 		"undivided elsewhere":    {service: "arhiv", want: "forward podstresje [127.0.0.3:1]"},
 		"unknown service":        {service: "x", want: "absent unknown-service"},
 		"no bundle":              {service: "pregled", change: func(v *View) { v.Bundle = nil }, want: "absent no-bundle"},
 		"no table":               {service: "pregled", hash: 5, change: func(v *View) { v.Table = nil }, want: "absent no-owner"},
-		"gate silent":            {service: "pregled", hash: 15, change: func(v *View) { v.Members = v.Members[:1] }, want: "absent no-gate"},
-		"home silent":            {service: "pregled", hash: 500, change: func(v *View) { v.Members = v.Members[:2] }, want: "absent domain-unreachable"},
+		"gate not live":          {service: "pregled", hash: 15, change: func(v *View) { v.Members = v.Members[:1] }, want: "absent no-gate"},
+		"home not live":          {service: "pregled", hash: 500, change: func(v *View) { v.Members = v.Members[:2] }, want: "absent domain-unreachable"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// The look-up by index agrees with reading the table from its start to its end.
-func TestFindAgreesWithNaiveLookUp(t *testing.T) {
+// Find must agree with a linear search of the table, whatever the order of its owners.
+func TestFindAgreesWithLinearSearch(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	view := testView()
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -1,5 +1,6 @@
-// Package route holds the routing table of one failure domain: which server owns which
-// range, and which entry instance is the gate of which server.
+// Package route holds the routing table of a failure domain, which says which server owns which
+// range and which entry instance is the gate of which server. From it and the bundle a Router
+// finds the next hop of a request.
 package route
 
 import (
@@ -11,21 +12,21 @@
 type Table struct {
 	Domain string     `json:"domain"`
 	Term   grant.Term `json:"term"`
-	// Serial grows with each change within a term.
+	// Serial increases with each change within a term.
 	Serial uint64  `json:"serial"`
 	Owners []Owner `json:"owners"`
 	Gates  []Gate  `json:"gates"`
-	// BundleVersion is the bundle that the table was made for.
+	// BundleVersion is the version of the bundle that the table was made for.
 	BundleVersion uint64 `json:"bundle-version"`
 }
 
-// Owner is the ownership of one range of a divided service.
+// Owner says which server owns a range of a divided service.
 type Owner struct {
 	Service string      `json:"service"`
 	Range   keys.Range  `json:"range"`
 	Server  string      `json:"server"`
 	Epoch   grant.Epoch `json:"epoch"`
-	// Offset is the log offset that acknowledges the ownership; zero while provisional.
+	// Offset is the log offset that acknowledges the ownership, or zero while it is provisional.
 	Offset uint64 `json:"offset"`
 }
 
@@ -35,11 +36,11 @@
 	Service  string `json:"service"`
 	Server   string `json:"server"`
 	Instance string `json:"instance"`
-	// ChecksGrants says whether the server checks grants itself.
+	// ChecksGrants says that the server checks grants itself.
 	ChecksGrants bool `json:"checks"`
 }
 
-// Newer reports whether t replaces o.
+// Newer reports whether t replaces o, which may be nil. It compares terms first, then serials.
 func (t *Table) Newer(o *Table) bool {
 	if o == nil {
 		return true
--- a/internal/sketch/sketch.go
+++ b/internal/sketch/sketch.go
@@ -1,5 +1,5 @@
-// Package sketch finds the hottest keys of a stream in constant memory. It is the
-// space-saving summary of Metwally, Agrawal and El Abbadi, with weights, ageing and the merge
+// Package sketch finds the keys with the most weight in a stream, in constant memory. It is the
+// space-saving algorithm of Metwally, Agrawal and El Abbadi, with weights, decay and the merge
 // of Agarwal et al. A Sketch is not safe for concurrent use: each gate has its own, and the
 // leader merges them.
 package sketch
@@ -9,8 +9,7 @@
 	"slices"
 )
 
-// Counter is what a Sketch knows of one key. The true weight of the key lies in
-// [Count-Error, Count].
+// Counter is the estimated weight of one key. The true weight is in [Count-Error, Count].
 type Counter struct {
 	Hash  uint64  `json:"hash"`
 	Count float64 `json:"count"`
@@ -22,10 +21,12 @@
 type Sketch struct {
 	capacity int
 	total    float64
-	// maxDropped bounds the weight of any key without a counter that merging has dropped.
+	// maxDropped is an upper bound on the weight, as of the last Merge, of a key that had no
+	// counter afterwards. It is zero without a Merge.
 	maxDropped float64
-	// heap has the smallest count first, and position finds a hash in it.
-	heap     []Counter
+	// heap is a binary min-heap by count.
+	heap []Counter
+	// position maps the hash of each key with a counter to its index in heap.
 	position map[uint64]int
 }
 
@@ -39,13 +40,13 @@
 	}
 }
 
-// Add counts a key with a positive weight. It takes constant memory and time that grows
-// with the logarithm of the number of counters.
+// Add adds a positive weight to a key. It takes constant memory and time that grows with the
+// logarithm of the number of counters.
 func (s *Sketch) Add(hash uint64, weight float64) {
 	s.total += weight
-	if at, found := s.position[hash]; found {
-		s.heap[at].Count += weight
-		s.siftDown(at)
+	if i, found := s.position[hash]; found {
+		s.heap[i].Count += weight
+		s.siftDown(i)
 		return
 	}
 	if len(s.heap) < s.capacity {
@@ -54,19 +55,19 @@
 		s.siftUp(len(s.heap) - 1)
 		return
 	}
-	least := s.heap[0]
-	delete(s.position, least.Hash)
-	s.heap[0] = Counter{Hash: hash, Count: least.Count + weight, Error: least.Count}
+	smallest := s.heap[0]
+	delete(s.position, smallest.Hash)
+	s.heap[0] = Counter{Hash: hash, Count: smallest.Count + weight, Error: smallest.Count}
 	s.position[hash] = 0
 	s.siftDown(0)
 }
 
-// Total returns the weight that was added, aged by Decay.
+// Total returns the sum of the added weights, reduced by Decay.
 func (s *Sketch) Total() float64 {
 	return s.total
 }
 
-// MaxUncounted returns the most weight that a key without a counter can have.
+// MaxUncounted returns an upper bound on the weight of a key without a counter.
 func (s *Sketch) MaxUncounted() float64 {
 	if len(s.heap) < s.capacity {
 		return s.maxDropped
@@ -74,8 +75,8 @@
 	return max(s.maxDropped, s.heap[0].Count)
 }
 
-// Decay multiplies all weights by a factor in (0, 1], so that keys which are hot no more
-// make way.
+// Decay multiplies all weights by a factor in (0, 1], so that keys which get no more weight
+// lose their counters to others.
 func (s *Sketch) Decay(factor float64) {
 	s.total *= factor
 	s.maxDropped *= factor
@@ -85,7 +86,7 @@
 	}
 }
 
-// Counters returns the counters, the hottest first, by hash where equal.
+// Counters returns the counters by descending count, and by hash where counts are equal.
 func (s *Sketch) Counters() []Counter {
 	sorted := slices.Clone(s.heap)
 	slices.SortFunc(sorted, func(a, b Counter) int {
@@ -94,18 +95,18 @@
 	return sorted
 }
 
-// Merge adds what another Sketch has counted. The bound on the error holds for the sum if
-// both have the same number of counters.
+// Merge adds the weights of another Sketch. If both have the same number of counters, the bound
+// on the error of the result is its Total divided by that number.
 func (s *Sketch) Merge(o *Sketch) {
-	unseen, otherUnseen := s.MaxUncounted(), o.MaxUncounted()
+	uncounted, otherUncounted := s.MaxUncounted(), o.MaxUncounted()
 	merged := make([]Counter, 0, len(s.heap)+len(o.heap))
 	for _, c := range s.heap {
-		if at, found := o.position[c.Hash]; found {
-			c.Count += o.heap[at].Count
-			c.Error += o.heap[at].Error
+		if i, found := o.position[c.Hash]; found {
+			c.Count += o.heap[i].Count
+			c.Error += o.heap[i].Error
 		} else {
-			c.Count += otherUnseen
-			c.Error += otherUnseen
+			c.Count += otherUncounted
+			c.Error += otherUncounted
 		}
 		merged = append(merged, c)
 	}
@@ -113,25 +114,26 @@
 		if _, found := s.position[c.Hash]; found {
 			continue
 		}
-		c.Count += unseen
-		c.Error += unseen
+		c.Count += uncounted
+		c.Error += uncounted
 		merged = append(merged, c)
 	}
 	s.total += o.total
-	s.keepLargest(merged, unseen+otherUnseen)
+	s.keepLargest(merged, uncounted+otherUncounted)
 }
 
-// keepLargest makes the largest of the counters those of the sketch. Unseen bounds the weight of
-// any key that has none of them.
-func (s *Sketch) keepLargest(counters []Counter, unseen float64) {
+// keepLargest replaces the counters of the sketch by the largest of the given ones. The
+// parameter maxUncounted is an upper bound on the weight of a key that has none of them.
+func (s *Sketch) keepLargest(counters []Counter, maxUncounted float64) {
 	slices.SortFunc(counters, func(a, b Counter) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Hash, b.Hash))
 	})
-	s.maxDropped = unseen
+	s.maxDropped = maxUncounted
 	if len(counters) > s.capacity {
-		s.maxDropped = max(unseen, counters[s.capacity].Count)
+		s.maxDropped = max(maxUncounted, counters[s.capacity].Count)
 		counters = counters[:s.capacity]
 	}
+	// Counters in ascending order are a valid min-heap.
 	slices.Reverse(counters)
 	clear(s.position)
 	s.heap = append(s.heap[:0], counters...)
--- a/internal/sketch/sketch_test.go
+++ b/internal/sketch/sketch_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// stream draws keys with skewed weights and adds them to a sketch and to exact counts.
-func stream(t *rapid.T, s *Sketch, exact map[uint64]float64) {
+// addRandomKeys adds random keys with a Zipf distribution to a sketch and to exact weights.
+func addRandomKeys(t *rapid.T, s *Sketch, exact map[uint64]float64) {
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	zipf := rand.NewZipf(random, rapid.Float64Range(1.01, 2).Draw(t, "skew"), 1, 400)
 	for range rapid.IntRange(0, 3000).Draw(t, "adds") {
@@ -21,8 +21,8 @@
 	}
 }
 
-// check compares a sketch with exact counts.
-func check(t *rapid.T, s *Sketch, exact map[uint64]float64) {
+// checkBounds checks that the counters and bounds of a sketch hold for the exact weights.
+func checkBounds(t *rapid.T, s *Sketch, exact map[uint64]float64) {
 	const rounding = 1e-6
 	if len(s.heap) > s.capacity || len(s.position) != len(s.heap) {
 		t.Fatalf("%d counters, %d positions, capacity %d", len(s.heap), len(s.position), s.capacity)
@@ -33,7 +33,7 @@
 		at, found := s.position[hash]
 		if !found {
 			if weight > s.MaxUncounted()+rounding {
-				t.Fatalf("key %d of weight %v is unseen, bound %v", hash, weight, s.MaxUncounted())
+				t.Fatalf("key %d of weight %v has no counter, bound %v", hash, weight, s.MaxUncounted())
 			}
 			continue
 		}
@@ -45,34 +45,34 @@
 	bound := total/float64(s.capacity) + rounding
 	for _, c := range s.heap {
 		if c.Error > bound {
-			t.Fatalf("error %v, bound %v", c.Error, bound)
+			t.Fatalf("error of a counter %v, limit %v", c.Error, bound)
 		}
 	}
 	if s.MaxUncounted() > bound && len(exact) > 0 {
-		t.Fatalf("unseen %v, bound %v", s.MaxUncounted(), bound)
+		t.Fatalf("bound on uncounted keys %v, limit %v", s.MaxUncounted(), bound)
 	}
 }
 
 func TestErrorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, exact := New(rapid.IntRange(1, 60).Draw(t, "capacity")), map[uint64]float64{}
-		stream(t, s, exact)
-		check(t, s, exact)
+		addRandomKeys(t, s, exact)
+		checkBounds(t, s, exact)
 	})
 }
 
 func TestMergedErrorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 60).Draw(t, "capacity")
-		whole, exact := New(capacity), map[uint64]float64{}
+		merged, exact := New(capacity), map[uint64]float64{}
 		for range rapid.IntRange(1, 6).Draw(t, "gates") {
 			gate := New(capacity)
-			stream(t, gate, exact)
-			whole.Merge(gate)
+			addRandomKeys(t, gate, exact)
+			merged.Merge(gate)
 		}
-		check(t, whole, exact)
-		stream(t, whole, exact)
-		check(t, whole, exact)
+		checkBounds(t, merged, exact)
+		addRandomKeys(t, merged, exact)
+		checkBounds(t, merged, exact)
 	})
 }
 
@@ -83,7 +83,7 @@
 	sizes := map[string]int{}
 	for _, phase := range []struct {
 		name  string
-		share float64 // of key 7
+		share float64 // share of key 7 in the total weight
 		want  []uint64
 	}{
 		{name: "cold", share: 0.01, want: []uint64{}},
@@ -99,13 +99,13 @@
 			}
 			hot = HotKeys(s, hot, rule)
 		}
-		is.True(slices.Equal(hot, phase.want)) // the phase's hot keys
+		is.True(slices.Equal(hot, phase.want)) // the hot keys of the phase
 		sizes[phase.name] = len(s.heap)
 	}
 	is.Equal(sizes["cold again"], 64)
 }
 
-// BenchmarkAdd measures one Add by number of counters, over a million keys.
+// BenchmarkAdd measures Add for different numbers of counters, with keys from a range of a million.
 func BenchmarkAdd(b *testing.B) {
 	for _, capacity := range []int{240, 960, 3840, 15360} {
 		b.Run(fmt.Sprintf("counters=%d", capacity), func(b *testing.B) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// BenchmarkNew measures the memory of a full sketch.
+// BenchmarkNew measures the memory of a sketch with all counters in use.
 func BenchmarkNew(b *testing.B) {
 	for _, capacity := range []int{240, 960, 3840, 15360} {
 		b.Run(fmt.Sprintf("counters=%d", capacity), func(b *testing.B) {
