--- a/internal/policy/home.go
+++ b/internal/policy/home.go
@@ -8,8 +8,8 @@
 
 // HomeDomain returns the domain that keeps the idempotency record of a request with an id to a
 // service that is not divided. It uses rendezvous hashing: instances of all domains agree
-// without communicating, and adding or removing a domain changes the home only of the requests
-// that are its own. It returns "" if there are no domains.
+// without communicating, and when a domain is added or removed, only the requests that belong
+// to it change their home. It returns "" if there are no domains.
 func HomeDomain(domains []string, hash uint64) string {
 	best, bestWeight := "", uint64(0)
 	for _, d := range domains {
--- a/internal/policy/waittime.go
+++ b/internal/policy/waittime.go
@@ -3,8 +3,8 @@
 import "time"
 
 // expectedWait estimates how long a new request of a caller would wait. Callers take turns, so
-// a request waits only behind as many requests of each other caller as its own caller has
-// waiting, itself included. Without a caller, it waits behind all requests.
+// of each other caller, the request waits behind at most as many requests as its own caller has
+// waiting, itself included. If the caller is empty, it waits behind all requests.
 //
 // No request completes at a frozen server, so the mean run time does not grow. The estimate
 // therefore uses the time since the last start at a server if that is longer, provided that no
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -63,7 +63,8 @@
 
 // FindHome returns the destination of a non-idempotent request with an id. For a service that
 // is not divided this is the gate in the domain that policy.HomeDomain returns, so that a
-// resend reaches the instance that holds the idempotency record.
+// resend reaches the instance that holds the idempotency record. For a divided service it is
+// the destination that Find returns.
 func (r *Router) FindHome(service string, hash uint64) Destination {
 	return r.index.Load().findHome(service, hash)
 }
