--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -51,7 +51,7 @@
 type request struct {
 	*http.Request
 	edge    *Edge
-	call    Call
+	call    RequestInfo
 	route   *rules.Route
 	version uint64
 	service string
@@ -88,8 +88,8 @@
 
 // admit finds the route of a request.
 func (e *Edge) admit(r *http.Request, arrivedAt time.Time) (*request, *inlet.Reply) {
-	q := &request{Request: r, edge: e, call: e.Wire.Call(r.Header), arrivedAt: arrivedAt}
-	c := e.World.Config()
+	q := &request{Request: r, edge: e, call: e.Codec.DecodeRequest(r.Header), arrivedAt: arrivedAt}
+	c := e.Cluster.Config()
 	if c == nil {
 		return nil, e.turnAway(q, whyNoConfig, refusal(http.StatusServiceUnavailable, startRetry))
 	}
@@ -108,7 +108,7 @@
 	if !found {
 		return nil, e.turnAway(q, whyNoService, refusal(http.StatusServiceUnavailable, startRetry))
 	}
-	q.divided = service.Divided && q.call.Keyed
+	q.divided = service.Divided && q.call.HasKey
 	q.times(&e.patience)
 	if r.Body != nil && r.Body != http.NoBody {
 		data, err := io.ReadAll(r.Body)
@@ -118,7 +118,7 @@
 		q.body = data
 	}
 	q.print = printOf(r, q.body)
-	if e.World.Suspicious(q.print) {
+	if e.Cluster.Quarantined(q.print) {
 		return nil, e.turnAway(q, whyCrashes, refusal(http.StatusBadGateway, 0))
 	}
 	return q, nil
@@ -126,7 +126,7 @@
 
 // turnAway logs a request that got no further.
 func (e *Edge) turnAway(q *request, reason why, reply *inlet.Reply) *inlet.Reply {
-	e.Meters.Request("", reason, time.Since(q.arrivedAt))
+	e.Meters.RecordRequest("", reason, time.Since(q.arrivedAt))
 	e.Events.Note(event.Failure, "request", "id", q.call.ID, "status", reply.Status, "why", reason,
 		"config", q.version, "host", q.Host, "path", q.URL.Path)
 	return reply
@@ -135,13 +135,13 @@
 // times sets the times of a request.
 func (q *request) times(p *patience) {
 	patient := defaultPatience
-	if q.call.Patient {
-		patient = q.call.Patience
+	if q.call.HasTimeout {
+		patient = q.call.Timeout
 	}
 	var before time.Duration
 	q.returning, before = p.returning(q.route.Name, patient, q.arrivedAt)
 	// A request that was tried before has used a part of the time to its target.
-	target := q.route.Target
+	target := q.route.TargetLatency
 	if target == 0 {
 		target = patient / 2
 	}
--- a/internal/edge/budget.go
+++ b/internal/edge/budget.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Budget bounds how often requests are sent a second time. All instances share one allowance:
+// RetryBudget bounds how often requests are sent a second time. All instances share one allowance:
 // in any window, a part of the requests and a fixed number. Each takes its part of it, so that
 // it holds also while instances do not hear one another.
-type Budget struct {
+type RetryBudget struct {
 	// Ratio and Slack are this instance's part of the allowance.
 	ratio  float64
 	window time.Duration
@@ -34,12 +34,12 @@
 	filledAt time.Time
 }
 
-// NewBudget returns a budget. Slack returns this instance's part of the fixed number.
-func NewBudget(ratio float64, window time.Duration, slack func() float64, now func() time.Time) *Budget {
-	return &Budget{ratio: ratio * ratioShare, window: window, slack: slack, now: now, services: map[string]*allowance{}}
+// NewRetryBudget returns a budget. Slack returns this instance's part of the fixed number.
+func NewRetryBudget(ratio float64, window time.Duration, slack func() float64, now func() time.Time) *RetryBudget {
+	return &RetryBudget{ratio: ratio * ratioShare, window: window, slack: slack, now: now, services: map[string]*allowance{}}
 }
 
-func (b *Budget) get(service string) *allowance {
+func (b *RetryBudget) get(service string) *allowance {
 	a := b.services[service]
 	now := b.now()
 	most := b.slack() * slackShare
@@ -55,14 +55,14 @@
 }
 
 // Earn takes in a request.
-func (b *Budget) Earn(service string) {
+func (b *RetryBudget) Earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.get(service).tokens += b.ratio
 }
 
 // Spend reports whether a request may be sent once more, and if so counts it.
-func (b *Budget) Spend(service string) bool {
+func (b *RetryBudget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.get(service)
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -22,18 +22,18 @@
 	until   time.Time
 }
 
-// Suspects finds requests that crash the servers which run them. Such a request comes again,
+// CrashTracker finds requests that crash the servers which run them. Such a request comes again,
 // under another id and at any instance, so all instances tell one another of losses.
-type Suspects struct {
+type CrashTracker struct {
 	mu    sync.Mutex
 	known map[uint64]*suspect
 }
 
-// NewSuspects returns an empty memory.
-func NewSuspects() *Suspects { return &Suspects{known: map[uint64]*suspect{}} }
+// NewCrashTracker returns an empty memory.
+func NewCrashTracker() *CrashTracker { return &CrashTracker{known: map[uint64]*suspect{}} }
 
-// Lost takes in that a server was lost while a request ran there.
-func (s *Suspects) Lost(print uint64, server string, now time.Time) {
+// RecordCrash takes in that a server was lost while a request ran there.
+func (s *CrashTracker) RecordCrash(print uint64, server string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[print]
@@ -47,7 +47,7 @@
 }
 
 // makeRoom forgets what is old, and the one that ends first if that is not enough.
-func (s *Suspects) makeRoom(now time.Time) {
+func (s *CrashTracker) makeRoom(now time.Time) {
 	var oldest uint64
 	var until time.Time
 	for print, k := range s.known {
@@ -65,7 +65,7 @@
 }
 
 // Clear takes in that a request had an answer. It reports whether the request was suspected.
-func (s *Suspects) Clear(print uint64) bool {
+func (s *CrashTracker) Clear(print uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, known := s.known[print]
@@ -73,8 +73,8 @@
 	return known
 }
 
-// Blocked reports whether a request must not run again.
-func (s *Suspects) Blocked(print uint64, now time.Time) bool {
+// Quarantined reports whether a request must not run again.
+func (s *CrashTracker) Quarantined(print uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[print]
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -19,76 +19,76 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// Call is what a caller states about its request.
-type Call struct {
+// RequestInfo is what a caller states about its request.
+type RequestInfo struct {
 	// ID is the identity of this sending.
 	ID string
-	// Patience is how long the caller will wait, if Patient is set.
-	Patience time.Duration
-	Patient  bool
+	// Timeout is how long the caller will wait, if Patient is set.
+	Timeout    time.Duration
+	HasTimeout bool
 	// Key is the key of the request, if Keyed is set.
-	Key   uint16
-	Keyed bool
+	Key    uint16
+	HasKey bool
 }
 
-// Answer is what a server states in its answer.
-type Answer struct {
+// ResponseInfo is what a server states in its answer.
+type ResponseInfo struct {
 	// ID is the identity of the sending that is answered.
 	ID string
 	// NotRun says that the server did not run the request; Moved that it is not the server that
 	// was meant, or does not hold the key.
-	NotRun bool
-	Moved  bool
-	Load   permit.Load
+	NotRun      bool
+	Misdirected bool
+	Load        permit.Load
 	// LoadErr says that the server stated a load that cannot be read.
 	LoadErr error
 }
 
-// Wire translates between the headers of requests and what they mean.
-type Wire interface {
-	Call(h http.Header) Call
-	// Address states which server alone may run the request, and how long it may take.
-	Address(h http.Header, server string, left time.Duration)
-	Answer(r *http.Response) Answer
+// HeaderCodec translates between the headers of requests and what they mean.
+type HeaderCodec interface {
+	DecodeRequest(h http.Header) RequestInfo
+	// EncodeTarget states which server alone may run the request, and how long it may take.
+	EncodeTarget(h http.Header, server string, left time.Duration)
+	DecodeResponse(r *http.Response) ResponseInfo
 }
 
-// Permits gives permits to send.
-type Permits interface {
+// Admitter gives permits to send.
+type Admitter interface {
 	// Acquire waits for a permit. The granted one must be given back. A nil refusal means that
 	// it was granted.
-	Acquire(ctx context.Context, a permit.Ask, domain string) (Permit, *permit.Refused)
+	Acquire(ctx context.Context, a permit.Request, domain string) (Admission, *permit.Rejected)
 }
 
-// Permit is the right to send one request to a server.
-type Permit interface {
+// Admission is the right to send one request to a server.
+type Admission interface {
 	Server() string
-	Done(d permit.Done)
+	Complete(d permit.Completion)
 }
 
-// World is what the edge knows of its surroundings at a moment.
-type World interface {
+// Cluster is what the edge knows of its surroundings at a moment.
+type Cluster interface {
 	Config() *rules.Config
 	Server(id string) (rules.Server, bool)
 	// Owner returns the range of a key, and a channel that is closed when owners change.
 	Owner(service string, key uint16) (shard.Range, bool, <-chan struct{})
-	// Count takes in a request for a key.
-	Count(service string, key uint16)
-	// Suspicious reports whether a request is known to crash servers; Crashed takes in that a
+	// CountRequest takes in a request for a key.
+	CountRequest(service string, key uint16)
+	// Quarantined reports whether a request is known to crash servers; Crashed takes in that a
 	// server was lost while it ran, Cleared that it had an answer.
-	Suspicious(print uint64) bool
-	Crashed(print uint64, s rules.Server)
-	Cleared(print uint64)
+	Quarantined(print uint64) bool
+	ReportCrash(print uint64, s rules.Server)
+	ClearSuspicion(print uint64)
 }
 
 // Deps is what an Edge needs.
 type Deps struct {
-	Wire    Wire
-	World   World
-	Permits Permits
-	Pool    *Pool
-	Budget  *Budget
-	Events  *event.Log
-	Meters  *Meters
+	Codec       HeaderCodec
+	Cluster     Cluster
+	Admitter    Admitter
+	ConnPool    *ConnPool
+	RetryBudget *RetryBudget
+	Events      *event.Log
+	Meters      *Meters
 }
 
 // Edge answers requests.
@@ -110,7 +110,7 @@
 	if refused != nil {
 		return refused
 	}
-	e.Budget.Earn(q.service)
+	e.RetryBudget.Earn(q.service)
 	ctx, cancel := context.WithDeadline(ctx, q.limitAt)
 	defer cancel()
 	reply := q.serve(ctx)
@@ -130,9 +130,9 @@
 		e.patience.refuse(q.route.Name, time.Now())
 	}
 	took := time.Since(q.arrivedAt)
-	e.Meters.Request(q.route.Name, q.why, took)
+	e.Meters.RecordRequest(q.route.Name, q.why, took)
 	e.Events.Note(class, "request", "id", q.call.ID, "route", q.route.Name, "config", q.version, "service", q.service,
 		"status", status, "why", q.why, "server", q.server, "attempts", q.attempts, "took", took,
-		"waited", q.waited, "dispatched", q.dispatched, "leaving-in", q.leaving, "predicted", q.predicted, "pool", q.pool, "left", time.Until(q.limitAt), "returning", q.returning, "patience", q.call.Patience, "key", q.call.Key, "fence", q.fence,
+		"waited", q.waited, "dispatched", q.dispatched, "leaving-in", q.leaving, "predicted", q.predicted, "pool", q.pool, "left", time.Until(q.limitAt), "returning", q.returning, "patience", q.call.Timeout, "key", q.call.Key, "fence", q.fence,
 		"error", q.err)
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -27,12 +27,12 @@
 // wire is a simple set of headers.
 type wire struct{}
 
-func (wire) Call(h http.Header) edge.Call {
+func (wire) Call(h http.Header) edge.RequestInfo {
 	millis, err := strconv.Atoi(h.Get("Left"))
 	key, failed := strconv.ParseUint(h.Get("Key"), 10, 16)
-	return edge.Call{
-		ID: h.Get("Id"), Patience: time.Duration(millis) * time.Millisecond, Patient: err == nil,
-		Key: uint16(key), Keyed: failed == nil,
+	return edge.RequestInfo{
+		ID: h.Get("Id"), Timeout: time.Duration(millis) * time.Millisecond, HasTimeout: err == nil,
+		Key: uint16(key), HasKey: failed == nil,
 	}
 }
 
@@ -41,9 +41,9 @@
 	h.Set("Left", strconv.Itoa(int(left.Milliseconds())))
 }
 
-func (wire) Answer(r *http.Response) edge.Answer {
-	return edge.Answer{
-		ID: r.Header.Get("Id"), NotRun: r.Header.Get("Not-Run") != "" || r.StatusCode == 421, Moved: r.StatusCode == 421,
+func (wire) Answer(r *http.Response) edge.ResponseInfo {
+	return edge.ResponseInfo{
+		ID: r.Header.Get("Id"), NotRun: r.Header.Get("Not-Run") != "" || r.StatusCode == 421, Misdirected: r.StatusCode == 421,
 	}
 }
 
@@ -117,7 +117,7 @@
 type permits struct {
 	ids     []string
 	next    int
-	refused *permit.Refused
+	refused *permit.Rejected
 	done    []permit.Outcome
 }
 
@@ -126,10 +126,10 @@
 	server  string
 }
 
-func (g *granted) Server() string     { return g.server }
-func (g *granted) Done(d permit.Done) { g.permits.done = append(g.permits.done, d.Outcome) }
+func (g *granted) Server() string           { return g.server }
+func (g *granted) Done(d permit.Completion) { g.permits.done = append(g.permits.done, d.Outcome) }
 
-func (p *permits) Acquire(_ context.Context, a permit.Ask, _ string) (edge.Permit, *permit.Refused) {
+func (p *permits) Acquire(_ context.Context, a permit.Request, _ string) (edge.Admission, *permit.Rejected) {
 	if p.refused != nil {
 		return nil, p.refused
 	}
@@ -148,8 +148,8 @@
 
 func newFixture(kind rules.Kind, backends ...*backend) *fixture {
 	route := &rules.Route{
-		Name: "route", Host: "a.example", Prefix: "/", Kind: kind, Target: 300 * time.Millisecond, Timeout: 400 * time.Millisecond,
-		MaxAttempts: 2, Parts: []rules.Part{{Service: "books", Weight: 1}},
+		Name: "route", Host: "a.example", Prefix: "/", Kind: kind, TargetLatency: 300 * time.Millisecond, Timeout: 400 * time.Millisecond,
+		MaxAttempts: 2, Services: []rules.WeightedService{{Service: "books", Weight: 1}},
 	}
 	f := &fixture{permits: &permits{}, world: &world{
 		config: &rules.Config{
@@ -164,9 +164,9 @@
 		f.permits.ids = append(f.permits.ids, id)
 	}
 	f.edge = edge.New(edge.Deps{
-		Wire: wire{}, World: f.world, Permits: f.permits, Pool: edge.NewPool(func(string) int { return 10 }),
-		Budget: edge.NewBudget(0.2, 10*time.Second, func() float64 { return 100 }, time.Now),
-		Events: event.New(io.Discard, log.ErrorLevel), Meters: edge.NewMeters(),
+		Codec: wire{}, Cluster: f.world, Admitter: f.permits, ConnPool: edge.NewConnPool(func(string) int { return 10 }),
+		RetryBudget: edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 100 }, time.Now),
+		Events:      event.New(io.Discard, log.ErrorLevel), Meters: edge.NewMeters(),
 	})
 	return f
 }
@@ -215,9 +215,9 @@
 	}
 	for name, test := range tests {
 		for kind, want := range map[rules.Kind][2]int{
-			rules.Once: {test.once, test.onceRuns}, rules.Repeatable: {test.again, test.againRuns},
+			rules.NonIdempotent: {test.once, test.onceRuns}, rules.Idempotent: {test.again, test.againRuns},
 		} {
-			t.Run(name+" "+map[rules.Kind]string{rules.Once: "once", rules.Repeatable: "again"}[kind], func(t *testing.T) {
+			t.Run(name+" "+map[rules.Kind]string{rules.NonIdempotent: "once", rules.Idempotent: "again"}[kind], func(t *testing.T) {
 				is := is.New(t)
 				first, second := newBackend(t, test.first), newBackend(t, answerOK)
 				f := newFixture(kind, first, second)
@@ -240,7 +240,7 @@
 			say(c, r, "200 OK", "", "two")
 		}
 	})
-	f := newFixture(rules.Once, b)
+	f := newFixture(rules.NonIdempotent, b)
 	is.Equal(string(f.send(t.Context()).Body), "one")
 	time.Sleep(20 * time.Millisecond)
 	is.Equal(string(f.send(t.Context(), "Id", "id-2").Body), "one")
@@ -254,7 +254,7 @@
 	}{
 		"no configuration": {func(f *fixture) { f.world.config = nil }, "a.example", 503},
 		"no route":         {func(*fixture) {}, "b.example", 404},
-		"overload":         {func(f *fixture) { f.permits.refused = &permit.Refused{Reason: permit.Overload, RetryIn: time.Second} }, "a.example", 503},
+		"overload":         {func(f *fixture) { f.permits.refused = &permit.Rejected{Reason: permit.Overload, RetryIn: time.Second} }, "a.example", 503},
 		"crashes servers":  {func(f *fixture) { f.world.blocked = true }, "a.example", 502},
 		"service is gone":  {func(f *fixture) { f.world.config.Services = nil }, "a.example", 503},
 	}
@@ -262,7 +262,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBackend(t, answerOK)
-			f := newFixture(rules.Once, b)
+			f := newFixture(rules.NonIdempotent, b)
 			test.prepare(f)
 			r := httptest.NewRequest(http.MethodGet, "/x", nil)
 			r.Host = test.host
@@ -277,12 +277,12 @@
 // A key changes hands while a request for it is there: the request waits for the new owner.
 func TestKeyChangesHands(t *testing.T) {
 	is := is.New(t)
-	f := newFixture(rules.Once, newBackend(t, answerOK))
+	f := newFixture(rules.NonIdempotent, newBackend(t, answerOK))
 	f.world.config.Services["books"] = rules.Service{Name: "books", Divided: true}
-	f.world.owner = shard.Range{To: 100, Server: "s0", Before: []shard.Holder{{Server: "old"}}}
+	f.world.owner = shard.Range{To: 100, Server: "s0", FormerOwners: []shard.Owner{{Server: "old"}}}
 	reply := f.send(t.Context(), "Key", "5")
 	is.Equal(reply.Status, 503) // in vain: told to come back
-	f.world.owner.Before = nil
+	f.world.owner.FormerOwners = nil
 	is.Equal(f.send(t.Context(), "Key", "5").Status, 200)
 }
 
@@ -291,7 +291,7 @@
 	is := is.New(t)
 	closed := make(chan struct{})
 	ctx, leave := context.WithCancel(t.Context())
-	f := newFixture(rules.Once, newBackend(t, func(_ int, c net.Conn, _ *http.Request) {
+	f := newFixture(rules.NonIdempotent, newBackend(t, func(_ int, c net.Conn, _ *http.Request) {
 		leave()
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
@@ -307,7 +307,7 @@
 func TestBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	b := edge.NewBudget(0.2, 10*time.Second, func() float64 { return 10 }, func() time.Time { return now })
+	b := edge.NewRetryBudget(0.2, 10*time.Second, func() float64 { return 10 }, func() time.Time { return now })
 	spent := 0
 	for range 100 {
 		b.Earn("books")
@@ -326,17 +326,17 @@
 func TestSuspects(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	s := edge.NewSuspects()
-	s.Lost(1, "a", now)
-	s.Lost(1, "a", now) // two instances saw the same loss
-	s.Lost(2, "a", now)
-	is.True(!s.Blocked(1, now))
+	s := edge.NewCrashTracker()
+	s.RecordCrash(1, "a", now)
+	s.RecordCrash(1, "a", now) // two instances saw the same loss
+	s.RecordCrash(2, "a", now)
+	is.True(!s.Quarantined(1, now))
 	s.Clear(2)
-	s.Lost(1, "b", now)
-	s.Lost(2, "b", now)
-	is.True(s.Blocked(1, now))
-	is.True(!s.Blocked(2, now))
-	is.True(!s.Blocked(1, now.Add(time.Hour)))
+	s.RecordCrash(1, "b", now)
+	s.RecordCrash(2, "b", now)
+	is.True(s.Quarantined(1, now))
+	is.True(!s.Quarantined(2, now))
+	is.True(!s.Quarantined(1, now.Add(time.Hour)))
 }
 
 // A server was about to leave. A request got its permit while there was time, waited 0.2 seconds for a
@@ -345,13 +345,13 @@
 func TestServerLeavesBeforeTheFirstByte(t *testing.T) {
 	is := is.New(t)
 	b := newBackend(t, answerOK)
-	f := newFixture(rules.Once, b)
+	f := newFixture(rules.NonIdempotent, b)
 	f.world.config.Services["books"] = rules.Service{Name: "books", Divided: true}
 	f.world.owner = shard.Range{To: 100, Server: "s0"}
 	s := f.world.servers["s0"]
 	s.Draining, s.LeaveBy = true, time.Now().Add(200*time.Millisecond)
 	f.world.servers["s0"] = s
-	f.edge.Pool.Connections = func(string) int {
+	f.edge.ConnPool.Connections = func(string) int {
 		<-time.After(time.Until(s.LeaveBy) + 10*time.Millisecond)
 		return 10
 	}
--- a/internal/edge/meters.go
+++ b/internal/edge/meters.go
@@ -17,17 +17,19 @@
 	labelsMost = 256
 )
 
-// Times holds how long things took, by what they were.
-type Times struct {
+// LatencyHistograms holds how long things took, by what they were.
+type LatencyHistograms struct {
 	mu sync.Mutex
 	by map[string]*hdrhistogram.Histogram
 }
 
-// NewTimes returns times of nothing yet.
-func NewTimes() *Times { return &Times{by: map[string]*hdrhistogram.Histogram{}} }
+// NewLatencyHistograms returns times of nothing yet.
+func NewLatencyHistograms() *LatencyHistograms {
+	return &LatencyHistograms{by: map[string]*hdrhistogram.Histogram{}}
+}
 
 // Record takes in how long something took.
-func (t *Times) Record(what string, took time.Duration) {
+func (t *LatencyHistograms) Record(what string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.by[what]
@@ -39,13 +41,13 @@
 }
 
 // Snapshot returns the quantiles.
-func (t *Times) Snapshot() map[string]Latencies {
+func (t *LatencyHistograms) Snapshot() map[string]LatencySummary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Latencies, len(t.by))
+	out := make(map[string]LatencySummary, len(t.by))
 	for what, h := range t.by {
-		out[what] = Latencies{
-			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Most: h.Max(),
+		out[what] = LatencySummary{
+			Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max(),
 		}
 	}
 	return out
@@ -55,16 +57,16 @@
 type Meters struct {
 	mu      sync.Mutex
 	counts  map[string]map[why]int64
-	latency *Times
+	latency *LatencyHistograms
 }
 
 // NewMeters returns meters.
 func NewMeters() *Meters {
-	return &Meters{counts: map[string]map[why]int64{}, latency: NewTimes()}
+	return &Meters{counts: map[string]map[why]int64{}, latency: NewLatencyHistograms()}
 }
 
-// Request takes in how a request ended.
-func (m *Meters) Request(route string, reason why, took time.Duration) {
+// RecordRequest takes in how a request ended.
+func (m *Meters) RecordRequest(route string, reason why, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.counts[route] == nil {
@@ -79,18 +81,18 @@
 	m.latency.Record(string(reason), took)
 }
 
-// Latencies are quantiles in microseconds.
-type Latencies struct {
+// LatencySummary are quantiles in microseconds.
+type LatencySummary struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50-us"`
 	P99   int64 `json:"p99-us"`
-	Most  int64 `json:"most-us"`
+	Max   int64 `json:"most-us"`
 }
 
 // Snapshot is the state of the meters.
 type Snapshot struct {
-	Requests map[string]map[why]int64 `json:"requests"`
-	Latency  map[string]Latencies     `json:"latency"`
+	Requests map[string]map[why]int64  `json:"requests"`
+	Latency  map[string]LatencySummary `json:"latency"`
 }
 
 // Snapshot returns the state of the meters.
--- a/internal/edge/running.go
+++ b/internal/edge/running.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Running returns how many requests of this instance are at the servers of a failure domain.
-func (e *Edge) Running(domain string) int {
+// InFlight returns how many requests of this instance are at the servers of a failure domain.
+func (e *Edge) InFlight(domain string) int {
 	e.running.mu.Lock()
 	defer e.running.mu.Unlock()
 	return e.running.counts[domain]
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -42,12 +42,12 @@
 	if _, found := out.Header["User-Agent"]; !found {
 		out.Header["User-Agent"] = noAgent
 	}
-	q.edge.Wire.Address(out.Header, s.ID, time.Until(q.limitAt))
-	pool := q.edge.Pool.server(s)
+	q.edge.Codec.EncodeTarget(out.Header, s.ID, time.Until(q.limitAt))
+	pool := q.edge.ConnPool.server(s)
 	began := time.Now()
-	return pool.Send(out, upstr.Order{
+	return pool.Send(out, upstr.SendOptions{
 		Deadline: q.limitAt, InMemory: true, Done: func(bool) {},
-		Permit: func() error { return q.dispatch(s.ID, time.Since(began)) },
+		BeforeWrite: func() error { return q.dispatch(s.ID, time.Since(began)) },
 	})
 }
 
@@ -57,7 +57,7 @@
 // permit came in time would reach a server beyond its own. After this look only the way to the server is left.
 func (q *request) dispatch(server string, took time.Duration) error {
 	now := time.Now()
-	s, found := q.edge.World.Server(server)
+	s, found := q.edge.Cluster.Server(server)
 	q.dispatched, q.leaving = took, s.LeavesIn(now)
 	if !found || s.Closed(q.divided, now) || s.Cold(now) && took > coldSendMost {
 		return errClosed
@@ -106,36 +106,36 @@
 	quietMost = time.Minute
 )
 
-// Pool holds the connections to servers.
-type Pool struct {
+// ConnPool holds the connections to servers.
+type ConnPool struct {
 	// Connections returns how many connections this instance may open to one server.
 	Connections func(service string) int
 
 	mu      sync.Mutex
-	servers map[string]*upstr.Server
+	servers map[string]*upstr.Client
 }
 
-// NewPool returns a pool.
-func NewPool(connections func(service string) int) *Pool {
-	return &Pool{Connections: connections, servers: map[string]*upstr.Server{}}
+// NewConnPool returns a pool.
+func NewConnPool(connections func(service string) int) *ConnPool {
+	return &ConnPool{Connections: connections, servers: map[string]*upstr.Client{}}
 }
 
-func (p *Pool) server(s rules.Server) *upstr.Server {
+func (p *ConnPool) server(s rules.Server) *upstr.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.servers[s.ID]
 	if known == nil {
-		known = upstr.NewServer(upstr.Settings{
-			Name: s.ID, Address: s.Address, Connections: p.Connections(s.Service), Slots: s.Slots,
-			Idle: idleTime, Patience: quietMost, Unwatched: true, Abrupt: true, Unacknowledged: unacknowledged,
+		known = upstr.NewClient(upstr.Settings{
+			Name: s.ID, Address: s.Address, MaxConns: p.Connections(s.Service), Slots: s.Slots,
+			IdleTimeout: idleTime, SilenceTimeout: quietMost, NoDeathMonitor: true, CancelByFullClose: true, UserTimeout: unacknowledged,
 		})
 		p.servers[s.ID] = known
 	}
 	return known
 }
 
-// Keep closes the connections to servers that are gone.
-func (p *Pool) Keep(there func(id string) bool) {
+// Retain closes the connections to servers that are gone.
+func (p *ConnPool) Retain(there func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, s := range p.servers {
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -36,7 +36,7 @@
 func (q *request) serve(ctx context.Context) *inlet.Reply {
 	if q.divided {
 		// Refused requests count too: they show where there is too little room.
-		q.edge.World.Count(q.service, q.call.Key)
+		q.edge.Cluster.CountRequest(q.service, q.call.Key)
 	}
 	for range askMost {
 		p, s, refused := q.permit(ctx)
@@ -54,7 +54,7 @@
 			continue
 		}
 		q.last = reply
-		if q.attempts >= q.route.MaxAttempts || time.Until(q.limitAt) < attemptLeast || !q.edge.Budget.Spend(q.service) {
+		if q.attempts >= q.route.MaxAttempts || time.Until(q.limitAt) < attemptLeast || !q.edge.RetryBudget.Spend(q.service) {
 			return q.giveUp(ctx, reply)
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 // permit waits for a permit. If all three results are nil it should be asked for again.
-func (q *request) permit(ctx context.Context) (Permit, rules.Server, *inlet.Reply) {
+func (q *request) permit(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
 	began := time.Now()
 	defer func() { q.waited += time.Since(began) }()
-	ask := permit.Ask{
+	ask := permit.Request{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
-		TargetAt: q.targetAt, LimitAt: q.limitAt, Avoid: q.avoid,
+		TargetAt: q.targetAt, Deadline: q.limitAt, Avoid: q.avoid,
 	}
 	domain := ""
 	if q.divided {
@@ -96,29 +96,29 @@
 		if reply != nil {
 			return nil, rules.Server{}, reply
 		}
-		owner, found := q.edge.World.Server(r.Server)
+		owner, found := q.edge.Cluster.Server(r.Server)
 		if !found || owner.Closed(true, time.Now()) {
 			q.why = whyNoOwner
 			return nil, rules.Server{}, refusal(http.StatusServiceUnavailable, ownerRetry)
 		}
 		ask.Server, domain, q.fence, q.server = r.Server, owner.Domain, r.Fence, r.Server
 	}
-	p, refused := q.edge.Permits.Acquire(ctx, ask, domain)
+	p, refused := q.edge.Admitter.Acquire(ctx, ask, domain)
 	if refused != nil {
 		return nil, rules.Server{}, q.refuse(ctx, refused)
 	}
-	s, found := q.edge.World.Server(p.Server())
+	s, found := q.edge.Cluster.Server(p.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		p.Done(permit.Done{Outcome: permit.Unsent})
+		p.Complete(permit.Completion{Outcome: permit.Unsent})
 		return nil, rules.Server{}, nil
 	}
 	return p, s, nil
 }
 
 // refuse turns a refusal of the keeper into an answer.
-func (q *request) refuse(ctx context.Context, refused *permit.Refused) *inlet.Reply {
+func (q *request) refuse(ctx context.Context, refused *permit.Rejected) *inlet.Reply {
 	switch {
-	case refused.Reason == permit.Gone:
+	case refused.Reason == permit.OwnerGone:
 		if !duty.Pause(ctx, movedPause) {
 			q.why = whyNoOwner
 			return refusal(http.StatusServiceUnavailable, ownerRetry)
@@ -138,8 +138,8 @@
 // owner returns the owner of the request's key. While the key changes hands it waits.
 func (q *request) owner(ctx context.Context) (shard.Range, *inlet.Reply) {
 	for {
-		r, found, changed := q.edge.World.Owner(q.service, q.call.Key)
-		if found && len(r.Before) == 0 {
+		r, found, changed := q.edge.Cluster.Owner(q.service, q.call.Key)
+		if found && len(r.FormerOwners) == 0 {
 			return r, nil
 		}
 		// A key that has no owner yet gets one within a few tenths of a second, or after a
@@ -165,22 +165,22 @@
 
 // attempt sends the request to one server. It returns true if the request may be sent again;
 // the answer is then the one for the caller if it is not, and nil if this was no attempt.
-func (q *request) attempt(ctx context.Context, p Permit, s rules.Server) (*inlet.Reply, bool) {
+func (q *request) attempt(ctx context.Context, p Admission, s rules.Server) (*inlet.Reply, bool) {
 	q.attempts++
 	q.server = s.ID
 	q.edge.running.add(s.Domain, 1)
 	defer q.edge.running.add(s.Domain, -1)
 	began := time.Now()
 	response, err := q.send(ctx, s)
-	done := permit.Done{}
+	done := permit.Completion{}
 	defer func() {
 		done.Took = time.Since(began)
-		p.Done(done)
+		p.Complete(done)
 	}()
 	if err != nil {
 		return q.unanswered(ctx, &done, s, err)
 	}
-	answer := q.edge.Wire.Answer(response)
+	answer := q.edge.Codec.DecodeResponse(response)
 	done.Load = answer.Load
 	if answer.LoadErr != nil {
 		q.edge.noteOddLoad(s.ID, answer.LoadErr)
@@ -194,15 +194,15 @@
 		return q.unanswered(ctx, &done, s, err)
 	}
 	done.Bytes = len(reply.Body)
-	q.edge.World.Cleared(q.print)
+	q.edge.Cluster.ClearSuspicion(q.print)
 	return q.answered(ctx, &done, s, answer, reply)
 }
 
 // answered decides about a whole answer.
-func (q *request) answered(ctx context.Context, done *permit.Done, s rules.Server, a Answer, reply *inlet.Reply) (*inlet.Reply, bool) {
+func (q *request) answered(ctx context.Context, done *permit.Completion, s rules.Server, a ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
-	case a.NotRun && a.Moved:
-		done.Outcome = permit.NotHere
+	case a.NotRun && a.Misdirected:
+		done.Outcome = permit.NotOwner
 		q.why = whyNoOwner
 		duty.Pause(ctx, movedPause)
 		return refusal(http.StatusServiceUnavailable, ownerRetry), true
@@ -222,7 +222,7 @@
 }
 
 // unanswered decides about a sending that led to no whole answer.
-func (q *request) unanswered(ctx context.Context, done *permit.Done, s rules.Server, err error) (*inlet.Reply, bool) {
+func (q *request) unanswered(ctx context.Context, done *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
 	done.Outcome = permit.Lost
@@ -238,7 +238,7 @@
 		q.why = whyNoOwner
 		return nil, true
 	case unsent:
-		if errors.Is(err, upstr.ErrBudget) {
+		if errors.Is(err, upstr.ErrConnLimit) {
 			done.Outcome = permit.Unsent
 		}
 		q.why, q.avoid = whyUnsent, s.ID
@@ -251,7 +251,7 @@
 	}
 	q.why, q.avoid = whyInDoubt, s.ID
 	if errors.Is(err, upstr.ErrLost) {
-		q.edge.World.Crashed(q.print, s)
+		q.edge.Cluster.ReportCrash(q.print, s)
 	}
 	return refusal(http.StatusBadGateway, 0), q.route.Kind.Idempotent()
 }
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -75,8 +75,8 @@
 type ProofPush struct {
 	Proof bundle.Proof `json:"proof"`
 	// Update stands in place of Proof if the caller holds the version before.
-	Update *bundle.Update `json:"update,omitempty"`
-	Homes  []fold.Taken   `json:"homes,omitempty"`
+	Update *bundle.Update     `json:"update,omitempty"`
+	Homes  []fold.DomainHomes `json:"homes,omitempty"`
 }
 
 // Done is the result of a call that returns nothing.
--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -105,8 +105,8 @@
 	return b
 }
 
-func peerHeard(h Heartbeat) leader.PeerHeard {
-	return leader.PeerHeard{
+func peerHeard(h Heartbeat) leader.Heartbeat {
+	return leader.Heartbeat{
 		Name:        h.Name,
 		Incarnation: h.Incarnation,
 		Leading:     h.Leading,
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -53,22 +53,22 @@
 
 // The reasons.
 const (
-	// Started is the first read of a process, Gone one after the store forgot what comes next.
-	Started Reason = "started"
-	Gone    Reason = "records-gone"
-	// Charged is a read of the instance that reads for the others.
-	Charged Reason = "in-charge"
-	// Late says that no word came that nothing is missing, Asked that a peer knows more, Gap that news
+	// ReasonStarted is the first read of a process, Gone one after the store forgot what comes next.
+	ReasonStarted Reason = "started"
+	ReasonExpired Reason = "records-gone"
+	// ReasonReader is a read of the instance that reads for the others.
+	ReasonReader Reason = "in-charge"
+	// ReasonOverdue says that no word came that nothing is missing, Asked that a peer knows more, Gap that news
 	// of a peer left out a part.
-	Late  Reason = "word-overdue"
-	Asked Reason = "behind-peer"
-	Gap   Reason = "news-missing"
+	ReasonOverdue Reason = "word-overdue"
+	ReasonBehind  Reason = "behind-peer"
+	ReasonGap     Reason = "news-missing"
 )
 
-// SilenceMost is how long a Store waits for each part of an answer, beyond the time for which a read waits for news,
+// AnswerTimeout is how long a Store waits for each part of an answer, beyond the time for which a read waits for news,
 // before it takes the call for lost. A fault that ends while a call waits costs what is left of it, and the
 // pause after it: both together are well below the time in which news must be in force.
-const SilenceMost = 700 * time.Millisecond
+const AnswerTimeout = 700 * time.Millisecond
 
 // Update is news of a topic.
 type Update struct {
@@ -76,21 +76,21 @@
 	Batch
 	// Reason is why the topic was read, empty for what came from another instance.
 	Reason Reason
-	// Whole says that the records are all there are: other keys are gone.
-	Whole bool
+	// Snapshot says that the records are all there are: other keys are gone.
+	Snapshot bool
 	// From is the offset that was read from.
 	From int64
-	// BegunAt is when the read began: nothing that was acknowledged before is missing. It is
+	// StartedAt is when the read began: nothing that was acknowledged before is missing. It is
 	// zero for what came from another instance.
-	BegunAt clock.Instant
-	// HeldUntil is when the store was to answer at the latest, with or without news, and EndedAt when the
+	StartedAt clock.Instant
+	// WaitDeadline is when the store was to answer at the latest, with or without news, and EndedAt when the
 	// read ended. Both are zero for what came from another instance.
-	HeldUntil clock.Instant
-	EndedAt   clock.Instant
-	// Since is the time after which the records were written; zero if that is not known.
-	Since clock.Instant
-	// Complete is a time up to which nothing is missing before End; zero if that is not known.
-	Complete clock.Instant
+	WaitDeadline clock.Instant
+	EndedAt      clock.Instant
+	// WrittenAfter is the time after which the records were written; zero if that is not known.
+	WrittenAfter clock.Instant
+	// CurrentAsOf is a time up to which nothing is missing before End; zero if that is not known.
+	CurrentAsOf clock.Instant
 	// Overdue says that this instance read because no word came that nothing is missing: the
 	// others may not have heard either.
 	Overdue bool
@@ -98,58 +98,58 @@
 	Err error
 }
 
-// News is a part of a topic that another instance read.
-type News struct {
+// PeerUpdate is a part of a topic that another instance read.
+type PeerUpdate struct {
 	// From is the offset that the other instance read from.
 	From int64
-	// Age is how long ago the oldest of the records can have been written when the news was sent, and
+	// RecordAge is how long ago the oldest of the records can have been written when the news was sent, and
 	// Complete how old the knowledge was then that nothing is missing before End, in milliseconds;
 	// Complete is negative for none.
-	Age      int64
-	Complete int64
+	RecordAge int64
+	Staleness int64
 	Batch
-	// Whole says that the records are all there are before End: other keys are gone.
-	Whole bool
+	// Snapshot says that the records are all there are before End: other keys are gone.
+	Snapshot bool
 	// SentAt is the earliest time at which it can have been sent, by the receiver's clock; zero if that
 	// is not known. The receiver sets it.
 	SentAt clock.Instant `msgpack:"-"`
 }
 
-// Topic follows one topic. Calls to the store are dear where there are many instances, so that
+// Watch follows one topic. Calls to the store are dear where there are many instances, so that
 // most of them do not read: they take the news that others have read, and read for themselves
 // when a part is missing or a peer knows more.
-type Topic struct {
+type Watch struct {
 	Store Store
-	Name  string
+	Topic string
 	Clock clock.Clock
-	// Direct reports whether this instance reads the store by itself.
-	Direct func() bool
-	// Wait returns how long a read waits for news. A read whose answer is lost shows only when
+	// ReadsStore reports whether this instance reads the store by itself.
+	ReadsStore func() bool
+	// PollTimeout returns how long a read waits for news. A read whose answer is lost shows only when
 	// that time is over: the store goes on holding its connection.
-	Wait func() time.Duration
-	// Every returns, if it is not nil, the pause between two reads; they do not wait for news
+	PollTimeout func() time.Duration
+	// ReadInterval returns, if it is not nil, the pause between two reads; they do not wait for news
 	// then. That costs fewer calls where news comes another way.
-	Every func() time.Duration
-	// Latest says that only the newest records count: to catch up, what lies between is not
+	ReadInterval func() time.Duration
+	// CatchUpFromSnapshot says that only the newest records count: to catch up, what lies between is not
 	// read. Twenty versions of a large configuration take a second on a link of 10 Mbit/s.
-	Latest bool
-	// Settle returns the pause after news before the next read. It joins changes that come close
+	CatchUpFromSnapshot bool
+	// BatchDelay returns the pause after news before the next read. It joins changes that come close
 	// together into one call.
-	Settle func() time.Duration
+	BatchDelay func() time.Duration
 	// Out takes the updates.
 	Out chan<- Update
-	// Again asks for a new read at once: a peer knows more.
-	Again <-chan struct{}
-	// News takes what other instances read; it may be nil.
-	News <-chan News
-	// Retry returns the pause after a read that failed.
-	Retry func() time.Duration
-	// Overdue returns the age of the knowledge that nothing is missing from which on this
+	// ReadNow asks for a new read at once: a peer knows more.
+	ReadNow <-chan struct{}
+	// PeerUpdates takes what other instances read; it may be nil.
+	PeerUpdates <-chan PeerUpdate
+	// RetryDelay returns the pause after a read that failed.
+	RetryDelay func() time.Duration
+	// MaxStaleness returns the age of the knowledge that nothing is missing from which on this
 	// instance reads, whoever else should; it may be nil.
 	//
 	// It guards against the loss of all readers at one time, as when they are cut off from the store: the
 	// directory would stay as it was, and requests go to servers that have left.
-	Overdue func() time.Duration
+	MaxStaleness func() time.Duration
 
 	// readUntil is the time up to which nothing is missing of what was read, zero if never.
 	readUntil atomic.Int64
@@ -186,12 +186,12 @@
 )
 
 // Age returns how old the knowledge is that nothing is missing of what the owner of Out acts by.
-func (t *Topic) Age() time.Duration {
+func (t *Watch) Age() time.Duration {
 	_, complete := t.Known()
 	return t.age(complete)
 }
 
-func (t *Topic) age(complete clock.Instant) time.Duration {
+func (t *Watch) age(complete clock.Instant) time.Duration {
 	if complete == 0 {
 		return math.MaxInt64
 	}
@@ -200,23 +200,23 @@
 
 // Known returns the end of what the owner of Out acts by, and a time up to which nothing is missing
 // before it, zero if there is none.
-func (t *Topic) Known() (end int64, complete clock.Instant) {
+func (t *Watch) Known() (end int64, complete clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.end, t.complete
 }
 
-// Applied takes in that the owner of Out acts by an update.
-func (t *Topic) Applied(u Update) {
+// MarkApplied takes in that the owner of Out acts by an update.
+func (t *Watch) MarkApplied(u Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.end = max(t.end, u.End)
-	t.complete = max(t.complete, u.Complete)
+	t.complete = max(t.complete, u.CurrentAsOf)
 }
 
-// Refresh takes in the word of another instance that nothing was missing before an end up to a time.
+// ConfirmCurrent takes in the word of another instance that nothing was missing before an end up to a time.
 // It says nothing to who acts by less.
-func (t *Topic) Refresh(end int64, until clock.Instant) {
+func (t *Watch) ConfirmCurrent(end int64, until clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if end <= t.end {
@@ -226,28 +226,28 @@
 
 // until returns the time up to which nothing is missing before the next offset to read: the news to
 // come was written after it.
-func (t *Topic) until() clock.Instant {
+func (t *Watch) until() clock.Instant {
 	_, complete := t.Known()
 	return max(complete, clock.Instant(t.readUntil.Load()))
 }
 
-// Unanswered reports whether the last read had no answer.
-func (t *Topic) Unanswered() bool { return t.failed.Load() }
+// LastReadFailed reports whether the last read had no answer.
+func (t *Watch) LastReadFailed() bool { return t.failed.Load() }
 
 // overdue reports whether this instance should read although others do.
-func (t *Topic) overdue() bool { return t.Overdue != nil && t.age(t.until()) > t.Overdue() }
+func (t *Watch) overdue() bool { return t.MaxStaleness != nil && t.age(t.until()) > t.MaxStaleness() }
 
 // Run follows the topic until the context ends.
-func (t *Topic) Run(ctx context.Context) error {
+func (t *Watch) Run(ctx context.Context) error {
 	t.whole = true
-	for reason := Started; ; {
+	for reason := ReasonStarted; ; {
 		u, done := t.readOnce(ctx, reason)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case !done:
 		case errors.Is(u.Err, ErrExpired):
-			t.whole, reason = true, Gone
+			t.whole, reason = true, ReasonExpired
 			continue
 		default:
 			t.finish(ctx, u)
@@ -259,11 +259,11 @@
 }
 
 // finish passes on how a read ended, and sets the pause before the next one.
-func (t *Topic) finish(ctx context.Context, u Update) {
+func (t *Watch) finish(ctx context.Context, u Update) {
 	t.failed.Store(u.Err != nil)
 	if u.Err != nil {
 		t.emit(ctx, u)
-		t.pause(t.Retry())
+		t.pause(t.RetryDelay())
 		return
 	}
 	u = t.rebase(u)
@@ -273,35 +273,35 @@
 }
 
 // pauseAfter returns the pause after a read that was answered.
-func (t *Topic) pauseAfter(u Update) time.Duration {
+func (t *Watch) pauseAfter(u Update) time.Duration {
 	pause := time.Duration(0)
-	if u.Complete == 0 {
+	if u.CurrentAsOf == 0 {
 		// The answer was cut short.
 		return pause
 	}
 	if len(u.Records) > 0 {
-		pause += t.Settle()
+		pause += t.BatchDelay()
 	}
-	if t.Every != nil {
-		pause += t.Every()
+	if t.ReadInterval != nil {
+		pause += t.ReadInterval()
 	}
 	return pause
 }
 
-func (t *Topic) pause(d time.Duration) { t.pauseUntil = time.Now().Add(d) }
+func (t *Watch) pause(d time.Duration) { t.pauseUntil = time.Now().Add(d) }
 
 // rebase leaves out of a read what news brought in while the read was in progress.
-func (t *Topic) rebase(u Update) Update {
-	if u.Whole && u.End >= t.next {
+func (t *Watch) rebase(u Update) Update {
+	if u.Snapshot && u.End >= t.next {
 		return u
 	}
-	u.Whole = false
+	u.Snapshot = false
 	u.Records = slices.DeleteFunc(u.Records, func(r Record) bool { return r.Offset < t.next })
 	u.End = max(u.End, t.next)
 	return u
 }
 
-func (t *Topic) emit(ctx context.Context, u Update) bool {
+func (t *Watch) emit(ctx context.Context, u Update) bool {
 	select {
 	case t.Out <- u:
 		return true
@@ -311,18 +311,18 @@
 }
 
 // await takes in news until a read is due, and returns why it is.
-func (t *Topic) await(ctx context.Context) Reason {
+func (t *Watch) await(ctx context.Context) Reason {
 	for ctx.Err() == nil {
 		if reason, due := t.due(); due {
 			return reason
 		}
 		timer := time.NewTimer(t.untilDue())
 		select {
-		case n := <-t.News:
+		case n := <-t.PeerUpdates:
 			t.take(ctx, n)
-		case <-t.Again:
+		case <-t.ReadNow:
 			timer.Stop()
-			return t.ask(Asked)
+			return t.ask(ReasonBehind)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -332,7 +332,7 @@
 }
 
 // untilDue returns the time to the next look whether a read is due.
-func (t *Topic) untilDue() time.Duration {
+func (t *Watch) untilDue() time.Duration {
 	if left := time.Until(t.pauseUntil); left > 0 && left < directEvery {
 		return left
 	}
@@ -340,28 +340,28 @@
 }
 
 // due reports whether and why this instance should read without being asked.
-func (t *Topic) due() (Reason, bool) {
+func (t *Watch) due() (Reason, bool) {
 	switch {
 	case time.Now().Before(t.pauseUntil):
 		return "", false
 	case t.whole:
 		return t.reason, true
-	case t.Direct():
-		return Charged, true
+	case t.ReadsStore():
+		return ReasonReader, true
 	case t.missing > t.next:
-		return t.ask(Gap), true
+		return t.ask(ReasonGap), true
 	case t.overdue():
-		return Late, true
+		return ReasonOverdue, true
 	}
 	return "", false
 }
 
 // ask returns the reason of a read that another instance gives rise to.
-func (t *Topic) ask(reason Reason) Reason {
-	if t.Direct() {
-		return Charged
+func (t *Watch) ask(reason Reason) Reason {
+	if t.ReadsStore() {
+		return ReasonReader
 	}
-	t.whole = t.whole || t.Latest
+	t.whole = t.whole || t.CatchUpFromSnapshot
 	return reason
 }
 
@@ -371,7 +371,7 @@
 // Its receipt proves nothing: what was written while it was on its way is not in it. Dated by receipt,
 // it would make instances tell one another that nothing is missing while it is, and the words of servers
 // that leave, read later, seem younger than they are.
-func (t *Topic) take(ctx context.Context, n News) {
+func (t *Watch) take(ctx context.Context, n PeerUpdate) {
 	if n.End <= t.next {
 		return
 	}
@@ -379,21 +379,21 @@
 		t.missing, t.pauseUntil = max(t.missing, n.End), time.Time{}
 		return
 	}
-	u := Update{Topic: t.Name, Batch: Batch{End: n.End}, Since: t.until(), Whole: n.Whole}
+	u := Update{Topic: t.Topic, Batch: Batch{End: n.End}, WrittenAfter: t.until(), Snapshot: n.Snapshot}
 	if n.SentAt != 0 {
-		u.Since = max(u.Since, n.SentAt.Add(-time.Duration(n.Age)*time.Millisecond))
+		u.WrittenAfter = max(u.WrittenAfter, n.SentAt.Add(-time.Duration(n.RecordAge)*time.Millisecond))
 	}
-	if n.SentAt != 0 && n.Complete >= 0 {
-		u.Complete = n.SentAt.Add(-time.Duration(n.Complete) * time.Millisecond)
+	if n.SentAt != 0 && n.Staleness >= 0 {
+		u.CurrentAsOf = n.SentAt.Add(-time.Duration(n.Staleness) * time.Millisecond)
 	}
 	for _, r := range n.Records {
-		if r.Offset >= t.next || n.Whole {
+		if r.Offset >= t.next || n.Snapshot {
 			u.Records = append(u.Records, r)
 		}
 	}
 	if t.emit(ctx, u) {
 		t.next = n.End
-		t.readUntil.Store(max(t.readUntil.Load(), int64(u.Complete)))
+		t.readUntil.Store(max(t.readUntil.Load(), int64(u.CurrentAsOf)))
 	}
 }
 
@@ -402,17 +402,17 @@
 //
 // A read that waits for news ends when a peer knows more, or when the word that nothing is missing is overdue: its
 // answer may be lost.
-func (t *Topic) readOnce(ctx context.Context, reason Reason) (Update, bool) {
+func (t *Watch) readOnce(ctx context.Context, reason Reason) (Update, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.reason = reason
-	u := Update{Topic: t.Name, Reason: reason, BegunAt: t.Clock.Now(), From: t.next, Whole: t.whole, Overdue: t.overdue()}
+	u := Update{Topic: t.Topic, Reason: reason, StartedAt: t.Clock.Now(), From: t.next, Snapshot: t.whole, Overdue: t.overdue()}
 	wait, again := time.Duration(0), (<-chan struct{})(nil)
-	waits := t.Every == nil && t.Direct() && !u.Whole && !u.Overdue
+	waits := t.ReadInterval == nil && t.ReadsStore() && !u.Snapshot && !u.Overdue
 	if waits {
-		wait, again = t.Wait(), t.Again
+		wait, again = t.PollTimeout(), t.ReadNow
 	}
-	u.HeldUntil = u.BegunAt.Add(wait)
+	u.WaitDeadline = u.StartedAt.Add(wait)
 	ended := make(chan Update, 1)
 	go func() { ended <- t.read(ctx, u, wait) }()
 	ticker := time.NewTicker(directEvery)
@@ -421,7 +421,7 @@
 		select {
 		case u := <-ended:
 			return u, true
-		case n := <-t.News:
+		case n := <-t.PeerUpdates:
 			t.take(ctx, n)
 			continue
 		case <-again:
@@ -437,18 +437,18 @@
 }
 
 // read carries out a read, and dates what it brings.
-func (t *Topic) read(ctx context.Context, u Update, wait time.Duration) Update {
-	if u.Whole {
-		u.Batch, u.Err = t.Store.Newest(ctx, t.Name)
+func (t *Watch) read(ctx context.Context, u Update, wait time.Duration) Update {
+	if u.Snapshot {
+		u.Batch, u.Err = t.Store.Newest(ctx, t.Topic)
 	} else {
-		u.Batch, u.Err = t.Store.Read(ctx, t.Name, u.From, wait)
+		u.Batch, u.Err = t.Store.Read(ctx, t.Topic, u.From, wait)
 	}
 	u.EndedAt = t.Clock.Now()
 	if u.Err != nil {
 		return u
 	}
 	reachesEnd := true
-	if n := len(u.Records); !u.Whole {
+	if n := len(u.Records); !u.Snapshot {
 		end := max(u.End, u.From)
 		u.End = end
 		if n > 0 {
@@ -466,21 +466,21 @@
 //
 // An answer says what was there when it was made. It may have been made as soon as the read began,
 // unless it took so long that the store must have held it.
-func (t *Topic) date(u *Update, wait time.Duration, reachesEnd bool) {
+func (t *Watch) date(u *Update, wait time.Duration, reachesEnd bool) {
 	now := u.EndedAt
-	took := now.Sub(u.BegunAt)
-	u.Since = t.until()
-	madeAt := u.BegunAt
+	took := now.Sub(u.StartedAt)
+	u.WrittenAfter = t.until()
+	madeAt := u.StartedAt
 	switch {
 	case wait == 0 || took < heldTime:
 	case len(u.Records) > 0:
 		madeAt = now.Add(-answerTime)
-		u.Since = max(u.Since, madeAt)
+		u.WrittenAfter = max(u.WrittenAfter, madeAt)
 	case took >= wait:
-		madeAt = u.BegunAt.Add(wait)
+		madeAt = u.StartedAt.Add(wait)
 	}
 	if reachesEnd {
-		u.Complete = madeAt
+		u.CurrentAsOf = madeAt
 		t.readUntil.Store(max(t.readUntil.Load(), int64(madeAt)))
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -94,20 +94,20 @@
 func (still) Now() clock.Instant { return 1 }
 
 // watch runs a topic and returns what it says, in order. All of it is acted by at once.
-func watch(t *testing.T, topic *follow.Topic) <-chan follow.Update {
+func watch(t *testing.T, topic *follow.Watch) <-chan follow.Update {
 	said, out := make(chan follow.Update), make(chan follow.Update, 64)
-	topic.Name, topic.Out = "topic", said
+	topic.Topic, topic.Out = "topic", said
 	if topic.Clock == nil {
 		topic.Clock = still{}
 	}
-	if topic.Settle == nil {
-		topic.Settle = func() time.Duration { return 0 }
+	if topic.BatchDelay == nil {
+		topic.BatchDelay = func() time.Duration { return 0 }
 	}
-	if topic.Retry == nil {
-		topic.Retry = func() time.Duration { return time.Second }
+	if topic.RetryDelay == nil {
+		topic.RetryDelay = func() time.Duration { return time.Second }
 	}
-	if topic.Wait == nil {
-		topic.Wait = func() time.Duration { return 20 * time.Second }
+	if topic.PollTimeout == nil {
+		topic.PollTimeout = func() time.Duration { return 20 * time.Second }
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 2)
@@ -119,7 +119,7 @@
 		for ctx.Err() == nil {
 			select {
 			case u := <-said:
-				topic.Applied(u)
+				topic.MarkApplied(u)
 				out <- u
 			case <-ctx.Done():
 			}
@@ -146,7 +146,7 @@
 		s := &store{}
 		s.put("config", "1")
 		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Again: again})
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, ReadNow: again})
 		is.Equal(string((<-out).Records[0].Value), "1")
 		s.set(func() { s.hang = true })
 		time.Sleep(time.Second)
@@ -164,12 +164,12 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always})
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: always})
 		<-out
 		s.set(func() { s.expired = true })
 		s.put("b", "2")
 		u := <-out
-		is.True(u.Whole)
+		is.True(u.Snapshot)
 		is.Equal(len(u.Records), 2)
 	})
 }
@@ -180,20 +180,20 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "0")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, News: news})
+		news := make(chan follow.PeerUpdate, 4)
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
 		<-out
 		record := func(offset int64) follow.Record { return follow.Record{Key: "a", Value: []byte("x"), Offset: offset} }
 		s.put("a", "1")
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
+		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{record(1)}, End: 2}}
 		is.Equal((<-out).End, int64(2))
-		news <- follow.News{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
+		news <- follow.PeerUpdate{From: 0, Batch: follow.Batch{Records: []follow.Record{record(0), record(1)}, End: 2}}
 		time.Sleep(time.Minute)
 		is.Equal(len(out), 0) // nothing new
 		is.Equal(s.reads, 0)
 		s.put("a", "2")
 		s.put("a", "3")
-		news <- follow.News{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
+		news <- follow.PeerUpdate{From: 3, Batch: follow.Batch{Records: []follow.Record{record(3)}, End: 4}}
 		u := <-out
 		is.Equal(u.From, int64(2)) // the part between was read
 		is.Equal(u.End, int64(4))
@@ -206,15 +206,15 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "0")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, News: news})
+		news := make(chan follow.PeerUpdate, 4)
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news})
 		<-out
 		all := []follow.Record{{Key: "a", Value: []byte("0"), Offset: 0}, {Key: "b", Value: []byte("1"), Offset: 2}}
-		news <- follow.News{From: 0, Whole: true, Batch: follow.Batch{Records: all, End: 3}}
+		news <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all, End: 3}}
 		u := <-out
-		is.True(u.Whole)
+		is.True(u.Snapshot)
 		is.Equal(len(u.Records), 2)
-		news <- follow.News{From: 0, Whole: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
+		news <- follow.PeerUpdate{From: 0, Snapshot: true, Batch: follow.Batch{Records: all[:1], End: 2}} // older
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
@@ -228,16 +228,16 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("config", "1")
-		news := make(chan follow.News, 4)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, Latest: true, News: news})
+		news := make(chan follow.PeerUpdate, 4)
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, PeerUpdates: news})
 		<-out
 		s.put("config", "2")
 		began := time.Now()
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}}
+		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		u := <-out
 		is.Equal(string(u.Records[0].Value), "2")
 		is.True(time.Since(began) < 50*time.Millisecond)
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}} // known by now
+		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}} // known by now
 		time.Sleep(time.Second)
 		is.Equal(len(out), 0)
 	})
@@ -251,7 +251,7 @@
 		s := &store{}
 		s.put("config", "1")
 		again := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: never, Latest: true, Again: again})
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: never, CatchUpFromSnapshot: true, ReadNow: again})
 		<-out
 		for range 20 {
 			s.put("config", "n")
@@ -283,7 +283,7 @@
 				is := is.New(t)
 				s := &store{}
 				s.put("a", "1")
-				topic := &follow.Topic{Store: s, Direct: test.direct, Clock: running{}, Overdue: overdue}
+				topic := &follow.Watch{Store: s, ReadsStore: test.direct, Clock: running{}, MaxStaleness: overdue}
 				out := watch(t, topic)
 				<-out
 				began := time.Now()
@@ -293,7 +293,7 @@
 				time.AfterFunc(500*time.Millisecond, func() { s.set(func() { s.hang = false }) })
 				for len(out) == 0 && time.Since(began) < 10*time.Second {
 					if test.refreshed {
-						topic.Refresh(1, running{}.Now().Add(-100*time.Millisecond))
+						topic.ConfirmCurrent(1, running{}.Now().Add(-100*time.Millisecond))
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -304,7 +304,7 @@
 				u := <-out
 				is.True(u.Overdue)
 				is.True(time.Since(began) <= test.within)
-				is.True(u.BegunAt.Sub(u.Since) >= time.Second) // it may have been written that long ago
+				is.True(u.StartedAt.Sub(u.WrittenAfter) >= time.Second) // it may have been written that long ago
 			})
 		})
 	}
@@ -316,9 +316,9 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{
-			Store: &failing{store: s}, Direct: never, Clock: running{},
-			Overdue: func() time.Duration { return time.Second },
+		out := watch(t, &follow.Watch{
+			Store: &failing{store: s}, ReadsStore: never, Clock: running{},
+			MaxStaleness: func() time.Duration { return time.Second },
 		})
 		<-out
 		time.Sleep(11 * time.Second)
@@ -340,12 +340,12 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Clock: running{}})
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: running{}})
 		<-out
 		time.Sleep(5 * time.Second)
 		s.put("a", "2")
 		u := <-out
-		is.True(running{}.Now().Sub(u.Since) <= 150*time.Millisecond)
+		is.True(running{}.Now().Sub(u.WrittenAfter) <= 150*time.Millisecond)
 		is.True(!u.Overdue)
 	})
 }
@@ -360,9 +360,9 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
+		news := make(chan follow.PeerUpdate, 1)
 		again := make(chan struct{}, 1)
-		topic := &follow.Topic{Store: s, Direct: never, News: news, Again: again, Clock: running{}}
+		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, ReadNow: again, Clock: running{}}
 		out := watch(t, topic)
 		<-out
 		time.Sleep(time.Second)
@@ -370,7 +370,7 @@
 		s.put("a", "leaves")
 		s.put("b", "leaves")
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.News{From: 1, Age: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
+		news <- follow.PeerUpdate{From: 1, RecordAge: 5, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2}}
 		<-out
 		synctest.Wait()
 		is.True(topic.Age() >= running{}.Now().Sub(written)) // the word of b is missing since then
@@ -378,7 +378,7 @@
 		again <- struct{}{}
 		u := <-out
 		is.Equal(len(u.Records), 1)
-		is.True(u.Since <= written)
+		is.True(u.WrittenAfter <= written)
 	})
 }
 
@@ -388,21 +388,21 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{Store: s, Direct: never, News: news, Clock: running{}}
+		news := make(chan follow.PeerUpdate, 1)
+		topic := &follow.Watch{Store: s, ReadsStore: never, PeerUpdates: news, Clock: running{}}
 		out := watch(t, topic)
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "leaves")
 		sentAt := running{}.Now().Add(20 * time.Millisecond)
 		time.Sleep(170 * time.Millisecond)
-		news <- follow.News{
-			From: 1, Age: 20, Complete: 5, SentAt: sentAt,
+		news <- follow.PeerUpdate{
+			From: 1, RecordAge: 20, Staleness: 5, SentAt: sentAt,
 			Batch: follow.Batch{Records: []follow.Record{{Key: "a", Offset: 1}}, End: 2},
 		}
 		u := <-out
 		synctest.Wait()
-		is.Equal(running{}.Now().Sub(u.Since), 170*time.Millisecond)
+		is.Equal(running{}.Now().Sub(u.WrittenAfter), 170*time.Millisecond)
 		is.Equal(topic.Age(), 155*time.Millisecond)
 	})
 }
@@ -414,8 +414,8 @@
 		is := is.New(t)
 		s := &slow{store: &store{}}
 		s.put("a", "0")
-		news := make(chan follow.News, 1)
-		out := watch(t, &follow.Topic{Store: s, Direct: always, News: news, Clock: running{}})
+		news := make(chan follow.PeerUpdate, 1)
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, PeerUpdates: news, Clock: running{}})
 		<-out
 		time.Sleep(time.Second)
 		s.put("a", "1")
@@ -423,7 +423,7 @@
 		written := running{}.Now()
 		s.put("a", "2") // while the answer is on its way
 		u := <-out
-		is.True(u.Since <= written)
+		is.True(u.WrittenAfter <= written)
 	})
 }
 
@@ -440,14 +440,14 @@
 // read and the end of before that nothing was missing: others believed that the record did not exist.
 func TestEndAndTimeBelongTogether(t *testing.T) {
 	is := is.New(t)
-	topic := &follow.Topic{Clock: still{}}
-	topic.Applied(follow.Update{Batch: follow.Batch{End: 5}, Complete: 100})
-	topic.Refresh(5, 150)
-	topic.Refresh(6, 300) // who knows more says nothing of what is missing here
+	topic := &follow.Watch{Clock: still{}}
+	topic.MarkApplied(follow.Update{Batch: follow.Batch{End: 5}, CurrentAsOf: 100})
+	topic.ConfirmCurrent(5, 150)
+	topic.ConfirmCurrent(6, 300) // who knows more says nothing of what is missing here
 	end, until := topic.Known()
 	is.Equal(end, int64(5))
 	is.Equal(until, clock.Instant(150))
-	topic.Applied(follow.Update{Batch: follow.Batch{End: 6}, Complete: 120})
+	topic.MarkApplied(follow.Update{Batch: follow.Batch{End: 6}, CurrentAsOf: 120})
 	end, until = topic.Known()
 	is.Equal(end, int64(6))
 	is.Equal(until, clock.Instant(150)) // the word of who knew less counts on
@@ -459,14 +459,14 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "1")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{Store: s, Direct: never, Clock: running{}, News: news, Overdue: func() time.Duration { return time.Second }}
+		news := make(chan follow.PeerUpdate, 1)
+		topic := &follow.Watch{Store: s, ReadsStore: never, Clock: running{}, PeerUpdates: news, MaxStaleness: func() time.Duration { return time.Second }}
 		out := watch(t, topic)
 		<-out
 		s.set(func() { s.hang = true })
 		time.Sleep(2 * time.Second)
 		s.set(func() { is.Equal(s.reads, 1) }) // overdue, and without an answer
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
@@ -479,16 +479,16 @@
 		is := is.New(t)
 		s := &store{}
 		s.put("a", "1")
-		news := make(chan follow.News, 1)
-		topic := &follow.Topic{
-			Store: &failing{store: s}, Direct: always, Clock: running{}, News: news,
+		news := make(chan follow.PeerUpdate, 1)
+		topic := &follow.Watch{
+			Store: &failing{store: s}, ReadsStore: always, Clock: running{}, PeerUpdates: news,
 		}
 		out := watch(t, topic)
 		<-out
 		for range 5 {
 			is.True((<-out).Err != nil)
 		}
-		news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
+		news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte("2"), Offset: 1}}, End: 2}}
 		synctest.Wait()
 		is.Equal(len(out), 1)
 		is.Equal((<-out).End, int64(2))
@@ -507,8 +507,8 @@
 				s := &store{}
 				s.put("a", "1")
 				held := &late{store: s}
-				news, asked := make(chan follow.News, 1), make(chan struct{}, 1)
-				out := watch(t, &follow.Topic{Store: held, Direct: never, Latest: whole, Clock: running{}, News: news, Again: asked})
+				news, asked := make(chan follow.PeerUpdate, 1), make(chan struct{}, 1)
+				out := watch(t, &follow.Watch{Store: held, ReadsStore: never, CatchUpFromSnapshot: whole, Clock: running{}, PeerUpdates: news, ReadNow: asked})
 				<-out
 				s.set(func() {
 					s.records = append(s.records, removed)
@@ -516,12 +516,12 @@
 				})
 				asked <- struct{}{}
 				time.Sleep(500 * time.Millisecond) // the answer is made, and on its way
-				news <- follow.News{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
+				news <- follow.PeerUpdate{From: 1, Batch: follow.Batch{Records: []follow.Record{removed, again}, End: 3}}
 				is.Equal((<-out).End, int64(3))
 				u := <-out
 				is.Equal(len(u.Records), 0)
 				is.Equal(u.End, int64(3))
-				is.True(!u.Whole)
+				is.True(!u.Snapshot)
 			})
 		})
 	}
@@ -558,16 +558,16 @@
 		s := &store{}
 		s.put("a", "1")
 		asked := make(chan struct{}, 1)
-		out := watch(t, &follow.Topic{
-			Store: &brief{store: s}, Direct: always, Clock: running{}, Again: asked, Every: func() time.Duration { return time.Minute },
+		out := watch(t, &follow.Watch{
+			Store: &brief{store: s}, ReadsStore: always, Clock: running{}, ReadNow: asked, ReadInterval: func() time.Duration { return time.Minute },
 		})
 		<-out
 		s.put("a", "2")
 		s.put("a", "3")
 		asked <- struct{}{}
-		is.Equal((<-out).Complete, clock.Instant(0)) // more was there
+		is.Equal((<-out).CurrentAsOf, clock.Instant(0)) // more was there
 		began := time.Now()
-		is.True((<-out).Complete != 0)
+		is.True((<-out).CurrentAsOf != 0)
 		is.True(time.Since(began) < time.Second)
 	})
 }
@@ -588,7 +588,7 @@
 		const pause = 30 * time.Millisecond
 		s := &store{}
 		s.put("a", "1")
-		out := watch(t, &follow.Topic{Store: s, Direct: always, Clock: running{}, Settle: func() time.Duration { return pause }})
+		out := watch(t, &follow.Watch{Store: s, ReadsStore: always, Clock: running{}, BatchDelay: func() time.Duration { return pause }})
 		<-out
 		s.put("a", "2")
 		began := time.Now()
@@ -604,16 +604,16 @@
 		s := &store{}
 		s.put("a", "1")
 		down := &failing{store: s}
-		news := make(chan follow.News, 1)
-		out := watch(t, &follow.Topic{
-			Store: down, Direct: never, Latest: true, Clock: running{}, News: news,
-			Overdue: func() time.Duration { return time.Second }, Retry: func() time.Duration { return time.Minute },
+		news := make(chan follow.PeerUpdate, 1)
+		out := watch(t, &follow.Watch{
+			Store: down, ReadsStore: never, CatchUpFromSnapshot: true, Clock: running{}, PeerUpdates: news,
+			MaxStaleness: func() time.Duration { return time.Second }, RetryDelay: func() time.Duration { return time.Minute },
 		})
 		<-out
 		is.True((<-out).Err != nil)
 		s.put("a", "2")
 		began := time.Now()
-		news <- follow.News{From: 2, Batch: follow.Batch{End: 2}}
+		news <- follow.PeerUpdate{From: 2, Batch: follow.Batch{End: 2}}
 		is.Equal((<-out).End, int64(2))
 		is.True(time.Since(began) < time.Second)
 	})
--- a/internal/front/fault.go
+++ b/internal/front/fault.go
@@ -85,7 +85,7 @@
 	settle := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
 		defer cancel()
-		died := server.Died(ctx, lostAt)
+		died := server.ServerDied(ctx, lostAt)
 		if died {
 			j.front.meters.lost.Add(1)
 			j.front.deps.Log.Warn("server-lost", "service", j.service.name, "server", slot.Server, "request", j.id, "print", print)
--- a/internal/front/meters.go
+++ b/internal/front/meters.go
@@ -77,7 +77,7 @@
 	s.core.EachServer(func(p policy.Server, busy int) {
 		server := ServerStatus{Server: p.Name, Slots: p.Slots, Busy: busy}
 		if known := s.servers[p.Name]; known != nil {
-			server.Connections = known.Open()
+			server.Connections = known.OpenConns()
 		}
 		status.Servers = append(status.Servers, server)
 	})
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -230,8 +230,8 @@
 	out := j.outgoing(t)
 	defer f.nextSpan(j.Context(), spanSend, server, out.Header)()
 	var work Work
-	response, err := j.service.connections(t.Server).Send(out, upstr.Order{
-		Deadline: f.at(j.deadline), InMemory: j.body.whole, Fresh: j.fresh, Permit: j.permit(t, &work),
+	response, err := j.service.connections(t.Server).Send(out, upstr.SendOptions{
+		Deadline: f.at(j.deadline), InMemory: j.body.whole, NewConn: j.fresh, BeforeWrite: j.permit(t, &work),
 		Done: func(sent bool) {
 			if work != nil {
 				work.End()
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -25,7 +25,7 @@
 	mu       sync.Mutex
 	core     *policy.Core
 	waiters  map[policy.Ticket]chan policy.Decision
-	servers  map[string]*upstr.Server
+	servers  map[string]*upstr.Client
 	recalled map[shard]recallState
 	// epochs holds the header forms of the newest epochs of servers.
 	epochs sync.Map
@@ -40,7 +40,7 @@
 		front: f, name: name,
 		core:     policy.NewCore(name, f.deps.Bounds, f.origin.UnixMilli()),
 		waiters:  make(map[policy.Ticket]chan policy.Decision),
-		servers:  make(map[string]*upstr.Server),
+		servers:  make(map[string]*upstr.Client),
 		recalled: make(map[shard]recallState),
 	}
 }
@@ -194,15 +194,15 @@
 }
 
 // connections returns the connections to a server, new ones if its settings changed.
-func (s *service) connections(b *bundle.Server) *upstr.Server {
+func (s *service) connections(b *bundle.Server) *upstr.Client {
 	settings := upstr.Settings{
-		Name: b.Name, Address: b.Address, Connections: b.Connections, Slots: max(b.Slots, 1),
-		Patience: s.front.deps.Patience,
+		Name: b.Name, Address: b.Address, MaxConns: b.Connections, Slots: max(b.Slots, 1),
+		SilenceTimeout: s.front.deps.Patience,
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.servers[b.Name]
-	if known != nil && known.Made(settings) {
+	if known != nil && known.HasSettings(settings) {
 		return known
 	}
 	if known != nil {
@@ -212,7 +212,7 @@
 			known.Close()
 		}()
 	}
-	fresh := upstr.NewServer(settings)
+	fresh := upstr.NewClient(settings)
 	s.servers[b.Name] = fresh
 	return fresh
 }
@@ -243,7 +243,7 @@
 	connections := s.servers[server]
 	s.mu.Unlock()
 	if connections != nil {
-		connections.Cut()
+		connections.CloseConns()
 	}
 }
 
@@ -251,7 +251,7 @@
 func (s *service) close() {
 	s.mu.Lock()
 	servers := s.servers
-	s.servers = make(map[string]*upstr.Server)
+	s.servers = make(map[string]*upstr.Client)
 	s.mu.Unlock()
 	for _, server := range servers {
 		server.Close()
--- a/internal/gram/deflate_test.go
+++ b/internal/gram/deflate_test.go
@@ -20,7 +20,7 @@
 	for i := range 2416 {
 		m.Changes = append(m.Changes, shard.Range{
 			From: uint16(27 * i), To: uint16(27*i + 26), Server: fmt.Sprintf("i-%010x", (i%604)*7919*104729), Fence: uint64(4000 + i),
-			Before: []shard.Holder{{Server: fmt.Sprintf("i-%010x", (i%211)*15485863), Address: fmt.Sprintf("10.%d.64.%d:8667", i%6, i%211)}},
+			FormerOwners: []shard.Owner{{Server: fmt.Sprintf("i-%010x", (i%211)*15485863), Address: fmt.Sprintf("10.%d.64.%d:8667", i%6, i%211)}},
 		})
 	}
 	data, err := Encode(m)
--- a/internal/gram/gram.go
+++ b/internal/gram/gram.go
@@ -24,7 +24,7 @@
 // The messages.
 type (
 	// Heartbeat says that an instance lives, and what it confirms.
-	Heartbeat struct{ roster.Beat }
+	Heartbeat struct{ roster.Heartbeat }
 	// Ask asks the keeper of a pool or a server for a permit. Times are in milliseconds
 	// from now, since clocks differ between machines.
 	Ask struct {
@@ -114,7 +114,7 @@
 		Topic  string
 		Sender string
 		SentAt int64
-		follow.News
+		follow.PeerUpdate
 	}
 	// Settled says that ranges have come to their new owners, ahead of the record that says so.
 	Settled struct{ Ranges []SettledRange }
--- a/internal/gram/gram_test.go
+++ b/internal/gram/gram_test.go
@@ -11,7 +11,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
-	sent := Heartbeat{Beat: roster.Beat{Name: "i1", Incarnation: 7, Known: 12, Failing: []string{"s1~a"}}}
+	sent := Heartbeat{Heartbeat: roster.Heartbeat{Name: "i1", Incarnation: 7, Known: 12, Failing: []string{"s1~a"}}}
 	data, err := Encode(sent)
 	is.NoErr(err)
 	got, err := Decode(data)
@@ -22,8 +22,8 @@
 // Whatever arrives on the port, it is a message or an error.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
-		Heartbeat{Beat: roster.Beat{Name: "i1", Failing: []string{"s1"}}}, Ask{}, Verdict{}, Done{}, Withdraw{}, Loads{Name: "i1", Keys: []uint16{1}},
-		Crash{}, Owners{Service: "s", Changes: []shard.Range{{From: 1, To: 9, Server: "a", Before: []shard.Holder{{Server: "b"}}}}},
+		Heartbeat{Heartbeat: roster.Heartbeat{Name: "i1", Failing: []string{"s1"}}}, Ask{}, Verdict{}, Done{}, Withdraw{}, Loads{Name: "i1", Keys: []uint16{1}},
+		Crash{}, Owners{Service: "s", Changes: []shard.Range{{From: 1, To: 9, Server: "a", FormerOwners: []shard.Owner{{Server: "b"}}}}},
 		Settled{}, News{}, Check{}, Behind{}, Known{Maps: map[string][]byte{"s": {1}}},
 	} {
 		if data, err := Encode(m); err == nil {
--- a/internal/holder/backend_test.go
+++ b/internal/holder/backend_test.go
@@ -53,7 +53,7 @@
 	openedAt clock.Instant
 }
 
-func (o *orders) Grant(ctx context.Context, to shard.Holder, g Grant, proven Proof) error {
+func (o *orders) Grant(ctx context.Context, to shard.Owner, g Grant, proven GrantCheck) error {
 	address := to.Address
 	o.world.delay()
 	if ctx.Err() != nil {
@@ -86,7 +86,7 @@
 }
 
 // line returns the connection to a life of a server; one whose server has ended fails once.
-func (o *orders) line(to shard.Holder) (*testLine, error) {
+func (o *orders) line(to shard.Owner) (*testLine, error) {
 	o.world.mu.Lock()
 	life := o.world.at(to.Address)
 	o.world.mu.Unlock()
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-func (o *orders) Release(ctx context.Context, to shard.Holder, g Grant) (string, error) {
+func (o *orders) Release(ctx context.Context, to shard.Owner, g Grant) (string, error) {
 	address := to.Address
 	o.world.delay()
 	if o.world.isCut(o.name, address) {
@@ -123,7 +123,7 @@
 // grant carries a grant out and checks the rule that everything here is for.
 // Where life is given, only that one takes the grant: an order that is carried out late ends with
 // the life of the server that took it.
-func (w *world) grant(to shard.Holder, g Grant, arrived time.Time, life *backend) error {
+func (w *world) grant(to shard.Owner, g Grant, arrived time.Time, life *backend) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.at(to.Address)
@@ -135,7 +135,7 @@
 		return ErrRefused
 	}
 	if rules.NameOf(b.ID) != rules.NameOf(to.Server) && w.guards.naming {
-		return ErrEnded
+		return ErrServerGone
 	}
 	refused := false
 	b.each(g.From, g.To, func(i int) { refused = refused || g.Fence < b.seen[i] })
@@ -178,7 +178,7 @@
 	}
 }
 
-func (w *world) release(to shard.Holder, g Grant) error {
+func (w *world) release(to shard.Owner, g Grant) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.at(to.Address)
@@ -190,7 +190,7 @@
 		return ErrRefused
 	}
 	if rules.NameOf(b.ID) != rules.NameOf(to.Server) && w.guards.naming {
-		return ErrEnded
+		return ErrServerGone
 	}
 	b.each(g.From, g.To, func(i int) {
 		b.seen[i] = max(b.seen[i], g.Fence)
@@ -213,7 +213,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for i := range shard.Keys / spacing {
+	for i := range shard.NumKeys / spacing {
 		for _, b := range w.backends {
 			if b.up && !b.keyless && b.holds[i].granted && time.Now().Before(b.holds[i].until) {
 				n++
@@ -230,7 +230,7 @@
 	defer w.mu.Unlock()
 	b := &backend{
 		Server: rules.Server{ID: id, Service: service, Address: address, Domain: domain, Slots: 2, StartedAt: startOf(id)}, up: true,
-		seen: make([]uint64, shard.Keys/spacing), holds: make([]hold, shard.Keys/spacing),
+		seen: make([]uint64, shard.NumKeys/spacing), holds: make([]hold, shard.NumKeys/spacing),
 	}
 	w.backends[id] = b
 	if w.stated {
--- a/internal/holder/enrol.go
+++ b/internal/holder/enrol.go
@@ -12,15 +12,15 @@
 // errNotRegister says that a record told of is not one of the register.
 var errNotRegister = errors.New("holder: not a record of the register")
 
-// Enrolled takes the records of the register that the leader tells of, which follow one another.
+// RegisterUpdates takes the records of the register that the leader tells of, which follow one another.
 //
 // Records of owners are told as what they change against the record before, so that whoever did not know of
 // one in between had to read the store. Where only owners were told, each instance that started or stopped
 // made all others read, at the next move at the latest: calls grew with the square of their number.
-func (h *Holder) Enrolled() chan<- []follow.Record { return h.enrolled }
+func (h *Manager) RegisterUpdates() chan<- []follow.Record { return h.enrolled }
 
 // enroll takes in records of the register that the leader tells of.
-func (h *Holder) enroll(records []follow.Record) {
+func (h *Manager) enroll(records []follow.Record) {
 	before := h.know.get()
 	if n := len(records); n == 0 || records[n-1].Offset < before.End {
 		return
@@ -30,7 +30,7 @@
 	case err != nil:
 		h.Events.Note(event.Belief, "register-malformed", "offset", records[0].Offset, "error", err)
 	case !follows:
-		h.Again()
+		h.RereadOwners()
 	default:
 		h.follow(before)
 	}
@@ -41,8 +41,8 @@
 
 // tellRegister tells the others of the records of the register in an update, from an offset on. It ends
 // before a record of owners that this instance did not write: that one must be read.
-func (h *Holder) tellRegister(from int64, u follow.Update) {
-	if u.Whole {
+func (h *Manager) tellRegister(from int64, u follow.Update) {
+	if u.Snapshot {
 		return
 	}
 	var told []follow.Record
@@ -60,6 +60,6 @@
 		told = append(told, r)
 	}
 	if len(told) > 0 {
-		h.TellRegister(told)
+		h.BroadcastRegister(told)
 	}
 }
--- a/internal/holder/enrol_test.go
+++ b/internal/holder/enrol_test.go
@@ -20,7 +20,7 @@
 // follower returns the knowledge of an instance that has read the store up to an offset.
 func follower(end int64) *knowledge {
 	k := newKnowledge()
-	k.fold(follow.Update{BegunAt: clock.Instant(time.Second), Complete: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Whole: true})
+	k.fold(follow.Update{StartedAt: clock.Instant(time.Second), CurrentAsOf: clock.Instant(time.Second), Batch: follow.Batch{End: end}, Snapshot: true})
 	return k
 }
 
@@ -40,8 +40,8 @@
 }
 
 // newTestHolder returns a holder that tells of the register.
-func newTestHolder(tell func([]follow.Record)) *Holder {
-	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), TellRegister: tell})
+func newTestHolder(tell func([]follow.Record)) *Manager {
+	return New(Deps{Events: event.New(io.Discard, log.ErrorLevel), BroadcastRegister: tell})
 }
 
 // In a roll 295 instances stopped and started. None was told of their records, so that each of 294 others read
@@ -54,7 +54,7 @@
 	is.True(follows)
 	is.Equal(k.get().End, int64(8))
 	is.Equal(len(k.get().Instances), 1)
-	is.True(k.extend("books", 8, 1, []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}))
+	is.True(k.extend("books", 8, 1, []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1}}))
 	is.True(!k.get().registered("i1", 7))
 	is.True(k.get().registered("i2", 8))
 }
@@ -120,7 +120,7 @@
 				}
 				got = fmt.Sprintf("%d:%v", records[0].Offset, names)
 			})
-			h.tellRegister(3, follow.Update{Batch: follow.Batch{Records: test.records}, Whole: test.whole})
+			h.tellRegister(3, follow.Update{Batch: follow.Batch{Records: test.records}, Snapshot: test.whole})
 			is.Equal(got, test.want)
 		})
 	}
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	const before, later = clock.Instant(time.Second), clock.Instant(5 * time.Second)
 	k := follower(5)
-	k.fold(follow.Update{BegunAt: later, Batch: follow.Batch{Records: register(5, "i1 7"), End: 6}})
+	k.fold(follow.Update{StartedAt: later, Batch: follow.Batch{Records: register(5, "i1 7"), End: 6}})
 	is.Equal(k.get().End, int64(6))
 	is.True(k.provenSince(before))
 	is.True(!k.provenSince(later))
--- a/internal/holder/fenced_test.go
+++ b/internal/holder/fenced_test.go
@@ -20,8 +20,8 @@
 func TestFencedServerIsNotLost(t *testing.T) {
 	is := is.New(t)
 	now := &clock.Fake{At: clock.Instant(time.Hour)}
-	h := New(Deps{Clock: now, Events: event.New(io.Discard, log.ErrorLevel), Announce: func() {}})
-	knowAsOf := func(at clock.Instant) { h.know.fold(follow.Update{BegunAt: at, Complete: at, Whole: true}) }
+	h := New(Deps{Clock: now, Events: event.New(io.Discard, log.ErrorLevel), SendHeartbeat: func() {}})
+	knowAsOf := func(at clock.Instant) { h.know.fold(follow.Update{StartedAt: at, CurrentAsOf: at, Snapshot: true}) }
 	r := &renewer{holder: h, server: rules.Server{ID: "s"}, sending: make(chan struct{}, 1)}
 	r.dueAt = time.Now()
 	knowAsOf(now.At)
--- a/internal/holder/grant_test.go
+++ b/internal/holder/grant_test.go
@@ -19,7 +19,7 @@
 // endedOnce is orders of which the first is ended, as by a later record.
 type endedOnce struct{ grants int }
 
-func (o *endedOnce) Grant(context.Context, shard.Holder, Grant, Proof) error {
+func (o *endedOnce) Grant(context.Context, shard.Owner, Grant, GrantCheck) error {
 	o.grants++
 	if o.grants == 1 {
 		return context.Canceled
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func (o *endedOnce) Release(context.Context, shard.Holder, Grant) (string, error) { return "", nil }
+func (o *endedOnce) Release(context.Context, shard.Owner, Grant) (string, error) { return "", nil }
 
 // Plans followed one another so closely that one move in eight was ended on its way by the next record, which
 // changed other keys of the same server. Its keys then waited for 150 ms until they were granted again.
@@ -39,11 +39,11 @@
 		defer cancel()
 		s := rules.Server{ID: "s", Service: service, Address: "a"}
 		h := New(Deps{
-			Orders: &endedOnce{}, Clock: fakeClock{start}, Events: event.New(io.Discard, log.ErrorLevel),
+			LeaseClient: &endedOnce{}, Clock: fakeClock{start}, Events: event.New(io.Discard, log.ErrorLevel),
 			Servers: func() map[string]rules.Server { return map[string]rules.Server{"s": s} },
 		})
 		h.guards = guards{}
-		r := shard.Range{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1, Before: []shard.Holder{{Server: "o"}}}
+		r := shard.Range{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1, FormerOwners: []shard.Owner{{Server: "o"}}}
 		data, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{r}}).Encode()
 		is.NoErr(err)
 		h.know.fold(follow.Update{Batch: follow.Batch{End: 1, Records: []follow.Record{{Key: keyService + service, Value: data}}}})
--- a/internal/holder/hold_test.go
+++ b/internal/holder/hold_test.go
@@ -81,7 +81,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[instance].holder.Owners().Maps[service].Ranges {
+	for _, r := range w.nodes[instance].holder.View().Maps[service].Ranges {
 		if w.backends[r.Server].Domain == domain {
 			n++
 		}
@@ -134,7 +134,7 @@
 		time.Sleep(2 * time.Second)
 		owners := map[string]int{}
 		w.mu.Lock()
-		for _, r := range w.nodes["i0"].holder.Owners().Maps[service].Ranges {
+		for _, r := range w.nodes["i0"].holder.View().Maps[service].Ranges {
 			owners[r.Server] += r.Len()
 		}
 		w.mu.Unlock()
@@ -161,7 +161,7 @@
 		time.Sleep(3 * time.Second)
 		w.cutServer("server-0")
 		time.Sleep(7 * time.Second)
-		is.Equal(w.nodes["i3"].holder.Owners().End, w.nodes["i0"].holder.Owners().End)
+		is.Equal(w.nodes["i3"].holder.View().End, w.nodes["i0"].holder.View().End)
 		is.Equal(w.served(), 256)
 	})
 }
@@ -208,7 +208,7 @@
 // Guards against leases that run out since the instance that renews them waits for the store.
 func TestRenewalsDoNotWaitForTheStore(t *testing.T) {
 	inWorld(t, func(is *is.I, w *world) {
-		const keys = shard.Keys / spacing
+		const keys = shard.NumKeys / spacing
 		time.Sleep(8 * time.Second)
 		is.Equal(w.served(), keys)
 		w.silence = 3 * time.Second
@@ -276,9 +276,9 @@
 func (w *world) busyRun(server string) []float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	load := make([]float64, shard.Keys)
-	m := w.nodes["i0"].holder.Owners().Maps[service]
-	for _, r := range m.Of(server) {
+	load := make([]float64, shard.NumKeys)
+	m := w.nodes["i0"].holder.View().Maps[service]
+	for _, r := range m.RangesOf(server) {
 		for key := int(r.From); key <= int(r.To); key++ {
 			load[key] = 6 / float64(r.Len())
 		}
@@ -291,8 +291,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, r := range w.nodes[name].holder.Owners().Maps[service].Ranges {
-		for _, b := range r.Before {
+	for _, r := range w.nodes[name].holder.View().Maps[service].Ranges {
+		for _, b := range r.FormerOwners {
 			if s := w.backends[b.Server]; s != nil && s.Domain == domain {
 				n += r.Len()
 			}
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -40,14 +40,14 @@
 var (
 	// ErrFenced says that the server has seen a higher fence on some of the keys.
 	ErrFenced = errors.New("holder: higher fence seen")
-	// ErrSilent says that no answer came: the order may be carried out, also later.
-	ErrSilent = errors.New("holder: no answer")
-	// ErrEnded says that another server, or another life of it, has the address.
-	ErrEnded = errors.New("holder: the server has ended")
+	// ErrNoAnswer says that no answer came: the order may be carried out, also later.
+	ErrNoAnswer = errors.New("holder: no answer")
+	// ErrServerGone says that another server, or another life of it, has the address.
+	ErrServerGone = errors.New("holder: the server has ended")
 	// ErrRefused says that the server refused the order for another reason.
 	ErrRefused = errors.New("holder: refused")
-	// ErrUnproven says that an order was not sent since it could not be proved to stand.
-	ErrUnproven = errors.New("holder: not proved to stand")
+	// ErrUnverified says that an order was not sent since it could not be proved to stand.
+	ErrUnverified = errors.New("holder: not proved to stand")
 )
 
 // The times of rights.
@@ -134,22 +134,22 @@
 	Handover string
 }
 
-// Proof returns nil if a grant still stands after a connection for it was opened, else an error.
-type Proof func(ctx context.Context, openedAt clock.Instant) error
+// GrantCheck returns nil if a grant still stands after a connection for it was opened, else an error.
+type GrantCheck func(ctx context.Context, openedAt clock.Instant) error
 
-// Orders sends orders to servers.
-type Orders interface {
+// LeaseClient sends orders to servers.
+type LeaseClient interface {
 	// Grant gives keys to a server. It names the server that is meant, and sends nothing on a
 	// connection that has no Proof: a server that started anew has forgotten the fences that it
 	// saw, and would take an old grant.
-	Grant(ctx context.Context, to shard.Holder, g Grant, proven Proof) error
+	Grant(ctx context.Context, to shard.Owner, g Grant, proven GrantCheck) error
 	// Release ends a right. It returns, when the work in progress has ended, the handover for
 	// the next owner.
-	Release(ctx context.Context, to shard.Holder, g Grant) (string, error)
+	Release(ctx context.Context, to shard.Owner, g Grant) (string, error)
 }
 
-// Owners is what the holder knows of the owners of all services.
-type Owners struct {
+// View is what the holder knows of the owners of all services.
+type View struct {
 	// Maps holds the owners by service, Instances the register.
 	Maps      map[string]*shard.Map
 	Instances map[string]roster.Entry
@@ -159,10 +159,10 @@
 
 // Deps is what a Holder needs.
 type Deps struct {
-	Name   string
-	Domain string
-	Orders Orders
-	Store  follow.Store
+	Name        string
+	Domain      string
+	LeaseClient LeaseClient
+	Store       follow.Store
 	// Topic is the topic of owners, and of the register of instances.
 	Topic       string
 	Incarnation uint64
@@ -171,30 +171,30 @@
 	Events      *event.Log
 	// Servers returns the servers of the directory, by id, and Directory a number that changes whenever
 	// they do; Services returns the divided services.
-	Servers   func() map[string]rules.Server
-	Directory func() uint64
-	Services  func() []string
-	// Target returns the time within which requests of a service should be answered.
-	Target func(service string) time.Duration
+	Servers          func() map[string]rules.Server
+	DirectoryVersion func() uint64
+	Services         func() []string
+	// TargetLatency returns the time within which requests of a service should be answered.
+	TargetLatency func(service string) time.Duration
 	// DirectoryAge returns how old the knowledge is that no entry of a server is missing. EntryTime is
 	// how long after its start a server's entry may be missing. ReadDirectory asks for a new read.
 	DirectoryAge  func() time.Duration
-	EntryTime     time.Duration
+	EntryDelay    time.Duration
 	ReadDirectory func()
 	// Load returns the requests in a second by key, Powers what servers can do in a second.
-	Load   func(service string) []float64
-	Powers func(service string) map[string]float64
-	// Leading is called when this instance begins or ceases to decide about owners.
-	Leading func(leads bool)
+	Load       func(service string) []float64
+	Capacities func(service string) map[string]float64
+	// LeadershipChanged is called when this instance begins or ceases to decide about owners.
+	LeadershipChanged func(leads bool)
 	// Tell tells the other instances of a record that was written, TellRegister of records of the register,
 	// Settled of a range that has come to its new owner.
-	TellRegister func([]follow.Record)
-	Tell         func(service string, offset int64, fence uint64, changes []shard.Range)
-	Settled      func(service string, from uint16, fence uint64)
-	// Again asks for a new read of the topic of owners.
-	Again func()
-	// Changed is called when the owners have changed, Announce when peers should hear of what
+	BroadcastRegister func([]follow.Record)
+	BroadcastOwners   func(service string, offset int64, fence uint64, changes []shard.Range)
+	MoveCompleted     func(service string, from uint16, fence uint64)
+	// RereadOwners asks for a new read of the topic of owners.
+	RereadOwners func()
+	// OwnersChanged is called when the owners have changed, Announce when peers should hear of what
 	// this instance confirms.
-	Changed  func()
-	Announce func()
+	OwnersChanged func()
+	SendHeartbeat func()
 }
--- a/internal/holder/know.go
+++ b/internal/holder/know.go
@@ -16,18 +16,18 @@
 // from any goroutine.
 type knowledge struct {
 	mu     sync.Mutex
-	owners *Owners
+	owners *View
 	// asOf is a time at which nothing newer than owners had been acknowledged.
 	asOf clock.Instant
 	read bool
 }
 
 func newKnowledge() *knowledge {
-	return &knowledge{owners: &Owners{Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}}
+	return &knowledge{owners: &View{Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}}
 }
 
 // get returns the owners. They are never changed, only replaced.
-func (k *knowledge) get() *Owners {
+func (k *knowledge) get() *View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.owners
@@ -74,7 +74,7 @@
 func (k *knowledge) fold(u follow.Update) (changed bool, faults []error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next := &Owners{Maps: maps.Clone(k.owners.Maps), Instances: maps.Clone(k.owners.Instances), End: k.owners.End}
+	next := &View{Maps: maps.Clone(k.owners.Maps), Instances: maps.Clone(k.owners.Instances), End: k.owners.End}
 	for _, r := range u.Records {
 		if r.Offset < k.owners.End {
 			continue
@@ -84,7 +84,7 @@
 		}
 		changed = true
 	}
-	if u.End >= next.End && u.Whole {
+	if u.End >= next.End && u.Snapshot {
 		next.drop(u.Records)
 	}
 	if u.End > next.End {
@@ -94,14 +94,14 @@
 	k.owners = next
 	// An update that ends before what is known is an old one, and one that was cut short has no time up to which it is
 	// complete: neither proves anything.
-	if u.End >= next.End && u.Complete > k.asOf {
-		k.asOf, k.read = u.Complete, true
+	if u.End >= next.End && u.CurrentAsOf > k.asOf {
+		k.asOf, k.read = u.CurrentAsOf, true
 	}
 	return changed, faults
 }
 
 // put takes in a record.
-func (o *Owners) put(r follow.Record) error {
+func (o *View) put(r follow.Record) error {
 	if name, found := strings.CutPrefix(r.Key, keyInstance); found {
 		if len(r.Value) == 0 {
 			delete(o.Instances, name)
@@ -123,7 +123,7 @@
 }
 
 // drop removes the instances that are not among all records there are.
-func (o *Owners) drop(all []follow.Record) {
+func (o *View) drop(all []follow.Record) {
 	there := make(map[string]bool, len(all))
 	for _, r := range all {
 		there[r.Key] = len(r.Value) > 0
@@ -132,7 +132,7 @@
 }
 
 // registered reports whether a life of an instance is registered.
-func (o *Owners) registered(name string, incarnation uint64) bool {
+func (o *View) registered(name string, incarnation uint64) bool {
 	e, found := o.Instances[name]
 	return found && e.Incarnation == incarnation && !e.Removed && !e.Ended
 }
@@ -150,13 +150,13 @@
 	if m == nil {
 		m = &shard.Map{}
 	}
-	next, err := m.With(fence, changes)
+	next, err := m.WithChanges(fence, changes)
 	if err != nil {
 		return false
 	}
 	all := maps.Clone(k.owners.Maps)
 	all[service] = next
-	k.owners = &Owners{Maps: all, Instances: k.owners.Instances, End: offset + 1}
+	k.owners = &View{Maps: all, Instances: k.owners.Instances, End: offset + 1}
 	return true
 }
 
@@ -168,7 +168,7 @@
 	if !k.read {
 		return false, nil
 	}
-	next := &Owners{Maps: k.owners.Maps, Instances: maps.Clone(k.owners.Instances), End: k.owners.End}
+	next := &View{Maps: k.owners.Maps, Instances: maps.Clone(k.owners.Instances), End: k.owners.End}
 	for _, r := range records {
 		if r.Offset < next.End {
 			continue
@@ -190,7 +190,7 @@
 
 // adopt takes in all that another instance knows, if that is more. It is what the store held up to
 // an offset, so acting by it is right; that nothing follows it is known only from a read.
-func (k *knowledge) adopt(o *Owners) bool {
+func (k *knowledge) adopt(o *View) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o.End <= k.owners.End {
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -17,15 +17,15 @@
 )
 
 // lead decides about owners, if this instance is the one to do so.
-func (h *Holder) lead(ctx context.Context, now time.Time) {
+func (h *Manager) lead(ctx context.Context, now time.Time) {
 	leader, found := h.Roster.Leader(now)
 	h.noteLeader(leader.Name)
 	leads := found && leader.Name == h.Name && h.reached.Load() && h.entitled()
 	if leads != h.leads {
 		h.leads = leads
 		h.leading.Store(leads)
-		h.Roster.Lead(leads, now)
-		h.Leading(leads)
+		h.Roster.SetLeading(leads, now)
+		h.LeadershipChanged(leads)
 		h.Events.Note(event.Belief, "leading", "leads", leads, "offset", h.know.get().End)
 	}
 	h.prune(h.know.get())
@@ -47,7 +47,7 @@
 
 // noteLeader logs whom this instance takes for the leader, when that changes, and what it lacks to lead
 // itself. The name is empty if no instance says that it reaches the store.
-func (h *Holder) noteLeader(name string) {
+func (h *Manager) noteLeader(name string) {
 	if name == h.leader {
 		return
 	}
@@ -58,16 +58,16 @@
 
 // clear marks the instances that have been silent for long as removed, and deletes the records
 // of those that were marked for so long that nothing they know is fresh.
-func (h *Holder) clear(ctx context.Context, now time.Time) {
+func (h *Manager) clear(ctx context.Context, now time.Time) {
 	if now.Sub(h.clearedAt) < clearEvery {
 		return
 	}
 	h.clearedAt = now
 	for _, p := range h.Roster.Others() {
-		if p.Silent(now) < registerSilence {
+		if p.SinceHeartbeat(now) < registerSilence {
 			continue
 		}
-		h.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.Silent(now))
+		h.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
 		e := p.Entry
 		e.Removed = true
 		if value, err := e.Encode(); err == nil {
@@ -75,7 +75,7 @@
 		}
 		return
 	}
-	for _, name := range h.Roster.Removed(now.Add(-knowledgeTime - leaseTime)) {
+	for _, name := range h.Roster.RemovedBefore(now.Add(-knowledgeTime - leaseTime)) {
 		h.append(ctx, InstanceKey(name), nil)
 		return
 	}
@@ -86,7 +86,7 @@
 const clearEvery = 500 * time.Millisecond
 
 // append writes a record behind what is known, and takes it in.
-func (h *Holder) append(ctx context.Context, key string, value []byte) bool {
+func (h *Manager) append(ctx context.Context, key string, value []byte) bool {
 	end := h.know.get().End
 	if !h.guards.condition {
 		end = -1
@@ -98,20 +98,20 @@
 		h.pauseUntil = time.Now().Add(writePause)
 		if !errors.Is(err, follow.ErrConflict) {
 			h.reached.Store(false)
-			h.Announce()
+			h.SendHeartbeat()
 		}
-		h.Again()
+		h.RereadOwners()
 		return false
 	}
 	h.fold(follow.Update{
-		Topic: h.Topic, BegunAt: begun, Complete: begun,
+		Topic: h.Topic, StartedAt: begun, CurrentAsOf: begun,
 		Batch: follow.Batch{End: offset + 1, Records: []follow.Record{{Key: key, Value: value, Offset: offset}}},
 	})
 	return true
 }
 
 // decide writes the next owners of a service, if they should change.
-func (h *Holder) decide(ctx context.Context, service string, now time.Time) {
+func (h *Manager) decide(ctx context.Context, service string, now time.Time) {
 	known := h.know.get()
 	current := known.Maps[service]
 	if current == nil {
@@ -127,11 +127,11 @@
 		h.write(ctx, service, current, adopted)
 		return
 	}
-	if len(current.Ranges) == 0 && !h.gathered(service, len(in.Members), now) {
+	if len(current.Ranges) == 0 && !h.gathered(service, len(in.Servers), now) {
 		return
 	}
-	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Members, func(m shard.Member) bool {
-		return m.Lost && len(current.Of(m.ID)) > 0
+	urgent := len(current.Ranges) == 0 || slices.ContainsFunc(in.Servers, func(m shard.ServerState) bool {
+		return m.Lost && len(current.RangesOf(m.ID)) > 0
 	}) || h.orphans(in, current)
 	if urgent || now.Sub(h.plannedAt) >= balanceEvery {
 		if settled != nil {
@@ -154,11 +154,11 @@
 const usesLogged = 6
 
 // plan returns the owners that should follow, nil if they stay, and logs what that rests on.
-func (h *Holder) plan(service string, in shard.Input) *shard.Map {
+func (h *Manager) plan(service string, in shard.Input) *shard.Map {
 	begun := time.Now()
 	next := shard.Plan(in)
 	if next != nil {
-		took, uses := time.Since(begun), shard.Uses(in)
+		took, uses := time.Since(begun), shard.ServerLoads(in)
 		h.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
 			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), usesLogged)]))
 	}
@@ -168,7 +168,7 @@
 // gathered reports whether the servers of a new service have stopped coming, so that its keys
 // are divided among all of them at once. The first to come would get every key, and giving
 // them away one range after the other takes tens of seconds.
-func (h *Holder) gathered(service string, members int, now time.Time) bool {
+func (h *Manager) gathered(service string, members int, now time.Time) bool {
 	g := h.gathering[service]
 	if g.members != members {
 		g = gathering{members: members, since: now}
@@ -184,9 +184,9 @@
 }
 
 // orphans reports whether keys belong to servers that are not there.
-func (h *Holder) orphans(in shard.Input, m *shard.Map) bool {
-	known := make(map[string]bool, len(in.Members))
-	for _, s := range in.Members {
+func (h *Manager) orphans(in shard.Input, m *shard.Map) bool {
+	known := make(map[string]bool, len(in.Servers))
+	for _, s := range in.Servers {
 		known[s.ID] = true
 	}
 	return slices.ContainsFunc(m.Ranges, func(r shard.Range) bool { return !known[r.Server] })
@@ -194,7 +194,7 @@
 
 // settle returns the map without the owners of old whose moves are complete, nil if there are
 // none.
-func (h *Holder) settle(service string, m *shard.Map) *shard.Map {
+func (h *Manager) settle(service string, m *shard.Map) *shard.Map {
 	var next *shard.Map
 	for _, s := range h.finished {
 		if s.service != service {
@@ -204,7 +204,7 @@
 			next = m.Clone()
 		}
 		if i := next.Find(s.from); i >= 0 && next.Ranges[i].Fence == s.fence && next.Ranges[i].From == s.from {
-			next.Ranges[i].Before = nil
+			next.Ranges[i].FormerOwners = nil
 		}
 	}
 	if next == nil || slices.EqualFunc(next.Ranges, m.Ranges, sameRight) {
@@ -214,10 +214,10 @@
 }
 
 // input gathers what a plan is made from.
-func (h *Holder) input(service string, m *shard.Map, now time.Time) shard.Input {
-	servers, powers := h.Servers(), h.Powers(service)
+func (h *Manager) input(service string, m *shard.Map, now time.Time) shard.Input {
+	servers, powers := h.Servers(), h.Capacities(service)
 	in := shard.Input{
-		Map: m, Target: h.Target(service).Seconds(), Addresses: map[string]string{}, Reborn: reborn(servers, m),
+		Map: m, TargetLatency: h.TargetLatency(service).Seconds(), Addresses: map[string]string{}, Restarted: reborn(servers, m),
 	}
 	usual, n := 0.0, 0
 	for _, p := range powers {
@@ -247,20 +247,20 @@
 				power, capped = min(power, coldShare*s.ColdRate), true
 			}
 		}
-		in.Members = append(in.Members, shard.Member{
-			ID: id, Address: s.Address, Power: power, Slots: s.Slots, Usable: !lost && (s.Domain == h.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
+		in.Servers = append(in.Servers, shard.ServerState{
+			ID: id, Address: s.Address, Capacity: power, Slots: s.Slots, Usable: !lost && (s.Domain == h.Domain || !cutOff[s.Domain]), Lost: lost, Capped: capped,
 		})
 		in.Addresses[id] = s.Address
 	}
 	h.remember(servers)
 	for id, s := range h.left {
 		in.Addresses[id] = s.Address
-		if in.Reborn[id] == "" && s.Service == service && h.Roster.CutOff(s.Domain, holdTime, now) {
+		if in.Restarted[id] == "" && s.Service == service && h.Roster.CutOff(s.Domain, holdTime, now) {
 			// It may only seem to have left: it keeps its keys for now.
-			in.Members = append(in.Members, shard.Member{ID: id, Address: s.Address, Slots: s.Slots})
+			in.Servers = append(in.Servers, shard.ServerState{ID: id, Address: s.Address, Slots: s.Slots})
 		}
 	}
-	for before, id := range in.Reborn {
+	for before, id := range in.Restarted {
 		in.Addresses[before] = servers[id].Address
 	}
 	return in
@@ -270,7 +270,7 @@
 // given to them: planned all the same, such a move leaves keys without an owner that are served behind the cut.
 //
 // The own domain seems cut off, too, while this instance has just stood still.
-func (h *Holder) cutOff(servers map[string]rules.Server, now time.Time) map[string]bool {
+func (h *Manager) cutOff(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, s := range servers {
 		if _, known := out[s.Domain]; !known {
@@ -302,7 +302,7 @@
 }
 
 // remember keeps what is known of servers that left.
-func (h *Holder) remember(servers map[string]rules.Server) {
+func (h *Manager) remember(servers map[string]rules.Server) {
 	for id, s := range h.present {
 		if _, there := servers[id]; !there {
 			h.left[id] = s
@@ -320,10 +320,10 @@
 // failing returns the servers that those in charge of them do not reach. Others may have lost their
 // own way to a server: when a cut between two failure domains ended, the instances of one still
 // took the servers of the other for silent, though these had been renewed all the while.
-func (h *Holder) failing(servers map[string]rules.Server, now time.Time) map[string]bool {
+func (h *Manager) failing(servers map[string]rules.Server, now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, reporter := range h.Roster.Alive(now) {
-		for _, id := range reporter.Beat.Failing {
+		for _, id := range reporter.Heartbeat.Failing {
 			s, there := servers[id]
 			if !there || out[id] {
 				continue
@@ -331,7 +331,7 @@
 			charged := h.Roster.Rank(id, s.Domain, now)
 			charged = charged[:min(witnesses, len(charged))]
 			out[id] = !slices.ContainsFunc(charged, func(p roster.Peer) bool {
-				return !slices.Contains(p.Beat.Failing, id)
+				return !slices.Contains(p.Heartbeat.Failing, id)
 			})
 		}
 	}
@@ -339,7 +339,7 @@
 }
 
 // write appends the next owners of a service behind those they were decided from.
-func (h *Holder) write(ctx context.Context, service string, from, to *shard.Map) {
+func (h *Manager) write(ctx context.Context, service string, from, to *shard.Map) {
 	value, err := to.Encode()
 	if err != nil {
 		h.Events.Note(event.Belief, "owners-not-written", "service", service, "error", err)
@@ -351,7 +351,7 @@
 	}
 	h.own(service, from, to)
 	offset := h.know.get().End - 1
-	h.Tell(service, offset, to.Fence, to.Changes(from))
+	h.BroadcastOwners(service, offset, to.Fence, to.Changes(from))
 	h.Events.Note(event.Belief, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
 		"ranges", len(to.Ranges), "changes", describe(from, to))
 	h.finished = slices.DeleteFunc(h.finished, func(s settlement) bool { return s.service == service })
--- a/internal/holder/lead_test.go
+++ b/internal/holder/lead_test.go
@@ -24,7 +24,7 @@
 
 func (s *silentStore) Append(context.Context, string, string, []byte, int64) (int64, error) {
 	s.appends++
-	time.Sleep(follow.SilenceMost)
+	time.Sleep(follow.AnswerTimeout)
 	return 0, follow.ErrUnknown
 }
 
@@ -39,22 +39,22 @@
 		}
 		h := New(Deps{
 			Name: "i0", Domain: "d0", Store: s, Clock: fakeClock{start}, Roster: roster.New("i0", "d0"), Incarnation: 1,
-			Events:   event.New(io.Discard, log.InfoLevel),
-			Servers:  func() map[string]rules.Server { return servers },
-			Services: func() []string { return []string{"books", "stock"} },
-			Target:   func(string) time.Duration { return time.Second },
-			Load:     func(string) []float64 { return nil }, Powers: func(string) map[string]float64 { return nil },
-			Leading: func(bool) {}, Announce: func() {}, Again: func() {}, Changed: func() {},
+			Events:        event.New(io.Discard, log.InfoLevel),
+			Servers:       func() map[string]rules.Server { return servers },
+			Services:      func() []string { return []string{"books", "stock"} },
+			TargetLatency: func(string) time.Duration { return time.Second },
+			Load:          func(string) []float64 { return nil }, Capacities: func(string) map[string]float64 { return nil },
+			LeadershipChanged: func(bool) {}, SendHeartbeat: func() {}, RereadOwners: func() {}, OwnersChanged: func() {},
 		})
 		entry, err := roster.Entry{Address: "127.0.0.1:3", Domain: "d0", Incarnation: 1, Share: 1}.Encode()
 		is.NoErr(err)
 		h.fold(follow.Update{
-			Complete: h.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
+			CurrentAsOf: h.Clock.Now(), Batch: follow.Batch{Records: []follow.Record{{Key: InstanceKey("i0"), Value: entry}}, End: 1},
 		})
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		h.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		h.lead(t.Context(), time.Now()) // servers of new services are awaited
 		time.Sleep(gatherTime)
-		h.Roster.Heard(roster.Beat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
+		h.Roster.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, StoreOK: true}, time.Now())
 		h.lead(t.Context(), time.Now())
 		is.Equal(s.appends, 1)
 	})
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -36,9 +36,9 @@
 
 // own keeps the moves that this instance decided: nobody else has granted anything by their fences
 // as long as it has not done so itself.
-func (h *Holder) own(service string, from, to *shard.Map) {
+func (h *Manager) own(service string, from, to *shard.Map) {
 	for _, r := range to.Ranges {
-		if r.Fence > from.Fence && len(r.Before) > 0 {
+		if r.Fence > from.Fence && len(r.FormerOwners) > 0 {
 			h.owned[moveKey{service, r.From, r.Fence}] = struct{}{}
 		}
 	}
@@ -48,11 +48,11 @@
 const grantRetry = 150 * time.Millisecond
 
 // wanted returns the moves that the records ask for.
-func wanted(known *Owners) map[moveKey]change {
+func wanted(known *View) map[moveKey]change {
 	out := map[moveKey]change{}
 	for service, m := range known.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) > 0 {
+			if len(r.FormerOwners) > 0 {
 				out[moveKey{service, r.From, r.Fence}] = change{service: service, Range: r, offset: known.End - 1}
 			}
 		}
@@ -64,7 +64,7 @@
 // with the others: they are right as long as their record stands, and while the store is down
 // nobody else can take them over. Keys that had come to their new owner would lose it after a
 // lease, since only who moved them knows that they did.
-func (h *Holder) prune(known *Owners) {
+func (h *Manager) prune(known *View) {
 	if len(h.moves)+len(h.owned) == 0 {
 		return
 	}
@@ -86,18 +86,18 @@
 // before, has not completed; nil if there are none. Who takes over a move of a server that keeps its
 // name cannot know whether the other has granted the keys to an earlier life, so it takes a fence of
 // its own: each fence is granted first by the instance that wrote it.
-func (h *Holder) adoptMoves(service string, m *shard.Map, addresses map[string]string) *shard.Map {
+func (h *Manager) adoptMoves(service string, m *shard.Map, addresses map[string]string) *shard.Map {
 	var next *shard.Map
 	now := h.Clock.Now()
 	for i, r := range m.Ranges {
 		key := moveKey{service, r.From, r.Fence}
-		if len(r.Before) == 0 || h.mine(key, r) || now.Sub(h.seen[key]) < adoptAfter {
+		if len(r.FormerOwners) == 0 || h.mine(key, r) || now.Sub(h.seen[key]) < adoptAfter {
 			continue
 		}
 		if next == nil {
 			next = m.Clone()
 		}
-		next.Move(i, r.Server, append(slices.Clone(r.Before), shard.Holder{Server: r.Server, Address: addresses[r.Server]}))
+		next.Reassign(i, r.Server, append(slices.Clone(r.FormerOwners), shard.Owner{Server: r.Server, Address: addresses[r.Server]}))
 	}
 	return next
 }
@@ -107,13 +107,13 @@
 const adoptAfter = time.Second
 
 // mine reports whether this instance may carry out a move.
-func (h *Holder) mine(key moveKey, r shard.Range) bool {
+func (h *Manager) mine(key moveKey, r shard.Range) bool {
 	_, owned := h.owned[key]
 	return owned || h.moves[key] != nil || rules.NameOf(r.Server) == r.Server || !h.guards.proving
 }
 
 // move starts the moves that the records ask for.
-func (h *Holder) move(ctx context.Context) {
+func (h *Manager) move(ctx context.Context) {
 	for key, c := range wanted(h.know.get()) {
 		if h.moves[key] != nil || !h.mine(key, c.Range) {
 			continue
@@ -143,13 +143,13 @@
 }
 
 // carryOut ends the rights of the owners of old and grants the keys to the new one.
-func (h *Holder) carryOut(ctx context.Context, c change) {
+func (h *Manager) carryOut(ctx context.Context, c change) {
 	service, r := c.service, c.Range
 	begun := time.Now()
 	handover := ""
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for _, b := range r.Before {
+	for _, b := range r.FormerOwners {
 		if !h.guards.ending {
 			continue
 		}
@@ -181,7 +181,7 @@
 )
 
 // end returns when an owner of old can have no right to a range any more.
-func (h *Holder) end(ctx context.Context, b shard.Holder, c change) (handover, how string) {
+func (h *Manager) end(ctx context.Context, b shard.Owner, c change) (handover, how string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lapsed := make(chan struct{})
@@ -215,12 +215,12 @@
 // Addresses of servers that have ended go to others, also of services that know no keys: those refuse
 // the order with 400, not 421. Asked again for each of some hundred ranges, releases would be most of what
 // arrives at them.
-func (h *Holder) release(ctx context.Context, b shard.Holder, r shard.Range, released chan<- string) {
+func (h *Manager) release(ctx context.Context, b shard.Owner, r shard.Range, released chan<- string) {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, releaseTimeout)
-		handover, err := h.Orders.Release(call, b, Grant{From: r.From, To: r.To, Fence: r.Fence})
+		handover, err := h.LeaseClient.Release(call, b, Grant{From: r.From, To: r.To, Fence: r.Fence})
 		cancel()
-		if err == nil || errors.Is(err, ErrEnded) || errors.Is(err, ErrRefused) && h.replaced(b) {
+		if err == nil || errors.Is(err, ErrServerGone) || errors.Is(err, ErrRefused) && h.replaced(b) {
 			released <- handover
 			return
 		}
@@ -230,7 +230,7 @@
 
 // replaced reports whether another server has the address of an owner of old. A holder of keys refuses
 // no release, and an address is given on only after its server has ended.
-func (h *Holder) replaced(b shard.Holder) bool {
+func (h *Manager) replaced(b shard.Owner) bool {
 	for id, s := range h.Servers() {
 		if s.Address == b.Address && rules.NameOf(id) != rules.NameOf(b.Server) {
 			return true
@@ -243,7 +243,7 @@
 // all instances have confirmed the record, or may not act on older ones any more, the lease
 // that the last of them may have granted. When a majority has confirmed it the others may act for
 // roster.ContactTime only.
-func (h *Holder) awaitLapse(ctx context.Context, c change) bool {
+func (h *Manager) awaitLapse(ctx context.Context, c change) bool {
 	last := c.seen.Add(knowledgeTime)
 	for h.Clock.Now().Before(last) {
 		since := time.Now().Add(-knowledgeTime)
@@ -251,8 +251,8 @@
 			last = h.Clock.Now()
 			break
 		}
-		if h.Roster.Confirmed(c.offset, since) {
-			last = min(last, h.Clock.Now().Add(time.Duration(float64(h.Roster.ContactTime())*drift)))
+		if h.Roster.HalfConfirmed(c.offset, since) {
+			last = min(last, h.Clock.Now().Add(time.Duration(float64(h.Roster.ContactTimeout())*drift)))
 		}
 		if !duty.Pause(ctx, tickEvery) {
 			return false
@@ -265,7 +265,7 @@
 }
 
 // sleepUntil waits for an instant of the lease clock.
-func (h *Holder) sleepUntil(ctx context.Context, until clock.Instant) bool {
+func (h *Manager) sleepUntil(ctx context.Context, until clock.Instant) bool {
 	for {
 		left := until.Sub(h.Clock.Now())
 		if left <= 0 {
@@ -279,7 +279,7 @@
 
 // grantFirst grants a range to its new owner until the owner answers, and from then on renews
 // the grant until the record says that the move is complete: before that nobody else does.
-func (h *Holder) grantFirst(ctx context.Context, c change, handover string, begun time.Time) {
+func (h *Manager) grantFirst(ctx context.Context, c change, handover string, begun time.Time) {
 	service, r, first := c.service, c.Range, c.own
 	g := Grant{From: r.From, To: r.To, Fence: r.Fence, Lease: leaseTime, Handover: handover}
 	granted := false
@@ -293,7 +293,7 @@
 			continue
 		}
 		err := h.renewer(s).send(ctx, g, first, func() bool { return h.current(service, r) })
-		first = first && errors.Is(err, ErrUnproven)
+		first = first && errors.Is(err, ErrUnverified)
 		switch {
 		case err == nil && !granted:
 			granted, wait = true, renewEvery
@@ -317,7 +317,7 @@
 }
 
 // current reports whether a move is still what the newest record says.
-func (h *Holder) current(service string, r shard.Range) bool {
+func (h *Manager) current(service string, r shard.Range) bool {
 	m := h.know.get().Maps[service]
 	if m == nil {
 		return false
--- a/internal/holder/prove.go
+++ b/internal/holder/prove.go
@@ -21,28 +21,28 @@
 // must have had the time to tell of a new life.
 //
 // A life whose server has a name of its own needs no proof: the next one does not answer to it.
-func (h *Holder) prove(ctx context.Context, server string, openedAt clock.Instant, first bool) error {
+func (h *Manager) prove(ctx context.Context, server string, openedAt clock.Instant, first bool) error {
 	if !h.guards.proving || rules.NameOf(server) == server {
 		return nil
 	}
 	askAt := openedAt
 	if !first {
-		askAt = openedAt.Add(h.EntryTime)
+		askAt = openedAt.Add(h.EntryDelay)
 	}
 	for asked := false; !h.newest(openedAt) || !first && !h.listed(openedAt); {
 		if !asked && h.Clock.Now() >= askAt {
 			asked = true
-			h.Again()
+			h.RereadOwners()
 			if !first {
 				h.ReadDirectory()
 			}
 		}
 		if !duty.Pause(ctx, proofPause) {
-			return ErrUnproven
+			return ErrUnverified
 		}
 	}
 	if _, there := h.Servers()[server]; !there {
-		return ErrEnded
+		return ErrServerGone
 	}
 	return nil
 }
@@ -51,13 +51,13 @@
 // from the store, or because all others have said since that they know of nothing newer. Whoever
 // decides something is registered, and knows it. The latter bridges outages of the store for all, in
 // which nothing is decided, but servers change hands between instances that stop and start.
-func (h *Holder) newest(at clock.Instant) bool {
-	return h.know.provenSince(at) || h.Roster.Agreed(int64(at), h.know.get().End, time.Now())
+func (h *Manager) newest(at clock.Instant) bool {
+	return h.know.provenSince(at) || h.Roster.AllAgree(int64(at), h.know.get().End, time.Now())
 }
 
 // listed reports whether a server that had started by an instant would be known by now.
-func (h *Holder) listed(at clock.Instant) bool {
-	return h.Clock.Now().Add(-h.DirectoryAge()) >= at.Add(h.EntryTime)
+func (h *Manager) listed(at clock.Instant) bool {
+	return h.Clock.Now().Add(-h.DirectoryAge()) >= at.Add(h.EntryDelay)
 }
 
 // provenSince reports whether the owners are known to have been the newest at an instant.
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -14,7 +14,7 @@
 
 // renewer renews the grants of one server. One order is on its way at a time.
 type renewer struct {
-	holder *Holder
+	holder *Manager
 	server rules.Server
 
 	// sending holds one element while an order is on its way.
@@ -90,7 +90,7 @@
 			continue
 		}
 		for _, g := range m.Ranges {
-			if g.Server == r.server.ID && len(g.Before) == 0 && !done[g.From] {
+			if g.Server == r.server.ID && len(g.FormerOwners) == 0 && !done[g.From] {
 				return service, g, true
 			}
 		}
@@ -132,21 +132,21 @@
 		}
 		return nil
 	}
-	return r.holder.Orders.Grant(ctx, shard.Holder{Server: r.server.ID, Address: r.server.Address}, g, proven)
+	return r.holder.LeaseClient.Grant(ctx, shard.Owner{Server: r.server.ID, Address: r.server.Address}, g, proven)
 }
 
 // entitled reports whether the instance may act on what it knows of the owners: it is
 // registered, and the knowledge is fresh.
-func (h *Holder) entitled() bool {
+func (h *Manager) entitled() bool {
 	if h.guards.registering && !h.know.get().registered(h.Name, h.Incarnation) {
 		return false
 	}
 	if !h.guards.knowing {
 		return true
 	}
-	now, contactTime := h.Clock.Now(), h.Roster.ContactTime()
+	now, contactTime := h.Clock.Now(), h.Roster.ContactTimeout()
 	return h.know.fresh(now, contactTime, func() bool {
-		return !h.guards.contact || h.Roster.Contact(int64(now.Add(-contactTime)), h.know.get().End)
+		return !h.guards.contact || h.Roster.MajorityAgrees(int64(now.Add(-contactTime)), h.know.get().End)
 	})
 }
 
@@ -158,7 +158,7 @@
 	}
 	i := m.Find(g.From)
 	return i >= 0 && m.Ranges[i].Server == g.Server && m.Ranges[i].Fence == g.Fence &&
-		m.Ranges[i].To == g.To && len(m.Ranges[i].Before) == 0
+		m.Ranges[i].To == g.To && len(m.Ranges[i].FormerOwners) == 0
 }
 
 // stop ends the order that is on its way, so that what follows can be sure that none is.
@@ -185,12 +185,12 @@
 	case err == nil:
 		if r.failures >= failuresMost {
 			h.Events.Note(event.Belief, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.renewedAt))
-			h.Announce()
+			h.SendHeartbeat()
 		}
 		r.failures, r.fencedAt, r.renewedAt = 0, 0, time.Now()
 		return true
-	case errors.Is(err, errStale), errors.Is(err, ErrUnproven):
-		if errors.Is(err, ErrUnproven) {
+	case errors.Is(err, errStale), errors.Is(err, ErrUnverified):
+		if errors.Is(err, ErrUnverified) {
 			r.dueAt = time.Now().Add(tickEvery)
 		}
 		h.Events.Note(event.Belief, "renewal-withheld", "server", r.server.ID, "reason", err,
@@ -200,7 +200,7 @@
 	r.failures++
 	h.Events.Note(event.Belief, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
 	if r.failures == failuresMost {
-		h.Announce()
+		h.SendHeartbeat()
 	}
 	if r.failures < failuresMost {
 		// A lost answer is made good at once: the lease goes on running out.
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -17,15 +17,15 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// Holder is the duty that keeps rights.
-type Holder struct {
+// Manager is the duty that keeps rights.
+type Manager struct {
 	Deps
 	guards   guards
 	know     *knowledge
 	updates  chan follow.Update
-	written  chan Written
+	written  chan OwnerChange
 	enrolled chan []follow.Record
-	adopted  chan *Owners
+	adopted  chan *View
 	// settled takes moves that are complete.
 	settled chan settlement
 	jobs    sync.WaitGroup
@@ -60,35 +60,35 @@
 }
 
 // New returns a holder.
-func New(d Deps) *Holder {
-	return &Holder{
+func New(d Deps) *Manager {
+	return &Manager{
 		Deps: d, guards: allGuards, know: newKnowledge(), updates: make(chan follow.Update, 16),
-		written: make(chan Written, 64), enrolled: make(chan []follow.Record, 64), adopted: make(chan *Owners, 4), settled: make(chan settlement, 256), renewers: map[string]*renewer{},
+		written: make(chan OwnerChange, 64), enrolled: make(chan []follow.Record, 64), adopted: make(chan *View, 4), settled: make(chan settlement, 256), renewers: map[string]*renewer{},
 		moves: map[moveKey]*move{}, owned: map[moveKey]struct{}{}, gathering: map[string]gathering{}, left: map[string]rules.Server{},
 	}
 }
 
-// Updates takes the updates of the topic of owners.
-func (h *Holder) Updates() chan<- follow.Update { return h.updates }
+// StoreUpdates takes the updates of the topic of owners.
+func (h *Manager) StoreUpdates() chan<- follow.Update { return h.updates }
 
-// Owners returns what is known of the owners.
-func (h *Holder) Owners() *Owners { return h.know.get() }
+// View returns what is known of the owners.
+func (h *Manager) View() *View { return h.know.get() }
 
-// Confirmed returns the offset that a heartbeat confirms.
-func (h *Holder) Confirmed() int64 {
+// ConfirmedOffset returns the offset that a heartbeat confirms.
+func (h *Manager) ConfirmedOffset() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.confirmed
 }
 
 // StoreOK reports whether the store answered the last call about owners.
-func (h *Holder) StoreOK() bool { return h.reached.Load() }
+func (h *Manager) StoreOK() bool { return h.reached.Load() }
 
 // Leads reports whether this instance decides about owners.
-func (h *Holder) Leads() bool { return h.leading.Load() }
+func (h *Manager) Leads() bool { return h.leading.Load() }
 
 // Failing returns the servers that do not answer renewals.
-func (h *Holder) Failing() []string {
+func (h *Manager) Failing() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -103,20 +103,20 @@
 }
 
 // Stop ends renewals: the instance is about to end, and others take over.
-func (h *Holder) Stop() {
+func (h *Manager) Stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stopping = true
 }
 
-func (h *Holder) stopped() bool {
+func (h *Manager) stopped() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.stopping
 }
 
 // Run keeps rights until the context ends.
-func (h *Holder) Run(ctx context.Context) (err error) {
+func (h *Manager) Run(ctx context.Context) (err error) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	renewals := duty.New(ctx, 1)
@@ -144,55 +144,55 @@
 			continue
 		}
 		now := time.Now()
-		if up := now.Sub(h.startedAt); up >= listenMost || up >= listenTime && h.Roster.HeardHalf() {
+		if up := now.Sub(h.startedAt); up >= listenMost || up >= listenTime && h.Roster.HalfOfDomainAlive() {
 			h.lead(ctx, now)
 		}
 	}
 }
 
-// Written is a record that another instance wrote.
-type Written struct {
+// OwnerChange is a record that another instance wrote.
+type OwnerChange struct {
 	Service string
 	Offset  int64
 	Fence   uint64
 	Changes []shard.Range
 }
 
-// Written takes the records that other instances wrote.
-func (h *Holder) Written() chan<- Written { return h.written }
+// OwnerChanges takes the records that other instances wrote.
+func (h *Manager) OwnerChanges() chan<- OwnerChange { return h.written }
 
 // extend takes in a record that another instance wrote.
-func (h *Holder) extend(w Written) {
+func (h *Manager) extend(w OwnerChange) {
 	before := h.know.get()
 	if w.Offset < before.End {
 		return
 	}
 	if !h.know.extend(w.Service, w.Offset, w.Fence, w.Changes) {
-		h.Again()
+		h.RereadOwners()
 		return
 	}
 	h.follow(before)
 }
 
 // follow does what follows from knowing more than before.
-func (h *Holder) follow(before *Owners) {
+func (h *Manager) follow(before *View) {
 	after := h.know.get()
 	h.see(after)
 	h.enlist(before, after)
-	h.Changed()
+	h.OwnersChanged()
 	h.confirm(before, after)
 }
 
-// Adopted takes all that another instance knows of the owners.
+// PeerViews takes all that another instance knows of the owners.
 //
 // An instance that the store refuses hears of owners by message only. Once a message was missing, or
 // a record was written that no message tells of, it stayed behind until the store let it in again:
 // requests for moved keys failed there, and each move from a silent server waited twelve seconds for
 // it. So it asks one that knows more.
-func (h *Holder) Adopted() chan<- *Owners { return h.adopted }
+func (h *Manager) PeerViews() chan<- *View { return h.adopted }
 
 // adopt takes in all that another instance knows.
-func (h *Holder) adopt(o *Owners) {
+func (h *Manager) adopt(o *View) {
 	before := h.know.get()
 	if !h.know.adopt(o) {
 		return
@@ -203,12 +203,12 @@
 
 // see notes since when each move is known. Its record was in the store by then, so that the
 // time after which nobody can act on an older one counts from there, whoever leads meanwhile.
-func (h *Holder) see(known *Owners) {
+func (h *Manager) see(known *View) {
 	now := h.Clock.Now()
 	seen := make(map[moveKey]clock.Instant)
 	for service, m := range known.Maps {
 		for _, r := range m.Ranges {
-			if len(r.Before) == 0 {
+			if len(r.FormerOwners) == 0 {
 				continue
 			}
 			key := moveKey{service, r.From, r.Fence}
@@ -223,16 +223,16 @@
 }
 
 // finish takes in that a move is complete.
-func (h *Holder) finish(s settlement) {
+func (h *Manager) finish(s settlement) {
 	if len(h.finished) == 0 {
 		h.settleAt = time.Now().Add(settleTime)
 	}
 	h.finished = append(h.finished, s)
-	h.Settled(s.service, s.from, s.fence)
+	h.MoveCompleted(s.service, s.from, s.fence)
 }
 
 // fold takes in news of the owners.
-func (h *Holder) fold(u follow.Update) {
+func (h *Manager) fold(u follow.Update) {
 	if (u.Err == nil) != h.reached.Load() {
 		h.reached.Store(u.Err == nil)
 		if u.Err == nil {
@@ -259,7 +259,7 @@
 }
 
 // enlist brings the roster up to the register.
-func (h *Holder) enlist(before, after *Owners) {
+func (h *Manager) enlist(before, after *View) {
 	now := time.Now()
 	for name, e := range after.Instances {
 		if old, known := before.Instances[name]; !known || old != e {
@@ -273,22 +273,22 @@
 	}
 }
 
-// Hear takes in the word of another instance that nothing follows the newest record it knows.
-func (h *Holder) Hear(b roster.Beat) {
+// HandleHeartbeat takes in the word of another instance that nothing follows the newest record it knows.
+func (h *Manager) HandleHeartbeat(b roster.Heartbeat) {
 	if b.KnownAge >= 0 && b.EchoAt > 0 {
 		h.know.refresh(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
 	}
 }
 
 // Age returns how old the knowledge is that no owner has changed.
-func (h *Holder) Age() time.Duration { return time.Duration(h.know.age(h.Clock.Now())) }
+func (h *Manager) Age() time.Duration { return time.Duration(h.know.age(h.Clock.Now())) }
 
 // Registered reports whether this life of the instance stands in the register, as far as is
 // known.
-func (h *Holder) Registered() bool { return h.know.get().registered(h.Name, h.Incarnation) }
+func (h *Manager) Registered() bool { return h.know.get().registered(h.Name, h.Incarnation) }
 
 // confirm ends the orders that the new record contradicts, and then lets the heartbeat say so.
-func (h *Holder) confirm(before, after *Owners) {
+func (h *Manager) confirm(before, after *View) {
 	var stale []*renewer
 	h.mu.Lock()
 	for id, r := range h.renewers {
@@ -308,18 +308,18 @@
 		h.mu.Lock()
 		h.confirmed = max(h.confirmed, after.End)
 		h.mu.Unlock()
-		h.Announce()
+		h.SendHeartbeat()
 	}()
 }
 
 // sameRight reports whether two ranges are the same right.
 func sameRight(a, b shard.Range) bool {
-	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.Before) == len(b.Before)
+	return a.From == b.From && a.To == b.To && a.Fence == b.Fence && len(a.FormerOwners) == len(b.FormerOwners)
 }
 
-func ranges(o *Owners, s rules.Server) []shard.Range {
+func ranges(o *View, s rules.Server) []shard.Range {
 	if m := o.Maps[s.Service]; m != nil {
-		return m.Of(s.ID)
+		return m.RangesOf(s.ID)
 	}
 	return nil
 }
@@ -333,7 +333,7 @@
 
 // keepRenewing starts renewals until the context ends. It is a duty of its own: a decision about owners waits for the
 // store to write it down, and leases would run out meanwhile.
-func (h *Holder) keepRenewing(ctx context.Context) error {
+func (h *Manager) keepRenewing(ctx context.Context) error {
 	var c charges
 	for duty.Pause(ctx, tickEvery) {
 		if !h.stopped() {
@@ -344,7 +344,7 @@
 }
 
 // renew starts the renewals that are due and fall to this instance.
-func (h *Holder) renew(ctx context.Context, c *charges, now time.Time) {
+func (h *Manager) renew(ctx context.Context, c *charges, now time.Time) {
 	owners := h.know.get()
 	if rest := h.chargesRestOn(owners, now); rest != c.rest && (owners != c.rest.owners || now.Sub(c.at) >= chargeEvery) {
 		*c = charges{renewers: h.charge(owners, now), rest: rest, at: now}
@@ -356,23 +356,23 @@
 
 // basis is what decides which servers fall to this instance.
 type basis struct {
-	owners    *Owners
+	owners    *View
 	directory uint64
 	ranks     uint64
 }
 
-func (h *Holder) chargesRestOn(owners *Owners, now time.Time) basis {
-	return basis{owners: owners, directory: h.Directory(), ranks: h.Roster.ChargeVersion(now)}
+func (h *Manager) chargesRestOn(owners *View, now time.Time) basis {
+	return basis{owners: owners, directory: h.DirectoryVersion(), ranks: h.Roster.RankVersion(now)}
 }
 
 // charge returns the renewers of the servers that fall to this instance.
-func (h *Holder) charge(known *Owners, now time.Time) []*renewer {
+func (h *Manager) charge(known *View, now time.Time) []*renewer {
 	servers := h.Servers()
 	var out []*renewer
 	for service, m := range known.Maps {
 		for id := range owners(m) {
 			s, found := servers[id]
-			if found && s.Service == service && h.Roster.Charged(s.ID, s.Domain, now) {
+			if found && s.Service == service && h.Roster.Responsible(s.ID, s.Domain, now) {
 				out = append(out, h.renewer(s))
 			}
 		}
@@ -396,7 +396,7 @@
 	return out
 }
 
-func (h *Holder) renewer(s rules.Server) *renewer {
+func (h *Manager) renewer(s rules.Server) *renewer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.renewers[s.ID]
--- a/internal/holder/schedule_test.go
+++ b/internal/holder/schedule_test.go
@@ -199,7 +199,7 @@
 // lifeOf returns the id of a life of a server.
 func (w *world) lifeOf(i, life int) string {
 	if w.stated {
-		return rules.LifeID(fmt.Sprintf("s%d", i), int64(life+1))
+		return rules.IncarnationID(fmt.Sprintf("s%d", i), int64(life+1))
 	}
 	return lifeName(i, life)
 }
@@ -222,7 +222,7 @@
 		w.ended[name][i] = max(w.ended[name][i], h.fence)
 	}
 	w.mu.Unlock()
-	next := rules.LifeID(name, b.StartedAt+1)
+	next := rules.IncarnationID(name, b.StartedAt+1)
 	address := b.Address
 	if w.chance(0.2) {
 		address += "'"
--- a/internal/holder/world_test.go
+++ b/internal/holder/world_test.go
@@ -31,7 +31,7 @@
 	spacing = 256
 )
 
-var errCut = fmt.Errorf("%w: cut", ErrSilent)
+var errCut = fmt.Errorf("%w: cut", ErrNoAnswer)
 
 type fakeClock struct{ start time.Time }
 
@@ -221,7 +221,7 @@
 	world  *world
 	name   string
 	roster *roster.Roster
-	holder *Holder
+	holder *Manager
 	again  chan struct{}
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -237,22 +237,22 @@
 	}
 	client := &storeClient{w, name}
 	n.holder = New(Deps{
-		Name: name, Domain: domain, Orders: &orders{world: w, name: name, lines: map[string]*testLine{}}, Store: client, Topic: ownersTopic, Incarnation: incarnation,
+		Name: name, Domain: domain, LeaseClient: &orders{world: w, name: name, lines: map[string]*testLine{}}, Store: client, Topic: ownersTopic, Incarnation: incarnation,
 		Clock: fakeClock{w.start}, Roster: n.roster, Events: event.New(w.trace(), log.InfoLevel),
-		Servers: w.servers, Directory: func() uint64 { return uint64(time.Since(w.start)) }, Services: func() []string { return []string{service} },
-		Target:       func(string) time.Duration { return time.Second },
-		Load:         func(string) []float64 { return w.loadAt(name) },
-		Powers:       func(string) map[string]float64 { return nil },
-		DirectoryAge: func() time.Duration { return 0 }, EntryTime: time.Second, ReadDirectory: func() {},
-		Leading: func(bool) {}, Changed: func() {}, Announce: func() {},
-		Again: func() {
+		Servers: w.servers, DirectoryVersion: func() uint64 { return uint64(time.Since(w.start)) }, Services: func() []string { return []string{service} },
+		TargetLatency: func(string) time.Duration { return time.Second },
+		Load:          func(string) []float64 { return w.loadAt(name) },
+		Capacities:    func(string) map[string]float64 { return nil },
+		DirectoryAge:  func() time.Duration { return 0 }, EntryDelay: time.Second, ReadDirectory: func() {},
+		LeadershipChanged: func(bool) {}, OwnersChanged: func() {}, SendHeartbeat: func() {},
+		RereadOwners: func() {
 			select {
 			case n.again <- struct{}{}:
 			default:
 			}
 		},
-		Tell: n.tell, TellRegister: n.tellRegister,
-		Settled: func(string, uint16, uint64) {},
+		BroadcastOwners: n.tell, BroadcastRegister: n.tellRegister,
+		MoveCompleted: func(string, uint16, uint64) {},
 	})
 	n.holder.guards = w.guards
 	w.mu.Lock()
@@ -277,15 +277,15 @@
 				continue
 			}
 			if _, err := client.Append(ctx, ownersTopic, InstanceKey(n.name), value, -1); err == nil {
-				n.holder.Again()
+				n.holder.RereadOwners()
 			}
 		}
 		return ctx.Err()
 	}
-	topic := follow.Topic{
-		Store: client, Name: ownersTopic, Clock: fakeClock{n.world.start}, Out: n.holder.Updates(), Again: n.again,
-		Direct: func() bool { return n.holder.Leads() || n.holder.Age() > 5*time.Second },
-		Every:  func() time.Duration { return time.Second }, Settle: func() time.Duration { return 0 }, Retry: func() time.Duration { return 300 * time.Millisecond },
+	topic := follow.Watch{
+		Store: client, Topic: ownersTopic, Clock: fakeClock{n.world.start}, Out: n.holder.StoreUpdates(), ReadNow: n.again,
+		ReadsStore:   func() bool { return n.holder.Leads() || n.holder.Age() > 5*time.Second },
+		ReadInterval: func() time.Duration { return time.Second }, BatchDelay: func() time.Duration { return 0 }, RetryDelay: func() time.Duration { return 300 * time.Millisecond },
 	}
 	var duties sync.WaitGroup
 	for _, duty := range []func(context.Context) error{n.holder.Events.Run, n.holder.Run, topic.Run, n.beat(entry.Incarnation), enroll} {
@@ -298,7 +298,7 @@
 func (n *instance) tellRegister(records []follow.Record) {
 	n.toOthers(func(o *instance) {
 		select {
-		case o.holder.Enrolled() <- records:
+		case o.holder.RegisterUpdates() <- records:
 		default:
 		}
 	})
@@ -308,24 +308,24 @@
 func (n *instance) beat(incarnation uint64) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for duty.Pause(ctx, 100*time.Millisecond) {
-			b := roster.Beat{
-				Name: n.name, Incarnation: incarnation, Confirmed: n.holder.Confirmed(), Known: n.holder.Owners().End,
+			b := roster.Heartbeat{
+				Name: n.name, Incarnation: incarnation, Confirmed: n.holder.ConfirmedOffset(), Known: n.holder.View().End,
 				StoreOK: n.holder.StoreOK(), Failing: n.holder.Failing(),
 				SentAt: int64(n.holder.Clock.Now()), KnownAge: n.holder.Age().Milliseconds() + 1,
 			}
-			n.roster.Heard(b, time.Now())
+			n.roster.RecordHeartbeat(b, time.Now())
 			echoes := map[string]int64{}
 			for _, p := range n.roster.Others() {
-				echoes[p.Name] = p.Beat.SentAt
+				echoes[p.Name] = p.Heartbeat.SentAt
 			}
 			for _, o := range n.world.others(n.name) {
 				if !n.world.isCut(n.name, o.name) && !n.world.chance(n.world.lostPeers) {
 					b.EchoAt = echoes[o.name]
-					o.roster.Heard(b, time.Now())
-					o.holder.Hear(b)
-					if known := n.holder.Owners(); known.End > o.holder.Owners().End && n.world.chance(n.world.helps) {
+					o.roster.RecordHeartbeat(b, time.Now())
+					o.holder.HandleHeartbeat(b)
+					if known := n.holder.View(); known.End > o.holder.View().End && n.world.chance(n.world.helps) {
 						select {
-						case o.holder.Adopted() <- known:
+						case o.holder.PeerViews() <- known:
 						default:
 						}
 					}
@@ -339,7 +339,7 @@
 func (n *instance) tell(service string, offset int64, fence uint64, changes []shard.Range) {
 	n.toOthers(func(o *instance) {
 		select {
-		case o.holder.Written() <- Written{Service: service, Offset: offset, Fence: fence, Changes: changes}:
+		case o.holder.OwnerChanges() <- OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes}:
 		default:
 		}
 	})
--- a/internal/inlet/inlet.go
+++ b/internal/inlet/inlet.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Busy returns the number of requests in progress.
-func (s *Server) Busy() int64 { return s.open.Load() }
+// InFlight returns the number of requests in progress.
+func (s *Server) InFlight() int64 { return s.open.Load() }
 
 // Conns returns the number of connections.
 func (s *Server) Conns() int {
--- a/internal/inlet/inlet_test.go
+++ b/internal/inlet/inlet_test.go
@@ -131,7 +131,7 @@
 	<-returned
 	s.Drain()
 	s.Finish()
-	is.Equal(s.Busy(), int64(1))
+	is.Equal(s.InFlight(), int64(1))
 	body, _ := read(t, in)
 	is.Equal(len(body), len(volume))
 }
--- a/internal/node/adopt.go
+++ b/internal/node/adopt.go
@@ -19,13 +19,13 @@
 	}
 	p, known := n.roster.Peer(name)
 	if to, ok := address(p); known && ok {
-		n.port.Send(to, gram.Behind{End: n.holder.Owners().End})
+		n.port.Send(to, gram.Behind{End: n.holder.View().End})
 	}
 }
 
 // help tells an instance that is behind what this one knows of the owners.
 func (n *Node) help(from netip.AddrPort, m gram.Behind) {
-	known := n.holder.Owners()
+	known := n.holder.View()
 	if known.End <= m.End {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // hearKnown takes in what another instance knows of the owners.
 func (n *Node) hearKnown(m gram.Known) {
-	known := &holder.Owners{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
+	known := &holder.View{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
 		if err != nil {
@@ -69,7 +69,7 @@
 		known.Instances[name] = entry
 	}
 	select {
-	case n.holder.Adopted() <- known:
+	case n.holder.PeerViews() <- known:
 	default:
 		// Another one is being taken in; the next heartbeat asks again.
 	}
@@ -88,8 +88,8 @@
 // hearRegister takes in records of the register that the leader tells of.
 func (n *Node) hearRegister(m gram.Register) {
 	select {
-	case n.holder.Enrolled() <- m.Records:
+	case n.holder.RegisterUpdates() <- m.Records:
 	default:
-		n.readAgain(n.around.Owners)
+		n.readAgain(n.around.OwnersTopic)
 	}
 }
--- a/internal/node/asker.go
+++ b/internal/node/asker.go
@@ -118,9 +118,9 @@
 
 // ask asks one keeper, and waits as long as the keeper says that the request waits. The second
 // result is false if it does not answer.
-func (k *asker) ask(ctx context.Context, a permit.Ask, keeper roster.Peer, to netip.AddrPort) (gram.Verdict, bool) {
+func (k *asker) ask(ctx context.Context, a permit.Request, keeper roster.Peer, to netip.AddrPort) (gram.Verdict, bool) {
 	serial, verdicts := k.open()
-	a.Key = permit.Key{Serial: serial}
+	a.ID = permit.ID{Serial: serial}
 	m, heard := k.converse(ctx, a, to, verdicts, k.patience(keeper))
 	if !heard || m.Server == "" {
 		k.close(serial)
@@ -146,7 +146,7 @@
 
 // converse asks until there is a final verdict. It returns false if the keeper falls silent, or
 // if the context ends.
-func (k *asker) converse(ctx context.Context, a permit.Ask, to netip.AddrPort, verdicts <-chan gram.Verdict, patience time.Duration) (gram.Verdict, bool) {
+func (k *asker) converse(ctx context.Context, a permit.Request, to netip.AddrPort, verdicts <-chan gram.Verdict, patience time.Duration) (gram.Verdict, bool) {
 	for {
 		var m gram.Verdict
 		heard := false
@@ -199,18 +199,18 @@
 
 func final(m gram.Verdict) bool { return m.Server != "" || m.Reason != "" }
 
-func askOf(a permit.Ask) gram.Ask {
+func askOf(a permit.Request) gram.Ask {
 	return gram.Ask{
 		Serial: a.Serial, Pool: a.Pool, Server: a.Server, Domain: a.Domain, Route: a.Route, Priority: a.Priority,
-		Returning: a.Returning, Avoid: a.Avoid, Elsewhere: a.Elsewhere,
-		TargetIn: int(time.Until(a.TargetAt).Milliseconds()), LimitIn: int(time.Until(a.LimitAt).Milliseconds()),
+		Returning: a.Returning, Avoid: a.Avoid, Elsewhere: a.HasFallback,
+		TargetIn: int(time.Until(a.TargetAt).Milliseconds()), LimitIn: int(time.Until(a.Deadline).Milliseconds()),
 	}
 }
 
 // keeperSilent takes in that a keeper did not answer.
 func (n *Node) keeperSilent(keeper string) {
 	now := time.Now()
-	n.roster.Silent(keeper, now)
+	n.roster.Suspect(keeper, now)
 	n.silentMu.Lock()
 	defer n.silentMu.Unlock()
 	if now.Sub(n.silentAt[keeper]) < silentEvery {
--- a/internal/node/asker_test.go
+++ b/internal/node/asker_test.go
@@ -25,7 +25,7 @@
 	back    time.Duration
 
 	mu     sync.Mutex
-	keeper *permit.Keeper
+	keeper *permit.Controller
 }
 
 func newOffice(port uint16, there, back time.Duration, slots int) *office {
@@ -39,18 +39,18 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	key := func(serial uint64) permit.Key { return permit.Key{From: "a", Serial: serial} }
-	var verdicts []permit.Verdict
+	key := func(serial uint64) permit.ID { return permit.ID{From: "a", Serial: serial} }
+	var verdicts []permit.Decision
 	switch m := m.(type) {
 	case gram.Ask:
-		verdicts = []permit.Verdict{o.keeper.Ask(now, permit.Ask{
-			Key: key(m.Serial), Service: "books", Server: m.Server, Route: "read",
-			TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
+		verdicts = []permit.Decision{o.keeper.Decide(now, permit.Request{
+			ID: key(m.Serial), Service: "books", Server: m.Server, Route: "read",
+			TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
 		})}
 	case gram.Withdraw:
-		verdicts = o.keeper.Withdraw(now, key(m.Serial))
+		verdicts = o.keeper.Cancel(now, key(m.Serial))
 	case gram.Done:
-		verdicts = o.keeper.Done(now, permit.Done{Key: key(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
+		verdicts = o.keeper.Complete(now, permit.Completion{ID: key(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
 	for _, v := range verdicts {
 		time.AfterFunc(o.back, func() { o.asker.told(o.address, message(v)) })
@@ -73,13 +73,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	a := permit.Ask{
-		Key: permit.Key{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
-		TargetAt: now.Add(10 * time.Second), LimitAt: now.Add(20 * time.Second),
-		Elsewhere: true, // not to wait at the server
+	a := permit.Request{
+		ID: permit.ID{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
+		TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
+		HasFallback: true, // not to wait at the server
 	}
-	_, granted := o.keeper.Ask(now, a).(permit.Granted)
-	o.keeper.Withdraw(now, a.Key)
+	_, granted := o.keeper.Decide(now, a).(permit.Admitted)
+	o.keeper.Cancel(now, a.ID)
 	return granted
 }
 
@@ -104,7 +104,7 @@
 				// The second keeper's server is busy for a moment, so that it says "wait" first.
 				second.take(gram.Ask{Serial: 99, Server: "s"})
 				time.AfterFunc(300*time.Millisecond, func() { second.take(gram.Done{Serial: 99}) })
-				a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+				a := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 				for _, o := range []*office{first, second} {
 					v, heard := k.ask(t.Context(), a, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, o.address)
 					if !heard {
@@ -135,7 +135,7 @@
 		o.asker = k
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
-		_, heard := k.ask(ctx, permit.Ask{Service: "books", Server: "s", LimitAt: time.Now().Add(20 * time.Second)}, roster.Peer{}, o.address)
+		_, heard := k.ask(ctx, permit.Request{Service: "books", Server: "s", Deadline: time.Now().Add(20 * time.Second)}, roster.Peer{}, o.address)
 		is.True(!heard)
 		o.take(gram.Withdraw{Serial: k.serial})
 		time.Sleep(time.Second)
@@ -152,16 +152,16 @@
 		o := newOffice(1, time.Millisecond, time.Millisecond, 1)
 		k := newAsker(network(o), func(string) {}, 1, 10)
 		o.asker = k
-		a := permit.Ask{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), LimitAt: time.Now().Add(20 * time.Second)}
+		a := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 		v, heard := k.ask(t.Context(), a, roster.Peer{}, o.address)
 		is.True(heard)
 		o.mu.Lock()
-		is.Equal(len(o.keeper.Doubtful(time.Now())), 0) // it has just been granted
+		is.Equal(len(o.keeper.LongRunning(time.Now())), 0) // it has just been granted
 		o.mu.Unlock()
 		time.Sleep(9 * time.Second) // the fake route is taken for 3.3 seconds long until one is seen
 		o.mu.Lock()
-		doubtful := o.keeper.Doubtful(time.Now())
-		is.Equal(len(o.keeper.Doubtful(time.Now())), 0) // not twice at once
+		doubtful := o.keeper.LongRunning(time.Now())
+		is.Equal(len(o.keeper.LongRunning(time.Now())), 0) // not twice at once
 		o.mu.Unlock()
 		is.Equal(len(doubtful), 1)
 		k.check(o.address, gram.Check{Serial: doubtful[0].Serial})
--- a/internal/node/beats.go
+++ b/internal/node/beats.go
@@ -53,17 +53,17 @@
 // pauseNear returns the time to the next heartbeat to the own domain.
 func (n *Node) pauseNear() time.Duration {
 	if n.holder.Leads() {
-		return min(n.roster.EveryNear(), n.roster.LeaderEvery())
+		return min(n.roster.DomainHeartbeatInterval(), n.roster.LeaderHeartbeatInterval())
 	}
-	return n.roster.EveryNear()
+	return n.roster.DomainHeartbeatInterval()
 }
 
 // pauseToAll returns the time to the next heartbeat to all. It goes with one to the own domain, the nearest in
 // time.
 func (n *Node) pauseToAll() time.Duration {
-	every := n.roster.Every()
+	every := n.roster.HeartbeatInterval()
 	if n.holder.Leads() {
-		every = n.roster.LeaderEvery()
+		every = n.roster.LeaderHeartbeatInterval()
 	}
 	return every - n.pauseNear()/2
 }
@@ -76,7 +76,7 @@
 	others := n.roster.Others()
 	leader, found := n.roster.Leader(now)
 	b := n.heartbeat()
-	n.roster.Heard(b, now)
+	n.roster.RecordHeartbeat(b, now)
 	if found && leader.Name != n.settings.Name {
 		n.beatTo(leader, b, asked.due(leader.Name, now))
 	}
@@ -107,17 +107,17 @@
 }
 
 // beatTo sends a heartbeat to one instance, with the echo of its last one.
-func (n *Node) beatTo(p roster.Peer, b roster.Beat, ask bool) {
+func (n *Node) beatTo(p roster.Peer, b roster.Heartbeat, ask bool) {
 	if to, ok := address(p); ok {
-		b.EchoAt, b.Ask = p.Beat.SentAt, ask
-		n.port.Send(to, gram.Heartbeat{Beat: b})
+		b.EchoAt, b.ReplyNow = p.Heartbeat.SentAt, ask
+		n.port.Send(to, gram.Heartbeat{Heartbeat: b})
 	}
 }
 
 // knownAgeMost is the age from which on knowledge of the owners is of no use to others.
 const knownAgeMost = 30 * time.Second
 
-func (n *Node) heartbeat() roster.Beat {
+func (n *Node) heartbeat() roster.Heartbeat {
 	// The time of sending is taken first: an age that is told with a later one would make what is known
 	// seem younger by what passed between, a good part of a tenth of a second where a part of a core is a quota.
 	sentAt := clock.Boot{}.Now()
@@ -128,13 +128,13 @@
 		age = a.Milliseconds() + 1
 	}
 	proven := clock.Instant(n.provenAt.Load())
-	return roster.Beat{
-		Proven:   proven != 0 && clock.Boot{}.Now().Sub(proven) < n.pollLeader()+provenSlack,
-		Complete: complete,
-		SentAt:   int64(sentAt), KnownAge: age,
-		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.holder.Confirmed(),
-		Known: n.holder.Owners().End, StoreOK: reached.owners && reached.directory,
-		Stopping: n.stopped(), Leads: n.holder.Leads(), Config: config, Servers: servers, Failing: n.holder.Failing(),
+	return roster.Heartbeat{
+		StoreAnswered: proven != 0 && clock.Boot{}.Now().Sub(proven) < n.pollLeader()+provenSlack,
+		CompleteAge:   complete,
+		SentAt:        int64(sentAt), KnownAge: age,
+		Name: n.settings.Name, Incarnation: n.incarnation, Confirmed: n.holder.ConfirmedOffset(),
+		Known: n.holder.View().End, StoreOK: reached.owners && reached.directory,
+		Stopping: n.stopped(), Leads: n.holder.Leads(), ConfigEnd: config, ServersEnd: servers, Failing: n.holder.Failing(),
 	}
 }
 
@@ -142,8 +142,8 @@
 // old the knowledge is at an instant that nothing is missing before them, in milliseconds, negative if
 // it is of no use to others.
 func (n *Node) complete(at clock.Instant) (age, config, servers int64) {
-	config, configUntil := n.topics[n.around.Config].Known()
-	servers, serversUntil := n.topics[n.around.Servers].Known()
+	config, configUntil := n.topics[n.around.ConfigTopic].Known()
+	servers, serversUntil := n.topics[n.around.ServersTopic].Known()
 	return millis(at, min(configUntil, serversUntil)), config, servers
 }
 
@@ -158,33 +158,33 @@
 
 // hearComplete takes in that another instance misses nothing before the ends it knows. Who knows less
 // than that one must read instead.
-func (n *Node) hearComplete(b roster.Beat) {
-	sentAt, dated := n.roster.Date(b.Name, b.SentAt, clock.Boot{}.Now())
-	if b.Complete < 0 || !dated {
+func (n *Node) hearComplete(b roster.Heartbeat) {
+	sentAt, dated := n.roster.EarliestSendTime(b.Name, b.SentAt, clock.Boot{}.Now())
+	if b.CompleteAge < 0 || !dated {
 		return
 	}
-	until := sentAt.Add(-time.Duration(b.Complete) * time.Millisecond)
-	n.topics[n.around.Config].Refresh(b.Config, until)
-	n.topics[n.around.Servers].Refresh(b.Servers, until)
+	until := sentAt.Add(-time.Duration(b.CompleteAge) * time.Millisecond)
+	n.topics[n.around.ConfigTopic].ConfirmCurrent(b.ConfigEnd, until)
+	n.topics[n.around.ServersTopic].ConfirmCurrent(b.ServersEnd, until)
 }
 
 // hearBeat takes in the heartbeat of another instance, and reads again what that one knows more
 // of.
-func (n *Node) hearBeat(b roster.Beat) {
+func (n *Node) hearBeat(b roster.Heartbeat) {
 	now := time.Now()
-	n.roster.Heard(b, now)
-	n.roster.Echoed(b, clock.Boot{}.Now())
-	if b.Ask {
+	n.roster.RecordHeartbeat(b, now)
+	n.roster.RecordEcho(b, clock.Boot{}.Now())
+	if b.ReplyNow {
 		n.answerBeat(b.Name)
 	}
-	n.holder.Hear(b)
-	if n.compare(n.around.Owners, b.Known, n.holder.Owners().End, now) {
+	n.holder.HandleHeartbeat(b)
+	if n.compare(n.around.OwnersTopic, b.Known, n.holder.View().End, now) {
 		n.askForOwners(b.Name)
 	}
-	config, _ := n.topics[n.around.Config].Known()
-	servers, _ := n.topics[n.around.Servers].Known()
-	n.compare(n.around.Config, b.Config, config, now)
-	n.compare(n.around.Servers, b.Servers, servers, now)
+	config, _ := n.topics[n.around.ConfigTopic].Known()
+	servers, _ := n.topics[n.around.ServersTopic].Known()
+	n.compare(n.around.ConfigTopic, b.ConfigEnd, config, now)
+	n.compare(n.around.ServersTopic, b.ServersEnd, servers, now)
 	n.hearComplete(b)
 }
 
--- a/internal/node/beats_test.go
+++ b/internal/node/beats_test.go
@@ -27,13 +27,13 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			config, servers := &follow.Topic{}, &follow.Topic{}
+			config, servers := &follow.Watch{}, &follow.Watch{}
 			n := &Node{
-				around: Surroundings{Config: "config", Servers: "servers"},
-				topics: map[string]*follow.Topic{"config": config, "servers": servers},
+				around: Platform{ConfigTopic: "config", ServersTopic: "servers"},
+				topics: map[string]*follow.Watch{"config": config, "servers": servers},
 			}
-			config.Applied(follow.Update{Batch: follow.Batch{End: 3}, Complete: test.config})
-			servers.Applied(follow.Update{Batch: follow.Batch{End: 9}, Complete: test.servers})
+			config.MarkApplied(follow.Update{Batch: follow.Batch{End: 3}, CurrentAsOf: test.config})
+			servers.MarkApplied(follow.Update{Batch: follow.Batch{End: 9}, CurrentAsOf: test.servers})
 			age, configEnd, serversEnd := n.complete(test.at)
 			is.Equal(age, test.want)
 			is.Equal(configEnd, int64(3))
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -16,7 +16,7 @@
 type countedStore struct {
 	follow.Store
 	calls  *expvar.Map
-	times  *edge.Times
+	times  *edge.LatencyHistograms
 	events *event.Log
 }
 
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -63,7 +63,7 @@
 	if many {
 		d.noteJoined(joined, u.End)
 	}
-	if u.Whole {
+	if u.Snapshot {
 		for _, s := range d.servers {
 			if name := rules.NameOf(s.ID); !listed[name] {
 				d.missing[name] = struct{}{}
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -24,7 +24,7 @@
 	if _, err := fmt.Sscan(string(data), &state, &s.StartedAt, &s.Sequence); err != nil {
 		return s, errors.New("malformed")
 	}
-	s.ID, s.Draining = rules.LifeID(name, s.StartedAt), state == "draining"
+	s.ID, s.Draining = rules.IncarnationID(name, s.StartedAt), state == "draining"
 	return s, nil
 }
 
@@ -82,7 +82,7 @@
 		is := is.New(t)
 		w := newTestWorld()
 		tell := func(whole bool, value string) {
-			u := follow.Update{Whole: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
+			u := follow.Update{Snapshot: whole, Batch: follow.Batch{Records: []follow.Record{{Key: "a", Value: []byte(value)}}}}
 			w.putServers(u, 0, decodeLife)
 		}
 		tell(true, "ready 20 4")
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -40,24 +40,24 @@
 
 func (n *Node) take(ctx context.Context, u follow.Update) {
 	n.noteRead(u)
-	if u.Err == nil && u.BegunAt != 0 {
+	if u.Err == nil && u.StartedAt != 0 {
 		n.provenAt.Store(int64(clock.Boot{}.Now()))
 	}
 	n.resume(u)
 	switch u.Topic {
-	case n.around.Config:
+	case n.around.ConfigTopic:
 		n.takeConfig(u)
-		n.topics[u.Topic].Applied(u)
+		n.topics[u.Topic].MarkApplied(u)
 		u = n.withEvacuations(u)
-	case n.around.Servers:
+	case n.around.ServersTopic:
 		n.noteNews(u)
 		if n.world.putServers(u, n.ageOf(u), n.around.DecodeServer) {
 			n.serversChanged()
 		}
-		n.topics[u.Topic].Applied(u)
-	case n.around.Owners:
+		n.topics[u.Topic].MarkApplied(u)
+	case n.around.OwnersTopic:
 		select {
-		case n.holder.Updates() <- u:
+		case n.holder.StoreUpdates() <- u:
 		case <-ctx.Done():
 		}
 	}
@@ -67,11 +67,11 @@
 // resume asks for the topics whose last read had no answer when another one has got its own: each is in a pause of
 // its own, and an instance may lead only if all are read.
 func (n *Node) resume(u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 {
+	if u.Err != nil || u.StartedAt == 0 {
 		return
 	}
 	for name, t := range n.topics {
-		if name != u.Topic && t.Unanswered() {
+		if name != u.Topic && t.LastReadFailed() {
 			n.readAgain(name)
 		}
 	}
@@ -87,11 +87,11 @@
 		n.calls.Add("read-failed "+u.Topic, 1)
 	}
 	age := n.topics[u.Topic].Age()
-	if u.Topic == n.around.Owners {
+	if u.Topic == n.around.OwnersTopic {
 		age = n.holder.Age()
 	}
 	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
-		"records", len(u.Records), "wait", u.HeldUntil.Sub(u.BegunAt), "took", u.EndedAt.Sub(u.BegunAt),
+		"records", len(u.Records), "wait", u.WaitDeadline.Sub(u.StartedAt), "took", u.EndedAt.Sub(u.StartedAt),
 		"knowledge-age", age, "error", u.Err)
 }
 
@@ -118,10 +118,10 @@
 		return
 	}
 	from, took := "instance", time.Duration(0)
-	if u.BegunAt != 0 {
-		from, took = "store", clock.Boot{}.Now().Sub(u.BegunAt)
+	if u.StartedAt != 0 {
+		from, took = "store", clock.Boot{}.Now().Sub(u.StartedAt)
 	}
-	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Whole, "overdue", u.Overdue,
+	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Snapshot, "overdue", u.Overdue,
 		"took", took, "age", n.ageOf(u), "end", u.End)
 }
 
@@ -133,16 +133,16 @@
 // An instance that has just started does not know. Taken for new, the word of a leaving server would give that
 // server its whole time once more.
 func (n *Node) ageOf(u follow.Update) time.Duration {
-	if u.Since == 0 {
+	if u.WrittenAfter == 0 {
 		return unknownAge
 	}
-	return max(clock.Boot{}.Now().Sub(u.Since), 0)
+	return max(clock.Boot{}.Now().Sub(u.WrittenAfter), 0)
 }
 
 // hearNews takes in what another instance has read.
 func (n *Node) hearNews(m gram.News) {
-	news := m.News
-	if sentAt, dated := n.roster.Date(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
+	news := m.PeerUpdate
+	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		news.SentAt = sentAt
 	}
 	select {
@@ -177,7 +177,7 @@
 func (n *Node) serversChanged() {
 	servers := n.world.servers()
 	n.permits.setServers()
-	n.edge.Pool.Keep(func(id string) bool { _, there := servers[id]; return there })
+	n.edge.ConnPool.Retain(func(id string) bool { _, there := servers[id]; return there })
 }
 
 func (n *Node) ownersChanged() { n.world.ownersChanged() }
@@ -199,7 +199,7 @@
 	case gram.Relay:
 		n.passOn(r.From, m)
 	case gram.Heartbeat:
-		n.hearBeat(m.Beat)
+		n.hearBeat(m.Heartbeat)
 	case gram.Ask:
 		n.permits.asked(r.From, m)
 	case gram.Verdict:
@@ -236,16 +236,16 @@
 	if !leads {
 		return
 	}
-	n.readAgain(n.around.Config)
-	n.readAgain(n.around.Servers)
+	n.readAgain(n.around.ConfigTopic)
+	n.readAgain(n.around.ServersTopic)
 }
 
 // hearOwners takes in a record of owners that another instance wrote.
 func (n *Node) hearOwners(m gram.Owners) {
 	select {
-	case n.holder.Written() <- holder.Written{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
+	case n.holder.OwnerChanges() <- holder.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
-		n.readAgain(n.around.Owners)
+		n.readAgain(n.around.OwnersTopic)
 	}
 }
 
@@ -265,7 +265,7 @@
 // Owner implements edge.World.
 func (n *Node) Owner(service string, key uint16) (shard.Range, bool, <-chan struct{}) {
 	changed := n.world.change()
-	m := n.holder.Owners().Maps[service]
+	m := n.holder.View().Maps[service]
 	if m == nil {
 		return shard.Range{}, false, changed
 	}
@@ -274,24 +274,24 @@
 		return shard.Range{}, false, changed
 	}
 	r := m.Ranges[i]
-	if len(r.Before) > 0 && n.world.isSettled(service, r.From, r.Fence) {
-		r.Before = nil
+	if len(r.FormerOwners) > 0 && n.world.isSettled(service, r.From, r.Fence) {
+		r.FormerOwners = nil
 	}
 	return r, true, changed
 }
 
-// Count implements edge.World.
-func (n *Node) Count(service string, key uint16) { n.loads.count(service, key) }
+// CountRequest implements edge.World.
+func (n *Node) CountRequest(service string, key uint16) { n.loads.count(service, key) }
 
-// Suspicious implements edge.World.
-func (n *Node) Suspicious(print uint64) bool { return n.suspects.Blocked(print, time.Now()) }
+// Quarantined implements edge.World.
+func (n *Node) Quarantined(print uint64) bool { return n.suspects.Quarantined(print, time.Now()) }
 
 // crashProbe bounds the look whether a server whose connection was lost still takes new ones.
 const crashProbe = 300 * time.Millisecond
 
-// Crashed implements edge.World. Servers also break off single answers, so a lost connection
+// ReportCrash implements edge.World. Servers also break off single answers, so a lost connection
 // counts as a crash only if the server refuses a new one.
-func (n *Node) Crashed(print uint64, s rules.Server) {
+func (n *Node) ReportCrash(print uint64, s rules.Server) {
 	go func() {
 		c, err := net.DialTimeout("tcp4", s.Address, crashProbe)
 		if err == nil {
@@ -299,13 +299,13 @@
 			return
 		}
 		n.events.Note(event.Belief, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
-		n.suspects.Lost(print, s.ID, time.Now())
+		n.suspects.RecordCrash(print, s.ID, time.Now())
 		n.tellAll(gram.Crash{Print: print, Server: s.ID})
 	}()
 }
 
-// Cleared implements edge.World.
-func (n *Node) Cleared(print uint64) {
+// ClearSuspicion implements edge.World.
+func (n *Node) ClearSuspicion(print uint64) {
 	if n.suspects.Clear(print) {
 		n.tellAll(gram.Crash{Print: print, Cleared: true})
 	}
@@ -317,5 +317,5 @@
 		n.suspects.Clear(m.Print)
 		return
 	}
-	n.suspects.Lost(m.Print, m.Server, time.Now())
+	n.suspects.RecordCrash(m.Print, m.Server, time.Now())
 }
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -117,7 +117,7 @@
 			changed = w.evacuated.begin(name, r, now, now.Add(w.evacuateTime-age)) || changed
 		}
 	}
-	if u.Whole {
+	if u.Snapshot {
 		for name := range maps.Clone(w.evacuated.active) {
 			if !listed[name] {
 				changed = w.evacuated.end(name, now, u.End) || changed
@@ -186,7 +186,7 @@
 		return u
 	}
 	u.Records = append(n.world.evacuationRecords(), u.Records[last])
-	u.Whole = true
+	u.Snapshot = true
 	return u
 }
 
@@ -195,9 +195,9 @@
 
 // leftAt returns what is left at the servers of a domain.
 func (n *Node) leftAt(domain string) left {
-	l := left{requests: n.edge.Running(domain)}
+	l := left{requests: n.edge.InFlight(domain)}
 	servers := n.world.servers()
-	for service, m := range n.holder.Owners().Maps {
+	for service, m := range n.holder.View().Maps {
 		for _, r := range m.Ranges {
 			if s, there := servers[r.Server]; there && s.Service == service && s.Domain == domain {
 				l.keys += r.Len()
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -20,7 +20,7 @@
 
 // operate gives a world one update of the operator's topic, of keys and values in turn.
 func (w *world) operate(whole bool, age time.Duration, pairs ...string) bool {
-	u := follow.Update{Whole: whole}
+	u := follow.Update{Snapshot: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1]), Offset: int64(i)})
 	}
@@ -120,17 +120,17 @@
 // Guards against an evacuation that instances miss since only the newest configuration was told them.
 func TestConfigurationIsToldWithEvacuations(t *testing.T) {
 	is := is.New(t)
-	leader := &Node{around: Surroundings{ConfigKey: "config"}, world: newZonedWorld()}
+	leader := &Node{around: Platform{ConfigKey: "config"}, world: newZonedWorld()}
 	leader.world.operate(false, 0, "evacuate/north", "{}", "evacuate/south", "{}", "evacuate/south", "")
 	told := leader.withEvacuations(follow.Update{Batch: follow.Batch{End: 9, Records: []follow.Record{{Key: "config", Value: []byte("new"), Offset: 8}}}})
-	is.True(told.Whole)
+	is.True(told.Snapshot)
 	other := newZonedWorld()
 	other.operate(false, 0, "evacuate/south", "{}")
 	other.takeEvacuations(told, 0, evacuationOf)
 	is.True(other.servers()["north"].Evacuated && !other.servers()["south"].Evacuated)
 	is.Equal(told.Records[len(told.Records)-1].Key, "config")
 	alone := follow.Update{Batch: follow.Batch{End: 10, Records: []follow.Record{{Key: "evacuate/north", Offset: 9}}}}
-	is.True(!leader.withEvacuations(alone).Whole) // says nothing of what came before
+	is.True(!leader.withEvacuations(alone).Snapshot) // says nothing of what came before
 }
 
 // Guards against operators who take a domain for empty that still has requests or keys.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,17 +30,17 @@
 	"example.org/mustardring/internal/rules"
 )
 
-// Surroundings is what the adapter brings.
-type Surroundings struct {
+// Platform is what the adapter brings.
+type Platform struct {
 	Store  follow.Store
-	Orders holder.Orders
-	Wire   edge.Wire
-	// Config, Servers and Owners are topics of the store, ConfigKey is the key of the
+	Orders holder.LeaseClient
+	Wire   edge.HeaderCodec
+	// ConfigTopic, Servers and Owners are topics of the store, ConfigKey is the key of the
 	// configuration.
-	Config    string
-	ConfigKey string
-	Servers   string
-	Owners    string
+	ConfigTopic  string
+	ConfigKey    string
+	ServersTopic string
+	OwnersTopic  string
 	// ReadyPath is the path that the balancer asks.
 	ReadyPath    string
 	DecodeConfig func(data []byte) (*rules.Config, error)
@@ -57,26 +57,26 @@
 // Node is an instance.
 type Node struct {
 	settings config.Serve
-	around   Surroundings
+	around   Platform
 	events   *event.Log
 	world    *world
 	roster   *roster.Roster
 	port     *gram.Port
 	permits  *permits
 	loads    *loads
-	holder   *holder.Holder
+	holder   *holder.Manager
 	edge     *edge.Edge
-	suspects *edge.Suspects
+	suspects *edge.CrashTracker
 	meters   *edge.Meters
 	inlet    *inlet.Server
 	// calls counts the calls to the store by reason.
 	calls *expvar.Map
 	// times holds how long calls to the store took that do not wait for news.
-	times       *edge.Times
+	times       *edge.LatencyHistograms
 	incarnation uint64
 	updates     chan follow.Update
 	again       map[string]chan struct{}
-	news        map[string]chan follow.News
+	news        map[string]chan follow.PeerUpdate
 	// told holds what was read of the configuration and the directory and is to be told to the others.
 	told     map[string]chan follow.Update
 	silentMu sync.Mutex
@@ -86,7 +86,7 @@
 	settled chan gram.SettledRange
 	beatNow chan struct{}
 	beatAll chan struct{}
-	topics  map[string]*follow.Topic
+	topics  map[string]*follow.Watch
 	// provenAt is when the store last answered this instance.
 	provenAt   atomic.Int64
 	behind     map[string]*behind
@@ -103,7 +103,7 @@
 }
 
 // New returns an instance that is not started.
-func New(settings config.Serve, around Surroundings, events *event.Log) (*Node, error) {
+func New(settings config.Serve, around Platform, events *event.Log) (*Node, error) {
 	port, err := gram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
@@ -111,41 +111,41 @@
 	n := &Node{
 		settings: settings, around: around, events: events, port: port,
 		roster: roster.New(settings.Name, settings.Domain),
-		meters: edge.NewMeters(), suspects: edge.NewSuspects(), incarnation: rand.Uint64() | 1,
-		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewTimes(),
-		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.News{}, told: map[string]chan follow.Update{},
+		meters: edge.NewMeters(), suspects: edge.NewCrashTracker(), incarnation: rand.Uint64() | 1,
+		silentAt: map[string]time.Time{}, calls: new(expvar.Map).Init(), times: edge.NewLatencyHistograms(),
+		updates: make(chan follow.Update, 64), again: map[string]chan struct{}{}, news: map[string]chan follow.PeerUpdate{}, told: map[string]chan follow.Update{},
 		behind: map[string]*behind{}, settled: make(chan gram.SettledRange, settledMost), beatNow: make(chan struct{}, 1), beatAll: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
 	n.around.Store = &countedStore{Store: around.Store, calls: n.calls, times: n.times, events: events}
 	n.world = newWorld(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
 		evacuateTime(settings.Bounds))
-	for _, topic := range []string{around.Config, around.Servers, around.Owners} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic, around.OwnersTopic} {
 		n.again[topic] = make(chan struct{}, 1)
 		n.behind[topic] = &behind{}
-		n.news[topic] = make(chan follow.News, newsMost)
+		n.news[topic] = make(chan follow.PeerUpdate, newsMost)
 	}
-	for _, topic := range []string{around.Config, around.Servers} {
+	for _, topic := range []string{around.ConfigTopic, around.ServersTopic} {
 		n.told[topic] = make(chan follow.Update, toldMost)
 	}
 	n.loads = newLoads()
 	n.permits = newPermits(n)
 	n.holder = holder.New(holder.Deps{
-		Name: settings.Name, Domain: settings.Domain, Orders: around.Orders, Store: n.around.Store,
-		Topic: around.Owners, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
-		Servers: n.world.servers, Directory: n.world.published.Load, Services: n.world.divided, Target: n.world.target, Load: n.loads.load, Powers: n.loads.powers,
-		Again:        func() { n.readAgain(around.Owners) },
-		DirectoryAge: func() time.Duration { return n.topics[around.Servers].Age() },
-		EntryTime:    entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.Servers) },
-		Leading: n.leading, Tell: n.tellOwners, TellRegister: n.tellRegister, Settled: n.settledHere,
-		Changed: n.ownersChanged, Announce: n.announce,
+		Name: settings.Name, Domain: settings.Domain, LeaseClient: around.Orders, Store: n.around.Store,
+		Topic: around.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
+		Servers: n.world.servers, DirectoryVersion: n.world.published.Load, Services: n.world.divided, TargetLatency: n.world.target, Load: n.loads.load, Capacities: n.loads.powers,
+		RereadOwners: func() { n.readAgain(around.OwnersTopic) },
+		DirectoryAge: func() time.Duration { return n.topics[around.ServersTopic].Age() },
+		EntryDelay:   entryTime(settings.EntrySeconds), ReadDirectory: func() { n.readAgain(around.ServersTopic) },
+		LeadershipChanged: n.leading, BroadcastOwners: n.tellOwners, BroadcastRegister: n.tellRegister, MoveCompleted: n.settledHere,
+		OwnersChanged: n.ownersChanged, SendHeartbeat: n.announce,
 	})
-	n.world.owners = n.holder.Owners
+	n.world.owners = n.holder.View
 	n.topics = n.newTopics()
-	budget := edge.NewBudget(settings.Bounds.RetryRatio,
+	budget := edge.NewRetryBudget(settings.Bounds.RetryRatio,
 		time.Duration(settings.Bounds.RetryWindowSeconds*float64(time.Second)),
 		func() float64 { return settings.Bounds.RetrySlack / float64(max(n.instances(), 1)) }, time.Now)
 	n.edge = edge.New(edge.Deps{
-		Wire: around.Wire, World: n, Permits: n.permits, Pool: edge.NewPool(n.connections), Budget: budget,
+		Codec: around.Wire, Cluster: n, Admitter: n.permits, ConnPool: edge.NewConnPool(n.connections), RetryBudget: budget,
 		Events: events, Meters: n.meters,
 	})
 	n.inlet = inlet.New(n.edge.Handle, n.limits)
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = n.around.Store.Append(ctx, n.around.Owners, holder.InstanceKey(n.settings.Name), value, -1)
+	_, err = n.around.Store.Append(ctx, n.around.OwnersTopic, holder.InstanceKey(n.settings.Name), value, -1)
 	return err
 }
 
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -47,7 +47,7 @@
 
 // awaitSilence waits as long as a call that is not answered.
 func awaitSilence(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, follow.SilenceMost)
+	ctx, cancel := context.WithTimeout(ctx, follow.AnswerTimeout)
 	defer cancel()
 	<-ctx.Done()
 	return ctx.Err()
@@ -78,13 +78,13 @@
 func newFollower(s follow.Store, others int) *Node {
 	n := &Node{
 		settings: config.Serve{Name: "i0", Domain: "a", IP: "127.0.0.1", PeerPorts: []int{1000}, Bounds: config.Bounds{DrainSeconds: 2, ConfigSeconds: 2}},
-		around:   Surroundings{Store: s, Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners"},
+		around:   Platform{Store: s, ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners"},
 		roster:   roster.New("i0", "a"), updates: make(chan follow.Update, 64),
-		again: map[string]chan struct{}{}, news: map[string]chan follow.News{},
+		again: map[string]chan struct{}{}, news: map[string]chan follow.PeerUpdate{},
 	}
 	for _, topic := range []string{"config", "servers", "owners"} {
 		n.again[topic] = make(chan struct{}, 1)
-		n.news[topic] = make(chan follow.News, newsMost)
+		n.news[topic] = make(chan follow.PeerUpdate, newsMost)
 	}
 	n.holder = holder.New(holder.Deps{Clock: running{}, Roster: n.roster})
 	for i := range others + 1 {
@@ -102,7 +102,7 @@
 func (n *Node) hearOthers(ctx context.Context) error {
 	for duty.Pause(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 	}
 	return ctx.Err()
@@ -130,7 +130,7 @@
 						is.True(<-ended != nil)
 						is.True(<-ended != nil)
 					}()
-					topic.Applied(<-n.updates)
+					topic.MarkApplied(<-n.updates)
 					time.Sleep(5 * time.Second)
 					s.setSilent(true)
 					time.Sleep(outage)
@@ -138,7 +138,7 @@
 					s.put("config", "2")
 					changedAt := time.Now()
 					for u := range n.updates {
-						topic.Applied(u)
+						topic.MarkApplied(u)
 						if u.End == 2 {
 							break
 						}
@@ -157,7 +157,7 @@
 		const others, draws = 299, 1000
 		n := newFollower(&silentStore{}, others)
 		for _, p := range n.roster.Others() {
-			n.roster.Heard(roster.Beat{Name: p.Name, Incarnation: 1}, time.Now())
+			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
 		sum := time.Duration(0)
 		for range draws {
@@ -206,7 +206,7 @@
 				regained[u.Topic] = true
 				n.resume(u)
 			}
-			is.True(time.Since(answeredAt) <= follow.SilenceMost)
+			is.True(time.Since(answeredAt) <= follow.AnswerTimeout)
 		})
 	}
 }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -31,7 +31,7 @@
 
 	mu sync.Mutex
 	// keepers holds those of pools by name, and those of divided services by service.
-	keepers map[string]*permit.Keeper
+	keepers map[string]*permit.Controller
 	pools   *pools
 	// waits says that a request begins to wait while none did.
 	waits chan struct{}
@@ -41,7 +41,7 @@
 
 func newPermits(n *Node) *permits {
 	return &permits{
-		node: n, keepers: map[string]*permit.Keeper{}, pools: newPools(n.settings.Name, n.settings.Domain), waits: make(chan struct{}, 1),
+		node: n, keepers: map[string]*permit.Controller{}, pools: newPools(n.settings.Name, n.settings.Domain), waits: make(chan struct{}, 1),
 		asker: newAsker(n.port.Send, n.keeperSilent, n.settings.CPUShare, n.settings.LinkMbps),
 	}
 }
@@ -73,13 +73,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.apart = !p.node.roster.Most(now)
+	p.apart = !p.node.roster.MajorityAlive(now)
 	for pool, k := range p.keepers {
 		if !k.Idle() {
 			p.deliver(k.Tick(now))
 			waiting = true
 		}
-		for _, key := range k.Doubtful(now) {
+		for _, key := range k.LongRunning(now) {
 			p.doubt(k, key, now)
 		}
 		if n := k.Expired(); n > 0 {
@@ -94,10 +94,10 @@
 //
 // When a failure domain is cut off, its instances keep permits that they cannot give back. They would hold
 // slots of servers that are free, and requests would be refused there.
-func (p *permits) doubt(k *permit.Keeper, key permit.Key, now time.Time) {
-	if !p.node.roster.Reached(key.From, now) {
+func (p *permits) doubt(k *permit.Controller, key permit.ID, now time.Time) {
+	if !p.node.roster.Reachable(key.From, now) {
 		p.node.events.Note(event.Belief, "permit-taken-back", "from", key.From, "serial", key.Serial, "reason", "instance-silent")
-		p.deliver(k.Withdraw(now, key))
+		p.deliver(k.Cancel(now, key))
 		return
 	}
 	if to, err := netip.ParseAddrPort(key.From); err == nil {
@@ -106,7 +106,7 @@
 }
 
 // keeper returns the keeper of a pool; the lock is held.
-func (p *permits) keeper(pool string) *permit.Keeper {
+func (p *permits) keeper(pool string) *permit.Controller {
 	k := p.keepers[pool]
 	if k == nil {
 		k = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
@@ -127,20 +127,20 @@
 }
 
 // report returns what this instance has learnt of the servers of a service since the last call.
-func (p *permits) report(service string) map[string]permit.Power {
+func (p *permits) report(service string) map[string]permit.Capacity {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.keepers[service]
 	if k == nil {
 		return nil
 	}
-	return k.Report()
+	return k.ReportCapacity()
 }
 
 // deliver tells verdicts to those who asked; the lock is held.
-func (p *permits) deliver(verdicts []permit.Verdict) {
+func (p *permits) deliver(verdicts []permit.Decision) {
 	for _, v := range verdicts {
-		key := permit.KeyOf(v)
+		key := permit.IDOf(v)
 		m := message(v)
 		if key.From == "" {
 			p.asker.told(netip.AddrPort{}, m)
@@ -152,15 +152,15 @@
 	}
 }
 
-func message(v permit.Verdict) gram.Verdict {
-	m := gram.Verdict{Serial: permit.KeyOf(v).Serial}
+func message(v permit.Decision) gram.Verdict {
+	m := gram.Verdict{Serial: permit.IDOf(v).Serial}
 	switch v := v.(type) {
-	case permit.Granted:
+	case permit.Admitted:
 		m.Server = v.Server
-	case permit.Refused:
+	case permit.Rejected:
 		m.Reason = string(v.Reason)
 		m.RetryIn, m.Wait = int(v.RetryIn.Milliseconds()), int(v.Wait.Milliseconds())
-	case permit.Waiting:
+	case permit.Queued:
 	}
 	return m
 }
@@ -170,16 +170,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	a := permit.Ask{
-		Key: permit.Key{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
-		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, Elsewhere: m.Elsewhere,
+	a := permit.Request{
+		ID: permit.ID{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
+		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, HasFallback: m.Elsewhere,
 		TargetAt: now.Add(time.Duration(m.TargetIn) * time.Millisecond),
-		LimitAt:  now.Add(time.Duration(m.LimitIn) * time.Millisecond),
+		Deadline: now.Add(time.Duration(m.LimitIn) * time.Millisecond),
 	}
-	a.Apart = p.apart
+	a.NonExclusive = p.apart
 	k := p.keeper(m.Pool)
 	idle := k.Idle()
-	p.deliver([]permit.Verdict{k.Ask(now, a)})
+	p.deliver([]permit.Decision{k.Decide(now, a)})
 	if idle && !k.Idle() {
 		p.wake()
 	}
@@ -188,8 +188,8 @@
 func (p *permits) returned(from netip.AddrPort, m gram.Done) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.deliver(p.keeper(m.Pool).Done(time.Now(), permit.Done{
-		Key: permit.Key{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
+	p.deliver(p.keeper(m.Pool).Complete(time.Now(), permit.Completion{
+		ID: permit.ID{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
 		Outcome: m.Outcome, Took: time.Duration(m.TookUs) * time.Microsecond, Bytes: m.Bytes,
 		Load: permit.Load{
 			Running: m.Running, Waiting: m.Waiting, Known: m.Loaded, Slowdown: float64(m.Slowdown) / slowdownUnits,
@@ -200,10 +200,10 @@
 func (p *permits) withdrawn(from netip.AddrPort, m gram.Withdraw) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := permit.Key{From: from.String(), Serial: m.Serial}
+	key := permit.ID{From: from.String(), Serial: m.Serial}
 	for pool, k := range p.keepers {
 		if m.Pool == "" || m.Pool == pool {
-			p.deliver(k.Withdraw(time.Now(), key))
+			p.deliver(k.Cancel(time.Now(), key))
 		}
 	}
 }
@@ -223,13 +223,13 @@
 func (h *held) Server() string { return h.server }
 
 // Done implements edge.Permit.
-func (h *held) Done(d permit.Done) {
+func (h *held) Done(d permit.Completion) {
 	defer h.permits.asker.close(h.serial)
-	d.Key, d.Server, d.Route = permit.Key{Serial: h.serial}, h.server, h.route
+	d.ID, d.Server, d.Route = permit.ID{Serial: h.serial}, h.server, h.route
 	if !h.keeper.IsValid() {
 		h.permits.mu.Lock()
 		defer h.permits.mu.Unlock()
-		h.permits.deliver(h.permits.keeper(h.pool).Done(time.Now(), d))
+		h.permits.deliver(h.permits.keeper(h.pool).Complete(time.Now(), d))
 		return
 	}
 	m := gram.Done{
@@ -244,44 +244,44 @@
 }
 
 // Acquire implements edge.Permits.
-func (p *permits) Acquire(ctx context.Context, a permit.Ask, domain string) (edge.Permit, *permit.Refused) {
+func (p *permits) Acquire(ctx context.Context, a permit.Request, domain string) (edge.Admission, *permit.Rejected) {
 	if a.Server != "" {
 		a.Pool, a.Domain = a.Service, p.node.settings.Domain
 		return p.askKeepers(ctx, a, a.Server, domain)
 	}
 	tries := p.tries(a.Service)
 	for i, pool := range tries {
-		a.Pool, a.Elsewhere, a.Domain = pool.Name, i < len(tries)-1, p.node.settings.Domain
+		a.Pool, a.HasFallback, a.Domain = pool.Name, i < len(tries)-1, p.node.settings.Domain
 		if pool.Domain != "" {
 			a.Domain = pool.Domain
 		}
 		granted, refused := p.askKeepers(ctx, a, pool.Name, pool.Domain)
-		if refused == nil || !a.Elsewhere || refused.Reason != permit.Busy {
+		if refused == nil || !a.HasFallback || refused.Reason != permit.PoolBusy {
 			return granted, refused
 		}
 		p.busy(pool, refused.Wait)
 	}
-	return nil, &permit.Refused{Reason: permit.NoServer}
+	return nil, &permit.Rejected{Reason: permit.NoServer}
 }
 
 // tries returns the pools that a request should ask in turn.
 func (p *permits) tries(service string) []permit.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pools.picker(service).Tries(time.Now())
+	return p.pools.picker(service).Candidates(time.Now())
 }
 
 func (p *permits) busy(pool permit.Pool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pools.picker(pool.Service).Busy(pool.Name, wait, time.Now())
+	p.pools.picker(pool.Service).MarkBusy(pool.Name, wait, time.Now())
 }
 
 // askKeepers asks those in charge of a pool or a server in turn, and decides itself if they are silent.
-func (p *permits) askKeepers(ctx context.Context, a permit.Ask, thing, domain string) (edge.Permit, *permit.Refused) {
+func (p *permits) askKeepers(ctx context.Context, a permit.Request, thing, domain string) (edge.Admission, *permit.Rejected) {
 	for i, keeper := range p.node.roster.Rank(thing, domain, time.Now()) {
 		if i == asksMost {
-			a.Apart = true
+			a.NonExclusive = true
 			break
 		}
 		if keeper.Name == p.node.settings.Name {
@@ -293,14 +293,14 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return nil, &permit.Refused{Reason: permit.Overload}
+			return nil, &permit.Rejected{Reason: permit.Overload}
 		}
 	}
 	return p.conclude(a, p.askSelf(ctx, a), netip.AddrPort{})
 }
 
 // conclude turns a final verdict into a permit or a refusal.
-func (p *permits) conclude(a permit.Ask, m gram.Verdict, keeper netip.AddrPort) (edge.Permit, *permit.Refused) {
+func (p *permits) conclude(a permit.Request, m gram.Verdict, keeper netip.AddrPort) (edge.Admission, *permit.Rejected) {
 	if m.Server != "" {
 		return &held{permits: p, serial: m.Serial, pool: a.Pool, route: a.Route, server: m.Server, keeper: keeper}, nil
 	}
@@ -308,18 +308,18 @@
 	if reason == "" {
 		reason = permit.Overload
 	}
-	return nil, &permit.Refused{
+	return nil, &permit.Rejected{
 		Pool: a.Pool, Reason: reason, RetryIn: time.Duration(m.RetryIn) * time.Millisecond, Wait: time.Duration(m.Wait) * time.Millisecond,
 	}
 }
 
 // askSelf asks this instance's own keeper.
-func (p *permits) askSelf(ctx context.Context, a permit.Ask) gram.Verdict {
+func (p *permits) askSelf(ctx context.Context, a permit.Request) gram.Verdict {
 	serial, verdicts := p.asker.open()
-	a.Key = permit.Key{Serial: serial}
+	a.ID = permit.ID{Serial: serial}
 	p.mu.Lock()
-	a.Apart = a.Apart || p.apart
-	m := message(p.keeper(a.Pool).Ask(time.Now(), a))
+	a.NonExclusive = a.NonExclusive || p.apart
+	m := message(p.keeper(a.Pool).Decide(time.Now(), a))
 	p.mu.Unlock()
 	if !final(m) {
 		p.wake()
@@ -329,7 +329,7 @@
 		case m = <-verdicts:
 		case <-ctx.Done():
 			p.mu.Lock()
-			p.deliver(p.keeper(a.Pool).Withdraw(time.Now(), a.Key))
+			p.deliver(p.keeper(a.Pool).Cancel(time.Now(), a.ID))
 			p.mu.Unlock()
 			m = gram.Verdict{Reason: string(permit.Overload)}
 		}
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -51,7 +51,7 @@
 	for service, members := range services {
 		all := []permit.Pool{{Name: service, Service: service, Servers: members}}
 		if !divided(service) {
-			all = permit.Divide(service, members)
+			all = permit.SplitIntoPools(service, members)
 		}
 		for _, pool := range all {
 			p.members[pool.Name] = pool.Servers
--- a/internal/node/read.go
+++ b/internal/node/read.go
@@ -35,16 +35,16 @@
 )
 
 // newTopics returns what follows the topics of the store.
-func (n *Node) newTopics() map[string]*follow.Topic {
+func (n *Node) newTopics() map[string]*follow.Watch {
 	calm := func() time.Duration { return configPause }
-	out := map[string]*follow.Topic{
-		n.around.Config:  {Direct: n.reads, Wait: n.pollWait, Settle: calm, Latest: true, Overdue: n.overdue},
-		n.around.Servers: {Direct: n.reads, Wait: n.pollWait, Settle: n.settle, Overdue: n.overdue},
-		n.around.Owners:  {Direct: n.readsOwners, Every: n.ownersEvery, Settle: calm},
+	out := map[string]*follow.Watch{
+		n.around.ConfigTopic:  {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: calm, CatchUpFromSnapshot: true, MaxStaleness: n.overdue},
+		n.around.ServersTopic: {ReadsStore: n.reads, PollTimeout: n.pollWait, BatchDelay: n.settle, MaxStaleness: n.overdue},
+		n.around.OwnersTopic:  {ReadsStore: n.readsOwners, ReadInterval: n.ownersEvery, BatchDelay: calm},
 	}
 	for name, t := range out {
-		t.Store, t.Name, t.Clock, t.Out = n.around.Store, name, clock.Boot{}, n.updates
-		t.Again, t.News, t.Retry = n.again[name], n.news[name], n.retryPause
+		t.Store, t.Topic, t.Clock, t.Out = n.around.Store, name, clock.Boot{}, n.updates
+		t.ReadNow, t.PeerUpdates, t.RetryDelay = n.again[name], n.news[name], n.retryPause
 	}
 	return out
 }
@@ -52,7 +52,7 @@
 func (n *Node) follow(duties *duty.Group) {
 	for name, t := range n.topics {
 		duties.Go("follow-"+name, func(ctx context.Context) error {
-			if name == n.around.Owners && !n.awaitRegistration(ctx) {
+			if name == n.around.OwnersTopic && !n.awaitRegistration(ctx) {
 				return ctx.Err()
 			}
 			return t.Run(ctx)
@@ -98,7 +98,7 @@
 func (n *Node) overdue() time.Duration {
 	spread := min(overdueSpread, time.Duration(n.instances())*overdueEach)
 	part := float64(xxhash.Sum64String(n.settings.Name)>>11) / (1 << 53)
-	return n.pollLeader() + n.roster.LeaderEvery() + overdueSlack + time.Duration(part*float64(spread))
+	return n.pollLeader() + n.roster.LeaderHeartbeatInterval() + overdueSlack + time.Duration(part*float64(spread))
 }
 
 // retryPause returns the pause after a read that failed. It varies by a half each way, so that instances that lost the
@@ -137,7 +137,7 @@
 	if c := n.settings.Bounds.ConfigSeconds; c > 0 {
 		bound = min(bound, c)
 	}
-	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderEvery()
+	wait := time.Duration(bound*float64(time.Second)) - overdueReserve - n.roster.LeaderHeartbeatInterval()
 	return min(max(wait, pollLeast), pollMost)
 }
 
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -69,13 +69,13 @@
 				continue
 			}
 			if following {
-				n.readAgain(n.around.Owners)
+				n.readAgain(n.around.OwnersTopic)
 				continue
 			}
 			following = true
 			close(n.registered)
-		case r.unknown && !n.topics[n.around.Owners].Unanswered():
-			n.readAgain(n.around.Owners)
+		case r.unknown && !n.topics[n.around.OwnersTopic].LastReadFailed():
+			n.readAgain(n.around.OwnersTopic)
 		}
 	}
 	return ctx.Err()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -36,7 +36,7 @@
 // stop ends the instance in order: it says that it is not ready, hands its duties over, takes
 // requests until the balancer has left it out, and answers what is in progress.
 func (n *Node) stop(ctx context.Context, front net.Listener) {
-	n.events.Note(event.Belief, "stop", "instance", n.settings.Name, "busy", n.inlet.Busy())
+	n.events.Note(event.Belief, "stop", "instance", n.settings.Name, "busy", n.inlet.InFlight())
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
@@ -55,7 +55,7 @@
 		n.inlet.Finish()
 	}
 	n.recordEnd(ctx, deadline.Add(stopReserve/2))
-	n.events.Note(event.Belief, "stopped", "instance", n.settings.Name, "busy", n.inlet.Busy(), "took", time.Since(began))
+	n.events.Note(event.Belief, "stopped", "instance", n.settings.Name, "busy", n.inlet.InFlight(), "took", time.Since(began))
 }
 
 // recordEnd writes down that this instance ends, unless the store takes longer than until a time: the process is killed
@@ -122,7 +122,7 @@
 	for call, l := range n.times.Snapshot() {
 		lines = append(lines, fmt.Sprintf("store_time_us{call=%q,quantile=\"0.5\"} %d\n", call, l.P50),
 			fmt.Sprintf("store_time_us{call=%q,quantile=\"0.99\"} %d\n", call, l.P99),
-			fmt.Sprintf("store_time_us{call=%q,quantile=\"1\"} %d\n", call, l.Most))
+			fmt.Sprintf("store_time_us{call=%q,quantile=\"1\"} %d\n", call, l.Max))
 	}
 	for domain, since := range n.world.evacuatedDomains() {
 		l := n.leftAt(domain)
--- a/internal/node/tell.go
+++ b/internal/node/tell.go
@@ -112,34 +112,34 @@
 
 // relay tells the others what this instance has read.
 func (n *Node) relay(ctx context.Context, u follow.Update) {
-	if u.Err != nil || u.BegunAt == 0 || !u.Overdue && !n.reads() {
+	if u.Err != nil || u.StartedAt == 0 || !u.Overdue && !n.reads() {
 		return
 	}
 	if u.Overdue {
 		// The others wait for the same word.
 		n.announceToAll()
 	}
-	if len(u.Records) == 0 || u.Whole && u.Topic != n.around.Config {
+	if len(u.Records) == 0 || u.Snapshot && u.Topic != n.around.ConfigTopic {
 		return
 	}
-	if u.Whole {
+	if u.Snapshot {
 		// What came before it does not count.
 		u.From = 0
 	}
 	parts := partsOf(u)
-	if len(parts) > partsMost || u.Whole && len(parts) > 1 || !n.affordable(largest(parts)) {
+	if len(parts) > partsMost || u.Snapshot && len(parts) > 1 || !n.affordable(largest(parts)) {
 		// Too large to pass on: the others hear that there is news, and read it themselves. From
 		// heartbeats alone they would know half a second later.
 		parts = []follow.Batch{{End: u.End}}
-		u.From, u.Whole = u.End, false
+		u.From, u.Snapshot = u.End, false
 	}
 	sentAt := clock.Boot{}.Now()
 	for i, part := range parts {
-		news := follow.News{From: u.From, Age: n.ageOf(u).Milliseconds() + 1, Complete: -1, Batch: part, Whole: u.Whole}
+		news := follow.PeerUpdate{From: u.From, RecordAge: n.ageOf(u).Milliseconds() + 1, Staleness: -1, Batch: part, Snapshot: u.Snapshot}
 		if i == len(parts)-1 {
-			news.Complete = millis(sentAt, u.Complete)
+			news.Staleness = millis(sentAt, u.CurrentAsOf)
 		}
-		n.tellAll(gram.News{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), News: news})
+		n.tellAll(gram.News{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), PeerUpdate: news})
 		u.From = part.End
 		if i < len(parts)-1 {
 			// Sent at once, the next part would find the link full and be lost to all.
--- a/internal/node/tell_test.go
+++ b/internal/node/tell_test.go
@@ -21,7 +21,7 @@
 
 // entries returns news of as many servers.
 func entries(count int) follow.Update {
-	u := follow.Update{Topic: "servers", From: 40, BegunAt: 1, Overdue: true}
+	u := follow.Update{Topic: "servers", From: 40, StartedAt: 1, Overdue: true}
 	for i := range count {
 		u.Records = append(u.Records, follow.Record{Key: fmt.Sprint(i), Value: make([]byte, 250), Offset: int64(40 + i)})
 	}
@@ -79,8 +79,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		settings := config.Serve{Name: "i0", Domain: "d0", IP: "127.0.0.1", PeerPorts: []int{0}, LinkMbps: 20}
-		n, err := New(settings, Surroundings{
-			Config: "config", ConfigKey: "config", Servers: "servers", Owners: "owners", DecodeServer: decodeServer,
+		n, err := New(settings, Platform{
+			ConfigTopic: "config", ConfigKey: "config", ServersTopic: "servers", OwnersTopic: "owners", DecodeServer: decodeServer,
 			DecodeConfig:     func([]byte) (*rules.Config, error) { return &rules.Config{Version: 1}, nil },
 			DecodeEvacuation: func(string) (string, bool) { return "", false },
 		}, event.New(io.Discard, log.InfoLevel))
@@ -95,7 +95,7 @@
 		begun := time.Now()
 		n.updates <- directory
 		n.updates <- follow.Update{
-			Topic: "config", BegunAt: 1, Overdue: true,
+			Topic: "config", StartedAt: 1, Overdue: true,
 			Batch: follow.Batch{End: 1, Records: []follow.Record{{Key: "config", Value: []byte("1")}}},
 		}
 		for n.world.config.Load() == nil {
--- a/internal/node/world.go
+++ b/internal/node/world.go
@@ -28,7 +28,7 @@
 	directory atomic.Pointer[map[string]rules.Server]
 	// published counts how often it was replaced.
 	published atomic.Uint64
-	owners    func() *holder.Owners
+	owners    func() *holder.View
 
 	mu sync.Mutex
 	// changed is closed when owners change.
@@ -89,9 +89,9 @@
 	least := time.Duration(0)
 	for _, routes := range w.config.Load().Hosts {
 		for _, r := range routes {
-			for _, p := range r.Parts {
-				if p.Service == service && r.Target > 0 && (least == 0 || r.Target < least) {
-					least = r.Target
+			for _, p := range r.Services {
+				if p.Service == service && r.TargetLatency > 0 && (least == 0 || r.TargetLatency < least) {
+					least = r.TargetLatency
 				}
 			}
 		}
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -28,7 +28,7 @@
 
 // tell gives a world one update of the directory, of keys and values in turn.
 func (w *world) tell(whole bool, pairs ...string) {
-	u := follow.Update{Whole: whole}
+	u := follow.Update{Snapshot: whole}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		u.Records = append(u.Records, follow.Record{Key: pairs[i], Value: []byte(pairs[i+1])})
 	}
@@ -139,7 +139,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, n := newTestWorld(), &Node{}
-		u := follow.Update{Whole: true, Batch: follow.Batch{Records: []follow.Record{
+		u := follow.Update{Snapshot: true, Batch: follow.Batch{Records: []follow.Record{
 			{Key: "a", Value: []byte("draining")}, {Key: "b", Value: []byte("ready")},
 		}}}
 		w.putServers(u, n.ageOf(u), decodeServer)
--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -68,10 +68,10 @@
 
 // takes reports whether a request may be sent to the server at all: not to a cold one by an instance that other keepers
 // of it may not know of.
-func (s *server) takes(now time.Time, w *waiting) bool { return !w.Apart || !s.Cold(now) }
+func (s *server) takes(now time.Time, w *waiting) bool { return !w.NonExclusive || !s.Cold(now) }
 
 // domain returns the free servers of a domain.
-func (k *Keeper) domain(name string) *freeServers {
+func (k *Controller) domain(name string) *freeServers {
 	at, found := slices.BinarySearchFunc(k.free, name, func(f *freeServers, name string) int { return cmp.Compare(f.domain, name) })
 	if !found {
 		k.free = slices.Insert(k.free, at, &freeServers{domain: name})
@@ -81,7 +81,7 @@
 
 // arrange brings up to date whether and where a server stands among the free ones, and has it looked at
 // again when that changes by itself.
-func (k *Keeper) arrange(now time.Time, s *server) {
+func (k *Controller) arrange(now time.Time, s *server) {
 	if s.listed {
 		k.domain(s.listedDomain).remove(s.place)
 		s.listed = false
@@ -115,7 +115,7 @@
 }
 
 // powerOf returns what a server can do now, in slots of mean speed.
-func (k *Keeper) powerOf(now time.Time, s *server) float64 {
+func (k *Controller) powerOf(now time.Time, s *server) float64 {
 	power := s.slotPower() / s.factor(now)
 	if s.Cold(now) {
 		power = min(power, s.ColdRate*k.main().Seconds())
@@ -147,7 +147,7 @@
 
 // choose returns the best server that is free for a request, nil if there is none: the one that costs least
 // of its domain and of each other, or one to which its instance has a connection.
-func (k *Keeper) choose(now time.Time, w *waiting) *server {
+func (k *Controller) choose(now time.Time, w *waiting) *server {
 	if w.Server != "" {
 		if s := k.servers[w.Server]; s != nil && s.open(now) && s.takes(now, w) {
 			return s
@@ -197,7 +197,7 @@
 }
 
 // recentOf returns the servers to which an instance is likely to have a connection.
-func (k *Keeper) recentOf(from string, now time.Time) []recentUse {
+func (k *Controller) recentOf(from string, now time.Time) []recentUse {
 	kept := slices.DeleteFunc(k.recent[from], func(r recentUse) bool { return now.Sub(r.at) >= openTime })
 	if len(kept) == 0 {
 		delete(k.recent, from)
@@ -208,7 +208,7 @@
 }
 
 // noteUse takes in that an instance is sent to a server.
-func (k *Keeper) noteUse(from, server string, now time.Time) {
+func (k *Controller) noteUse(from, server string, now time.Time) {
 	kept := slices.DeleteFunc(k.recentOf(from, now), func(r recentUse) bool { return r.server == server })
 	kept = append(kept, recentUse{server, now})
 	if len(kept) > recentMost {
