--- a/internal/permit/cold_test.go
+++ b/internal/permit/cold_test.go
@@ -39,19 +39,19 @@
 
 // flood asks for a permit every five milliseconds, for requests that take 20, and returns when each server was sent to.
 // KeeperAt returns the keeper that is asked at a time.
-func flood(lasts time.Duration, keyed bool, keeperAt func(now time.Time) *permit.Keeper) map[string][]time.Time {
+func flood(lasts time.Duration, keyed bool, keeperAt func(now time.Time) *permit.Controller) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	type running struct {
-		keeper *permit.Keeper
-		done   permit.Done
+		keeper *permit.Controller
+		done   permit.Completion
 		until  time.Time
 	}
 	var all []running
-	take := func(k *permit.Keeper, now time.Time, verdicts []permit.Verdict) {
+	take := func(k *permit.Controller, now time.Time, verdicts []permit.Decision) {
 		for _, v := range verdicts {
-			if g, granted := v.(permit.Granted); granted {
+			if g, granted := v.(permit.Admitted); granted {
 				out[g.Server] = append(out[g.Server], now)
-				all = append(all, running{k, permit.Done{Key: g.Key, Server: g.Server, Route: "read", Took: 20 * time.Millisecond}, now.Add(20 * time.Millisecond)})
+				all = append(all, running{k, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 20 * time.Millisecond}, now.Add(20 * time.Millisecond)})
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 		for len(all) > 0 && !now.Before(all[0].until) {
 			r := all[0]
 			all = all[1:]
-			take(r.keeper, now, r.keeper.Done(now, r.done))
+			take(r.keeper, now, r.keeper.Complete(now, r.done))
 		}
 		k := keeperAt(now)
 		take(k, now, k.Tick(now))
@@ -68,7 +68,7 @@
 		if keyed {
 			a.Server = "s0"
 		}
-		take(k, now, []permit.Verdict{k.Ask(now, a)})
+		take(k, now, []permit.Decision{k.Decide(now, a)})
 	}
 	return out
 }
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			k := newKeeper(coldServer("s0"))
-			times := flood(coldTime, keyed, func(time.Time) *permit.Keeper { return k })["s0"]
+			times := flood(coldTime, keyed, func(time.Time) *permit.Controller { return k })["s0"]
 			is.True(float64(mostInASecond(times)) <= coldRate)
 			// What it bears it gets, but for the first second, in which another keeper may have sent to it.
 			is.True(float64(len(times)) >= 0.8*coldRate*(coldTime-time.Second).Seconds())
@@ -91,7 +91,7 @@
 func TestColdServerOutlastsItsKeeper(t *testing.T) {
 	is := is.New(t)
 	one, two := newKeeper(coldServer("s0")), newKeeper(coldServer("s0"))
-	times := flood(coldTime, false, func(now time.Time) *permit.Keeper {
+	times := flood(coldTime, false, func(now time.Time) *permit.Controller {
 		if now.Sub(start) < time.Second {
 			return one
 		}
@@ -104,7 +104,7 @@
 func TestServerWarmsUp(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(coldServer("s0"))
-	times := flood(coldTime+2*time.Second, false, func(time.Time) *permit.Keeper { return k })["s0"]
+	times := flood(coldTime+2*time.Second, false, func(time.Time) *permit.Controller { return k })["s0"]
 	after := 0
 	for _, at := range times {
 		if at.Sub(start) >= coldTime {
@@ -118,14 +118,14 @@
 func TestColdServerRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(coldServer("s0"))
-	refused := permit.Refused{}
+	refused := permit.Rejected{}
 	for i := range uint64(12) {
 		a := ask(i, start)
 		a.Server = "s0"
-		switch v := k.Ask(start, a).(type) {
-		case permit.Granted:
-			k.Done(start, permit.Done{Key: v.Key, Server: v.Server, Route: "read", Took: 20 * time.Millisecond})
-		case permit.Refused:
+		switch v := k.Decide(start, a).(type) {
+		case permit.Admitted:
+			k.Complete(start, permit.Completion{ID: v.ID, Server: v.Server, Route: "read", Took: 20 * time.Millisecond})
+		case permit.Rejected:
 			refused = v
 		}
 	}
@@ -151,11 +151,11 @@
 			is := is.New(t)
 			k := newKeeper(test.servers...)
 			a := ask(1, start)
-			a.Apart, a.Server = true, test.server
-			switch v := k.Ask(start, a).(type) {
-			case permit.Granted:
+			a.NonExclusive, a.Server = true, test.server
+			switch v := k.Decide(start, a).(type) {
+			case permit.Admitted:
 				is.Equal(v.Server, test.want)
-			case permit.Refused:
+			case permit.Rejected:
 				is.Equal(test.want, "")
 			default:
 				t.Fatal("it waits for nothing")
@@ -169,8 +169,8 @@
 	is := is.New(t)
 	k := newKeeper(server("s0", "north", 1))
 	fill(is, k, "s0")
-	is.Equal(k.Ask(start, patient(2, start)), permit.Waiting{Key: ask(2, start).Key})
-	is.Equal(k.SetServers(start, nil), []permit.Verdict{permit.Refused{Key: ask(2, start).Key, Reason: permit.Gone}})
+	is.Equal(k.Decide(start, patient(2, start)), permit.Queued{ID: ask(2, start).ID})
+	is.Equal(k.SetServers(start, nil), []permit.Decision{permit.Rejected{ID: ask(2, start).ID, Reason: permit.OwnerGone}})
 }
 
 // A failure domain is taken back under twice the usual load: 12 of its servers are cold at the same moment, and 12 others
--- a/internal/permit/demand.go
+++ b/internal/permit/demand.go
@@ -20,7 +20,7 @@
 }
 
 // note takes in the work that an admitted request asks for.
-func (k *Keeper) note(now time.Time, w *waiting) {
+func (k *Controller) note(now time.Time, w *waiting) {
 	d := k.demands[w.Priority]
 	if d == nil {
 		d = &demand{at: now}
@@ -33,7 +33,7 @@
 // leftOver returns the share of the servers' time that more urgent requests leave. Those that
 // come while a request waits go before it: without this, requests of low priority were let wait
 // beyond their target at one and a half times the capacity (TestUrgentGoesFirst).
-func (k *Keeper) leftOver(now time.Time, priority int) float64 {
+func (k *Controller) leftOver(now time.Time, priority int) float64 {
 	taken := 0.0
 	for p, d := range k.demands {
 		if p < priority {
--- a/internal/permit/keeper.go
+++ b/internal/permit/keeper.go
@@ -46,15 +46,15 @@
 	heard int
 }
 
-// Keeper gives the permits of one pool of servers, or of the servers of a service that is divided by key. What
+// Controller gives the permits of one pool of servers, or of the servers of a service that is divided by key. What
 // a request, an answer or the passing of time costs it does not grow with the number of servers, but for a
 // logarithm, nor with that of requests that wait.
-type Keeper struct {
+type Controller struct {
 	servers map[string]*server
 	routes  map[string]*route
 	// granted holds the servers of the permits in use, queued the requests that wait.
-	granted map[Key]*server
-	queued  map[Key]*waiting
+	granted map[ID]*server
+	queued  map[ID]*waiting
 	// near holds the requests that wait for a server of their own domain, by domain, anywhere those that
 	// any server will do for. Those for one server wait with that one.
 	near     map[string]*queue
@@ -77,7 +77,7 @@
 	doubts  timers
 	returns timers
 	// told holds the verdicts that fell due while a request was decided about.
-	told []Verdict
+	told []Decision
 	// heard holds the servers that answered since Report was last asked.
 	heard map[string]*server
 	// turns counts the requests, in order of arrival.
@@ -90,17 +90,17 @@
 }
 
 // New returns a keeper without servers.
-func New(random *rand.Rand) *Keeper {
-	return &Keeper{
+func New(random *rand.Rand) *Controller {
+	return &Controller{
 		random: random, servers: map[string]*server{}, routes: map[string]*route{},
-		granted: map[Key]*server{}, queued: map[Key]*waiting{}, near: map[string]*queue{},
+		granted: map[ID]*server{}, queued: map[ID]*waiting{}, near: map[string]*queue{},
 		recent: map[string][]recentUse{}, demands: map[int]*demand{}, heard: map[string]*server{},
 	}
 }
 
 // SetServers takes the servers that may be used. Draining ones are left out by the caller.
-func (k *Keeper) SetServers(now time.Time, servers []rules.Server) []Verdict {
-	var out []Verdict
+func (k *Controller) SetServers(now time.Time, servers []rules.Server) []Decision {
+	var out []Decision
 	there := make(map[string]bool, len(servers))
 	for _, s := range servers {
 		there[s.ID] = true
@@ -124,17 +124,17 @@
 }
 
 // sendAway refuses all that wait, as the last server is gone: they are to look for one elsewhere at once.
-func (k *Keeper) sendAway() []Verdict {
-	var out []Verdict
+func (k *Controller) sendAway() []Decision {
+	var out []Decision
 	for _, w := range k.queued {
 		k.dequeue(w)
-		out = append(out, Refused{Key: w.Key, Reason: Gone})
+		out = append(out, Rejected{ID: w.ID, Reason: OwnerGone})
 	}
 	return out
 }
 
 // put takes in a server, or what has changed of it.
-func (k *Keeper) put(now time.Time, s rules.Server) {
+func (k *Controller) put(now time.Time, s rules.Server) {
 	known := k.servers[s.ID]
 	if known == nil {
 		known = newServer(s)
@@ -148,7 +148,7 @@
 }
 
 // drop forgets a server. Who waits for it is refused.
-func (k *Keeper) drop(now time.Time, s *server) []Verdict {
+func (k *Controller) drop(now time.Time, s *server) []Decision {
 	delete(k.servers, s.ID)
 	delete(k.heard, s.ID)
 	k.slots -= s.Slots
@@ -159,24 +159,24 @@
 	for key := range s.uses {
 		delete(k.granted, key)
 	}
-	var out []Verdict
+	var out []Decision
 	for w := s.queue.head(); w != nil; w = s.queue.head() {
 		k.dequeue(w)
-		out = append(out, Refused{Key: w.Key, Reason: Gone})
+		out = append(out, Rejected{ID: w.ID, Reason: OwnerGone})
 	}
 	return out
 }
 
-// Ask decides about a request. One that is asked for again, as when the first verdict was lost
+// Decide decides about a request. One that is asked for again, as when the first verdict was lost
 // or took long, gets the verdict that stands. Verdicts about others that have fallen due are
 // returned by the next Tick.
-func (k *Keeper) Ask(now time.Time, a Ask) Verdict {
+func (k *Controller) Decide(now time.Time, a Request) Decision {
 	k.told = append(k.told, k.pass(now)...)
-	if v := k.standing(a.Key); v != nil {
+	if v := k.standing(a.ID); v != nil {
 		return v
 	}
 	if a.Server != "" && k.servers[a.Server] == nil {
-		return Refused{Key: a.Key, Reason: Gone}
+		return Rejected{ID: a.ID, Reason: OwnerGone}
 	}
 	w := k.enter(now, a)
 	if len(k.servers) == 0 {
@@ -192,27 +192,27 @@
 	}
 	soon := w.crossAt.Sub(now)
 	wait, fits := k.room(now, w)
-	if !fits || a.Elsewhere && wait > soon {
+	if !fits || a.HasFallback && wait > soon {
 		return k.refuse(now, a, Overload, wait)
 	}
 	k.note(now, w)
-	if s != nil && !a.Elsewhere && !now.Before(w.crossAt) && k.goesFirst(w, s) {
+	if s != nil && !a.HasFallback && !now.Before(w.crossAt) && k.goesFirst(w, s) {
 		return k.grant(now, s, w)
 	}
 	k.enqueue(now, w)
-	return Waiting{Key: a.Key}
+	return Queued{ID: a.ID}
 }
 
 // goesFirst reports whether a request that has just come goes before all that wait for a server.
-func (k *Keeper) goesFirst(w *waiting, s *server) bool {
+func (k *Controller) goesFirst(w *waiting, s *server) bool {
 	next := k.next(s)
 	return next == nil || w.before(next)
 }
 
 // barred reports whether a request can be sent to none of the servers that there are for it since all are cold, and how
 // long that lasts.
-func (k *Keeper) barred(now time.Time, a Ask) (warmIn time.Duration, barred bool) {
-	if !a.Apart {
+func (k *Controller) barred(now time.Time, a Request) (warmIn time.Duration, barred bool) {
+	if !a.NonExclusive {
 		return 0, false
 	}
 	for _, s := range k.servers {
@@ -231,47 +231,47 @@
 
 // refuse returns the refusal of a request that would wait for a time. One that can ask another pool is sent
 // there, whatever the reason.
-func (k *Keeper) refuse(now time.Time, a Ask, reason Reason, wait time.Duration) Verdict {
-	if a.Elsewhere {
-		return Refused{Key: a.Key, Reason: Busy, Wait: wait}
+func (k *Controller) refuse(now time.Time, a Request, reason Reason, wait time.Duration) Decision {
+	if a.HasFallback {
+		return Rejected{ID: a.ID, Reason: PoolBusy, Wait: wait}
 	}
-	return Refused{Key: a.Key, Reason: reason, RetryIn: k.retryIn(now, a, wait), Wait: wait}
+	return Rejected{ID: a.ID, Reason: reason, RetryIn: k.retryIn(now, a, wait), Wait: wait}
 }
 
 // standing returns the verdict that was given before, nil if there is none.
-func (k *Keeper) standing(key Key) Verdict {
+func (k *Controller) standing(key ID) Decision {
 	if k.queued[key] != nil {
-		return Waiting{Key: key}
+		return Queued{ID: key}
 	}
 	if s := k.granted[key]; s != nil {
-		return Granted{Key: key, Server: s.ID}
+		return Admitted{ID: key, Server: s.ID}
 	}
 	return nil
 }
 
-func (k *Keeper) grant(now time.Time, s *server, w *waiting) Verdict {
+func (k *Controller) grant(now time.Time, s *server, w *waiting) Decision {
 	u := use{since: now, expect: s.expect(k.route(w.Route, 0), now), factor: s.factor(now), startedAt: now}
 	if len(s.uses) >= s.Slots {
 		u.startedAt = time.Time{}
 		u.expect += s.next(now)
 	}
-	s.use(w.Key, u)
+	s.use(w.ID, u)
 	if s.Cold(now) {
 		s.noteCold(now)
 	}
-	k.granted[w.Key] = s
+	k.granted[w.ID] = s
 	k.noteUse(w.From, s.ID, now)
-	held := permitEnds{w.Key, s}
-	k.timers.set(w.LimitAt.Add(overdue), held)
+	held := permitEnds{w.ID, s}
+	k.timers.set(w.Deadline.Add(overdue), held)
 	k.doubts.set(now.Add(time.Duration(doubtShare*float64(u.expect))+doubtLeast), permitDoubted(held))
 	k.firstBack() // forgets those that are back
 	k.returns.set(now.Add(u.expect), permitReturns(held))
 	k.arrange(now, s)
-	return Granted{Key: w.Key, Server: s.ID}
+	return Admitted{ID: w.ID, Server: s.ID}
 }
 
 // takeBack ends the use of a permit. It returns false if it was not in use.
-func (k *Keeper) takeBack(now time.Time, key Key) (*server, bool) {
+func (k *Controller) takeBack(now time.Time, key ID) (*server, bool) {
 	s := k.granted[key]
 	if s == nil {
 		return nil, false
@@ -286,8 +286,8 @@
 	return s, true
 }
 
-// Withdraw removes a request that no longer waits, or gives its permit back.
-func (k *Keeper) Withdraw(now time.Time, key Key) []Verdict {
+// Cancel removes a request that no longer waits, or gives its permit back.
+func (k *Controller) Cancel(now time.Time, key ID) []Decision {
 	if w := k.queued[key]; w != nil {
 		k.dequeue(w)
 	}
@@ -298,15 +298,15 @@
 	return out
 }
 
-// Done takes a permit back and learns from how the sending ended.
-func (k *Keeper) Done(now time.Time, d Done) []Verdict {
-	s := k.granted[d.Key]
+// Complete takes a permit back and learns from how the sending ended.
+func (k *Controller) Complete(now time.Time, d Completion) []Decision {
+	s := k.granted[d.ID]
 	// A permit that is given back twice counts once.
 	if s == nil || s.ID != d.Server {
 		return k.Tick(now)
 	}
-	u := s.uses[d.Key]
-	k.takeBack(now, d.Key)
+	u := s.uses[d.ID]
+	k.takeBack(now, d.ID)
 	r := k.route(d.Route, 0)
 	k.learn(now, s, d, u, r.mean)
 	if d.Outcome == Answered {
@@ -319,7 +319,7 @@
 }
 
 // learn takes in what an ended sending says of a server.
-func (k *Keeper) learn(now time.Time, s *server, d Done, u use, mean time.Duration) {
+func (k *Controller) learn(now time.Time, s *server, d Completion, u use, mean time.Duration) {
 	s.learn(d, u, mean, now)
 	if d.Outcome == Answered {
 		k.heard[s.ID] = s
@@ -333,6 +333,6 @@
 
 // asideMost returns how many servers may be set aside at one time: more would leave too little room for the
 // load, and one always stays.
-func (k *Keeper) asideMost() int {
+func (k *Controller) asideMost() int {
 	return max(int(asideShare*float64(len(k.servers))), min(1, len(k.servers)-1))
 }
--- a/internal/permit/keeper_test.go
+++ b/internal/permit/keeper_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newKeeper(servers ...rules.Server) *permit.Keeper {
+func newKeeper(servers ...rules.Server) *permit.Controller {
 	k := permit.New(rand.New(rand.NewPCG(1, 2)))
 	k.SetServers(start, servers)
 	return k
@@ -24,33 +24,33 @@
 }
 
 // patient returns a request whose target is twice as far as that of others: it makes it behind two of them.
-func patient(serial uint64, now time.Time) permit.Ask {
+func patient(serial uint64, now time.Time) permit.Request {
 	a := ask(serial, now)
-	a.TargetAt, a.LimitAt = now.Add(1200*time.Millisecond), now.Add(2400*time.Millisecond)
+	a.TargetAt, a.Deadline = now.Add(1200*time.Millisecond), now.Add(2400*time.Millisecond)
 	return a
 }
 
 // fill takes what is open of a server: its slots, and the place of a request that waits there.
-func fill(is *is.I, k *permit.Keeper, server string) {
+func fill(is *is.I, k *permit.Controller, server string) {
 	is.Helper()
 	for i := range uint64(16) {
 		a := ask(1000+i, start)
 		a.Server = server
 		if i > 0 {
-			a.TargetAt, a.LimitAt = start.Add(time.Hour), start.Add(time.Hour)
+			a.TargetAt, a.Deadline = start.Add(time.Hour), start.Add(time.Hour)
 		}
-		if _, granted := k.Ask(start, a).(permit.Granted); !granted {
-			k.Withdraw(start, a.Key)
+		if _, granted := k.Decide(start, a).(permit.Admitted); !granted {
+			k.Cancel(start, a.ID)
 			return
 		}
 	}
 	is.Fail() // a server takes that many
 }
 
-func ask(serial uint64, now time.Time) permit.Ask {
-	return permit.Ask{
-		Key: permit.Key{From: "a", Serial: serial}, Service: "books", Domain: "north", Route: "read",
-		TargetAt: now.Add(600 * time.Millisecond), LimitAt: now.Add(1200 * time.Millisecond),
+func ask(serial uint64, now time.Time) permit.Request {
+	return permit.Request{
+		ID: permit.ID{From: "a", Serial: serial}, Service: "books", Domain: "north", Route: "read",
+		TargetAt: now.Add(600 * time.Millisecond), Deadline: now.Add(1200 * time.Millisecond),
 	}
 }
 
@@ -61,16 +61,16 @@
 	is := is.New(t)
 	k := newKeeper(server("s", "north", 1))
 	first := ask(1, start)
-	is.Equal(k.Ask(start, first), permit.Granted{Key: first.Key, Server: "s"})
-	is.Equal(k.Ask(start, first), permit.Granted{Key: first.Key, Server: "s"}) // the verdict was lost
+	is.Equal(k.Decide(start, first), permit.Admitted{ID: first.ID, Server: "s"})
+	is.Equal(k.Decide(start, first), permit.Admitted{ID: first.ID, Server: "s"}) // the verdict was lost
 	fill(is, k, "s")
 	second := patient(2, start)
-	is.Equal(k.Ask(start, second), permit.Waiting{Key: second.Key})
+	is.Equal(k.Decide(start, second), permit.Queued{ID: second.ID})
 	later := start.Add(300 * time.Millisecond)
-	is.Equal(k.Ask(later, second), permit.Waiting{Key: second.Key})
-	verdicts := k.Done(later, permit.Done{Key: first.Key, Server: "s", Route: "read", Took: 300 * time.Millisecond})
-	is.Equal(verdicts, []permit.Verdict{permit.Granted{Key: second.Key, Server: "s"}})
-	verdicts = k.Done(later, permit.Done{Key: second.Key, Server: "s", Route: "read", Took: 300 * time.Millisecond})
+	is.Equal(k.Decide(later, second), permit.Queued{ID: second.ID})
+	verdicts := k.Complete(later, permit.Completion{ID: first.ID, Server: "s", Route: "read", Took: 300 * time.Millisecond})
+	is.Equal(verdicts, []permit.Decision{permit.Admitted{ID: second.ID, Server: "s"}})
+	verdicts = k.Complete(later, permit.Completion{ID: second.ID, Server: "s", Route: "read", Took: 300 * time.Millisecond})
 	is.Equal(len(verdicts), 0) // no second copy was in the queue
 }
 
@@ -80,21 +80,21 @@
 func TestWaitsBehindThoseInTime(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(rules.Server{ID: "s", Service: "books", Slots: 1})
-	ask := func(now time.Time, serial uint64, target time.Duration) permit.Verdict {
-		return k.Ask(now, permit.Ask{
-			Key: permit.Key{From: "i", Serial: serial}, Service: "books", Server: "s", Route: "r",
-			TargetAt: now.Add(target), LimitAt: now.Add(2 * time.Second),
+	ask := func(now time.Time, serial uint64, target time.Duration) permit.Decision {
+		return k.Decide(now, permit.Request{
+			ID: permit.ID{From: "i", Serial: serial}, Service: "books", Server: "s", Route: "r",
+			TargetAt: now.Add(target), Deadline: now.Add(2 * time.Second),
 		})
 	}
-	_, granted := ask(start, 1, 900*time.Millisecond).(permit.Granted) // a third of that is taken for its time
+	_, granted := ask(start, 1, 900*time.Millisecond).(permit.Admitted) // a third of that is taken for its time
 	is.True(granted)
 	now := start.Add(100 * time.Millisecond)
-	_, sent := ask(now, 2, 600*time.Millisecond).(permit.Granted) // it waits at the server
+	_, sent := ask(now, 2, 600*time.Millisecond).(permit.Admitted) // it waits at the server
 	is.True(sent)
-	_, refused := ask(now, 3, 600*time.Millisecond).(permit.Refused) // behind that one it would be held for nothing
+	_, refused := ask(now, 3, 600*time.Millisecond).(permit.Rejected) // behind that one it would be held for nothing
 	is.True(refused)
 	now = start.Add(300 * time.Millisecond)
-	verdicts := k.Done(now, permit.Done{Key: permit.Key{From: "i", Serial: 1}, Server: "s", Route: "r", Took: 300 * time.Millisecond})
+	verdicts := k.Complete(now, permit.Completion{ID: permit.ID{From: "i", Serial: 1}, Server: "s", Route: "r", Took: 300 * time.Millisecond})
 	is.Equal(len(verdicts), 0)
 }
 
@@ -108,8 +108,8 @@
 			is := is.New(t)
 			k := newKeeper(servers...)
 			a := ask(1, start)
-			a.Elsewhere = true // as the first pool that a request asks
-			_, granted := k.Ask(start.Add(-time.Microsecond), a).(permit.Granted)
+			a.HasFallback = true // as the first pool that a request asks
+			_, granted := k.Decide(start.Add(-time.Microsecond), a).(permit.Admitted)
 			is.True(granted)
 		})
 	}
--- a/internal/permit/keepers_test.go
+++ b/internal/permit/keepers_test.go
@@ -17,7 +17,7 @@
 type crowd struct {
 	random  *rand.Rand
 	rosters []*roster.Roster
-	keepers []*permit.Keeper
+	keepers []*permit.Controller
 	// alone, cutOff and dead say which instances hear nobody, only their own domain, or are gone.
 	alone  map[int]bool
 	cutOff string
@@ -54,20 +54,20 @@
 	for i := range c.rosters {
 		for j := range c.rosters {
 			if !c.dead[i] && c.reaches(i, j) {
-				c.rosters[j].Heard(roster.Beat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
+				c.rosters[j].RecordHeartbeat(roster.Heartbeat{Name: c.name(i), Incarnation: 1, StoreOK: true}, now)
 			}
 		}
 	}
 }
 
 // ask asks those in charge of a server in turn, as an instance does, and returns who granted a permit, -1 for nobody.
-func (c *crowd) ask(i int, a permit.Ask, now time.Time) int {
+func (c *crowd) ask(i int, a permit.Request, now time.Time) int {
 	keeper := i
 	for n, p := range c.rosters[i].Rank(a.Server, "d0", now) {
 		var j int
 		_, _ = fmt.Sscanf(p.Name, "i%03d", &j)
 		if n == 2 {
-			a.Apart = true
+			a.NonExclusive = true
 			break
 		}
 		if j == i {
@@ -77,11 +77,11 @@
 			keeper = j
 			break
 		}
-		c.rosters[i].Silent(p.Name, now)
+		c.rosters[i].Suspect(p.Name, now)
 	}
-	a.Apart = a.Apart || !c.rosters[keeper].Most(now)
-	if _, granted := c.keepers[keeper].Ask(now, a).(permit.Granted); !granted {
-		c.keepers[keeper].Withdraw(now, a.Key)
+	a.NonExclusive = a.NonExclusive || !c.rosters[keeper].MajorityAlive(now)
+	if _, granted := c.keepers[keeper].Decide(now, a).(permit.Admitted); !granted {
+		c.keepers[keeper].Cancel(now, a.ID)
 		return -1
 	}
 	return keeper
@@ -132,7 +132,7 @@
 				}
 				if keeper := c.ask(i, a, now); keeper >= 0 {
 					sent = append(sent, now)
-					c.keepers[keeper].Done(now, permit.Done{Key: a.Key, Server: "s", Route: "read", Took: 20 * time.Millisecond})
+					c.keepers[keeper].Complete(now, permit.Completion{ID: a.ID, Server: "s", Route: "read", Took: 20 * time.Millisecond})
 				}
 			}
 			t.Logf("%d sent, %d in a second", len(sent), mostInASecond(sent))
--- a/internal/permit/line.go
+++ b/internal/permit/line.go
@@ -35,7 +35,7 @@
 
 // waiting is a request that asked for a permit.
 type waiting struct {
-	Ask
+	Request
 	// turn is the order of arrival.
 	turn uint64
 	// crossAt is when servers of other domains may be used.
--- a/internal/permit/load_test.go
+++ b/internal/permit/load_test.go
@@ -49,7 +49,7 @@
 }
 
 type player struct {
-	keeper *permit.Keeper
+	keeper *permit.Controller
 	random *rand.Rand
 	queue  events
 	work   map[string]time.Duration // of each server
@@ -59,7 +59,7 @@
 	// way is how long a message or a request is on its way.
 	way     time.Duration
 	tallies map[string]*tally
-	open    map[permit.Key]*attempt
+	open    map[permit.ID]*attempt
 	serial  uint64
 	domain  func() string
 	// keyed says that each request is for one server.
@@ -67,7 +67,7 @@
 	// sent holds when each server was sent to, nil if that is not asked for.
 	sent map[string][]time.Time
 	// pools holds the keepers by pool, and pickers those of instances by domain, if there are several.
-	pools   map[string]*permit.Keeper
+	pools   map[string]*permit.Controller
 	pickers map[string]*permit.Picker
 }
 
@@ -82,13 +82,13 @@
 	firstAt time.Time
 	askedAt time.Time
 	again   bool
-	ask     permit.Ask
-	keeper  *permit.Keeper
+	ask     permit.Request
+	keeper  *permit.Controller
 }
 
 func newPlayer(seed uint64, work map[string]time.Duration, slots int) *player {
 	p := &player{
-		random: rand.New(rand.NewPCG(seed, 2)), work: work, slots: slots, places: map[string]*place{}, tallies: map[string]*tally{}, open: map[permit.Key]*attempt{},
+		random: rand.New(rand.NewPCG(seed, 2)), work: work, slots: slots, places: map[string]*place{}, tallies: map[string]*tally{}, open: map[permit.ID]*attempt{},
 		domain: func() string { return "north" },
 	}
 	p.keeper = permit.New(rand.New(rand.NewPCG(seed, 3)))
@@ -121,11 +121,11 @@
 	}
 	p.serial++
 	a.askedAt = now
-	a.ask = permit.Ask{
-		Key: permit.Key{Serial: p.serial}, Service: "books", Domain: p.domain(), Route: a.kind.name, Priority: a.kind.priority,
-		Returning: a.again, TargetAt: a.firstAt.Add(a.kind.target), LimitAt: a.firstAt.Add(a.kind.limit),
+	a.ask = permit.Request{
+		ID: permit.ID{Serial: p.serial}, Service: "books", Domain: p.domain(), Route: a.kind.name, Priority: a.kind.priority,
+		Returning: a.again, TargetAt: a.firstAt.Add(a.kind.target), Deadline: a.firstAt.Add(a.kind.limit),
 	}
-	p.open[a.ask.Key] = a
+	p.open[a.ask.ID] = a
 	if p.pools != nil {
 		p.askPools(now, a)
 		return
@@ -134,34 +134,34 @@
 	if p.keyed {
 		a.ask.Server = fmt.Sprintf("s%d", p.random.IntN(len(p.work)))
 	}
-	p.hear(now, []permit.Verdict{p.keeper.Ask(now, a.ask)})
+	p.hear(now, []permit.Decision{p.keeper.Decide(now, a.ask)})
 }
 
 // askPools asks the pools that an instance of the request's domain would ask.
 func (p *player) askPools(now time.Time, a *attempt) {
 	picker := p.pickers[a.ask.Domain]
-	tries := picker.Tries(now)
+	tries := picker.Candidates(now)
 	for i, pool := range tries {
-		a.keeper, a.ask.Domain, a.ask.Elsewhere = p.pools[pool.Name], pool.Domain, i < len(tries)-1
-		v := a.keeper.Ask(now, a.ask)
-		if r, refused := v.(permit.Refused); refused && r.Reason == permit.Busy {
-			picker.Busy(pool.Name, r.Wait, now)
+		a.keeper, a.ask.Domain, a.ask.HasFallback = p.pools[pool.Name], pool.Domain, i < len(tries)-1
+		v := a.keeper.Decide(now, a.ask)
+		if r, refused := v.(permit.Rejected); refused && r.Reason == permit.PoolBusy {
+			picker.MarkBusy(pool.Name, r.Wait, now)
 			continue
 		}
-		p.hear(now, []permit.Verdict{v})
+		p.hear(now, []permit.Decision{v})
 		return
 	}
 }
 
-func (p *player) hear(now time.Time, verdicts []permit.Verdict) {
+func (p *player) hear(now time.Time, verdicts []permit.Decision) {
 	for _, v := range verdicts {
-		a := p.open[permit.KeyOf(v)]
+		a := p.open[permit.IDOf(v)]
 		switch v := v.(type) {
-		case permit.Granted:
+		case permit.Admitted:
 			p.run(now, a, v.Server)
-		case permit.Refused:
+		case permit.Rejected:
 			p.refuse(now, a, v)
-		case permit.Waiting:
+		case permit.Queued:
 		}
 	}
 }
@@ -211,8 +211,8 @@
 	} else {
 		t.late++
 	}
-	done := permit.Done{Key: a.ask.Key, Server: server, Route: a.kind.name, Took: now.Sub(sentAt)}
-	p.after(now, p.way, func(now time.Time) { p.hear(now, a.keeper.Done(now, done)) })
+	done := permit.Completion{ID: a.ask.ID, Server: server, Route: a.kind.name, Took: now.Sub(sentAt)}
+	p.after(now, p.way, func(now time.Time) { p.hear(now, a.keeper.Complete(now, done)) })
 }
 
 // after does something after a time, at once if that is zero.
@@ -224,7 +224,7 @@
 	p.at(now.Add(d), do)
 }
 
-func (p *player) refuse(now time.Time, a *attempt, v permit.Refused) {
+func (p *player) refuse(now time.Time, a *attempt, v permit.Rejected) {
 	t := p.tallies[a.kind.name]
 	t.waited = max(t.waited, now.Sub(a.askedAt))
 	if a.again {
@@ -332,16 +332,16 @@
 	bad := 0
 	for i := range uint64(400) {
 		now = now.Add(20 * time.Millisecond)
-		g, granted := k.Ask(now, ask(i, now)).(permit.Granted)
+		g, granted := k.Decide(now, ask(i, now)).(permit.Admitted)
 		if !granted {
 			continue
 		}
-		d := permit.Done{Key: g.Key, Server: g.Server, Route: "read", Took: 5 * time.Millisecond}
+		d := permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 5 * time.Millisecond}
 		if g.Server == "bad" {
 			bad++
 			d.Outcome = permit.Failed
 		}
-		k.Done(now, d)
+		k.Complete(now, d)
 	}
 	t.Logf("%d of 400 went to the failing server", bad)
 	is.True(bad > 0 && bad < 60)
@@ -355,9 +355,9 @@
 	now := start
 	for i := range uint64(200) {
 		now = now.Add(20 * time.Millisecond)
-		g, granted := k.Ask(now, ask(i, now)).(permit.Granted)
+		g, granted := k.Decide(now, ask(i, now)).(permit.Admitted)
 		is.True(granted)
-		k.Done(now, permit.Done{Key: g.Key, Server: g.Server, Route: "read", Outcome: permit.Failed})
+		k.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Failed})
 	}
 }
 
@@ -369,28 +369,28 @@
 	now := start
 	for i := range uint64(300) {
 		now = now.Add(300 * time.Millisecond)
-		g := k.Ask(now, ask(i, now)).(permit.Granted)
+		g := k.Decide(now, ask(i, now)).(permit.Admitted)
 		is.Equal(g.Server, "near") // a free server of the own domain goes first
-		k.Done(now, permit.Done{Key: g.Key, Server: g.Server, Route: "read", Took: 100 * time.Millisecond, Bytes: 90 << 10})
+		k.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 100 * time.Millisecond, Bytes: 90 << 10})
 	}
 	first, second, third := ask(1001, now), ask(1002, now), ask(1003, now)
-	is.Equal(k.Ask(now, first), permit.Granted{Key: first.Key, Server: "near"})
-	is.Equal(k.Ask(now, second), permit.Waiting{Key: second.Key})
+	is.Equal(k.Decide(now, first), permit.Admitted{ID: first.ID, Server: "near"})
+	is.Equal(k.Decide(now, second), permit.Queued{ID: second.ID})
 	is.Equal(k.Tick(now.Add(50*time.Millisecond)), nil)
-	is.Equal(k.Tick(now.Add(190*time.Millisecond)), []permit.Verdict{permit.Granted{Key: second.Key, Server: "far"}})
+	is.Equal(k.Tick(now.Add(190*time.Millisecond)), []permit.Decision{permit.Admitted{ID: second.ID, Server: "far"}})
 	third.Server = "near"
-	is.Equal(k.Ask(now, third), permit.Granted{Key: third.Key, Server: "near"}) // an owner is never left
+	is.Equal(k.Decide(now, third), permit.Admitted{ID: third.ID, Server: "near"}) // an owner is never left
 }
 
 // An instance with a permit is killed. Its slot must come back.
 func TestPermitOfKilledInstance(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(server("s", "north", 1))
-	is.Equal(k.Ask(start, ask(1, start)), permit.Granted{Key: ask(1, start).Key, Server: "s"})
+	is.Equal(k.Decide(start, ask(1, start)), permit.Admitted{ID: ask(1, start).ID, Server: "s"})
 	later := start.Add(2 * time.Second)
 	k.Tick(later)
 	is.Equal(k.Expired(), 1)
-	is.Equal(k.Ask(later, ask(2, later)), permit.Granted{Key: ask(2, later).Key, Server: "s"})
+	is.Equal(k.Decide(later, ask(2, later)), permit.Admitted{ID: ask(2, later).ID, Server: "s"})
 }
 
 func TestOwnerGone(t *testing.T) {
@@ -398,13 +398,13 @@
 	k := newKeeper(server("s", "north", 1))
 	a := ask(1, start)
 	a.Server = "other"
-	is.Equal(k.Ask(start, a), permit.Refused{Key: a.Key, Reason: permit.Gone})
-	is.Equal(k.Ask(start, ask(2, start)), permit.Granted{Key: ask(2, start).Key, Server: "s"})
+	is.Equal(k.Decide(start, a), permit.Rejected{ID: a.ID, Reason: permit.OwnerGone})
+	is.Equal(k.Decide(start, ask(2, start)), permit.Admitted{ID: ask(2, start).ID, Server: "s"})
 	fill(is, k, "s")
 	w := patient(3, start)
 	w.Server = "s"
-	is.Equal(k.Ask(start, w), permit.Waiting{Key: w.Key})
-	is.Equal(k.SetServers(start, nil), []permit.Verdict{permit.Refused{Key: w.Key, Reason: permit.Gone}})
+	is.Equal(k.Decide(start, w), permit.Queued{ID: w.ID})
+	is.Equal(k.SetServers(start, nil), []permit.Decision{permit.Rejected{ID: w.ID, Reason: permit.OwnerGone}})
 }
 
 // Forty instances send requests to sixty servers that will all do, each seven in a second. Nearly
@@ -424,7 +424,7 @@
 	usedAt := map[pair]time.Time{}
 	opened, sent := 0, 0
 	type running struct {
-		key    permit.Key
+		key    permit.ID
 		server string
 		until  time.Time
 	}
@@ -432,13 +432,13 @@
 	for i := range uint64(8400) {
 		now = now.Add(time.Second / 280)
 		for len(all) > 0 && now.After(all[0].until) {
-			k.Done(now, permit.Done{Key: all[0].key, Server: all[0].server, Route: "read", Took: 500 * time.Millisecond})
+			k.Complete(now, permit.Completion{ID: all[0].key, Server: all[0].server, Route: "read", Took: 500 * time.Millisecond})
 			all = all[1:]
 		}
 		a := ask(i, now)
 		a.From = fmt.Sprintf("i%d", random.IntN(40))
-		a.TargetAt, a.LimitAt = now.Add(1500*time.Millisecond), now.Add(3*time.Second)
-		g, granted := k.Ask(now, a).(permit.Granted)
+		a.TargetAt, a.Deadline = now.Add(1500*time.Millisecond), now.Add(3*time.Second)
+		g, granted := k.Decide(now, a).(permit.Admitted)
 		if !granted {
 			continue
 		}
@@ -448,7 +448,7 @@
 			opened++
 		}
 		usedAt[p] = now
-		all = append(all, running{a.Key, g.Server, now.Add(500 * time.Millisecond)})
+		all = append(all, running{a.ID, g.Server, now.Add(500 * time.Millisecond)})
 	}
 	t.Logf("%d new connections for %d requests", opened, sent)
 	is.True(sent > 8000)
@@ -464,17 +464,17 @@
 	now := start
 	for i := range uint64(20) {
 		a := ask(i, now)
-		g, granted := k.Ask(now, a).(permit.Granted)
+		g, granted := k.Decide(now, a).(permit.Admitted)
 		is.True(granted) // at once, however many were rejected
-		k.Done(now, permit.Done{
-			Key: g.Key, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 1, Known: true},
+		k.Complete(now, permit.Completion{
+			ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 1, Known: true},
 		})
 		now = now.Add(2 * time.Millisecond)
 	}
 	a := ask(100, now)
-	g := k.Ask(now, a).(permit.Granted)
-	k.Done(now, permit.Done{Key: g.Key, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 2, Waiting: 3, Known: true}})
-	is.Equal(k.Ask(now, ask(101, now)), permit.Waiting{Key: permit.Key{From: "a", Serial: 101}}) // it is full
+	g := k.Decide(now, a).(permit.Admitted)
+	k.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 2, Waiting: 3, Known: true}})
+	is.Equal(k.Decide(now, ask(101, now)), permit.Queued{ID: permit.ID{From: "a", Serial: 101}}) // it is full
 }
 
 // Guards against servers that stand idle while requests wait for them, for as long as it takes to hear that a slot is free,
--- a/internal/permit/pass.go
+++ b/internal/permit/pass.go
@@ -5,15 +5,15 @@
 )
 
 // Tick gives the permits that have become free, and refuses what can no longer be served.
-func (k *Keeper) Tick(now time.Time) []Verdict {
+func (k *Controller) Tick(now time.Time) []Decision {
 	out := append(k.told, k.pass(now)...)
 	k.told = nil
 	return out
 }
 
 // pass handles the timers whose time has come.
-func (k *Keeper) pass(now time.Time) []Verdict {
-	var out []Verdict
+func (k *Controller) pass(now time.Time) []Decision {
+	var out []Decision
 	for {
 		a, due := k.timers.due(now)
 		if !due {
@@ -24,7 +24,7 @@
 	}
 }
 
-func (k *Keeper) handle(now time.Time, a timer) []Verdict {
+func (k *Controller) handle(now time.Time, a timer) []Decision {
 	switch a := a.(type) {
 	case permitEnds:
 		if k.granted[a.key] != a.server {
@@ -45,7 +45,7 @@
 }
 
 // cross lets a request that still waits use servers of all domains.
-func (k *Keeper) cross(now time.Time, w *waiting) []Verdict {
+func (k *Controller) cross(now time.Time, w *waiting) []Decision {
 	if w.line == nil {
 		return nil
 	}
@@ -59,21 +59,21 @@
 }
 
 // giveUp refuses a request that still waits.
-func (k *Keeper) giveUp(now time.Time, w *waiting) []Verdict {
+func (k *Controller) giveUp(now time.Time, w *waiting) []Decision {
 	if w.line == nil {
 		return nil
 	}
 	k.dequeue(w)
-	return []Verdict{Refused{Key: w.Key, Reason: Overload, RetryIn: k.retryIn(now, w.Ask, 0)}}
+	return []Decision{Rejected{ID: w.ID, Reason: Overload, RetryIn: k.retryIn(now, w.Request, 0)}}
 }
 
-// Doubtful returns the holders of permits that take long while others wait for a slot. Whoever
+// LongRunning returns the holders of permits that take long while others wait for a slot. Whoever
 // does not have the permit any more is to give it back with Withdraw.
 //
 // The messages that give permits back are lost where a thin link is full. Each that is lost would hold
 // one of a server's few slots for seconds, where a request takes tenths of one.
-func (k *Keeper) Doubtful(now time.Time) []Key {
-	var out []Key
+func (k *Controller) LongRunning(now time.Time) []ID {
+	var out []ID
 	for {
 		a, due := k.doubts.due(now)
 		if !due {
@@ -92,11 +92,11 @@
 
 // Expired returns how many permits were taken back since the last call because nobody gave them
 // back.
-func (k *Keeper) Expired() int {
+func (k *Controller) Expired() int {
 	n := k.expired
 	k.expired = 0
 	return n
 }
 
 // Idle reports whether nothing waits, so that no tick is needed.
-func (k *Keeper) Idle() bool { return len(k.queued) == 0 && len(k.told) == 0 }
+func (k *Controller) Idle() bool { return len(k.queued) == 0 && len(k.told) == 0 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// Key identifies one asking: the instance that asked, and its serial number there.
-type Key struct {
+// ID identifies one asking: the instance that asked, and its serial number there.
+type ID struct {
 	From   string
 	Serial uint64
 }
 
-// Ask asks for a server to send a request to.
-type Ask struct {
-	Key
+// Request asks for a server to send a request to.
+type Request struct {
+	ID
 	Service string
 	// Pool names the pool that is asked, or the service if that is divided by key.
 	Pool string
@@ -41,14 +41,14 @@
 	Returning bool
 	// TargetAt is when the answer should be there, LimitAt when it must.
 	TargetAt time.Time
-	LimitAt  time.Time
+	Deadline time.Time
 	// Avoid is a server that failed this request before.
 	Avoid string
-	// Elsewhere says that the request can ask another pool, and should be told if there is no room soon.
-	Elsewhere bool
-	// Apart says that other instances may give permits for the same servers meanwhile: the keeper is cut off, or not
+	// HasFallback says that the request can ask another pool, and should be told if there is no room soon.
+	HasFallback bool
+	// NonExclusive says that other instances may give permits for the same servers meanwhile: the keeper is cut off, or not
 	// the one in charge. Cold servers, whose requests must be counted in one place, get none then.
-	Apart bool
+	NonExclusive bool
 }
 
 // Outcome says how a sending ended.
@@ -62,7 +62,7 @@
 	Lost
 	// Full says that the server had no room; NotHere that it does not hold the key.
 	Full
-	NotHere
+	NotOwner
 	// Unsent says that nothing was sent, Cancelled that the caller left.
 	Unsent
 	Cancelled
@@ -78,9 +78,9 @@
 	Slowdown float64
 }
 
-// Done gives a permit back.
-type Done struct {
-	Key
+// Completion gives a permit back.
+type Completion struct {
+	ID
 	Server  string
 	Route   string
 	Outcome Outcome
@@ -90,21 +90,21 @@
 	Load  Load
 }
 
-// Verdict is the answer to an Ask.
-type Verdict interface{ verdict() Key }
+// Decision is the answer to an Ask.
+type Decision interface{ verdict() ID }
 
-// Granted permits a sending to a server.
-type Granted struct {
-	Key
+// Admitted permits a sending to a server.
+type Admitted struct {
+	ID
 	Server string
 }
 
-// Waiting says that the request is in the queue.
-type Waiting struct{ Key }
+// Queued says that the request is in the queue.
+type Queued struct{ ID }
 
-// Refused says that the request will get no permit.
-type Refused struct {
-	Key
+// Rejected says that the request will get no permit.
+type Rejected struct {
+	ID
 	Reason Reason
 	// RetryIn is when the caller should come back.
 	RetryIn time.Duration
@@ -114,12 +114,12 @@
 	Pool string
 }
 
-func (v Granted) verdict() Key { return v.Key }
-func (v Waiting) verdict() Key { return v.Key }
-func (v Refused) verdict() Key { return v.Key }
+func (v Admitted) verdict() ID { return v.ID }
+func (v Queued) verdict() ID   { return v.ID }
+func (v Rejected) verdict() ID { return v.ID }
 
-// KeyOf returns what a verdict is about.
-func KeyOf(v Verdict) Key { return v.verdict() }
+// IDOf returns what a verdict is about.
+func IDOf(v Decision) ID { return v.verdict() }
 
 // Reason says why a request was refused.
 type Reason string
@@ -130,8 +130,8 @@
 	Overload Reason = "overload"
 	// NoServer says that the service has no server that can be used.
 	NoServer Reason = "no-server"
-	// Busy says that this pool has no room soon, and another one may have.
-	Busy Reason = "pool-busy"
-	// Gone says that the owner of the key is no longer there.
-	Gone Reason = "owner-gone"
+	// PoolBusy says that this pool has no room soon, and another one may have.
+	PoolBusy Reason = "pool-busy"
+	// OwnerGone says that the owner of the key is no longer there.
+	OwnerGone Reason = "owner-gone"
 )
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -35,9 +35,9 @@
 	Servers []rules.Server
 }
 
-// Divide returns the pools of a service: some for each failure domain with many servers, and one for the
+// SplitIntoPools returns the pools of a service: some for each failure domain with many servers, and one for the
 // others together. Who knows the same servers finds the same pools.
-func Divide(service string, servers []rules.Server) []Pool {
+func SplitIntoPools(service string, servers []rules.Server) []Pool {
 	domains := map[string][]rules.Server{}
 	for _, s := range servers {
 		domains[s.Domain] = append(domains[s.Domain], s)
@@ -110,12 +110,12 @@
 	return p
 }
 
-// Tries returns the pools that a request should ask in turn. The last one decides; those before it are to
+// Candidates returns the pools that a request should ask in turn. The last one decides; those before it are to
 // say at once if they have no room.
 //
 // A pool that was busy is left out until it may have room again, and the others of other domains are asked
 // at random: in an order they would be overrun one after the other by all who look for room.
-func (p *Picker) Tries(now time.Time) []Pool {
+func (p *Picker) Candidates(now time.Time) []Pool {
 	if len(p.pools) == 1 {
 		return p.pools
 	}
@@ -136,7 +136,7 @@
 	return append(out, p.pools[p.random.IntN(p.near)])
 }
 
-// Busy takes in that a pool had no room for a time.
-func (p *Picker) Busy(pool string, wait time.Duration, now time.Time) {
+// MarkBusy takes in that a pool had no room for a time.
+func (p *Picker) MarkBusy(pool string, wait time.Duration, now time.Time) {
 	p.busy[pool] = now.Add(min(max(wait, busyLeast), busyMost))
 }
--- a/internal/permit/pool_test.go
+++ b/internal/permit/pool_test.go
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			all := fleet(test.servers, test.domains, test.slots)
-			pools := permit.Divide("books", all)
+			pools := permit.SplitIntoPools("books", all)
 			is.Equal(len(pools), test.pools)
 			members := 0
 			for _, p := range pools {
@@ -47,7 +47,7 @@
 			}
 			is.Equal(members, test.servers) // each server is in one pool
 			slices.Reverse(all)
-			again := permit.Divide("books", all)
+			again := permit.SplitIntoPools("books", all)
 			for i, p := range pools {
 				is.Equal(again[i].Name, p.Name) // in whatever order the servers are known
 				is.Equal(len(again[i].Servers), len(p.Servers))
@@ -61,12 +61,12 @@
 func TestServersWithoutPoolOfTheirOwn(t *testing.T) {
 	is := is.New(t)
 	all := append(fleet(40, 1, 2), server("a", "small", 2), server("b", "tiny", 2))
-	pools := permit.Divide("books", all)
+	pools := permit.SplitIntoPools("books", all)
 	is.Equal(len(pools), 2)
 	is.Equal(pools[0].Domain, "")
 	is.Equal(len(pools[0].Servers), 2)
 	picker := permit.NewPicker("i", "small", pools, rand.New(rand.NewPCG(1, 2)))
-	tries := picker.Tries(start)
+	tries := picker.Candidates(start)
 	is.True(len(tries) >= 2)
 }
 
@@ -77,8 +77,8 @@
 		times[s.ID] = work
 	}
 	p := newPlayer(seed, times, 2)
-	p.pools, p.pickers = map[string]*permit.Keeper{}, map[string]*permit.Picker{}
-	pools := permit.Divide("books", servers)
+	p.pools, p.pickers = map[string]*permit.Controller{}, map[string]*permit.Picker{}
+	pools := permit.SplitIntoPools("books", servers)
 	for i, pool := range pools {
 		k := permit.New(rand.New(rand.NewPCG(seed, uint64(10+i))))
 		k.SetServers(start, pool.Servers)
--- a/internal/permit/predict.go
+++ b/internal/permit/predict.go
@@ -5,7 +5,7 @@
 )
 
 // ahead returns the work of the requests of the same or a better rank that wait for any server.
-func (k *Keeper) ahead(r rank) time.Duration {
+func (k *Controller) ahead(r rank) time.Duration {
 	work, _ := k.anywhere.ahead(r)
 	for _, q := range k.near {
 		near, _ := q.ahead(r)
@@ -15,7 +15,7 @@
 }
 
 // predict returns how long a request would wait behind those that go before it.
-func (k *Keeper) predict(now time.Time, w *waiting) time.Duration {
+func (k *Controller) predict(now time.Time, w *waiting) time.Duration {
 	if w.Server != "" {
 		s := k.servers[w.Server]
 		work, count := s.queue.ahead(w.rank())
@@ -29,7 +29,7 @@
 }
 
 // nextFree returns the time until any server has a free slot.
-func (k *Keeper) nextFree(now time.Time) time.Duration {
+func (k *Controller) nextFree(now time.Time) time.Duration {
 	for _, f := range k.free {
 		if len(f.places) > 0 && f.places[0].server.free(now) {
 			return 0
@@ -42,7 +42,7 @@
 }
 
 // firstBack returns the permit that is expected back first.
-func (k *Keeper) firstBack() (use, bool) {
+func (k *Controller) firstBack() (use, bool) {
 	for {
 		next, found := k.returns.first()
 		if !found {
@@ -60,7 +60,7 @@
 //
 // One that would miss its target by little may wait behind those that are in time, as one that is
 // late. Refused, it would come back with less time left, and few that do are served.
-func (k *Keeper) room(now time.Time, w *waiting) (time.Duration, bool) {
+func (k *Controller) room(now time.Time, w *waiting) (time.Duration, bool) {
 	wait := k.predict(now, w)
 	fits := k.fits(now, w, wait)
 	if fits || w.late {
@@ -73,18 +73,18 @@
 
 // fits reports whether a request that waits for the given time is served in time: within its
 // target, or, where that is out of reach, within its limit and in room that is left over.
-func (k *Keeper) fits(now time.Time, w *waiting, wait time.Duration) bool {
+func (k *Controller) fits(now time.Time, w *waiting, wait time.Duration) bool {
 	finish := wait + w.expect
 	if finish <= time.Duration(targetShare*float64(w.TargetAt.Sub(now))) {
 		return true
 	}
-	return w.late && wait <= lateShare*w.expect && finish <= time.Duration(limitShare*float64(w.LimitAt.Sub(now)))
+	return w.late && wait <= lateShare*w.expect && finish <= time.Duration(limitShare*float64(w.Deadline.Sub(now)))
 }
 
 // retryIn returns when a refused caller should come back: when the wait that was predicted is
 // over, but early enough to be served.
-func (k *Keeper) retryIn(now time.Time, a Ask, wait time.Duration) time.Duration {
-	most := time.Duration(retryShare * float64(a.LimitAt.Sub(now)))
+func (k *Controller) retryIn(now time.Time, a Request, wait time.Duration) time.Duration {
+	most := time.Duration(retryShare * float64(a.Deadline.Sub(now)))
 	in := max(min(wait, most), retryLeast)
 	return time.Duration(float64(in) * (1 + retrySpread*(k.random.Float64()-0.5)))
 }
--- a/internal/permit/server.go
+++ b/internal/permit/server.go
@@ -62,7 +62,7 @@
 }
 
 // work returns how long the server worked on a request that has been answered.
-func (u use) work(d Done) time.Duration {
+func (u use) work(d Completion) time.Duration {
 	if u.startedAt.IsZero() {
 		return d.Took
 	}
@@ -76,7 +76,7 @@
 // server is a backend server with its permits.
 type server struct {
 	rules.Server
-	uses map[Key]use
+	uses map[ID]use
 	// queue holds the requests that wait for this server.
 	queue queue
 	// speed is the factor by which answers take longer than the mean of their route.
@@ -115,9 +115,9 @@
 }
 
 // use takes in a permit.
-func (s *server) use(key Key, u use) {
+func (s *server) use(key ID, u use) {
 	if s.uses == nil {
-		s.uses = map[Key]use{}
+		s.uses = map[ID]use{}
 	}
 	s.uses[key] = u
 }
@@ -155,7 +155,7 @@
 
 // startNext takes in that a slot has become free: the first request that waits at the server has begun.
 func (s *server) startNext(now time.Time) {
-	var first Key
+	var first ID
 	found := false
 	for key, u := range s.uses {
 		if u.startedAt.IsZero() && (!found || u.since.Before(s.uses[first].since)) {
@@ -186,7 +186,7 @@
 }
 
 // learn takes in how a sending ended, that a use of the server was for.
-func (s *server) learn(d Done, u use, mean time.Duration, now time.Time) {
+func (s *server) learn(d Completion, u use, mean time.Duration, now time.Time) {
 	switch d.Outcome {
 	case Answered:
 		factor := min(max(float64(u.work(d))/u.factor/float64(max(mean, time.Millisecond)), speedLeast), speedMost)
@@ -202,7 +202,7 @@
 		if !d.Load.Known || d.Load.Running+d.Load.Waiting >= s.Slots {
 			s.fullUntil = now.Add(fullPause)
 		}
-	case NotHere, Unsent, Cancelled:
+	case NotOwner, Unsent, Cancelled:
 	}
 	if d.Load.Known {
 		// The report counts the request that has just ended.
--- a/internal/permit/size_test.go
+++ b/internal/permit/size_test.go
@@ -14,7 +14,7 @@
 var sizeStart = time.Unix(1000, 0)
 
 // busyKeeper returns a keeper whose servers are all busy, with requests that wait, and the permits in use.
-func busyKeeper(servers, waits int) (*Keeper, []Granted) {
+func busyKeeper(servers, waits int) (*Controller, []Admitted) {
 	k := New(rand.New(rand.NewPCG(1, 2)))
 	var all []rules.Server
 	for i := range servers {
@@ -22,32 +22,32 @@
 	}
 	k.SetServers(sizeStart, all)
 	k.route("read", time.Second) // the work of a route is guessed from its first target
-	var granted []Granted
+	var granted []Admitted
 	for i := range (2+waitThere)*servers + waits {
-		if g, there := k.Ask(sizeStart, sizeAsk(uint64(i), sizeStart)).(Granted); there {
+		if g, there := k.Decide(sizeStart, sizeAsk(uint64(i), sizeStart)).(Admitted); there {
 			granted = append(granted, g)
 		}
 	}
 	return k, granted
 }
 
-func sizeAsk(serial uint64, now time.Time) Ask {
-	return Ask{
-		Key: Key{From: fmt.Sprintf("i%d", serial%295), Serial: serial}, Service: "books", Domain: fmt.Sprintf("d%d", serial%6),
-		Route: "read", TargetAt: now.Add(time.Hour), LimitAt: now.Add(2 * time.Hour),
+func sizeAsk(serial uint64, now time.Time) Request {
+	return Request{
+		ID: ID{From: fmt.Sprintf("i%d", serial%295), Serial: serial}, Service: "books", Domain: fmt.Sprintf("d%d", serial%6),
+		Route: "read", TargetAt: now.Add(time.Hour), Deadline: now.Add(2 * time.Hour),
 	}
 }
 
 // turn gives the oldest permit back and lets one more request come.
-func turn(k *Keeper, granted []Granted, serial uint64, now time.Time) []Granted {
+func turn(k *Controller, granted []Admitted, serial uint64, now time.Time) []Admitted {
 	g := granted[0]
 	granted = granted[1:]
-	for _, v := range k.Done(now, Done{Key: g.Key, Server: g.Server, Route: "read", Took: 200 * time.Millisecond, Load: Load{Running: 1, Known: true}}) {
-		if g, there := v.(Granted); there {
+	for _, v := range k.Complete(now, Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 200 * time.Millisecond, Load: Load{Running: 1, Known: true}}) {
+		if g, there := v.(Admitted); there {
 			granted = append(granted, g)
 		}
 	}
-	if g, there := k.Ask(now, sizeAsk(serial, now)).(Granted); there {
+	if g, there := k.Decide(now, sizeAsk(serial, now)).(Admitted); there {
 		granted = append(granted, g)
 	}
 	return granted
@@ -74,7 +74,7 @@
 				for i := range turns {
 					now = now.Add(time.Millisecond)
 					granted = turn(k, granted, uint64(1e6+i), now)
-					k.Doubtful(now)
+					k.LongRunning(now)
 				}
 				is.Equal(len(k.queued), waits)
 				t.Logf("%.1f looks a turn", float64(k.looked)/turns)
@@ -92,15 +92,15 @@
 	for i := range 20000 {
 		now = now.Add(10 * time.Millisecond)
 		a := sizeAsk(uint64(1e6+i), now)
-		a.TargetAt, a.LimitAt = now.Add(time.Second), now.Add(2*time.Second)
-		for _, v := range k.Done(now, Done{Key: granted[0].Key, Server: granted[0].Server, Route: "read", Took: 200 * time.Millisecond}) {
-			granted = append(granted, v.(Granted))
+		a.TargetAt, a.Deadline = now.Add(time.Second), now.Add(2*time.Second)
+		for _, v := range k.Complete(now, Completion{ID: granted[0].ID, Server: granted[0].Server, Route: "read", Took: 200 * time.Millisecond}) {
+			granted = append(granted, v.(Admitted))
 		}
 		granted = granted[1:]
-		if g, there := k.Ask(now, a).(Granted); there {
+		if g, there := k.Decide(now, a).(Admitted); there {
 			granted = append(granted, g)
 		}
-		k.Doubtful(now)
+		k.LongRunning(now)
 	}
 	is.True(len(k.timers.entries) < 1000)
 	is.True(len(k.doubts.entries) < 1000)
--- a/internal/permit/timer.go
+++ b/internal/permit/timer.go
@@ -13,7 +13,7 @@
 	// permitEnds is when a permit is taken back that nobody gave back, permitDoubted when its holder is
 	// asked, permitReturns when it is expected back.
 	permitEnds struct {
-		key    Key
+		key    ID
 		server *server
 	}
 	permitDoubted permitEnds
--- a/internal/permit/wait.go
+++ b/internal/permit/wait.go
@@ -6,14 +6,14 @@
 	"example.org/mustardring/internal/clock"
 )
 
-func (k *Keeper) enter(now time.Time, a Ask) *waiting {
+func (k *Controller) enter(now time.Time, a Request) *waiting {
 	r := k.route(a.Route, a.TargetAt.Sub(now))
 	k.turns++
-	w := &waiting{Ask: a, turn: k.turns, expect: r.mean}
+	w := &waiting{Request: a, turn: k.turns, expect: r.mean}
 	if s := k.servers[a.Server]; s != nil {
 		w.expect = s.expect(r, now)
 	}
-	w.giveUpAt = a.LimitAt.Add(-w.expect / 2)
+	w.giveUpAt = a.Deadline.Add(-w.expect / 2)
 	if a.TargetAt.Sub(now) < w.expect {
 		w.setLate(now)
 	}
@@ -33,7 +33,7 @@
 	w.giveUpAt = clock.Earlier(w.giveUpAt, now.Add(lateWait*w.expect))
 }
 
-func (k *Keeper) route(name string, target time.Duration) *route {
+func (k *Controller) route(name string, target time.Duration) *route {
 	r := k.routes[name]
 	if r == nil {
 		r = &route{mean: max(time.Duration(firstMean*float64(target)), time.Millisecond)}
@@ -47,7 +47,7 @@
 }
 
 // queueOf returns where a request waits.
-func (k *Keeper) queueOf(now time.Time, w *waiting) *queue {
+func (k *Controller) queueOf(now time.Time, w *waiting) *queue {
 	switch {
 	case w.Server != "":
 		return &k.servers[w.Server].queue
@@ -63,8 +63,8 @@
 }
 
 // enqueue lets a request wait.
-func (k *Keeper) enqueue(now time.Time, w *waiting) {
-	k.queued[w.Key] = w
+func (k *Controller) enqueue(now time.Time, w *waiting) {
+	k.queued[w.ID] = w
 	k.queueOf(now, w).push(w)
 	k.timers.set(w.giveUpAt, requestGivesUp{w})
 	if w.Server == "" && now.Before(w.crossAt) {
@@ -72,14 +72,14 @@
 	}
 }
 
-func (k *Keeper) dequeue(w *waiting) {
-	delete(k.queued, w.Key)
+func (k *Controller) dequeue(w *waiting) {
+	delete(k.queued, w.ID)
 	w.remove()
 }
 
 // next returns the request that a server with a free slot should get, nil if none waits for it. One that is
 // set aside gets only those that no other server can serve.
-func (k *Keeper) next(s *server) *waiting {
+func (k *Controller) next(s *server) *waiting {
 	k.looked++
 	best := s.queue.head()
 	if !s.listed {
@@ -97,8 +97,8 @@
 }
 
 // serve gives the free slots of a server to requests that wait.
-func (k *Keeper) serve(now time.Time, s *server) []Verdict {
-	var out []Verdict
+func (k *Controller) serve(now time.Time, s *server) []Decision {
+	var out []Decision
 	for k.servers[s.ID] == s && s.open(now) {
 		w := k.next(s)
 		if w == nil || !s.takes(now, w) || !s.free(now) && now.Before(w.crossAt) {
--- a/internal/replay/part.go
+++ b/internal/replay/part.go
@@ -125,7 +125,7 @@
 			p.sketch.Add(hash, p.loads[i])
 		}
 	}
-	rule := sketch.RuleFor(len(p.members), hotPart, place.DefaultMaxHot)
+	rule := sketch.RuleFor(len(p.members), hotPart, place.DefaultMaxHotKeys)
 	p.hot = sketch.HotKeys(p.sketch, p.hot, rule)
 }
 
--- a/internal/roster/ahead.go
+++ b/internal/roster/ahead.go
@@ -61,8 +61,8 @@
 	return min(sentAt+best.least, now), best.set
 }
 
-// Echoed takes in what a heartbeat tells of its sender's clock, at a time of this instance's lease clock.
-func (r *Roster) Echoed(b Beat, now clock.Instant) {
+// RecordEcho takes in what a heartbeat tells of its sender's clock, at a time of this instance's lease clock.
+func (r *Roster) RecordEcho(b Heartbeat, now clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[b.Name]
@@ -71,9 +71,9 @@
 	}
 }
 
-// Date returns the earliest time by this instance's lease clock at which another can have sent something,
+// EarliestSendTime returns the earliest time by this instance's lease clock at which another can have sent something,
 // given when it did by its own. It returns false if that has no bound yet.
-func (r *Roster) Date(name string, sentAt int64, now clock.Instant) (clock.Instant, bool) {
+func (r *Roster) EarliestSendTime(name string, sentAt int64, now clock.Instant) (clock.Instant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[name]
--- a/internal/roster/ahead_test.go
+++ b/internal/roster/ahead_test.go
@@ -42,10 +42,10 @@
 			r := roster.New("i0", "d0")
 			r.Put("i1", roster.Entry{Incarnation: 1, Domain: "d0"}, start)
 			for _, e := range test.exchanges {
-				b := roster.Beat{Name: "i1", Incarnation: 1, SentAt: e.answeredAt*ms + theirs, EchoAt: e.sentAt * ms}
-				r.Echoed(b, clock.Instant((e.answeredAt+2)*ms))
+				b := roster.Heartbeat{Name: "i1", Incarnation: 1, SentAt: e.answeredAt*ms + theirs, EchoAt: e.sentAt * ms}
+				r.RecordEcho(b, clock.Instant((e.answeredAt+2)*ms))
 			}
-			got, dated := r.Date("i1", test.sentAt*ms+theirs, clock.Instant(test.readAt*ms))
+			got, dated := r.EarliestSendTime("i1", test.sentAt*ms+theirs, clock.Instant(test.readAt*ms))
 			is.Equal(dated, test.dated)
 			if dated {
 				is.Equal(int64(got), (test.sentAt-test.late)*ms)
@@ -59,11 +59,11 @@
 	is := is.New(t)
 	r := roster.New("i0", "d0")
 	r.Put("i1", roster.Entry{Incarnation: 1, Domain: "d0"}, start)
-	r.Echoed(roster.Beat{Name: "i1", Incarnation: 1, SentAt: 100, EchoAt: 90}, 110)
+	r.RecordEcho(roster.Heartbeat{Name: "i1", Incarnation: 1, SentAt: 100, EchoAt: 90}, 110)
 	r.Put("i1", roster.Entry{Incarnation: 2, Domain: "d0"}, start)
-	r.Echoed(roster.Beat{Name: "i1", Incarnation: 1, SentAt: 120, EchoAt: 115}, 130) // it was on its way
-	_, dated := r.Date("i1", 140, 150)
+	r.RecordEcho(roster.Heartbeat{Name: "i1", Incarnation: 1, SentAt: 120, EchoAt: 115}, 130) // it was on its way
+	_, dated := r.EarliestSendTime("i1", 140, 150)
 	is.True(!dated)
-	_, dated = r.Date("stranger", 140, 150)
+	_, dated = r.EarliestSendTime("stranger", 140, 150)
 	is.True(!dated)
 }
--- a/internal/roster/charge.go
+++ b/internal/roster/charge.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Silent drops an instance from those alive before its silence shows by time, as when it did
+// Suspect drops an instance from those alive before its silence shows by time, as when it did
 // not answer a question.
-func (r *Roster) Silent(name string, now time.Time) {
+func (r *Roster) Suspect(name string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.peers[name]; p != nil && name != r.self && now.Sub(p.HeardAt) > r.quietOf(p)/2 {
@@ -16,8 +16,8 @@
 	}
 }
 
-// Silent returns for how long nothing was heard of the instance.
-func (p *Peer) Silent(now time.Time) time.Duration {
+// SinceHeartbeat returns for how long nothing was heard of the instance.
+func (p *Peer) SinceHeartbeat(now time.Time) time.Duration {
 	if p.HeardAt.After(p.KnownAt) {
 		return now.Sub(p.HeardAt)
 	}
@@ -32,10 +32,10 @@
 	defer r.mu.Unlock()
 	least := time.Duration(-1)
 	for _, p := range r.sorted {
-		if p.Domain != domain || p.Beat.Stopping {
+		if p.Domain != domain || p.Heartbeat.Stopping {
 			continue
 		}
-		silent := p.Silent(now)
+		silent := p.SinceHeartbeat(now)
 		if r.alive(p, now) {
 			if now.Sub(p.BackAt) > backTime {
 				return false
@@ -61,10 +61,10 @@
 	defer r.mu.Unlock()
 	var best *Peer
 	for _, p := range r.sorted {
-		if !r.alive(p, now) || p.Beat.Stopping || !p.Beat.StoreOK {
+		if !r.alive(p, now) || p.Heartbeat.Stopping || !p.Heartbeat.StoreOK {
 			continue
 		}
-		if best == nil || p.Beat.Proven && !best.Beat.Proven || p.Beat.Proven == best.Beat.Proven && p.Share > best.Share {
+		if best == nil || p.Heartbeat.StoreAnswered && !best.Heartbeat.StoreAnswered || p.Heartbeat.StoreAnswered == best.Heartbeat.StoreAnswered && p.Share > best.Share {
 			best = p
 		}
 	}
@@ -107,9 +107,9 @@
 // been lost would cost more than it saves.
 const relayLeast = 8
 
-// Reached reports whether the instance at an address is heard, as far as is known: one that is not
+// Reachable reports whether the instance at an address is heard, as far as is known: one that is not
 // registered may have just started.
-func (r *Roster) Reached(address string, now time.Time) bool {
+func (r *Roster) Reachable(address string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.addresses[address]
@@ -124,7 +124,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for _, p := range r.sorted {
-		if p.Beat.Confirmed <= offset {
+		if p.Heartbeat.Confirmed <= offset {
 			out = append(out, p.Name)
 		}
 	}
--- a/internal/roster/pace.go
+++ b/internal/roster/pace.go
@@ -16,23 +16,23 @@
 	leaderBeatMost = 500 * time.Millisecond
 )
 
-// Every returns the time between two heartbeats to those of other failure domains.
-func (r *Roster) Every() time.Duration {
+// HeartbeatInterval returns the time between two heartbeats to those of other failure domains.
+func (r *Roster) HeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return pace(len(r.peers))
 }
 
-// EveryNear returns the time between two heartbeats to those of the own failure domain, and to the leader.
-func (r *Roster) EveryNear() time.Duration {
+// DomainHeartbeatInterval returns the time between two heartbeats to those of the own failure domain, and to the leader.
+func (r *Roster) DomainHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return pace(r.sizes[r.domain])
 }
 
-// LeaderEvery returns the time between two heartbeats of the leader: they carry the word that
+// LeaderHeartbeatInterval returns the time between two heartbeats of the leader: they carry the word that
 // nothing has changed, which the others must not miss for long.
-func (r *Roster) LeaderEvery() time.Duration {
+func (r *Roster) LeaderHeartbeatInterval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leaderPace()
@@ -45,7 +45,7 @@
 // paceOf returns the time between two heartbeats of an instance to this one.
 func (r *Roster) paceOf(p *Peer) time.Duration {
 	switch {
-	case p.Beat.Leads:
+	case p.Heartbeat.Leads:
 		return r.leaderPace()
 	case p.Domain == r.domain, !r.leadsSince.IsZero():
 		return pace(r.sizes[p.Domain])
@@ -59,9 +59,9 @@
 	return time.Duration(silentBeats * float64(r.paceOf(p)))
 }
 
-// Lead takes in whether this instance leads: all others then send it heartbeats as often as to their own
+// SetLeading takes in whether this instance leads: all others then send it heartbeats as often as to their own
 // domain.
-func (r *Roster) Lead(leads bool, now time.Time) {
+func (r *Roster) SetLeading(leads bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reviewAt = time.Time{}
--- a/internal/roster/quorum.go
+++ b/internal/roster/quorum.go
@@ -30,9 +30,9 @@
 	contactBeats = 3
 )
 
-// ContactTime returns that time, by the size of the largest failure domain: its majority is enough. All that
+// ContactTimeout returns that time, by the size of the largest failure domain: its majority is enough. All that
 // were registered of late count: whoever knows of fewer acts for a shorter time.
-func (r *Roster) ContactTime() time.Duration {
+func (r *Roster) ContactTimeout() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sizes := maps.Clone(r.sizes)
@@ -49,21 +49,21 @@
 	return max(contactLeast, contactBeats*pace(most))
 }
 
-// Contact reports whether this instance and others that have heard from it since a time of its lease
+// MajorityAgrees reports whether this instance and others that have heard from it since a time of its lease
 // clock, and know of no record behind an offset, are more than half of those registered, or of those
 // of its failure domain.
-func (r *Roster) Contact(since, end int64) bool {
+func (r *Roster) MajorityAgrees(since, end int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all, near := r.count(func(p *Peer) bool {
-		return p.Name == r.self || p.Beat.EchoAt >= since && p.Beat.Known <= end
+		return p.Name == r.self || p.Heartbeat.EchoAt >= since && p.Heartbeat.Known <= end
 	})
 	return all.majority() || near.majority()
 }
 
-// Most reports whether this instance hears more than half of the instances of its failure domain, or, where the domain has
+// MajorityAlive reports whether this instance hears more than half of the instances of its failure domain, or, where the domain has
 // too few to tell, of all. Those of other domains send too seldom for their silence to show in time.
-func (r *Roster) Most(now time.Time) bool {
+func (r *Roster) MajorityAlive(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all, near := r.count(func(p *Peer) bool { return r.alive(p, now) })
@@ -91,8 +91,8 @@
 	return all, near
 }
 
-// HeardHalf reports whether half or more of the other instances of the own failure domain have been heard.
-func (r *Roster) HeardHalf() bool {
+// HalfOfDomainAlive reports whether half or more of the other instances of the own failure domain have been heard.
+func (r *Roster) HalfOfDomainAlive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	near, heard := 0, 0
@@ -126,10 +126,10 @@
 
 func (v votes) plus(o votes) votes { return votes{v.all + o.all, v.confirmed + o.confirmed} }
 
-// Confirmed reports whether, of those that were registered at some time since the given one, half or
+// HalfConfirmed reports whether, of those that were registered at some time since the given one, half or
 // more have been so all the time and act by the records up to an offset, in all and in each failure
 // domain.
-func (r *Roster) Confirmed(offset int64, since time.Time) bool {
+func (r *Roster) HalfConfirmed(offset int64, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	total, domains := votes{}, map[string]votes{}
@@ -139,7 +139,7 @@
 	}
 	for _, p := range r.peers {
 		confirmed := 0
-		if !p.SinceAt.After(since) && p.Beat.Confirmed > offset {
+		if !p.SinceAt.After(since) && p.Heartbeat.Confirmed > offset {
 			confirmed = 1
 		}
 		count(p.Domain, confirmed)
--- a/internal/roster/rank.go
+++ b/internal/roster/rank.go
@@ -152,7 +152,7 @@
 
 // review brings the ranking up to date with one instance; the lock is held.
 func (r *Roster) review(p *Peer, now time.Time) {
-	able := r.peers[p.Name] == p && r.alive(p, now) && !p.Beat.Stopping
+	able := r.peers[p.Name] == p && r.alive(p, now) && !p.Heartbeat.Stopping
 	switch held := r.ranking.holds(p); {
 	case able && !held:
 		r.ranking.join(p)
@@ -193,9 +193,9 @@
 	return out
 }
 
-// Charged reports whether a server is this instance's to look after: the first in rank does, and each
+// Responsible reports whether a server is this instance's to look after: the first in rank does, and each
 // further one if all before it say that they do not reach it.
-func (r *Roster) Charged(server, domain string, now time.Time) bool {
+func (r *Roster) Responsible(server, domain string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reviewSilent(now)
@@ -203,15 +203,15 @@
 		if s.peer.Name == r.self {
 			return true
 		}
-		if !slices.Contains(s.peer.Beat.Failing, server) {
+		if !slices.Contains(s.peer.Heartbeat.Failing, server) {
 			return false
 		}
 	}
 	return false
 }
 
-// ChargeVersion returns a number that changes whenever what Rank and Charged say may have changed.
-func (r *Roster) ChargeVersion(now time.Time) uint64 {
+// RankVersion returns a number that changes whenever what Rank and Charged say may have changed.
+func (r *Roster) RankVersion(now time.Time) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reviewSilent(now)
--- a/internal/roster/rank_test.go
+++ b/internal/roster/rank_test.go
@@ -19,7 +19,7 @@
 }
 
 func hearAgain(r *Roster, i int, now time.Time) {
-	r.Heard(Beat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, StoreOK: true}, now)
+	r.RecordHeartbeat(Heartbeat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, StoreOK: true}, now)
 }
 
 // rankAnew returns who is in charge of a thing, by looking at every instance.
@@ -27,7 +27,7 @@
 	hash := xxhash.Sum64String(thing)
 	var able []*Peer
 	for _, p := range r.peers {
-		if r.alive(p, now) && !p.Beat.Stopping {
+		if r.alive(p, now) && !p.Heartbeat.Stopping {
 			able = append(able, p)
 		}
 	}
@@ -62,7 +62,7 @@
 			}
 			ask := func(now time.Time) {
 				for i := range things {
-					r.Charged(fmt.Sprintf("s%d", i), fmt.Sprintf("d%d", i%6), now)
+					r.Responsible(fmt.Sprintf("s%d", i), fmt.Sprintf("d%d", i%6), now)
 				}
 			}
 			ask(begin)
@@ -110,9 +110,9 @@
 		case 3:
 			r.Remove(fmt.Sprintf("i%d", i), now)
 		case 4:
-			r.Heard(Beat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, Stopping: true}, now)
+			r.RecordHeartbeat(Heartbeat{Name: fmt.Sprintf("i%d", i), Incarnation: 1, Stopping: true}, now)
 		case 5:
-			r.Silent(fmt.Sprintf("i%d", i), now)
+			r.Suspect(fmt.Sprintf("i%d", i), now)
 		default:
 			hearAgain(r, i, now)
 		}
@@ -161,11 +161,11 @@
 			thing = s
 		}
 	}
-	is.True(!r.Charged(thing, "d0", begin))
-	version := r.ChargeVersion(begin)
-	is.Equal(r.ChargeVersion(begin), version)
+	is.True(!r.Responsible(thing, "d0", begin))
+	version := r.RankVersion(begin)
+	is.Equal(r.RankVersion(begin), version)
 	first := r.Rank(thing, "d0", begin)[0].Name
-	r.Heard(Beat{Name: first, Incarnation: 1, Failing: []string{thing}}, begin)
-	is.True(r.ChargeVersion(begin) != version)
-	is.True(r.Charged(thing, "d0", begin))
+	r.RecordHeartbeat(Heartbeat{Name: first, Incarnation: 1, Failing: []string{thing}}, begin)
+	is.True(r.RankVersion(begin) != version)
+	is.True(r.Responsible(thing, "d0", begin))
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -42,8 +42,8 @@
 // Encode returns the record.
 func (e Entry) Encode() ([]byte, error) { return json.Marshal(e) }
 
-// Beat is the heartbeat of an instance.
-type Beat struct {
+// Heartbeat is the heartbeat of an instance.
+type Heartbeat struct {
 	Name        string
 	Incarnation uint64
 	// Confirmed is the offset behind the newest record of owners that the instance acts by:
@@ -53,9 +53,9 @@
 	Known int64
 	// StoreOK says that the shared store did not fail the instance at its last call, Proven that
 	// it answered a call of the instance lately.
-	StoreOK  bool
-	Proven   bool
-	Stopping bool
+	StoreOK       bool
+	StoreAnswered bool
+	Stopping      bool
 	// Leads says that the sender decides about owners, and sends heartbeats to all as often as to its domain.
 	Leads bool
 	// SentAt is when the heartbeat was sent, by the lease clock of its sender. EchoAt is that of
@@ -66,14 +66,14 @@
 	// KnownAge is how old the knowledge is that nothing follows Known, in milliseconds; negative
 	// for none.
 	KnownAge int64
-	// Complete is how old the knowledge is that nothing of configuration and directory is missing
+	// CompleteAge is how old the knowledge is that nothing of configuration and directory is missing
 	// before the ends below, in milliseconds; negative for none.
-	Complete int64
-	// Config and Servers are the ends of what the instance acts by of the two.
-	Config  int64
-	Servers int64
-	// Ask asks the receiver for a heartbeat at once: its echo dates what the receiver sends.
-	Ask bool
+	CompleteAge int64
+	// ConfigEnd and Servers are the ends of what the instance acts by of the two.
+	ConfigEnd  int64
+	ServersEnd int64
+	// ReplyNow asks the receiver for a heartbeat at once: its echo dates what the receiver sends.
+	ReplyNow bool
 	// Failing lists the servers that do not answer the instance's renewals.
 	Failing []string
 }
@@ -88,8 +88,8 @@
 	SinceAt time.Time
 	HeardAt time.Time
 	// BackAt is when the instance was heard again after a silence.
-	BackAt time.Time
-	Beat   Beat
+	BackAt    time.Time
+	Heartbeat Heartbeat
 
 	// ahead dates what the instance sends.
 	ahead ahead
@@ -217,8 +217,8 @@
 	delete(r.strangers, name)
 }
 
-// Removed returns the instances that have been known to be removed since before a time.
-func (r *Roster) Removed(before time.Time) []string {
+// RemovedBefore returns the instances that have been known to be removed since before a time.
+func (r *Roster) RemovedBefore(before time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -238,9 +238,9 @@
 	return len(r.peers)
 }
 
-// Heard takes in a heartbeat. It reports whether it is news: the instance was silent before,
+// RecordHeartbeat takes in a heartbeat. It reports whether it is news: the instance was silent before,
 // or confirms more than before.
-func (r *Roster) Heard(b Beat, now time.Time) bool {
+func (r *Roster) RecordHeartbeat(b Heartbeat, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[b.Name]
@@ -249,14 +249,14 @@
 		return false
 	}
 	quiet := r.quietOf(p)
-	news := now.Sub(p.HeardAt) > quiet || b.Confirmed != p.Beat.Confirmed || len(b.Failing) != len(p.Beat.Failing)
+	news := now.Sub(p.HeardAt) > quiet || b.Confirmed != p.Heartbeat.Confirmed || len(b.Failing) != len(p.Heartbeat.Failing)
 	if !p.HeardAt.IsZero() && now.Sub(p.HeardAt) > quiet {
 		p.BackAt = now
 	}
-	if !slices.Equal(b.Failing, p.Beat.Failing) {
+	if !slices.Equal(b.Failing, p.Heartbeat.Failing) {
 		r.ranking.version++
 	}
-	p.HeardAt, p.Beat, p.doubted = now, b, false
+	p.HeardAt, p.Heartbeat, p.doubted = now, b, false
 	r.review(p, now)
 	return news
 }
@@ -320,15 +320,15 @@
 // longer than it may act on what it knows.
 const strangerTime = 15 * time.Second
 
-// Agreed reports whether every other instance that may decide about owners has said, after it had
+// AllAgree reports whether every other instance that may decide about owners has said, after it had
 // a heartbeat that this one sent at or after a time of its lease clock, that it knows of no record
 // behind an offset.
-func (r *Roster) Agreed(since, end int64, now time.Time) bool {
+func (r *Roster) AllAgree(since, end int64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.strangers, func(_ string, heardAt time.Time) bool { return now.Sub(heardAt) > strangerTime })
 	for _, p := range r.peers {
-		if p.Name != r.self && (p.Beat.EchoAt < since || p.Beat.Known > end) {
+		if p.Name != r.self && (p.Heartbeat.EchoAt < since || p.Heartbeat.Known > end) {
 			return false
 		}
 	}
@@ -341,7 +341,7 @@
 	defer r.mu.Unlock()
 	out := make([]Peer, 0, len(r.sorted))
 	for _, p := range r.sorted {
-		if r.alive(p, now) && !p.Beat.Stopping {
+		if r.alive(p, now) && !p.Heartbeat.Stopping {
 			out = append(out, *p)
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -16,7 +16,7 @@
 	for i := range n {
 		name := fmt.Sprintf("i%d", i)
 		r.Put(name, roster.Entry{Incarnation: 1, Share: 1, Domain: fmt.Sprintf("d%d", i%2)}, start)
-		r.Heard(roster.Beat{Name: name, Incarnation: 1, StoreOK: true}, start)
+		r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1, StoreOK: true}, start)
 	}
 }
 
@@ -32,7 +32,7 @@
 	later := start.Add(10 * time.Second)
 	for i := range 8 {
 		if name := fmt.Sprintf("i%d", i); name != first[0].Name {
-			r.Heard(roster.Beat{Name: name, Incarnation: 1}, later)
+			r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1}, later)
 		}
 	}
 	next := r.Rank("server", "d1", later)
@@ -45,7 +45,7 @@
 	r := roster.New("i0", "d0")
 	fill(r, 4)
 	r.Put("strong", roster.Entry{Incarnation: 1, Share: 4, Domain: "d0"}, start)
-	r.Heard(roster.Beat{Name: "strong", Incarnation: 1}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "strong", Incarnation: 1}, start)
 	counts := map[string]int{}
 	for i := range 2000 {
 		counts[r.Rank(fmt.Sprint(i), "", start)[0].Name]++
@@ -62,8 +62,8 @@
 	r := roster.New("i0", "d0")
 	fill(r, 2)
 	is.Equal(len(r.Unconfirmed(5, start)), 2)
-	r.Heard(roster.Beat{Name: "i0", Incarnation: 1, Confirmed: 6}, start)
-	r.Heard(roster.Beat{Name: "i1", Incarnation: 1, Confirmed: 5}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1, Confirmed: 6}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1, Confirmed: 5}, start)
 	is.Equal(r.Unconfirmed(5, start), []string{"i1"})
 	r.Put("i1", roster.Entry{Incarnation: 1, Removed: true}, start)
 	is.Equal(r.Unconfirmed(5, start.Add(-15*time.Second)), []string{"i1"}) // it may still act
@@ -80,7 +80,7 @@
 	r := roster.New("i0", "d0")
 	fill(r, 2)
 	r.Put("i1", roster.Entry{Incarnation: 2}, start)
-	r.Heard(roster.Beat{Name: "i1", Incarnation: 1, Confirmed: 9}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1, Confirmed: 9}, start)
 	is.Equal(r.Unconfirmed(5, start), []string{"i0", "i1"}) // a late message of the life before proves nothing
 }
 
@@ -92,7 +92,7 @@
 	fill(r, 3)
 	p, _ := r.Leader(start)
 	is.Equal(p.Name, "i0")
-	r.Heard(roster.Beat{Name: "i0", Incarnation: 1}, start) // it has lost the store
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1}, start) // it has lost the store
 	p, _ = r.Leader(start)
 	is.Equal(p.Name, "i1")
 }
@@ -104,11 +104,11 @@
 	is := is.New(t)
 	r := roster.New("i0", "d0")
 	fill(r, 5)
-	r.Heard(roster.Beat{Name: "i0", Incarnation: 1}, start)
-	r.Heard(roster.Beat{Name: "i4", Incarnation: 1, StoreOK: true, Proven: true}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i0", Incarnation: 1}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i4", Incarnation: 1, StoreOK: true, StoreAnswered: true}, start)
 	p, _ := r.Leader(start)
 	is.Equal(p.Name, "i4")
-	r.Heard(roster.Beat{Name: "i4", Incarnation: 1, Proven: true}, start) // its last call failed
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i4", Incarnation: 1, StoreAnswered: true}, start) // its last call failed
 	p, _ = r.Leader(start)
 	is.Equal(p.Name, "i1")
 }
@@ -118,9 +118,9 @@
 	is := is.New(t)
 	r := roster.New("i0", "d0")
 	fill(r, 8)
-	is.Equal(r.Every(), 250*time.Millisecond)
+	is.Equal(r.HeartbeatInterval(), 250*time.Millisecond)
 	fill(r, 80)
-	is.True(80/r.Every().Seconds() < 100) // messages a second
+	is.True(80/r.HeartbeatInterval().Seconds() < 100) // messages a second
 }
 
 // Of 295 instances 50 were killed. The others took them for there for eleven seconds, as each hears each only
@@ -133,9 +133,9 @@
 	for i := range 295 {
 		name := fmt.Sprintf("i%d", i)
 		r.Put(name, roster.Entry{Incarnation: 1, Share: 1, Domain: fmt.Sprintf("d%d", i%6)}, start)
-		r.Heard(roster.Beat{Name: name, Incarnation: 1, StoreOK: true, Leads: i == 7}, start)
+		r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1, StoreOK: true, Leads: i == 7}, start)
 	}
-	is.True(295/6/r.EveryNear().Seconds()+295/r.Every().Seconds() < 180) // messages a second
+	is.True(295/6/r.DomainHeartbeatInterval().Seconds()+295/r.HeartbeatInterval().Seconds() < 180) // messages a second
 	alive := func(at time.Time) map[string]int {
 		out := map[string]int{}
 		for _, p := range r.Alive(at) {
@@ -147,7 +147,7 @@
 	is.Equal(alive(later)["d0"], 1) // itself
 	is.Equal(alive(later)["d2"], 49)
 	is.Equal(alive(later)["d1"], 48) // of 49: the leader is heard twice a second
-	r.Lead(true, later)              // from now on all others send to it more often
+	r.SetLeading(true, later)        // from now on all others send to it more often
 	is.Equal(alive(later.Add(time.Second))["d2"], 49)
 	is.Equal(alive(later.Add(lease))["d2"], 0)
 }
@@ -160,12 +160,12 @@
 	r := roster.New("i0", "d0")
 	fill(r, 2)
 	later := start.Add(20 * time.Second)
-	r.Heard(roster.Beat{Name: "i1", Incarnation: 1}, later)
-	r.Silent("i1", later.Add(time.Second/2))
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1}, later)
+	r.Suspect("i1", later.Add(time.Second/2))
 	is.Equal(len(r.Alive(later.Add(time.Second/2))), 1) // others do its work
 	p := r.Others()[0]
-	is.Equal(p.Silent(later.Add(time.Second)), time.Second) // but it was heard a second ago
-	r.Heard(roster.Beat{Name: "i1", Incarnation: 1}, later.Add(time.Second))
+	is.Equal(p.SinceHeartbeat(later.Add(time.Second)), time.Second) // but it was heard a second ago
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1}, later.Add(time.Second))
 	is.Equal(len(r.Alive(later.Add(time.Second))), 2)
 }
 
@@ -177,9 +177,9 @@
 	r := roster.New("i0", "d0")
 	fill(r, 4)
 	r.Put("strong", roster.Entry{Incarnation: 1, Share: 5, Domain: "d0"}, start)
-	r.Heard(roster.Beat{Name: "strong", Incarnation: 1, StoreOK: true}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "strong", Incarnation: 1, StoreOK: true}, start)
 	r.Put("a-weak", roster.Entry{Incarnation: 1, Share: 0.1, Domain: "d0"}, start)
-	r.Heard(roster.Beat{Name: "a-weak", Incarnation: 1, StoreOK: true}, start)
+	r.RecordHeartbeat(roster.Heartbeat{Name: "a-weak", Incarnation: 1, StoreOK: true}, start)
 	p, _ := r.Leader(start)
 	is.Equal(p.Name, "strong")
 }
@@ -214,7 +214,7 @@
 					from, to = now.Add(silent), now
 				}
 				for at := from; !at.After(to); at = at.Add(200 * time.Millisecond) {
-					r.Heard(roster.Beat{Name: name, Incarnation: 1}, at)
+					r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1}, at)
 				}
 			}
 			is.Equal(r.CutOff("d1", 8*time.Second, now), test.want)
@@ -258,11 +258,11 @@
 	now := start
 	r.Put("i0", roster.Entry{Address: "a0", Domain: "d0", Incarnation: 1}, now)
 	r.Put("i1", roster.Entry{Address: "a1", Domain: "d1", Incarnation: 1}, now)
-	r.Heard(roster.Beat{Name: "i1", Incarnation: 1, Stopping: true}, now)
-	is.True(r.Reached("a1", now.Add(500*time.Millisecond))) // it stops, and has its permits still
-	is.True(!r.Reached("a1", now.Add(2*time.Second)))
-	is.True(r.Reached("a0", now.Add(time.Hour)))
-	is.True(r.Reached("a7", now))
+	r.RecordHeartbeat(roster.Heartbeat{Name: "i1", Incarnation: 1, Stopping: true}, now)
+	is.True(r.Reachable("a1", now.Add(500*time.Millisecond))) // it stops, and has its permits still
+	is.True(!r.Reachable("a1", now.Add(2*time.Second)))
+	is.True(r.Reachable("a0", now.Add(time.Hour)))
+	is.True(r.Reachable("a7", now))
 }
 
 // The leader of 295 instances sent each record of 20 KB to all others by itself: a quarter of a second on its
@@ -273,7 +273,7 @@
 	for i := range 60 {
 		name := fmt.Sprintf("i%d", i)
 		r.Put(name, roster.Entry{Incarnation: 1, Share: 1 + float64(i%7), Domain: fmt.Sprintf("d%d", i%3)}, start)
-		r.Heard(roster.Beat{Name: name, Incarnation: 1}, start)
+		r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1}, start)
 	}
 	r.Put("far", roster.Entry{Incarnation: 1, Share: 1, Domain: "small"}, start)
 	direct, relays := r.Relays(start)
@@ -285,7 +285,7 @@
 	later := start.Add(10 * time.Second)
 	for i := range 60 {
 		if name := fmt.Sprintf("i%d", i); name != relays[0].Name {
-			r.Heard(roster.Beat{Name: name, Incarnation: 1}, later)
+			r.RecordHeartbeat(roster.Heartbeat{Name: name, Incarnation: 1}, later)
 		}
 	}
 	_, next := r.Relays(later)
--- a/internal/rules/life.go
+++ b/internal/rules/life.go
@@ -12,11 +12,11 @@
 // message that names a server.
 const lifeBase = 36
 
-// LifeID returns the id of one life of a server: the name under which the directory lists it, and
+// IncarnationID returns the id of one life of a server: the name under which the directory lists it, and
 // the Unix millisecond of its start. A server that starts again under its name holds and knows
 // nothing of before, so that all that is kept of a server is kept by life. Where servers do not
 // state their start it is zero, and each life has a name of its own.
-func LifeID(name string, startedAt int64) string {
+func IncarnationID(name string, startedAt int64) string {
 	if startedAt == 0 && !strings.Contains(name, lifeMark) {
 		return name
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -14,16 +14,16 @@
 
 // The kinds.
 const (
-	// Once marks requests that are not idempotent.
-	Once Kind = iota
-	// Repeatable marks idempotent requests.
-	Repeatable
+	// NonIdempotent marks requests that are not idempotent.
+	NonIdempotent Kind = iota
+	// Idempotent marks idempotent requests.
+	Idempotent
 	// Bulk marks idempotent requests with large answers.
 	Bulk
 )
 
 // Idempotent reports whether a request of this kind may run more than once.
-func (k Kind) Idempotent() bool { return k != Once }
+func (k Kind) Idempotent() bool { return k != NonIdempotent }
 
 // Limits bound what a caller may send.
 type Limits struct {
@@ -36,8 +36,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Part is one service of a route, with its share of the requests.
-type Part struct {
+// WeightedService is one service of a route, with its share of the requests.
+type WeightedService struct {
 	Service string
 	// Weight is relative to the sum of the weights of the route.
 	Weight int
@@ -51,13 +51,13 @@
 	Kind   Kind
 	// Priority is the rank under load; 0 goes first.
 	Priority int
-	// Target is the time within which an answer has its full value. Timeout is the longest
+	// TargetLatency is the time within which an answer has its full value. Timeout is the longest
 	// time that a request may wait, zero for no bound but its own.
-	Target  time.Duration
-	Timeout time.Duration
+	TargetLatency time.Duration
+	Timeout       time.Duration
 	// MaxAttempts is the number of servers to which one request may be sent.
 	MaxAttempts int
-	Parts       []Part
+	Services    []WeightedService
 
 	turn atomic.Uint64
 }
@@ -70,8 +70,8 @@
 	MaxConns int
 	// Divided says that each key belongs to one server of the service.
 	Divided bool
-	// Warm is how long a server is slow with keys that it got without their state.
-	Warm time.Duration
+	// KeyWarmup is how long a server is slow with keys that it got without their state.
+	KeyWarmup time.Duration
 	// ColdTime is how long a server is cold: slow, and at risk beyond ColdRate requests a second from all instances
 	// together. Zero if its servers are never cold, or bear any rate.
 	ColdTime time.Duration
@@ -112,24 +112,24 @@
 // Pick returns the service that the next request of the route goes to. Over successive
 // requests each part gets its share.
 func (r *Route) Pick() string {
-	if len(r.Parts) == 1 {
-		return r.Parts[0].Service
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
 	total := 0
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		total += p.Weight
 	}
 	if total <= 0 {
-		return r.Parts[0].Service
+		return r.Services[0].Service
 	}
 	point := float64((r.turn.Add(1)*golden)>>11) / (1 << 53) * float64(total)
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		point -= float64(p.Weight)
 		if point < 0 {
 			return p.Service
 		}
 	}
-	return r.Parts[len(r.Parts)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
 
 // Seed sets the first turn, so that instances do not all begin with the same part.
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -40,7 +40,7 @@
 
 func TestPickKeepsWeights(t *testing.T) {
 	is := is.New(t)
-	r := &rules.Route{Parts: []rules.Part{{"a", 90}, {"b", 9}, {"c", 1}}}
+	r := &rules.Route{Services: []rules.WeightedService{{"a", 90}, {"b", 9}, {"c", 1}}}
 	r.Seed(12345)
 	counts := map[string]int{}
 	for range 1000 {
--- a/internal/shard/fuzz_test.go
+++ b/internal/shard/fuzz_test.go
@@ -5,7 +5,7 @@
 // Whatever bytes stand in a record of owners, they are a map of all keys or an error, and what
 // another instance tells of changes leaves it one.
 func FuzzDecode(f *testing.F) {
-	m := &Map{Fence: 3, Ranges: []Range{{From: 0, To: 99, Server: "a", Fence: 2}, {From: 100, To: Keys - 1, Server: "b", Fence: 3, Before: []Holder{{Server: "a"}}}}}
+	m := &Map{Fence: 3, Ranges: []Range{{From: 0, To: 99, Server: "a", Fence: 2}, {From: 100, To: NumKeys - 1, Server: "b", Fence: 3, FormerOwners: []Owner{{Server: "a"}}}}}
 	data, err := m.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -18,12 +18,12 @@
 		if err != nil {
 			return
 		}
-		for _, key := range []uint16{0, from, to, Keys - 1} {
+		for _, key := range []uint16{0, from, to, NumKeys - 1} {
 			if i := m.Find(key); len(m.Ranges) > 0 && (i < 0 || m.Ranges[i].From > key || m.Ranges[i].To < key) {
 				t.Errorf("key %d is in range %d of %+v", key, i, m.Ranges)
 			}
 		}
-		changed, err := m.With(m.Fence+1, []Range{{From: from, To: to, Server: "c", Fence: m.Fence + 1}})
+		changed, err := m.WithChanges(m.Fence+1, []Range{{From: from, To: to, Server: "c", Fence: m.Fence + 1}})
 		if err != nil {
 			return
 		}
--- a/internal/shard/improve.go
+++ b/internal/shard/improve.go
@@ -12,7 +12,7 @@
 func (p *planner) lost(load float64, s *server) float64 {
 	slots := max(s.Slots, 1)
 	work := float64(slots) / s.power
-	places := max(0, (p.in.Target-waitSpread*work)/work*float64(slots))
+	places := max(0, (p.in.TargetLatency-waitSpread*work)/work*float64(slots))
 	whole := min(math.Floor(places), placesMost)
 	low, high := blocked(load/s.power, slots, int(whole))
 	part := min(places-whole, 1)
@@ -133,7 +133,7 @@
 	fine := p.ranges < rangesMost*len(p.usable)
 	room := roomShare * p.roomiest.servers[0].room()
 	for i, r := range s.owned {
-		if len(r.Before) > 0 {
+		if len(r.FormerOwners) > 0 {
 			continue
 		}
 		add := func(from, to uint16) {
@@ -171,7 +171,7 @@
 // target returns the server at which a piece is best, and what the move gains.
 func (p *planner) target(source *server, c piece, targets []*server) choice {
 	best := choice{piece: c, source: source, sourceChanges: source.changes}
-	keys := (float64(c.to) - float64(c.from) + 1) / Keys
+	keys := (float64(c.to) - float64(c.from) + 1) / NumKeys
 	cost := gap*c.load + churnCost*keys
 	saved := source.lost - p.lost(source.use-c.load, source)
 	if horizon*saved <= cost {
--- a/internal/shard/map.go
+++ b/internal/shard/map.go
@@ -11,8 +11,8 @@
 	"sort"
 )
 
-// Keys is the number of keys of a divided service.
-const Keys = 1 << 16
+// NumKeys is the number of keys of a divided service.
+const NumKeys = 1 << 16
 
 // Range is a run of keys with one owner.
 type Range struct {
@@ -23,13 +23,13 @@
 	// earlier owner of any of the keys.
 	Server string
 	Fence  uint64
-	// Before holds the owners whose rights must have ended before Server gets the keys; it is
+	// FormerOwners holds the owners whose rights must have ended before Server gets the keys; it is
 	// empty when they have.
-	Before []Holder
+	FormerOwners []Owner
 }
 
-// Holder is an owner of old.
-type Holder struct {
+// Owner is an owner of old.
+type Owner struct {
 	Server  string
 	Address string
 }
@@ -57,8 +57,8 @@
 // Clone returns a copy that shares nothing that changes.
 func (m *Map) Clone() *Map { return &Map{Fence: m.Fence, Ranges: slices.Clone(m.Ranges)} }
 
-// Of returns the ranges of a server.
-func (m *Map) Of(server string) []Range {
+// RangesOf returns the ranges of a server.
+func (m *Map) RangesOf(server string) []Range {
 	var out []Range
 	for _, r := range m.Ranges {
 		if r.Server == server {
@@ -68,11 +68,11 @@
 	return out
 }
 
-// Move gives the keys of a range to another server. Before holds the owners of old that may
+// Reassign gives the keys of a range to another server. Before holds the owners of old that may
 // still act.
-func (m *Map) Move(i int, to string, before []Holder) {
+func (m *Map) Reassign(i int, to string, before []Owner) {
 	m.Fence++
-	m.Ranges[i].Server, m.Ranges[i].Fence, m.Ranges[i].Before = to, m.Fence, before
+	m.Ranges[i].Server, m.Ranges[i].Fence, m.Ranges[i].FormerOwners = to, m.Fence, before
 }
 
 // Split cuts a range in two: the second begins with key.
@@ -92,7 +92,7 @@
 	out := m.Ranges[:0]
 	for _, r := range m.Ranges {
 		if n := len(out); n > 0 && out[n-1].Server == r.Server && out[n-1].Fence == r.Fence &&
-			len(out[n-1].Before) == 0 && len(r.Before) == 0 {
+			len(out[n-1].FormerOwners) == 0 && len(r.FormerOwners) == 0 {
 			out[n-1].To = r.To
 			continue
 		}
--- a/internal/shard/plan.go
+++ b/internal/shard/plan.go
@@ -1,12 +1,12 @@
 package shard
 
-// Member is a server as the planner sees it.
-type Member struct {
+// ServerState is a server as the planner sees it.
+type ServerState struct {
 	ID      string
 	Address string
-	// Power is how many requests the server can run in a second, Slots how many at a time.
-	Power float64
-	Slots int
+	// Capacity is how many requests the server can run in a second, Slots how many at a time.
+	Capacity float64
+	Slots    int
 	// Usable says that the server may get keys; Lost that it must give up those it has.
 	Usable bool
 	Lost   bool
@@ -17,16 +17,16 @@
 // Input is what a plan is made from.
 type Input struct {
 	Map     *Map
-	Members []Member
+	Servers []ServerState
 	// Load is the number of requests in a second for each key.
 	Load []float64
-	// Target is the time within which requests should be answered, in seconds.
-	Target float64
+	// TargetLatency is the time within which requests should be answered, in seconds.
+	TargetLatency float64
 	// Addresses holds the address of each server that owns keys, also of those that left.
 	Addresses map[string]string
-	// Reborn holds, for each life of a server that has ended because the server started again, the
+	// Restarted holds, for each life of a server that has ended because the server started again, the
 	// life that it has now.
-	Reborn map[string]string
+	Restarted map[string]string
 }
 
 // The thresholds of a plan.
@@ -96,8 +96,8 @@
 	Power  float64
 }
 
-// Uses returns what the servers of a map are asked for, the one first that loses most.
-func Uses(in Input) []Use {
+// ServerLoads returns what the servers of a map are asked for, the one first that loses most.
+func ServerLoads(in Input) []Use {
 	var out []Use
 	for _, s := range newPlanner(in).byLoss() {
 		out = append(out, Use{Server: s.ID, Load: s.use, Power: s.power})
--- a/internal/shard/planner.go
+++ b/internal/shard/planner.go
@@ -9,7 +9,7 @@
 
 // server is a server with its keys while a plan is made.
 type server struct {
-	Member
+	ServerState
 	// power is at least a little, use the load of the server's keys, lost what of it finds no room.
 	power float64
 	use   float64
@@ -46,22 +46,22 @@
 	p.leastUsed.key = func(s *server) float64 { return s.use / s.power }
 	p.roomiest.key = func(s *server) float64 { return -s.room() }
 	total := 0.0
-	for _, m := range in.Members {
+	for _, m := range in.Servers {
 		if !m.Usable || m.Lost {
 			continue
 		}
-		s := &server{Member: m, power: max(m.Power, 0.01)}
+		s := &server{ServerState: m, power: max(m.Capacity, 0.01)}
 		p.servers[m.ID] = s
 		p.usable = append(p.usable, s)
 		total += s.power
 	}
 	slices.SortFunc(p.usable, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	p.mean = total / float64(max(len(p.usable), 1))
-	p.sums = make([]float64, Keys+1)
-	base := total * baseLoad / Keys
-	for key := range Keys {
+	p.sums = make([]float64, NumKeys+1)
+	base := total * baseLoad / NumKeys
+	for key := range NumKeys {
 		load := base
-		if len(in.Load) == Keys {
+		if len(in.Load) == NumKeys {
 			load += in.Load[key]
 		}
 		p.sums[key+1] = p.sums[key] + load
@@ -84,7 +84,7 @@
 func (p *planner) owner(id string) *server {
 	s := p.servers[id]
 	if s == nil {
-		s = &server{Member: Member{ID: id}}
+		s = &server{ServerState: ServerState{ID: id}}
 		p.servers[id] = s
 	}
 	return s
@@ -115,9 +115,9 @@
 	for i := range pieces {
 		s := p.usable[i%len(p.usable)]
 		share += s.power / total / piecesPerServer
-		end := int(math.Round(share * Keys))
+		end := int(math.Round(share * NumKeys))
 		if i == pieces-1 {
-			end = Keys
+			end = NumKeys
 		}
 		if end <= from {
 			continue
@@ -148,7 +148,7 @@
 // back what it had, by a higher fence: callers are spared a second move, and it is as fast as it was.
 func (p *planner) replaceLost() bool {
 	stays := map[string]bool{}
-	for _, m := range p.in.Members {
+	for _, m := range p.in.Servers {
 		stays[m.ID] = !m.Lost
 	}
 	var gone []string
@@ -160,7 +160,7 @@
 	slices.Sort(gone)
 	for _, id := range gone {
 		from := p.servers[id]
-		to, reborn := p.servers[p.in.Reborn[id]]
+		to, reborn := p.servers[p.in.Restarted[id]]
 		for len(from.owned) > 0 {
 			if reborn && to.mayGet() && (!to.Capped || to.use+p.loadOf(from.owned[0]) <= to.power) {
 				p.give(from, 0, to)
@@ -209,7 +209,7 @@
 	load := p.loadOf(r)
 	from.owned = slices.Delete(from.owned, i, i+1)
 	p.fence++
-	r.Before = append(slices.Clone(r.Before), Holder{Server: r.Server, Address: p.in.Addresses[r.Server]})
+	r.FormerOwners = append(slices.Clone(r.FormerOwners), Owner{Server: r.Server, Address: p.in.Addresses[r.Server]})
 	r.Server, r.Fence = to.ID, p.fence
 	to.owned = append(to.owned, r)
 	p.change(from, -load)
--- a/internal/shard/rates.go
+++ b/internal/shard/rates.go
@@ -46,8 +46,8 @@
 // NewRates returns rates of which nothing is known.
 func NewRates(now time.Time) *Rates {
 	return &Rates{
-		steady: window{steadyHalf, make([]float64, Keys)}, recent: window{recentHalf, make([]float64, Keys)},
-		usual: window{usualHalf, make([]float64, Keys)}, beganAt: now,
+		steady: window{steadyHalf, make([]float64, NumKeys)}, recent: window{recentHalf, make([]float64, NumKeys)},
+		usual: window{usualHalf, make([]float64, NumKeys)}, beganAt: now,
 	}
 }
 
@@ -90,7 +90,7 @@
 func (r *Rates) Load(now time.Time) []float64 {
 	since := now.Sub(r.beganAt)
 	steady, recent, usual := r.steady.scale(since), r.recent.scale(since), r.usual.scale(since)
-	out := make([]float64, Keys)
+	out := make([]float64, NumKeys)
 	for key, sum := range r.steady.sums {
 		if sum == 0 {
 			continue
--- a/internal/shard/record.go
+++ b/internal/shard/record.go
@@ -24,7 +24,7 @@
 	From   uint16
 	Server int
 	Fence  uint64
-	Before []Holder
+	Before []Owner
 }
 
 // Encode returns the record of a map.
@@ -38,7 +38,7 @@
 			index[g.Server] = i
 			r.Servers = append(r.Servers, g.Server)
 		}
-		r.Ranges = append(r.Ranges, recordRange{From: g.From, Server: i, Fence: g.Fence, Before: g.Before})
+		r.Ranges = append(r.Ranges, recordRange{From: g.From, Server: i, Fence: g.Fence, Before: g.FormerOwners})
 	}
 	var out bytes.Buffer
 	if err := pack.Encode(&out, r); err != nil {
@@ -55,14 +55,14 @@
 	}
 	m := &Map{Fence: r.Fence}
 	for i, g := range r.Ranges {
-		to := uint16(Keys - 1)
+		to := uint16(NumKeys - 1)
 		if i+1 < len(r.Ranges) {
 			to = r.Ranges[i+1].From - 1
 		}
 		if g.Server < 0 || g.Server >= len(r.Servers) {
 			return nil, fmt.Errorf("%w: server %d of %d", ErrRecord, g.Server, len(r.Servers))
 		}
-		m.Ranges = append(m.Ranges, Range{From: g.From, To: to, Server: r.Servers[g.Server], Fence: g.Fence, Before: g.Before})
+		m.Ranges = append(m.Ranges, Range{From: g.From, To: to, Server: r.Servers[g.Server], Fence: g.Fence, FormerOwners: g.Before})
 	}
 	return m, m.check()
 }
@@ -76,7 +76,7 @@
 		}
 		next = int(r.To) + 1
 	}
-	if next != 0 && next != Keys {
+	if next != 0 && next != NumKeys {
 		return fmt.Errorf("%w: ends at key %d", ErrRecord, next)
 	}
 	return nil
@@ -96,11 +96,11 @@
 }
 
 func (r Range) same(o Range) bool {
-	return r.Server == o.Server && r.Fence == o.Fence && slices.Equal(r.Before, o.Before)
+	return r.Server == o.Server && r.Fence == o.Fence && slices.Equal(r.FormerOwners, o.FormerOwners)
 }
 
-// With returns a map with changed ranges, which are sorted, in place of those that it has for their keys.
-func (m *Map) With(fence uint64, changes []Range) (*Map, error) {
+// WithChanges returns a map with changed ranges, which are sorted, in place of those that it has for their keys.
+func (m *Map) WithChanges(fence uint64, changes []Range) (*Map, error) {
 	out := &Map{Fence: fence, Ranges: make([]Range, 0, len(m.Ranges)+2*len(changes))}
 	next := 0
 	rest := changes
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -10,26 +10,26 @@
 	"example.org/mustardring/internal/shard"
 )
 
-func members(powers ...float64) []shard.Member {
-	var out []shard.Member
+func members(powers ...float64) []shard.ServerState {
+	var out []shard.ServerState
 	for i, p := range powers {
-		out = append(out, shard.Member{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Power: p, Slots: 2, Usable: true})
+		out = append(out, shard.ServerState{ID: fmt.Sprintf("s%02d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Capacity: p, Slots: 2, Usable: true})
 	}
 	return out
 }
 
-func input(m *shard.Map, load []float64, all []shard.Member) shard.Input {
+func input(m *shard.Map, load []float64, all []shard.ServerState) shard.Input {
 	addresses := map[string]string{}
 	for _, s := range all {
 		addresses[s.ID] = s.Address
 	}
-	return shard.Input{Map: m, Members: all, Load: load, Target: 0.6, Addresses: addresses}
+	return shard.Input{Map: m, Servers: all, Load: load, TargetLatency: 0.6, Addresses: addresses}
 }
 
 // use returns the utilisation of each server.
 func use(in shard.Input) map[string]float64 {
 	out := map[string]float64{}
-	for _, u := range shard.Uses(in) {
+	for _, u := range shard.ServerLoads(in) {
 		out[u.Server] = u.Load / u.Power
 	}
 	return out
@@ -39,7 +39,7 @@
 func settle(m *shard.Map) *shard.Map {
 	out := m.Clone()
 	for i := range out.Ranges {
-		out.Ranges[i].Before = nil
+		out.Ranges[i].FormerOwners = nil
 	}
 	return out
 }
@@ -81,18 +81,18 @@
 			m.Split(r, rapid.Uint16().Draw(t, "key"))
 			continue
 		}
-		m.Move(r, fmt.Sprintf("new%d", i), []shard.Holder{{Server: m.Ranges[r].Server, Address: "a"}})
+		m.Reassign(r, fmt.Sprintf("new%d", i), []shard.Owner{{Server: m.Ranges[r].Server, Address: "a"}})
 	}
 	return m
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	good, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 1}}}).Encode()
+	good, err := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 1}}}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	gap, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 5, To: shard.Keys - 1, Server: "s", Fence: 1}}}).Encode()
-	fence, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.Keys - 1, Server: "s", Fence: 2}}}).Encode()
+	gap, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 5, To: shard.NumKeys - 1, Server: "s", Fence: 1}}}).Encode()
+	fence, _ := (&shard.Map{Fence: 1, Ranges: []shard.Range{{From: 0, To: shard.NumKeys - 1, Server: "s", Fence: 2}}}).Encode()
 	for name, data := range map[string][]byte{
 		"nothing": nil, "cut": good[:len(good)-2], "a gap": gap, "a fence above the highest": fence, "other": []byte("{}"),
 	} {
@@ -111,19 +111,19 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "moves") {
 			r := rapid.IntRange(0, len(to.Ranges)-1).Draw(t, "range")
 			to.Split(r, rapid.Uint16().Draw(t, "key"))
-			to.Move(r, fmt.Sprintf("later%d", i), []shard.Holder{{Server: "x", Address: "y"}})
+			to.Reassign(r, fmt.Sprintf("later%d", i), []shard.Owner{{Server: "x", Address: "y"}})
 		}
 		if rapid.Bool().Draw(t, "settled") {
 			to = settle(to)
 			to.Join()
 		}
-		got, err := from.With(to.Fence, to.Changes(from))
+		got, err := from.WithChanges(to.Fence, to.Changes(from))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for key := 0; key < shard.Keys; key += 61 {
+		for key := 0; key < shard.NumKeys; key += 61 {
 			a, b := got.Ranges[got.Find(uint16(key))], to.Ranges[to.Find(uint16(key))]
-			if a.Server != b.Server || a.Fence != b.Fence || len(a.Before) != len(b.Before) {
+			if a.Server != b.Server || a.Fence != b.Fence || len(a.FormerOwners) != len(b.FormerOwners) {
 				t.Fatalf("key %d: got %v, want %v", key, a, b)
 			}
 		}
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	all := members(9, 9, 9, 9, 9, 9)
 	m := shard.Plan(input(&shard.Map{}, nil, all))
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for i := range 8 {
 		load[100+i] = 3 // 24 requests a second for neighbouring keys
 	}
@@ -170,28 +170,28 @@
 func TestOneKeyTooBusy(t *testing.T) {
 	is := is.New(t)
 	all := members(6, 9, 9, 15)
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
-		load[i] = 10.0 / shard.Keys
+		load[i] = 10.0 / shard.NumKeys
 	}
 	load[7] = 25
 	m, _ := plan(input(shard.Plan(input(&shard.Map{}, nil, all)), load, all))
 	owner := m.Ranges[m.Find(7)].Server
 	is.Equal(owner, "s03")
 	others := 0.0
-	for _, r := range m.Of(owner) {
+	for _, r := range m.RangesOf(owner) {
 		others += float64(r.Len())
 	}
-	is.True(others < shard.Keys/16)
+	is.True(others < shard.NumKeys/16)
 }
 
 // Moves that gain nothing cost readers the state of their keys: a calm service must not churn.
 func TestCalmLoadMovesNothing(t *testing.T) {
 	is := is.New(t)
 	all := members(9, 9, 9, 9)
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
-		load[i] = 6.0 / shard.Keys
+		load[i] = 6.0 / shard.NumKeys
 	}
 	m := shard.Plan(input(&shard.Map{}, nil, all))
 	_, plans := plan(input(m, load, all))
@@ -199,9 +199,12 @@
 }
 
 func TestLostServer(t *testing.T) {
-	tests := map[string]func(all []shard.Member) []shard.Member{
-		"drains": func(all []shard.Member) []shard.Member { all[1].Lost, all[1].Usable = true, false; return all },
-		"gone":   func(all []shard.Member) []shard.Member { return append(all[:1:1], all[2:]...) },
+	tests := map[string]func(all []shard.ServerState) []shard.ServerState{
+		"drains": func(all []shard.ServerState) []shard.ServerState {
+			all[1].Lost, all[1].Usable = true, false
+			return all
+		},
+		"gone": func(all []shard.ServerState) []shard.ServerState { return append(all[:1:1], all[2:]...) },
 	}
 	for name, lose := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -211,10 +214,10 @@
 			in := input(m, nil, lose(members(9, 9, 9)))
 			in.Addresses["s01"] = "10.0.0.1:1"
 			next := shard.Plan(in)
-			is.Equal(len(next.Of("s01")), 0)
+			is.Equal(len(next.RangesOf("s01")), 0)
 			for _, r := range next.Ranges {
 				if r.Fence > before {
-					is.Equal(r.Before, []shard.Holder{{Server: "s01", Address: "10.0.0.1:1"}})
+					is.Equal(r.FormerOwners, []shard.Owner{{Server: "s01", Address: "10.0.0.1:1"}})
 				}
 			}
 		})
@@ -227,11 +230,11 @@
 	is := is.New(t)
 	m := shard.Plan(input(&shard.Map{}, nil, members(9, 9, 9)))
 	first := m.Ranges[0].Server
-	m.Move(0, "s02", []shard.Holder{{Server: first, Address: "10.0.0.0:1"}})
+	m.Reassign(0, "s02", []shard.Owner{{Server: first, Address: "10.0.0.0:1"}})
 	in := input(m, nil, members(9, 9))
 	in.Addresses["s02"] = "10.0.0.2:1"
 	next := shard.Plan(in)
-	is.Equal(len(next.Ranges[0].Before), 2)
+	is.Equal(len(next.Ranges[0].FormerOwners), 2)
 }
 
 func BenchmarkPlan(b *testing.B) {
@@ -240,7 +243,7 @@
 		powers[i] = 6 + float64(i%9)
 	}
 	all := members(powers...)
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for i := range load {
 		load[i] = float64(i%37) * 0.03
 	}
@@ -282,7 +285,7 @@
 // excess returns the share of the requests that are more than their servers can do.
 func excess(in shard.Input) float64 {
 	over, all := 0.0, 0.0
-	for _, u := range shard.Uses(in) {
+	for _, u := range shard.ServerLoads(in) {
 		over += max(0, u.Load-u.Power)
 		all += u.Load
 	}
@@ -314,35 +317,35 @@
 		powers[i] = []float64{18, 9, 9, 6}[i%4]
 		total += powers[i]
 	}
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for key := range load {
-		load[key] = 0.3 * total / shard.Keys
+		load[key] = 0.3 * total / shard.NumKeys
 	}
 	for i := range hot {
 		load[20000+i] += 0.2 * total / float64(hot)
 	}
 	all := members(powers...)
 	in := input(shard.Plan(input(&shard.Map{}, nil, all)), load, all)
-	in.Target = 1
+	in.TargetLatency = 1
 	return in
 }
 
 // Guards against a server that started again and gets all keys back, more than a cold one bears.
 func TestColdServerGetsBackWhatItBears(t *testing.T) {
 	is := is.New(t)
-	load := make([]float64, shard.Keys)
+	load := make([]float64, shard.NumKeys)
 	for key := range load {
-		load[key] = 40.0 / shard.Keys
+		load[key] = 40.0 / shard.NumKeys
 	}
 	m := &shard.Map{Fence: 2, Ranges: []shard.Range{
 		{From: 0, To: 1<<14 - 1, Server: "a~1", Fence: 1}, {From: 1 << 14, To: 1<<15 - 1, Server: "a~1", Fence: 1},
 		{From: 1 << 15, To: 1<<16 - 1, Server: "b", Fence: 2},
 	}}
 	next := shard.Plan(shard.Input{
-		Map: m, Load: load, Target: 0.6, Reborn: map[string]string{"a~1": "a~2"},
-		Members: []shard.Member{
-			{ID: "a~2", Power: 6, Slots: 2, Usable: true, Capped: true}, {ID: "b", Power: 40, Slots: 2, Usable: true},
-			{ID: "c", Power: 40, Slots: 2, Usable: true},
+		Map: m, Load: load, TargetLatency: 0.6, Restarted: map[string]string{"a~1": "a~2"},
+		Servers: []shard.ServerState{
+			{ID: "a~2", Capacity: 6, Slots: 2, Usable: true, Capped: true}, {ID: "b", Capacity: 40, Slots: 2, Usable: true},
+			{ID: "c", Capacity: 40, Slots: 2, Usable: true},
 		},
 	})
 	is.True(next != nil)
@@ -352,5 +355,5 @@
 			got += r.Len()
 		}
 	}
-	is.True(float64(got)/shard.Keys*40 <= 6)
+	is.True(float64(got)/shard.NumKeys*40 <= 6)
 }
--- a/internal/shard/size_test.go
+++ b/internal/shard/size_test.go
@@ -15,9 +15,9 @@
 	for name, servers := range map[string]int{"10": 10, "100": 100, "1000": 1000} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			in := Input{Map: &Map{}, Load: make([]float64, Keys), Target: 1}
+			in := Input{Map: &Map{}, Load: make([]float64, NumKeys), TargetLatency: 1}
 			for i := range servers {
-				in.Members = append(in.Members, Member{ID: fmt.Sprintf("s%04d", i), Power: 9, Slots: 2, Usable: true})
+				in.Servers = append(in.Servers, ServerState{ID: fmt.Sprintf("s%04d", i), Capacity: 9, Slots: 2, Usable: true})
 			}
 			in.Map = Plan(in)
 			for key := range servers {
--- a/internal/upstr/conn.go
+++ b/internal/upstr/conn.go
@@ -28,7 +28,7 @@
 // the goroutine that carries it.
 type conn struct {
 	net.Conn
-	server *Server
+	server *Client
 	peeker *peeker
 	in     *bufio.Reader
 	out    *bufio.Writer
@@ -51,7 +51,7 @@
 	interrupted bool
 }
 
-func newConn(raw net.Conn, s *Server) *conn {
+func newConn(raw net.Conn, s *Client) *conn {
 	c := &conn{Conn: raw, server: s, peeker: newPeeker(raw)}
 	c.in = bufio.NewReaderSize(c, readBuffer)
 	c.out = bufio.NewWriterSize(c, writeBuffer)
@@ -154,7 +154,7 @@
 // that is left out, to hear whether the server was only slow.
 func (c *conn) withdraw(s *sending) {
 	c.settle()
-	if c.server.settings.Abrupt {
+	if c.server.settings.CancelByFullClose {
 		c.end()
 		s.done(true)
 		return
--- a/internal/upstr/sending.go
+++ b/internal/upstr/sending.go
@@ -46,7 +46,7 @@
 
 // writeDeadline returns the deadline of writing. A request that fits the buffers of both ends
 // is never blocked, and needs none.
-func (s *sending) writeDeadline(o Order) time.Time {
+func (s *sending) writeDeadline(o SendOptions) time.Time {
 	if o.InMemory && s.request.ContentLength < writeBuffer {
 		return time.Time{}
 	}
--- a/internal/upstr/server.go
+++ b/internal/upstr/server.go
@@ -35,8 +35,8 @@
 	ErrSilent = errors.New("upstr: connection went silent")
 	// ErrDeadline marks an ErrInDoubt of a server that did not answer in time.
 	ErrDeadline = errors.New("upstr: no answer by the deadline")
-	// ErrBudget marks an ErrNotSent: all connections are in use.
-	ErrBudget = errors.New("upstr: no connection left")
+	// ErrConnLimit marks an ErrNotSent: all connections are in use.
+	ErrConnLimit = errors.New("upstr: no connection left")
 )
 
 // The bounds of connections.
@@ -58,31 +58,31 @@
 	Name string
 	// Address is an IP address with port.
 	Address string
-	// Connections is the number that the server accepts from all instances.
-	Connections int
-	Slots       int
-	// Patience is the least time for which a connection may be silent before it is doubted;
+	// MaxConns is the number that the server accepts from all instances.
+	MaxConns int
+	Slots    int
+	// SilenceTimeout is the least time for which a connection may be silent before it is doubted;
 	// zero means DefaultPatience.
-	Patience time.Duration
-	// Idle is how long a connection may be idle before it is used again; zero means
+	SilenceTimeout time.Duration
+	// IdleTimeout is how long a connection may be idle before it is used again; zero means
 	// idleTimeout.
-	Idle time.Duration
-	// Unwatched leaves out the connection by which the end of the server is seen: Died may not
+	IdleTimeout time.Duration
+	// NoDeathMonitor leaves out the connection by which the end of the server is seen: Died may not
 	// be asked then.
-	Unwatched bool
-	// Abrupt says that the server takes only the end of the whole connection as a cancellation,
+	NoDeathMonitor bool
+	// CancelByFullClose says that the server takes only the end of the whole connection as a cancellation,
 	// not that of its sending side.
-	Abrupt bool
-	// Unacknowledged is how long sent bytes may stay unacknowledged before the connection is
+	CancelByFullClose bool
+	// UserTimeout is how long sent bytes may stay unacknowledged before the connection is
 	// lost; zero means userTimeoutMillis.
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 }
 
-// DefaultPatience is long beside the answers of today's services.
-const DefaultPatience = time.Second
+// DefaultSilenceTimeout is long beside the answers of today's services.
+const DefaultSilenceTimeout = time.Second
 
-// Server is the connections to one backend server.
-type Server struct {
+// Client is the connections to one backend server.
+type Client struct {
 	settings Settings
 	budget   int
 	dialer   net.Dialer
@@ -102,66 +102,66 @@
 
 // filled returns the settings with the defaults in place.
 func (s Settings) filled() Settings {
-	if s.Patience == 0 {
-		s.Patience = DefaultPatience
+	if s.SilenceTimeout == 0 {
+		s.SilenceTimeout = DefaultSilenceTimeout
 	}
-	if s.Idle == 0 {
-		s.Idle = idleTimeout
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = idleTimeout
 	}
-	if s.Unacknowledged == 0 {
-		s.Unacknowledged = userTimeoutMillis * time.Millisecond
+	if s.UserTimeout == 0 {
+		s.UserTimeout = userTimeoutMillis * time.Millisecond
 	}
 	return s
 }
 
-// NewServer returns the connections to a server. It opens at most a third of the connections
+// NewClient returns the connections to a server. It opens at most a third of the connections
 // that the server accepts, so that a successor of this gate, and heartbeats, have room
 // beside it. Close ends it.
-func NewServer(settings Settings) *Server {
+func NewClient(settings Settings) *Client {
 	settings = settings.filled()
-	s := &Server{
+	s := &Client{
 		settings: settings,
-		budget:   max(settings.Connections/budgetDivisor, settings.Slots+1),
-		dialer:   net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: UserTimeout(settings.Unacknowledged)},
+		budget:   max(settings.MaxConns/budgetDivisor, settings.Slots+1),
+		dialer:   net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: UserTimeout(settings.UserTimeout)},
 		open:     make(map[*conn]struct{}),
 	}
-	s.slowest.Store(int64(settings.Patience) / patienceTimes)
+	s.slowest.Store(int64(settings.SilenceTimeout) / patienceTimes)
 	s.watch = newWatch(s)
 	return s
 }
 
-// Made reports whether the server was made from the given settings.
-func (s *Server) Made(settings Settings) bool { return s.settings == settings.filled() }
+// HasSettings reports whether the server was made from the given settings.
+func (s *Client) HasSettings(settings Settings) bool { return s.settings == settings.filled() }
 
-// Order says how a request is to be sent.
-type Order struct {
+// SendOptions says how a request is to be sent.
+type SendOptions struct {
 	// Deadline is when the head of the answer must be there. The server must have dropped
 	// the work shortly after it.
 	Deadline time.Time
 	// InMemory says that the request's body is in memory, or that it has none.
 	InMemory bool
-	// Fresh asks for a new connection.
-	Fresh bool
-	// Permit, if not nil, is called when a connection is there, immediately before the first
+	// NewConn asks for a new connection.
+	NewConn bool
+	// BeforeWrite, if not nil, is called when a connection is there, immediately before the first
 	// byte is written. Its error ends the request unsent.
-	Permit func() error
+	BeforeWrite func() error
 	// Done is called once, in any case, when the server is done with the request or known to
 	// have dropped it: only then its slot is free. Sent says whether bytes may have left.
 	Done func(sent bool)
 }
 
-func (o *Order) permitted() error {
-	if o.Permit == nil {
+func (o *SendOptions) permitted() error {
+	if o.BeforeWrite == nil {
 		return nil
 	}
-	return o.Permit()
+	return o.BeforeWrite()
 }
 
 // Send sends a request and returns when the head of the answer is there. The request's
 // context cancels it at any time. Its answer's body must be closed. Errors wrap ErrNotSent or
 // ErrInDoubt.
-func (s *Server) Send(r *http.Request, o Order) (*http.Response, error) {
-	if !s.settings.Unwatched {
+func (s *Client) Send(r *http.Request, o SendOptions) (*http.Response, error) {
+	if !s.settings.NoDeathMonitor {
 		s.watch.start(r.Context())
 	}
 	c, err := s.get(r.Context(), o)
@@ -197,7 +197,7 @@
 }
 
 // giveUp ends a request without an answer.
-func (s *Server) giveUp(out *sending, c *conn, err error) error {
+func (s *Client) giveUp(out *sending, c *conn, err error) error {
 	out.stop()
 	if out.writing == nil && !c.wrote {
 		c.settle()
@@ -211,7 +211,7 @@
 }
 
 // failure says what an error after the first byte means.
-func (s *Server) failure(out *sending, err error) error {
+func (s *Client) failure(out *sending, err error) error {
 	switch {
 	case out.silent:
 		err = ErrSilent
@@ -225,8 +225,8 @@
 	return fmt.Errorf("%w at %s: %w", ErrInDoubt, s.settings.Name, err)
 }
 
-// Cut closes all connections at once, for when the right to use the server is lost.
-func (s *Server) Cut() {
+// CloseConns closes all connections at once, for when the right to use the server is lost.
+func (s *Client) CloseConns() {
 	s.dropIdle()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +237,7 @@
 
 // Close closes the idle connections, and others when they become idle, and ends the watch.
 // Requests in progress go on.
-func (s *Server) Close() {
+func (s *Client) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
@@ -245,28 +245,28 @@
 	s.watch.stop()
 }
 
-// Open returns the number of open connections, those being opened included.
-func (s *Server) Open() int {
+// OpenConns returns the number of open connections, those being opened included.
+func (s *Client) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open) + s.dials
 }
 
 // get returns a connection for a request.
-func (s *Server) get(ctx context.Context, o Order) (*conn, error) {
-	for !o.Fresh {
+func (s *Client) get(ctx context.Context, o SendOptions) (*conn, error) {
+	for !o.NewConn {
 		c := s.takeIdle()
 		if c == nil {
 			break
 		}
-		if time.Since(c.idleSince) < s.settings.Idle && c.peeker.quiet() {
+		if time.Since(c.idleSince) < s.settings.IdleTimeout && c.peeker.quiet() {
 			c.reused = true
 			return c, nil
 		}
 		c.end()
 	}
 	if !s.reserve() {
-		return nil, ErrBudget
+		return nil, ErrConnLimit
 	}
 	dialer := s.dialer
 	dialer.Deadline = o.Deadline
@@ -283,7 +283,7 @@
 }
 
 // reserve counts a connection about to be opened. If all are in use an idle one gives way.
-func (s *Server) reserve() bool {
+func (s *Client) reserve() bool {
 	for {
 		s.mu.Lock()
 		if len(s.open)+s.dials < s.budget {
@@ -301,7 +301,7 @@
 }
 
 // takeIdle returns the connection that became idle last, nil if there is none.
-func (s *Server) takeIdle() *conn {
+func (s *Client) takeIdle() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := len(s.idle) - 1
@@ -315,7 +315,7 @@
 }
 
 // put makes a connection idle.
-func (s *Server) put(c *conn) {
+func (s *Client) put(c *conn) {
 	c.idleSince = time.Now()
 	s.mu.Lock()
 	if s.closed {
@@ -325,15 +325,15 @@
 	}
 	s.idle = append(s.idle, c)
 	if s.reaper == nil {
-		s.reaper = time.AfterFunc(s.settings.Idle, s.reap)
+		s.reaper = time.AfterFunc(s.settings.IdleTimeout, s.reap)
 	}
 	s.mu.Unlock()
 }
 
 // reap closes the connections that have been idle for too long.
-func (s *Server) reap() {
+func (s *Client) reap() {
 	s.mu.Lock()
-	limit := time.Now().Add(-s.settings.Idle)
+	limit := time.Now().Add(-s.settings.IdleTimeout)
 	fresh := slices.IndexFunc(s.idle, func(c *conn) bool { return c.idleSince.After(limit) })
 	if fresh < 0 {
 		fresh = len(s.idle)
@@ -342,7 +342,7 @@
 	s.idle = slices.Delete(s.idle, 0, fresh)
 	s.reaper = nil
 	if len(s.idle) > 0 {
-		s.reaper = time.AfterFunc(time.Until(s.idle[0].idleSince.Add(s.settings.Idle)), s.reap)
+		s.reaper = time.AfterFunc(time.Until(s.idle[0].idleSince.Add(s.settings.IdleTimeout)), s.reap)
 	}
 	s.mu.Unlock()
 	for _, c := range old {
@@ -351,13 +351,13 @@
 }
 
 // dropIdle closes all idle connections.
-func (s *Server) dropIdle() {
+func (s *Client) dropIdle() {
 	for c := s.takeIdle(); c != nil; c = s.takeIdle() {
 		c.end()
 	}
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Client) forget(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
--- a/internal/upstr/server_test.go
+++ b/internal/upstr/server_test.go
@@ -16,13 +16,13 @@
 )
 
 // connect returns the connections to an address, closed with the test.
-func connect(t *testing.T, address string, change func(*Settings)) *Server {
+func connect(t *testing.T, address string, change func(*Settings)) *Client {
 	t.Helper()
-	settings := Settings{Name: "a", Address: address, Connections: 110, Slots: 2}
+	settings := Settings{Name: "a", Address: address, MaxConns: 110, Slots: 2}
 	if change != nil {
 		change(&settings)
 	}
-	s := NewServer(settings)
+	s := NewClient(settings)
 	t.Cleanup(s.Close)
 	return s
 }
@@ -47,13 +47,13 @@
 }
 
 // order returns an order without a deadline to speak of, and a channel that its Done closes.
-func order() (Order, chan struct{}) {
+func order() (SendOptions, chan struct{}) {
 	done := make(chan struct{})
-	return Order{Deadline: time.Now().Add(time.Hour), InMemory: true, Done: func(bool) { close(done) }}, done
+	return SendOptions{Deadline: time.Now().Add(time.Hour), InMemory: true, Done: func(bool) { close(done) }}, done
 }
 
 // send sends a request and reads its answer.
-func send(s *Server, r *http.Request) result {
+func send(s *Client, r *http.Request) result {
 	o, done := order()
 	response, err := s.Send(r, o)
 	if err != nil {
@@ -111,7 +111,7 @@
 	got := send(s, request(is, http.MethodPost, "text"))
 	is.True(errors.Is(got.err, ErrNotSent))
 	<-got.done
-	is.Equal(s.Open(), 0)
+	is.Equal(s.OpenConns(), 0)
 }
 
 // A caller goes away while the server works. The server is told by the end of the sending
@@ -257,7 +257,7 @@
 		<-release
 	}))
 	defer server.Close()
-	s := connect(t, server.Listener.Addr().String(), func(s *Settings) { s.Connections, s.Slots = 12, 2 })
+	s := connect(t, server.Listener.Addr().String(), func(s *Settings) { s.MaxConns, s.Slots = 12, 2 })
 	results := make(chan result, 4)
 	for range 4 {
 		r := request(is, http.MethodGet, "")
@@ -266,9 +266,9 @@
 	for range 4 {
 		<-begun
 	}
-	is.Equal(s.Open(), 4)
+	is.Equal(s.OpenConns(), 4)
 	got := send(s, request(is, http.MethodGet, ""))
-	is.True(errors.Is(got.err, ErrBudget))
+	is.True(errors.Is(got.err, ErrConnLimit))
 	is.True(errors.Is(got.err, ErrNotSent))
 	<-got.done
 	close(release)
@@ -277,7 +277,7 @@
 		is.NoErr(got.err)
 		<-got.done
 	}
-	is.Equal(s.Open(), 4)
+	is.Equal(s.OpenConns(), 4)
 }
 
 // A long upload is answered before its end. The answer counts, and the connection, on which
@@ -303,7 +303,7 @@
 	is.NoErr(response.Body.Close())
 	is.Equal(string(text), "no")
 	<-done
-	is.Equal(s.Open(), 0)
+	is.Equal(s.OpenConns(), 0)
 }
 
 // A caller's upload ends early. The server must not take the part for the whole.
--- a/internal/upstr/silent.go
+++ b/internal/upstr/silent.go
@@ -32,19 +32,19 @@
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3}
 
 // observe takes in a time to an answer.
-func (s *Server) observe(d time.Duration) {
+func (s *Client) observe(d time.Duration) {
 	slowest := s.slowest.Load()
 	next := max(int64(d), slowest-slowest/slowestDecay)
 	s.slowest.CompareAndSwap(slowest, next)
 }
 
 // patience returns how long a request may be silent before its connection is doubted.
-func (s *Server) patience() time.Duration {
-	return min(max(patienceTimes*time.Duration(s.slowest.Load()), s.settings.Patience), patienceMost)
+func (s *Client) patience() time.Duration {
+	return min(max(patienceTimes*time.Duration(s.slowest.Load()), s.settings.SilenceTimeout), patienceMost)
 }
 
 // Probe returns nil if the server answers anything on a new connection.
-func (s *Server) Probe(ctx context.Context) error {
+func (s *Client) Probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	transport := &http.Transport{DialContext: s.dialer.DialContext, DisableKeepAlives: true}
--- a/internal/upstr/silent_test.go
+++ b/internal/upstr/silent_test.go
@@ -46,7 +46,7 @@
 			is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 			server.awaitConns(2)
 			is.True(errors.Is(send(s, request(is, http.MethodGet, "")).err, ErrLost))
-			is.Equal(s.Died(context.Background(), time.Now()), tt.dies)
+			is.Equal(s.ServerDied(context.Background(), time.Now()), tt.dies)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 			_, _ = io.WriteString(c, ok)
 		}
 	})
-	s := connect(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
+	s := connect(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
 	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 	silent := send(s, request(is, http.MethodGet, ""))
 	is.True(errors.Is(silent.err, ErrSilent))
@@ -103,7 +103,7 @@
 			_, _ = io.WriteString(c, ok)
 		}
 	})
-	s := connect(t, server.Addr().String(), func(s *Settings) { s.Patience = 20 * time.Millisecond })
+	s := connect(t, server.Addr().String(), func(s *Settings) { s.SilenceTimeout = 20 * time.Millisecond })
 	is.NoErr(send(s, request(is, http.MethodGet, "")).err)
 	got := send(s, request(is, http.MethodGet, ""))
 	is.NoErr(got.err)
--- a/internal/upstr/watch.go
+++ b/internal/upstr/watch.go
@@ -21,7 +21,7 @@
 // because it dislikes a request, it stays. That tells a request that crashes servers from
 // one that is only badly answered, also where the server is back within milliseconds.
 type watch struct {
-	server *Server
+	server *Client
 	once   sync.Once
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -33,7 +33,7 @@
 	broke chan struct{}
 }
 
-func newWatch(s *Server) *watch {
+func newWatch(s *Client) *watch {
 	return &watch{server: s, cancel: func() {}, ended: make(chan struct{}), broke: make(chan struct{})}
 }
 
@@ -102,9 +102,9 @@
 	w.broke = make(chan struct{})
 }
 
-// Died reports whether the server's process ended when a connection was lost at a time just
+// ServerDied reports whether the server's process ended when a connection was lost at a time just
 // past. It takes up to deathWindow to be sure.
-func (s *Server) Died(ctx context.Context, lostAt time.Time) bool {
+func (s *Client) ServerDied(ctx context.Context, lostAt time.Time) bool {
 	s.watch.mu.Lock()
 	recent := s.watch.brokeAt.After(lostAt.Add(-deathWindow))
 	broke := s.watch.broke
