--- a/internal/policy/core.go
+++ b/internal/policy/core.go
@@ -9,317 +9,328 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// MemoryTime is for how long a request is remembered after its deadline. A caller's resend
-// within it is recognised.
-const MemoryTime = 10 * time.Minute
+// RecordRetention is how long the idempotency record of a request is kept after the deadline
+// of the request. A resend within this time is recognised.
+const RecordRetention = 10 * time.Minute
 
-// The limits of a service that states none.
+// The limits of a service whose bundle sets none.
 const (
-	defaultQueue        = 256
-	defaultCrashServers = 2
-	defaultBlock        = 10 * time.Minute
+	defaultMaxWaiting    = 256
+	defaultCrashServers  = 2
+	defaultBlockDuration = 10 * time.Minute
 )
 
 // Request is a request at the gate.
 type Request struct {
 	Ticket Ticket
-	// Pool names the servers that may run the request: the owner in a divided service.
+	// Pool names the servers that may run the request. In a divided service it is the name of
+	// the owner; otherwise it is empty.
 	Pool string
-	// Name is zero for a request without an id. Together with Sending it is used only if the
+	// RequestID is zero for a request without an id. Like SubmissionID it is used only if the
 	// request is not idempotent.
-	Name       Name
-	Sending    Name
-	Hash       uint64
-	Print      Print
-	Caller     string
-	Deadline   Time
-	Idempotent bool
-	// Replayable says that the whole body can be sent once more.
+	RequestID    ID
+	SubmissionID ID
+	// Hash is the position of the request in the hash space.
+	Hash uint64
+	// Fingerprint is zero if it was not computed.
+	Fingerprint Fingerprint
+	Caller      string
+	Deadline    Time
+	Idempotent  bool
+	// Replayable says that the whole body can be sent again.
 	Replayable bool
 
-	tries      int
-	remembered bool
-	suspect    bool
+	// attempts is the number of times that the request got a slot.
+	attempts int
+	// recorded says that the table holds a record for this submission.
+	recorded bool
+	suspect  bool
 }
 
-// sent returns the request as the memory knows it.
-func (r *Request) sent() Sent {
-	return Sent{Name: r.Name, Hash: r.Hash, Sending: r.Sending, Print: r.Print, Until: r.Deadline.Add(MemoryTime)}
+func (r *Request) submission() Submission {
+	return Submission{RequestID: r.RequestID, Hash: r.Hash, ID: r.SubmissionID, Fingerprint: r.Fingerprint, ExpiresAt: r.Deadline.Add(RecordRetention)}
 }
 
-// Remembered reports whether the memory holds the request on behalf of this sending.
-func (r *Request) Remembered() bool { return r.remembered }
+// HasRecord reports whether the idempotency table holds a record for this submission whose
+// outcome is still to be recorded.
+func (r *Request) HasRecord() bool { return r.recorded }
 
 // Slot is a slot that a request holds.
 type Slot struct {
 	Pool   string
 	Server string
-	// Suspect says that no other suspect may run on the server meanwhile.
+	// Suspect says that no other suspect may run at the server meanwhile.
 	Suspect bool
 }
 
-// Core is the policy of one service at one instance.
+// Core decides about the requests of one service at one instance. It combines the queue of
+// each pool, the idempotency table, the crash tracker and the retry budget.
 type Core struct {
-	service  string
-	limits   bundle.Limits
-	memory   *Memory
-	suspects *Suspects
-	budget   Budget
-	queues   map[string]*Queue
-	waiting  map[Ticket]*Request
-	// originMillis is the Unix time in milliseconds at Time zero.
-	originMillis int64
+	service string
+	limits  bundle.Limits
+	table   *IdempotencyTable
+	crashes *CrashTracker
+	budget  RetryBudget
+	// queues holds a queue per pool.
+	queues  map[string]*Queue
+	waiting map[Ticket]*Request
+	// originUnixMillis is the Unix time in milliseconds at Time zero.
+	originUnixMillis int64
 }
 
-// NewCore returns the policy of a service. The last parameter is the Unix time in
+// NewCore returns the Core of a service. The parameter originUnixMillis is the Unix time in
 // milliseconds at Time zero.
-func NewCore(service string, b Bounds, originMillis int64) *Core {
+func NewCore(service string, l TableLimits, originUnixMillis int64) *Core {
 	return &Core{
-		service: service, memory: NewMemory(b), suspects: NewSuspects(service),
-		queues: make(map[string]*Queue), waiting: make(map[Ticket]*Request), originMillis: originMillis,
+		service: service, table: NewIdempotencyTable(l), crashes: NewCrashTracker(service),
+		queues: make(map[string]*Queue), waiting: make(map[Ticket]*Request), originUnixMillis: originUnixMillis,
 	}
 }
 
-// Configure sets the limits of the service and the servers of one pool. The verdicts are on
-// waiting requests, and valid until the next call.
-func (c *Core) Configure(now Time, pool string, limits bundle.Limits, servers []Capacity) []Verdict {
+// Configure sets the limits of the service and the servers of one pool. The decisions are about
+// waiting requests, and are valid until the next call.
+func (c *Core) Configure(now Time, pool string, limits bundle.Limits, servers []Server) []Decision {
 	c.limits = limits
 	q := c.queues[pool]
 	if q == nil {
 		q = NewQueue(0)
 		c.queues[pool] = q
 	}
-	limit := limits.Queue
-	if limit <= 0 {
-		limit = defaultQueue
+	maxWaiting := limits.Queue
+	if maxWaiting <= 0 {
+		maxWaiting = defaultMaxWaiting
 	}
-	if q.Same(limit, servers) {
+	if q.IsConfigured(maxWaiting, servers) {
 		return nil
 	}
-	return c.settle(q.Configure(now, limit, servers))
+	return c.applyQueueDecisions(q.Configure(now, maxWaiting, servers))
 }
 
-// Recollect asks the memory about a request. If it returns Fresh, the memory holds this
-// sending from now on, until Answered, Failed with a Final, Leave or Withdraw, or a verdict that
-// sheds it. A request without a name, or one that is idempotent, is always Fresh.
-func (c *Core) Recollect(now Time, r *Request) Recollection {
-	if r.Idempotent || r.Name.IsZero() || r.remembered {
+// CheckIdempotency checks whether a request may run. It always returns Fresh for a request that
+// has no id or is idempotent. If it returns Fresh for another request, the table holds a record
+// of this submission from then on. The record stays open until Complete, RecordUnknown, Cancel
+// or Dequeue, a Final from HandleFault, or a Rejected.
+func (c *Core) CheckIdempotency(now Time, r *Request) CheckResult {
+	if r.Idempotent || r.RequestID.IsZero() || r.recorded {
 		return Fresh{}
 	}
-	known := c.memory.Begin(now, r.sent())
-	_, r.remembered = known.(Fresh)
-	return known
+	result := c.table.Begin(now, r.submission())
+	_, r.recorded = result.(Fresh)
+	return result
 }
 
-// Arrive takes a request in, asking the memory if Recollect was not called before. The first
-// verdict is on the request itself, any others are on requests that wait. They are valid
-// until the next call.
-func (c *Core) Arrive(now Time, r *Request) []Verdict {
-	known := c.Recollect(now, r)
-	if _, fresh := known.(Fresh); !fresh {
-		return []Verdict{Known{Ticket: r.Ticket, Recollection: known}}
+// Admit decides about a request, after CheckIdempotency unless that was called before. It is
+// called once for each attempt. The first decision is about this request, any others are about
+// waiting ones. They are valid until the next call.
+func (c *Core) Admit(now Time, r *Request) []Decision {
+	result := c.CheckIdempotency(now, r)
+	if _, fresh := result.(Fresh); !fresh {
+		return []Decision{CheckFailed{Ticket: r.Ticket, Result: result}}
 	}
-	if r.tries == 0 {
+	if r.attempts == 0 {
 		c.budget.Earn()
 	}
-	switch c.degree(now, r.Print) {
+	switch c.suspicion(now, r.Fingerprint) {
 	case Blocked:
-		c.forget(r)
-		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonBlocked, RetryAt: c.blockedUntil(now, r.Print)}}
+		c.recordNotRun(r)
+		return []Decision{Rejected{Ticket: r.Ticket, Reason: ReasonBlocked, RetryAt: c.blockedUntil(now, r.Fingerprint)}}
 	case Suspect:
 		r.suspect = true
 	case Unsuspected:
 	}
-	return c.ask(now, r)
+	return c.enqueue(now, r)
 }
 
-// blockedUntil returns when a blocked request may be sent again: soon, while it is still
-// being found out whether the server was lost.
-func (c *Core) blockedUntil(now Time, p Print) Time {
-	return max(c.time(c.suspects.Until(p)), now.Add(retryFloor))
+// blockedUntil returns when a blocked request may be sent again. This is after minRetryDelay if
+// the request is blocked only by pending losses.
+func (c *Core) blockedUntil(now Time, f Fingerprint) Time {
+	return max(c.time(c.crashes.BlockedUntil(f)), now.Add(minRetryDelay))
 }
 
-func (c *Core) ask(now Time, r *Request) []Verdict {
+func (c *Core) enqueue(now Time, r *Request) []Decision {
 	q := c.queues[r.Pool]
 	if q == nil {
-		c.forget(r)
-		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(retryFloor)}}
+		c.recordNotRun(r)
+		return []Decision{Rejected{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(minRetryDelay)}}
 	}
-	verdicts := q.Ask(now, Ask{Ticket: r.Ticket, Caller: r.Caller, Deadline: r.Deadline, Suspect: r.suspect})
-	switch verdicts[0].(type) {
-	case Wait:
+	decisions := q.Admit(now, SlotRequest{Ticket: r.Ticket, Caller: r.Caller, Deadline: r.Deadline, Suspect: r.suspect})
+	switch decisions[0].(type) {
+	case Queued:
 		c.waiting[r.Ticket] = r
-	case Start:
-		r.tries++
-	case Shed:
-		c.forget(r)
-	case Known, Moved:
+	case Admitted:
+		r.attempts++
+	case Rejected:
+		c.recordNotRun(r)
+	case CheckFailed, Moved:
 	}
-	c.settle(verdicts[1:])
-	return verdicts
+	c.applyQueueDecisions(decisions[1:])
+	return decisions
 }
 
-// Leave takes out a waiting request whose caller is gone or whose deadline passed. It
-// reports false when the request does not wait.
-func (c *Core) Leave(r *Request) bool {
+// Dequeue removes a waiting request whose caller is gone or whose deadline passed. It returns
+// false if the request is not waiting.
+func (c *Core) Dequeue(r *Request) bool {
 	if c.waiting[r.Ticket] == nil {
 		return false
 	}
 	delete(c.waiting, r.Ticket)
-	c.forget(r)
-	return c.queues[r.Pool].Leave(r.Ticket)
+	c.recordNotRun(r)
+	return c.queues[r.Pool].Remove(r.Ticket)
 }
 
-// Move takes out the waiting requests of a pool whose gate is elsewhere now.
-func (c *Core) Move(pool string) []Verdict {
-	var verdicts []Verdict
+// DequeuePool removes the waiting requests of a pool whose gate is now at another instance. It
+// returns a Moved for each of them, ordered by ticket.
+func (c *Core) DequeuePool(pool string) []Decision {
+	var decisions []Decision
 	for t, r := range c.waiting {
-		if r.Pool == pool && c.Leave(r) {
-			verdicts = append(verdicts, Moved{Ticket: t})
+		if r.Pool == pool && c.Dequeue(r) {
+			decisions = append(decisions, Moved{Ticket: t})
 		}
 	}
-	slices.SortFunc(verdicts, func(a, b Verdict) int {
+	slices.SortFunc(decisions, func(a, b Decision) int {
 		return cmp.Compare(a.(Moved).Ticket, b.(Moved).Ticket)
 	})
-	return verdicts
+	return decisions
 }
 
-// Withdraw says that a request will not run here: it goes on to another gate, or is refused
-// before a byte was written.
-func (c *Core) Withdraw(r *Request) {
-	c.forget(r)
+// Cancel records that a request will not run here: it is forwarded to another gate, or it is
+// rejected before a byte of it was written to a server.
+func (c *Core) Cancel(r *Request) {
+	c.recordNotRun(r)
 }
 
-// Doubt says that a request may have run, and that its answer did not come whole.
-func (c *Core) Doubt(r *Request) {
-	c.doubt(r)
+// RecordUnknown records that a request may have run but got no complete response.
+func (c *Core) RecordUnknown(r *Request) {
+	c.recordUnknown(r)
 }
 
-// Held returns the slot of a request that was started at a server.
-func (c *Core) Held(r *Request, server string) Slot {
+// SlotOf returns the slot of a request that was admitted to a server.
+func (c *Core) SlotOf(r *Request, server string) Slot {
 	return Slot{Pool: r.Pool, Server: server, Suspect: r.suspect}
 }
 
-// Freed returns a slot after a request that ran for the given time, zero if it did not run.
-// The verdicts are on waiting requests, and valid until the next call.
-func (c *Core) Freed(now Time, s Slot, ran time.Duration) []Verdict {
-	return c.settle(c.queues[s.Pool].Release(now, s.Server, ran, s.Suspect))
+// Release gives back a slot after a request that ran for the given time, zero if it did not
+// run. The decisions are about waiting requests, and are valid until the next call.
+func (c *Core) Release(now Time, s Slot, ran time.Duration) []Decision {
+	return c.applyQueueDecisions(c.queues[s.Pool].Release(now, s.Server, ran, s.Suspect))
 }
 
-// Advance starts or sheds waiting requests of all pools after time has passed.
-func (c *Core) Advance(now Time) []Verdict {
-	var verdicts []Verdict
+// Advance admits or rejects waiting requests of all pools after time has passed.
+func (c *Core) Advance(now Time) []Decision {
+	var decisions []Decision
 	for _, q := range c.queues {
 		if q.Waiting() > 0 {
-			verdicts = append(verdicts, c.settle(q.Advance(now))...)
+			decisions = append(decisions, c.applyQueueDecisions(q.Advance(now))...)
 		}
 	}
-	return verdicts
+	return decisions
 }
 
-// Answered says that the request had its whole answer. Kept may be nil.
-func (c *Core) Answered(now Time, r *Request, status int, k *Kept) {
-	if r.remembered {
-		c.memory.Ran(r.sent(), status, k)
-		r.remembered = false
+// Complete records that the request got a complete response. The stored response may be nil.
+func (c *Core) Complete(now Time, r *Request, status int, response *StoredResponse) {
+	if r.recorded {
+		c.table.RecordRan(r.submission(), status, response)
+		r.recorded = false
 	}
-	if r.Print != 0 {
-		c.suspects.Clear(r.Print, c.nanos(now))
+	if r.Fingerprint != 0 {
+		c.crashes.Clear(r.Fingerprint, c.nanos(now))
 	}
 }
 
-// Busy suspends a server that said it has too much work.
-func (c *Core) Busy(now Time, s Slot, until Time) {
-	c.queues[s.Pool].Suspend(s.Server, min(until, now.Add(downMost)))
+// EjectBusy ejects a server that reported that it is overloaded, for at most maxEjection.
+func (c *Core) EjectBusy(now Time, s Slot, until Time) {
+	c.queues[s.Pool].Eject(s.Server, min(until, now.Add(maxEjection)))
 }
 
-// Failed decides what becomes of a request after a fault.
-func (c *Core) Failed(now Time, r *Request, s Slot, f Fault) Decision {
+// HandleFault decides whether a request is retried after a fault. A request that may have run
+// is retried only if it is idempotent.
+func (c *Core) HandleFault(now Time, r *Request, s Slot, f Fault) RetryDecision {
 	if f == NotSent {
-		c.queues[s.Pool].Down(now, s.Server)
+		c.queues[s.Pool].EjectUnreachable(now, s.Server)
 	}
-	ran := f == InDoubt || f == Lost
-	if ran && f == Lost && c.degree(now, r.Print) == Blocked {
-		c.doubt(r)
+	mayHaveRun := f == InDoubt || f == ConnectionLost
+	if mayHaveRun && f == ConnectionLost && c.suspicion(now, r.Fingerprint) == Blocked {
+		c.recordUnknown(r)
 		return Final{Outcome: caller.Unknown, Blocked: true}
 	}
-	again := (!ran || r.Idempotent) && r.Replayable && r.tries < maxTries && now < r.Deadline
-	if again && c.budget.Spend() {
+	retry := (!mayHaveRun || r.Idempotent) && r.Replayable && r.attempts < maxAttempts && now < r.Deadline
+	if retry && c.budget.Spend() {
 		return Retry{}
 	}
-	if ran {
-		c.doubt(r)
+	if mayHaveRun {
+		c.recordUnknown(r)
 		return Final{Outcome: caller.Unknown}
 	}
-	c.forget(r)
+	c.recordNotRun(r)
 	return Final{Outcome: caller.NotRun}
 }
 
-// settle keeps account of verdicts on waiting requests.
-func (c *Core) settle(verdicts []Verdict) []Verdict {
-	for _, v := range verdicts {
-		switch v := v.(type) {
-		case Start:
-			if r := c.waiting[v.Ticket]; r != nil {
-				r.tries++
-				delete(c.waiting, v.Ticket)
+// applyQueueDecisions updates the state of the waiting requests that a queue decided about. It
+// returns the decisions.
+func (c *Core) applyQueueDecisions(decisions []Decision) []Decision {
+	for _, d := range decisions {
+		switch d := d.(type) {
+		case Admitted:
+			if r := c.waiting[d.Ticket]; r != nil {
+				r.attempts++
+				delete(c.waiting, d.Ticket)
 			}
-		case Shed:
-			if r := c.waiting[v.Ticket]; r != nil {
-				c.forget(r)
-				delete(c.waiting, v.Ticket)
+		case Rejected:
+			if r := c.waiting[d.Ticket]; r != nil {
+				c.recordNotRun(r)
+				delete(c.waiting, d.Ticket)
 			}
-		case Wait, Known, Moved:
+		case Queued, CheckFailed, Moved:
 		}
 	}
-	return verdicts
+	return decisions
 }
 
-// forget says that this sending did not run.
-func (c *Core) forget(r *Request) {
-	if r.remembered {
-		c.memory.NotRun(r.sent())
-		r.remembered = false
+// recordNotRun records that this submission did not run.
+func (c *Core) recordNotRun(r *Request) {
+	if r.recorded {
+		c.table.RecordNotRun(r.submission())
+		r.recorded = false
 	}
 }
 
-// doubt says that this sending may have run.
-func (c *Core) doubt(r *Request) {
-	if r.remembered {
-		c.memory.Doubt(r.sent())
-		r.remembered = false
+// recordUnknown records that this submission may have run.
+func (c *Core) recordUnknown(r *Request) {
+	if r.recorded {
+		c.table.RecordUnknown(r.submission())
+		r.recorded = false
 	}
 }
 
-func (c *Core) degree(now Time, p Print) Suspicion {
-	if p == 0 || !c.suspects.Any() {
+func (c *Core) suspicion(now Time, f Fingerprint) Suspicion {
+	if f == 0 || !c.crashes.Any() {
 		return Unsuspected
 	}
-	losses := c.limits.CrashServers
-	if losses <= 0 {
-		losses = defaultCrashServers
+	crashLimit := c.limits.CrashServers
+	if crashLimit <= 0 {
+		crashLimit = defaultCrashServers
 	}
-	return c.suspects.Degree(p, losses, c.millis(now))
+	return c.crashes.SuspicionOf(f, crashLimit, c.millis(now))
 }
 
-func (c *Core) blockTime() time.Duration {
+func (c *Core) blockDuration() time.Duration {
 	if c.limits.BlockMillis > 0 {
 		return time.Duration(c.limits.BlockMillis) * time.Millisecond
 	}
-	return defaultBlock
+	return defaultBlockDuration
 }
 
 // millis returns the Unix time in milliseconds.
 func (c *Core) millis(t Time) int64 {
-	return c.originMillis + int64(t)/int64(time.Millisecond)
+	return c.originUnixMillis + int64(t)/int64(time.Millisecond)
 }
 
 // nanos returns the Unix time in nanoseconds.
 func (c *Core) nanos(t Time) int64 {
-	return c.originMillis*int64(time.Millisecond) + int64(t)
+	return c.originUnixMillis*int64(time.Millisecond) + int64(t)
 }
 
 // time returns the Time of a Unix time in milliseconds.
-func (c *Core) time(millis int64) Time {
-	return Time((millis - c.originMillis) * int64(time.Millisecond))
+func (c *Core) time(unixMillis int64) Time {
+	return Time((unixMillis - c.originUnixMillis) * int64(time.Millisecond))
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy decides what becomes of requests at the gate of a backend server: which may
-// run, which wait, and which are refused. It has no input or output: time comes in with each
-// call, and nothing here is safe for use by several goroutines at once.
+// Package policy decides what happens to requests at the gate of a backend server: which are
+// admitted, which are queued and which are rejected. It does no I/O and reads no clock: each
+// call passes the time. Nothing in this package is safe for concurrent use.
 package policy
 
 import "time"
@@ -21,19 +21,20 @@
 // Ticket identifies a request at one gate.
 type Ticket uint64
 
-// Reason says why a request was refused. Its text is the last part of the problem type.
+// Reason says why a request was rejected. Its text is the last part of the problem type that
+// the caller receives.
 type Reason string
 
-// The reasons for which a Queue refuses.
+// The reasons for which a Queue rejects a request.
 const (
-	ReasonQueueFull  Reason = "queue-full"
-	ReasonTooLate    Reason = "deadline-too-near"
-	ReasonExpired    Reason = "deadline-passed"
-	ReasonNoServer   Reason = "no-server"
-	ReasonOutOfShare Reason = "caller-over-share"
+	ReasonQueueFull       Reason = "queue-full"
+	ReasonDeadlineTooNear Reason = "deadline-too-near"
+	ReasonDeadlinePassed  Reason = "deadline-passed"
+	ReasonNoServer        Reason = "no-server"
+	ReasonCallerOverShare Reason = "caller-over-share"
 )
 
-// The reasons for which a Core refuses.
+// The reasons for which a Core rejects a request.
 const (
 	ReasonBlocked    Reason = "blocked"
 	ReasonInProgress Reason = "in-progress"
@@ -42,45 +43,47 @@
 	ReasonMemoryFull Reason = "memory-full"
 )
 
-// Verdict is what a Queue says of a request: Start, Wait or Shed. A Core says Known and Moved as
-// well. The set is sealed.
-type Verdict interface {
-	isVerdict()
+// Decision is one of Admitted, Queued, Rejected, CheckFailed and Moved. A Queue returns only
+// the first three, a Core all of them.
+type Decision interface {
+	isDecision()
 }
 
-// Start says that the request holds a slot of Server from now on.
-type Start struct {
+// Admitted says that the request holds a slot of Server from now on.
+type Admitted struct {
 	Ticket Ticket
 	Server string
 }
 
-// Wait says that the request is queued. A later Start or Shed names its ticket.
-type Wait struct {
+// Queued says that the request waits for a slot. A later Admitted or Rejected has the same
+// ticket, or a Moved if the gate moves meanwhile.
+type Queued struct {
 	Ticket Ticket
 }
 
-// Shed says that the request was refused before it ran. RetryAt is when a resend is likely
-// to be accepted.
-type Shed struct {
+// Rejected says that the request was rejected before it ran. RetryAt is when a resend is
+// likely to be admitted.
+type Rejected struct {
 	Ticket  Ticket
 	Reason  Reason
 	RetryAt Time
 }
 
-// Known says that an earlier sending of the request ran or may have run. The Recollection is
-// not Fresh.
-type Known struct {
-	Ticket       Ticket
-	Recollection Recollection
+// CheckFailed says that the idempotency check does not let the request run. Result is not
+// Fresh.
+type CheckFailed struct {
+	Ticket Ticket
+	Result CheckResult
 }
 
-// Moved says that the request no longer belongs at this gate. It did not run.
+// Moved says that the request did not run and that the gate of its pool is now at another
+// instance.
 type Moved struct {
 	Ticket Ticket
 }
 
-func (Known) isVerdict() {}
-func (Moved) isVerdict() {}
-func (Start) isVerdict() {}
-func (Wait) isVerdict()  {}
-func (Shed) isVerdict()  {}
+func (CheckFailed) isDecision() {}
+func (Moved) isDecision()       {}
+func (Admitted) isDecision()    {}
+func (Queued) isDecision()      {}
+func (Rejected) isDecision()    {}
