--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -89,7 +89,7 @@
 	// folded is the newest folded state of the log, or nil.
 	folded atomic.Pointer[fold.State]
 	// copied are the homes that another instance of the domain has read, or nil.
-	copied atomic.Pointer[[]fold.Taken]
+	copied atomic.Pointer[[]fold.DomainHomes]
 
 	events        chan event
 	sends         chan leader.Send
@@ -147,8 +147,8 @@
 // homesConfig takes the bounds that another domain waits for from the leader that keeps to them.
 func homesConfig(l leader.Config) homes.Config {
 	c := homes.DefaultConfig(l.Domain)
-	c.MoveBound = l.MoveBound
-	c.Pause = l.Pause
+	c.IsolationTimeout = l.IsolationTimeout
+	c.MaxPause = l.MaxPause
 	c.DriftPerMille = l.DriftPerMille
 	return c
 }
