--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -53,7 +53,7 @@
 }
 
 func compareBlocks(a, b policy.CrashRecord) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
 
 func (h Heartbeat) instance() member.Instance {
--- a/internal/policy/crash.go
+++ b/internal/policy/crash.go
@@ -31,9 +31,9 @@
 // CrashRecord is what is known of a request that is suspected to crash servers. Instances
 // exchange these records; merging two records of one request keeps the losses of both.
 type CrashRecord struct {
-	Service string      `json:"service"`
-	Print   Fingerprint `json:"print"`
-	Losses  []Loss      `json:"losses,omitempty"`
+	Service     string      `json:"service"`
+	Fingerprint Fingerprint `json:"print"`
+	Losses      []Loss      `json:"losses,omitempty"`
 	// ClearedNanos is when the request last got a complete response, in Unix nanoseconds.
 	// Losses up to then do not count: a request that crashes servers gets no response.
 	ClearedNanos int64 `json:"cleared-ns,omitempty"`
@@ -98,7 +98,7 @@
 
 // RecordCrash records that a server was lost while the request ran there.
 func (t *CrashTracker) RecordCrash(f Fingerprint, l Loss, untilMillis int64) {
-	t.add(CrashRecord{Service: t.service, Print: f, Losses: []Loss{l}, UntilMillis: untilMillis})
+	t.add(CrashRecord{Service: t.service, Fingerprint: f, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
 // AddPendingLoss records that a connection to a server was lost while the request ran. Until
@@ -204,16 +204,16 @@
 		copied.Losses = slices.Clone(r.Losses)
 		records = append(records, copied)
 	}
-	slices.SortFunc(records, func(a, b CrashRecord) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(records, func(a, b CrashRecord) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return records
 }
 
 func (t *CrashTracker) add(added CrashRecord) {
-	r := t.records[added.Print]
+	r := t.records[added.Fingerprint]
 	if r == nil {
 		t.evictOldest()
-		r = &CrashRecord{Service: t.service, Print: added.Print}
-		t.records[added.Print] = r
+		r = &CrashRecord{Service: t.service, Fingerprint: added.Fingerprint}
+		t.records[added.Fingerprint] = r
 	}
 	r.merge(added)
 }
@@ -229,5 +229,5 @@
 			oldest = r
 		}
 	}
-	delete(t.records, oldest.Print)
+	delete(t.records, oldest.Fingerprint)
 }
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -43,7 +43,7 @@
 			if len(r.Losses) > maxLosses {
 				t.Fatalf("%d losses", len(r.Losses))
 			}
-			if tracker.SuspicionOf(r.Print, 1, 0) != Blocked && len(r.Losses) > 0 {
+			if tracker.SuspicionOf(r.Fingerprint, 1, 0) != Blocked && len(r.Losses) > 0 {
 				t.Fatalf("%+v is not blocked", r)
 			}
 		}
