--- a/internal/entry/enforce.go
+++ b/internal/entry/bundle.go
@@ -6,15 +6,15 @@
 	"example.org/mustardring/internal/homes"
 )
 
-// enforced makes the bundle that has just come in force at this instance take effect.
-func (e *Entry) enforced(ctx context.Context) {
+// applyBundle makes the bundle that has just come in force at this instance take effect.
+func (e *Entry) applyBundle(ctx context.Context) {
 	b := e.state.bundle()
 	e.meter.BundleVersion.Set(int64(b.Version))
 	e.deps.Logger.Info("bundle-in-force", "version", b.Version)
 	if err := e.front.Lift(b.Lifted); err != nil {
 		e.deps.Logger.Warn("lifted-block-ignored", "error", err)
 	}
-	e.tellHomes(ctx, homes.InForce{Bundle: b})
+	e.notifyHomesCore(ctx, homes.InForce{Bundle: b})
 }
 
 // rank is the number of live instances before this one in the order of their names.
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -10,39 +10,39 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// tickPeriod is how often the cores look at their deadlines.
-const tickPeriod = 20 * time.Millisecond
+// tickInterval is how often the cores look at their deadlines.
+const tickInterval = 20 * time.Millisecond
 
-// heldPeriod is how often the core of homes is told what this instance holds, beside each time
+// heldInterval is how often the core of homes is told what this instance holds, beside each time
 // that it decides on other news.
-const heldPeriod = 100 * time.Millisecond
+const heldInterval = 100 * time.Millisecond
 
 // event is an input of the duty that runs the cores: forLeader or forHomes. The set is sealed.
 type event interface {
 	isEvent()
 }
 
-// forLeader is an event of the core that leads the domain.
-type forLeader struct {
+// leaderEvent is an event of the core that leads the domain.
+type leaderEvent struct {
 	event leader.Event
 }
 
-// forHomes is an event of the core that keeps the homes of the domain.
-type forHomes struct {
+// homesEvent is an event of the core that keeps the homes of the domain.
+type homesEvent struct {
 	event homes.Event
 }
 
-func (forLeader) isEvent() {}
-func (forHomes) isEvent()  {}
+func (leaderEvent) isEvent() {}
+func (homesEvent) isEvent()  {}
 
-// coreView holds the core's statement about itself. The core duty writes it, others read it.
-type coreView struct {
+// leadership holds the core's statement about itself. The core duty writes it, others read it.
+type leadership struct {
 	heartbeat atomic.Pointer[leader.Heartbeat]
 }
 
-// runCore is the only duty that touches the cores. It turns events into effects.
-func (e *Entry) runCore(ctx context.Context) error {
-	ticker := time.NewTicker(tickPeriod)
+// runCores is the only duty that touches the cores. It turns events into effects.
+func (e *Entry) runCores(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var heldAt time.Time
 	for {
@@ -50,82 +50,82 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			e.lead(leader.Ticked{})
+			e.handleLeaderEvent(leader.Ticked{})
 			if !now.Before(heldAt) {
-				heldAt = now.Add(heldPeriod)
-				e.reportHeld()
+				heldAt = now.Add(heldInterval)
+				e.reportHeldRanges()
 			}
-			e.confirmOwnGates()
-			e.closeLapsed()
+			e.extendOwnGateLease()
+			e.closeExpiredGrants()
 		case ev := <-e.events:
-			e.handle(ev)
+			e.handleEvent(ev)
 		}
 	}
 }
 
-// handle hands an event to the core that it is for. The core of homes decides only on what
+// handleEvent hands an event to the core that it is for. The core of homes decides only on what
 // this instance holds at that moment: a range that the leader adopted just before must not
 // count as one that nobody holds.
-func (e *Entry) handle(ev event) {
+func (e *Entry) handleEvent(ev event) {
 	switch ev := ev.(type) {
-	case forHomes:
-		e.reportHeld()
-		e.performHomes(e.homes.Handle(e.now(), ev.event))
-	case forLeader:
-		e.lead(ev.event)
+	case homesEvent:
+		e.reportHeldRanges()
+		e.performHomesEffects(e.homesCore.Handle(e.now(), ev.event))
+	case leaderEvent:
+		e.handleLeaderEvent(ev.event)
 	}
 }
 
-func (e *Entry) lead(ev leader.Event) {
-	for _, effect := range e.core.Handle(e.now(), ev) {
-		e.perform(effect)
+func (e *Entry) handleLeaderEvent(ev leader.Event) {
+	for _, effect := range e.leaderCore.Handle(e.now(), ev) {
+		e.performLeaderEffect(effect)
 	}
-	heartbeat := e.core.Heartbeat()
-	e.coreView.heartbeat.Store(&heartbeat)
+	heartbeat := e.leaderCore.Heartbeat()
+	e.leadership.heartbeat.Store(&heartbeat)
 }
 
-// reportHeld tells the core of homes what this instance holds as leader.
-func (e *Entry) reportHeld() {
-	term, leads := e.core.LogTerm()
+// reportHeldRanges tells the core of homes what this instance holds as leader.
+func (e *Entry) reportHeldRanges() {
+	term, leads := e.leaderCore.LogTerm()
 	b := e.state.bundle()
 	if !leads || b == nil {
-		e.performHomes(e.homes.Handle(e.now(), homes.Follows{}))
+		e.performHomesEffects(e.homesCore.Handle(e.now(), homes.Follows{}))
 		return
 	}
 	held := homes.Held{Log: term, Settled: true, Ranges: make(map[string][]keys.Range)}
-	held.Fence, held.Taught = e.core.HomesFence()
+	held.Fence, held.Taught = e.leaderCore.HomesFence()
 	for _, s := range b.Services {
 		if !s.Divided {
 			continue
 		}
-		ranges, settled := e.core.HeldRanges(s.Name)
+		ranges, settled := e.leaderCore.HeldRanges(s.Name)
 		held.Ranges[s.Name] = ranges
 		held.Settled = held.Settled && settled
 	}
-	e.performHomes(e.homes.Handle(e.now(), held))
+	e.performHomesEffects(e.homesCore.Handle(e.now(), held))
 }
 
-// confirmOwnGates extends the right of the leader to be a gate itself.
-func (e *Entry) confirmOwnGates() {
-	if asked, leads := e.core.QuorumAskedAt(); leads {
-		e.lease.extend(asked + leader.Time(gateLease))
+// extendOwnGateLease extends the right of the leader to be a gate itself.
+func (e *Entry) extendOwnGateLease() {
+	if asked, leads := e.leaderCore.QuorumAskedAt(); leads {
+		e.gateLease.extend(asked + leader.Time(gateLeaseDuration))
 	}
 }
 
-func (e *Entry) performHomes(effects []homes.Effect) {
+func (e *Entry) performHomesEffects(effects []homes.Effect) {
 	for _, effect := range effects {
 		switch f := effect.(type) {
 		case homes.Allow:
-			e.lead(configured(f.Bundle, e.deps.Settings.Domain, f.Ranges))
+			e.handleLeaderEvent(leaderConfig(f.Bundle, e.deps.Settings.Domain, f.Ranges))
 		case homes.Append:
 			e.queueAppend(leader.Append{ID: f.ID, Record: f.Record})
 		case homes.Teach:
-			e.core.RaiseHomesFence(f.Fence)
+			e.leaderCore.RaiseHomesFence(f.Fence)
 		}
 	}
 }
 
-func (e *Entry) perform(effect leader.Effect) {
+func (e *Entry) performLeaderEffect(effect leader.Effect) {
 	switch f := effect.(type) {
 	case leader.Send:
 		e.queueSend(f)
@@ -165,19 +165,19 @@
 	}
 }
 
-// tell hands an event to the core that leads.
-func (e *Entry) tell(ctx context.Context, ev leader.Event) {
-	e.put(ctx, forLeader{event: ev})
+// notifyLeaderCore hands an event to the core that leads.
+func (e *Entry) notifyLeaderCore(ctx context.Context, ev leader.Event) {
+	e.enqueue(ctx, leaderEvent{event: ev})
 }
 
-// tellHomes hands an event to the core of homes.
-func (e *Entry) tellHomes(ctx context.Context, ev homes.Event) {
-	e.put(ctx, forHomes{event: ev})
+// notifyHomesCore hands an event to the core of homes.
+func (e *Entry) notifyHomesCore(ctx context.Context, ev homes.Event) {
+	e.enqueue(ctx, homesEvent{event: ev})
 }
 
-// put gives an event to the core duty. A full ring means that the cores are far behind; the
+// enqueue gives an event to the core duty. A full ring means that the cores are far behind; the
 // event waits until there is room or the context ends.
-func (e *Entry) put(ctx context.Context, ev event) {
+func (e *Entry) enqueue(ctx context.Context, ev event) {
 	select {
 	case e.events <- ev:
 	case <-ctx.Done():
--- a/internal/entry/spread.go
+++ b/internal/entry/distribute.go
@@ -16,69 +16,69 @@
 func (e *Entry) pushTable(t *route.Table) {
 	for _, c := range e.peers.inDomain() {
 		go func() {
-			_, _ = call[TablePush, TablePush](context.Background(), c, fetchLimit, methodTable, TablePush{Table: t})
+			_, _ = call[TablePush, TablePush](context.Background(), c, fetchTimeout, methodTable, TablePush{Table: t})
 		}()
 	}
 }
 
 // handleTable takes a pushed table, if any, and returns the newest.
 func (e *Entry) handleTable(ctx context.Context, push TablePush) (TablePush, error) {
-	e.takeTable(ctx, push.Table)
+	e.applyTable(ctx, push.Table)
 	return TablePush{Table: e.state.table()}, nil
 }
 
 func (e *Entry) fetchTable(ctx context.Context, c *peer.Client) {
-	result, err := call[TablePush, TablePush](ctx, c, fetchLimit, methodTable, TablePush{})
+	result, err := call[TablePush, TablePush](ctx, c, fetchTimeout, methodTable, TablePush{})
 	if err == nil {
-		e.takeTable(ctx, result.Table)
+		e.applyTable(ctx, result.Table)
 	}
 }
 
-func (e *Entry) takeTable(ctx context.Context, t *route.Table) {
+func (e *Entry) applyTable(ctx context.Context, t *route.Table) {
 	if t != nil && e.setTable(t) {
-		e.tell(ctx, leader.TableReceived{Table: *t})
+		e.notifyLeaderCore(ctx, leader.TableReceived{Table: *t})
 	}
 }
 
-func (e *Entry) handleProof(_ context.Context, f ProofFetch) (ProofPush, error) {
+func (e *Entry) handleBundle(_ context.Context, f BundleFetch) (BundlePush, error) {
 	push := e.state.offer(f.Have)
 	push.Homes = e.knownHomes()
 	return push, nil
 }
 
-// fetchProof takes a newer bundle from another instance. The signatures are checked: a peer
+// fetchBundle takes a newer bundle from another instance. The signatures are checked: a peer
 // is trusted no more than a stranger with the same bytes.
-func (e *Entry) fetchProof(ctx context.Context, r *remote) {
-	fetch := ProofFetch{}
+func (e *Entry) fetchBundle(ctx context.Context, r *remote) {
+	fetch := BundleFetch{}
 	if b := e.state.bundle(); b != nil {
 		fetch.Have = b.Version
 	}
-	result, err := call[ProofFetch, ProofPush](ctx, r.client, fetchLimit, methodProof, fetch)
+	result, err := call[BundleFetch, BundlePush](ctx, r.client, fetchTimeout, methodBundle, fetch)
 	if err != nil || result.Update == nil && result.Proof.IsZero() {
 		return
 	}
-	switch err := e.state.learn(result); {
+	switch err := e.state.applyBundle(result); {
 	case err == nil:
-		e.enforced(ctx)
+		e.applyBundle(ctx)
 	case !errors.Is(err, fold.ErrOlder):
 		e.deps.Logger.Warn("bundle-refused", "from", r.Name, "error", err)
 	}
 	if r.Domain == e.deps.Settings.Domain && len(result.Homes) > 0 {
-		e.copied.Store(&result.Homes)
-		if e.folded.Load() == nil {
-			e.state.takeHomes(result.Homes)
+		e.copiedHomes.Store(&result.Homes)
+		if e.logState.Load() == nil {
+			e.state.setHomes(result.Homes)
 		}
-		e.tellHomes(ctx, homes.Copied{Homes: result.Homes})
+		e.notifyHomesCore(ctx, homes.Copied{Homes: result.Homes})
 	}
 }
 
 // knownHomes returns the homes of all domains as this instance has read them, or else as
 // another instance of its domain has.
 func (e *Entry) knownHomes() []fold.Taken {
-	if state := e.folded.Load(); state != nil {
+	if state := e.logState.Load(); state != nil {
 		return state.Homes
 	}
-	if copied := e.copied.Load(); copied != nil {
+	if copied := e.copiedHomes.Load(); copied != nil {
 		return *copied
 	}
 	return nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -32,8 +32,8 @@
 
 // Errors of an entry instance.
 var (
-	// ErrDuty says that a duty ended before the instance was stopped.
-	ErrDuty = errors.New("entry: duty ended")
+	// ErrWorkerEnded says that a duty ended before the instance was stopped.
+	ErrWorkerEnded = errors.New("entry: duty ended")
 	// ErrListen says that an address of the settings cannot be listened on.
 	ErrListen = errors.New("entry: cannot listen")
 	// ErrDrain says that requests were still in flight when the drain deadline passed.
@@ -46,7 +46,7 @@
 	eventCapacity  = 4096
 	sendCapacity   = 4096
 	appendCapacity = 1024
-	maxDuties      = 16
+	maxWorkers     = 16
 )
 
 // Deps is what an instance depends on beside its settings.
@@ -69,35 +69,35 @@
 	deps   Deps
 	origin time.Time
 
-	core    *leader.Core
-	homes   *homes.Core
-	state   *state
-	peers   *peers
-	holders *holders
-	witness *witness
-	gained  *gains
-	losses  *losses
-	lease   *gateClock
-	meter   *meter.Control
-	loads   *loads
-	reports *reports
-	listing listing
-	// domainsAt is when the core of homes is next told which domains are heard. Only the
+	leaderCore *leader.Core
+	homesCore  *homes.Core
+	state      *state
+	peers      *peers
+	holders    *grantHolders
+	replicator *replicator
+	gateGains  *gateGains
+	replaced   *replacedProcesses
+	gateLease  *gateLease
+	meter      *meter.Control
+	loads      *loadCounter
+	reports    *loadReports
+	list       listTracker
+	// nextDomainsAt is when the core of homes is next told which domains are heard. Only the
 	// heartbeat duty touches it.
-	domainsAt leader.Time
-	front     *front.Front
-	// folded is the newest folded state of the log, or nil.
-	folded atomic.Pointer[fold.State]
-	// copied are the homes that another instance of the domain has read, or nil.
-	copied atomic.Pointer[[]fold.Taken]
+	nextDomainsAt leader.Time
+	front         *front.Front
+	// logState is the newest folded state of the log, or nil.
+	logState atomic.Pointer[fold.State]
+	// copiedHomes are the homes that another instance of the domain has read, or nil.
+	copiedHomes atomic.Pointer[[]fold.Taken]
 
 	events        chan event
 	sends         chan leader.Send
 	appends       chan leader.Append
 	callerServer  *http.Server
 	forwardServer *http.Server
-	// coreView is the core's newest statement about itself, for heartbeats.
-	coreView coreView
+	// leadership is the core's newest statement about itself, for heartbeats.
+	leadership leadership
 }
 
 // New returns an instance that does nothing until Run.
@@ -111,24 +111,24 @@
 		appends: make(chan leader.Append, appendCapacity),
 	}
 	leading := leader.DefaultConfig(d.Settings.Domain, d.Settings.Name, d.Incarnation)
-	e.core = leader.New(leading, d.Placer)
+	e.leaderCore = leader.New(leading, d.Placer)
 	e.meter = meter.NewControl()
-	e.homes = homes.New(homesConfig(leading))
+	e.homesCore = homes.New(homesConfig(leading))
 	e.peers = newPeers(d.Settings, d.Incarnation, d.TLS, e.meter)
-	e.holders = newHolders(d.Incarnation, e.clock)
-	e.loads = newLoads(time.Now())
-	e.reports = newReports()
-	e.gained = newGains()
-	e.lease = &gateClock{}
-	e.losses = newLosses()
-	e.witness = newWitness(e.peers, e.gained, e.losses, e.state, d.Logger)
+	e.holders = newGrantHolders(d.Incarnation, e.grantNow)
+	e.loads = newLoadCounter(time.Now())
+	e.reports = newLoadReports()
+	e.gateGains = newGateGains()
+	e.gateLease = &gateLease{}
+	e.replaced = newReplacedProcesses()
+	e.replicator = newReplicator(e.peers, e.gateGains, e.replaced, e.state, d.Logger)
 	f, err := front.New(front.Deps{
 		Instance:      d.Settings.Name,
 		Domain:        d.Settings.Domain,
 		Finder:        e.state.directory,
-		Right:         right{holders: e.holders, lease: e.lease, now: e.now},
-		Witness:       e.witness,
-		Ran:           e.ran,
+		Right:         gateChecker{holders: e.holders, gateLease: e.gateLease, now: e.now},
+		Witness:       e.replicator,
+		Ran:           e.countRequest,
 		Home:          e.state.directory.FindHome,
 		Forward:       newForwardTransport(d.TLS),
 		ForwardScheme: "https",
@@ -168,8 +168,8 @@
 	return leader.Time(time.Since(e.origin))
 }
 
-// clock reads the monotonic clock of the grants that this instance holds.
-func (e *Entry) clock() grant.Instant {
+// grantNow reads the monotonic clock of the grants that this instance holds.
+func (e *Entry) grantNow() grant.Instant {
 	return grant.Instant(time.Since(e.origin))
 }
 
@@ -177,16 +177,16 @@
 func newForwardTransport(config *tls.Config) http.RoundTripper {
 	return &http.Transport{
 		TLSClientConfig:     config.Clone(),
-		MaxIdleConnsPerHost: forwardIdle,
-		IdleConnTimeout:     forwardIdleTime,
+		MaxIdleConnsPerHost: maxForwardIdleConns,
+		IdleConnTimeout:     forwardIdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
 // Bounds of the connections that are kept to another instance.
 const (
-	forwardIdle     = 256
-	forwardIdleTime = 90 * time.Second
+	maxForwardIdleConns = 256
+	forwardIdleTimeout  = 90 * time.Second
 )
 
 // Run serves until the context ends, then stops gracefully: it hands its duties on, finishes
@@ -196,21 +196,21 @@
 	if err != nil {
 		return err
 	}
-	group := duty.New(context.WithoutCancel(ctx), maxDuties)
-	doors := duty.New(context.WithoutCancel(ctx), maxDuties)
-	e.start(group, listeners)
-	e.open(doors, listeners)
+	group := duty.New(context.WithoutCancel(ctx), maxWorkers)
+	doors := duty.New(context.WithoutCancel(ctx), maxWorkers)
+	e.startWorkers(group, listeners)
+	e.startServers(doors, listeners)
 	e.deps.Logger.Info("started", "instance", e.deps.Settings.Name, "domain", e.deps.Settings.Domain,
 		"incarnation", e.deps.Incarnation, "callers", e.deps.Settings.CallerAddress)
 	select {
 	case end := <-group.Ends():
 		_ = doors.Wait(0)
 		_ = group.Wait(1)
-		return fmt.Errorf("%w: %s: %w", ErrDuty, end.Name, end.Err)
+		return fmt.Errorf("%w: %s: %w", ErrWorkerEnded, end.Name, end.Err)
 	case end := <-doors.Ends():
 		_ = doors.Wait(1)
 		_ = group.Wait(0)
-		return fmt.Errorf("%w: %s: %w", ErrDuty, end.Name, end.Err)
+		return fmt.Errorf("%w: %s: %w", ErrWorkerEnded, end.Name, end.Err)
 	case <-ctx.Done():
 	}
 	drained := e.drain()
@@ -218,31 +218,31 @@
 	return cmp.Or(drained, closed, group.Wait(0))
 }
 
-// open starts the duties by which requests come in. They end before the others, which serve
+// startServers starts the duties by which requests come in. They end before the others, which serve
 // the requests that are still in flight.
-func (e *Entry) open(group *duty.Group, l *listeners) {
+func (e *Entry) startServers(group *duty.Group, l *listeners) {
 	group.Go("caller-http", e.serveCallers(l.caller))
 	group.Go("forward-http", e.serveForwards(l.forward))
 }
 
-// balancerTime is for how long a stopping instance goes on serving, so that the balancer and
+// balancerDelay is for how long a stopping instance goes on serving, so that the balancer and
 // the other instances have turned away before it closes its addresses.
-const balancerTime = 500 * time.Millisecond
+const balancerDelay = 500 * time.Millisecond
 
-func (e *Entry) balancerLag(ctx context.Context) {
+func (e *Entry) awaitBalancer(ctx context.Context) {
 	e.front.Refuse()
-	duty.Pause(ctx, balancerTime)
+	duty.Pause(ctx, balancerDelay)
 }
 
-func (e *Entry) start(group *duty.Group, l *listeners) {
-	group.Go("core", e.runCore)
+func (e *Entry) startWorkers(group *duty.Group, l *listeners) {
+	group.Go("core", e.runCores)
 	group.Go("exchanges", e.runExchanges)
 	group.Go("log", e.runLog)
 	group.Go("heartbeats", e.runHeartbeats)
 	group.Go("list", e.runList)
-	group.Go("witness", e.witness.run)
+	group.Go("witness", e.replicator.run)
 	group.Go("loads", e.runLoads)
-	group.Go("peer-server", peer.NewServer(l.peer, e.deps.TLS, e.mux(), e.peers.count).Run)
+	group.Go("peer-server", peer.NewServer(l.peer, e.deps.TLS, e.newMux(), e.peers.countBytes).Run)
 	group.Go("operator-http", e.serveOperators(l.operator))
 }
 
@@ -254,17 +254,17 @@
 	limit := time.Duration(e.deps.Settings.DrainMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	e.tell(ctx, leader.Stopping{})
-	e.announceStop(ctx)
+	e.notifyLeaderCore(ctx, leader.Stopping{})
+	e.announceLeaving(ctx)
 	// From here on each answer asks its caller to connect anew, elsewhere: a caller whose kept
 	// connection is closed cannot tell whether the request that it just wrote was read.
 	e.callerServer.SetKeepAlivesEnabled(false)
 	e.forwardServer.SetKeepAlivesEnabled(false)
-	e.balancerLag(ctx)
+	e.awaitBalancer(ctx)
 	if err := e.front.Drain(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrDrain, err)
 	}
-	e.handOver(ctx)
+	e.handOverRecords(ctx)
 	e.deps.Logger.Info("drained", "instance", e.deps.Settings.Name)
 	return nil
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -17,66 +17,66 @@
 
 // Limits of exchanges.
 const (
-	// exchangeLimit is well below a lease, so that an exchange on a connection that went silent
+	// exchangeTimeout is well below a lease, so that an exchange on a connection that went silent
 	// is given up, and the next one on a new connection still renews the lease.
-	exchangeLimit  = 250 * time.Millisecond
-	maxExchanges   = 256
-	maxAnswerBytes = 4 << 20
-	exchangeIdle   = 1
+	exchangeTimeout      = 250 * time.Millisecond
+	maxExchanges         = 256
+	maxAnswerBytes       = 4 << 20
+	maxIdleExchangeConns = 1
 )
 
 // Errors of exchanges.
 var (
 	errNoServer = errors.New("entry: no such server in the bundle")
-	errNoVia    = errors.New("entry: no link to the instance that holds the grant")
+	errNoPeer   = errors.New("entry: no link to the instance that holds the grant")
 	errTooLate  = errors.New("entry: exchange no longer valid")
 	errStatus   = errors.New("entry: exchange refused")
 )
 
-// exchanged is an exchange that has ended.
-type exchanged struct {
+// exchangeResult is an exchange that has ended.
+type exchangeResult struct {
 	send   leader.Send
 	answer grant.Answer
 	err    error
 }
 
-// seat names where an exchange goes.
-type seat struct {
+// exchangeTarget names where an exchange goes.
+type exchangeTarget struct {
 	server string
 	via    string
 }
 
 // runExchanges carries the core's exchanges to servers and gates, one at a time to each.
 func (e *Entry) runExchanges(ctx context.Context) error {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: exchangeIdle, DisableCompression: true}}
-	ended := make(chan exchanged, maxExchanges)
-	busy := make(map[seat]bool)
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleExchangeConns, DisableCompression: true}}
+	ended := make(chan exchangeResult, maxExchanges)
+	busy := make(map[exchangeTarget]bool)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case s := <-e.sends:
-			at := seat{server: s.Server, via: s.Gate}
+			at := exchangeTarget{server: s.Server, via: s.Gate}
 			if busy[at] || len(busy) >= maxExchanges {
 				continue
 			}
 			busy[at] = true
 			go e.exchange(ctx, client, s, ended)
 		case x := <-ended:
-			delete(busy, seat{server: x.send.Server, via: x.send.Gate})
+			delete(busy, exchangeTarget{server: x.send.Server, via: x.send.Gate})
 			e.exchangeEnded(ctx, x)
 		}
 	}
 }
 
-func (e *Entry) exchangeEnded(ctx context.Context, x exchanged) {
+func (e *Entry) exchangeEnded(ctx context.Context, x exchangeResult) {
 	e.meter.ExchangesSent.Add(1)
 	if x.err != nil {
 		e.meter.ExchangesFailed.Add(1)
 		e.deps.Logger.Debug("exchange-failed", "server", x.send.Server, "error", x.err)
 		return
 	}
-	e.tell(ctx, leader.Answered{
+	e.notifyLeaderCore(ctx, leader.Answered{
 		Server:  x.send.Server,
 		Gate:    x.send.Gate,
 		AskedAt: x.send.AskedAt,
@@ -84,18 +84,18 @@
 	})
 }
 
-func (e *Entry) exchange(ctx context.Context, client *http.Client, s leader.Send, ended chan<- exchanged) {
-	bounded, cancel := context.WithTimeout(ctx, exchangeLimit)
+func (e *Entry) exchange(ctx context.Context, client *http.Client, s leader.Send, ended chan<- exchangeResult) {
+	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	answer, err := e.carry(bounded, client, s)
+	answer, err := e.sendExchange(bounded, client, s)
 	select {
-	case ended <- exchanged{send: s, answer: answer, err: err}:
+	case ended <- exchangeResult{send: s, answer: answer, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// carry sends an exchange to wherever the server's grant is held.
-func (e *Entry) carry(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
+// sendExchange sends an exchange to wherever the server's grant is held.
+func (e *Entry) sendExchange(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
 	via := s.Gate
 	if s.Exchange.Service == voterService {
 		via = s.Server
@@ -105,24 +105,24 @@
 	}
 	switch via {
 	case "":
-		return e.post(ctx, client, s)
+		return e.postToServer(ctx, client, s)
 	case e.deps.Settings.Name:
 		return e.holders.exchange(s.Exchange), nil
 	default:
-		return e.callHolder(ctx, via, s.Exchange)
+		return e.callGrantHolder(ctx, via, s.Exchange)
 	}
 }
 
-func (e *Entry) callHolder(ctx context.Context, via string, x grant.Exchange) (grant.Answer, error) {
+func (e *Entry) callGrantHolder(ctx context.Context, via string, x grant.Exchange) (grant.Answer, error) {
 	c := e.peers.client(via)
 	if c == nil {
-		return grant.Answer{}, fmt.Errorf("%w: %s", errNoVia, via)
+		return grant.Answer{}, fmt.Errorf("%w: %s", errNoPeer, via)
 	}
-	result, err := call[ExchangeCall, ExchangeResult](ctx, c, exchangeLimit, methodExchange, ExchangeCall{Exchange: x})
+	result, err := call[ExchangeCall, ExchangeResult](ctx, c, exchangeTimeout, methodExchange, ExchangeCall{Exchange: x})
 	return result.Answer, err
 }
 
-func (e *Entry) post(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
+func (e *Entry) postToServer(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
 	var answer grant.Answer
 	server := findServer(e.state.bundle(), s.Exchange.Service, s.Server)
 	if server == nil {
--- a/internal/entry/right.go
+++ b/internal/entry/gatelease.go
@@ -12,22 +12,22 @@
 
 // Bounds of the lease by which an instance is a gate.
 const (
-	// gateLease is for how long after it asked the leader, and was told that its routing
+	// gateLeaseDuration is for how long after it asked the leader, and was told that its routing
 	// table is current, an instance may send requests that must not run twice.
-	gateLease = 600 * time.Millisecond
-	// gateWait is how long a new gate waits for a former one that does not answer: its lease,
+	gateLeaseDuration = 600 * time.Millisecond
+	// formerGateTimeout is how long a new gate waits for a former one that does not answer: its lease,
 	// the lease of a former leader that may have extended it, and the drift of clocks.
-	gateWait = 1650 * time.Millisecond
+	formerGateTimeout = 1650 * time.Millisecond
 )
 
-// errGateLapsed says that this instance has not heard lately that it is still the gate.
-var errGateLapsed = errors.New("entry: not confirmed as the gate lately")
+// errGateUnconfirmed says that this instance has not heard lately that it is still the gate.
+var errGateUnconfirmed = errors.New("entry: not confirmed as the gate lately")
 
-// right is this instance's right to send work to servers as their gate.
-type right struct {
-	holders *holders
-	lease   *gateClock
-	now     func() leader.Time
+// gateChecker is this instance's right to send work to servers as their gate.
+type gateChecker struct {
+	holders   *grantHolders
+	gateLease *gateLease
+	now       func() leader.Time
 }
 
 // Begin implements front.Right.
@@ -35,29 +35,29 @@
 // A request that must not run twice is sent only while the leader has confirmed lately that
 // this instance is the gate. A gate that was cut off or paused would otherwise send a request
 // whose resend the next gate, which cannot know of it, sends as well.
-func (r right) Begin(a front.Approach) (front.Work, error) {
-	if !a.Idempotent && r.now() >= r.lease.until() {
-		return nil, errGateLapsed
+func (r gateChecker) Begin(a front.Approach) (front.Work, error) {
+	if !a.Idempotent && r.now() >= r.gateLease.until() {
+		return nil, errGateUnconfirmed
 	}
 	if a.Checks || !a.Divided {
-		return noWork{}, nil
+		return untrackedWork{}, nil
 	}
 	return r.holders.begin(a.Service, a.Server, a.Hash)
 }
 
-// noWork is a Work whose end nobody waits for.
-type noWork struct{}
+// untrackedWork is a Work whose end nobody waits for.
+type untrackedWork struct{}
 
 // End implements front.Work.
-func (noWork) End() {}
+func (untrackedWork) End() {}
 
-// gateClock keeps until when this instance may act as the gate that its table makes it.
-type gateClock struct {
+// gateLease keeps until when this instance may act as the gate that its table makes it.
+type gateLease struct {
 	mu       sync.Mutex
 	deadline leader.Time
 }
 
-func (g *gateClock) until() leader.Time {
+func (g *gateLease) until() leader.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.deadline
@@ -66,14 +66,14 @@
 // confirm extends the right by an answer of the leader to a heartbeat that was sent at
 // askedAt. It counts only if the instance's own table is the leader's: a newer one, which the
 // instance has not seen yet, may name other gates.
-func (g *gateClock) confirm(askedAt leader.Time, h Heartbeat, t *route.Table) {
+func (g *gateLease) confirm(askedAt leader.Time, h InstanceState, t *route.Table) {
 	if !h.Leading || t == nil || h.Domain != t.Domain || t.Term != h.Term || t.Term != h.TableTerm || t.Serial != h.TableSerial {
 		return
 	}
-	g.extend(askedAt + leader.Time(gateLease))
+	g.extend(askedAt + leader.Time(gateLeaseDuration))
 }
 
-func (g *gateClock) extend(deadline leader.Time) {
+func (g *gateLease) extend(deadline leader.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deadline = max(g.deadline, deadline)
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	e.meter.TablesTaken.Add(1)
-	e.gained.update(old, t, e.deps.Settings.Name, time.Now())
+	e.gateGains.update(old, t, e.deps.Settings.Name, time.Now())
 	for _, g := range lostGates(old, t, e.deps.Settings.Name) {
 		e.front.GateMoved(g.Service, g.Server)
 	}
@@ -37,35 +37,35 @@
 	return lost
 }
 
-// closeLapsed closes the connections to servers that check nothing when the grant that this
+// closeExpiredGrants closes the connections to servers that check nothing when the grant that this
 // instance held for them has ended. What is written to such a server afterwards may reach it
 // when another instance has become its gate.
-func (e *Entry) closeLapsed() {
-	for _, name := range e.holders.lapsed() {
+func (e *Entry) closeExpiredGrants() {
+	for _, name := range e.holders.newlyExpired() {
 		e.front.RightLost(name.service, name.server)
 	}
 }
 
-// gain is a gate that this instance got from another one.
-type gain struct {
-	// from is the former gate, empty if unknown.
-	from string
-	// until is when the former gate cannot act any more, whether it knows or not.
-	until time.Time
+// gateGain is a gate that this instance got from another one.
+type gateGain struct {
+	// formerGate is the former gate, empty if unknown.
+	formerGate string
+	// mayActUntil is when the former gate cannot act any more, whether it knows or not.
+	mayActUntil time.Time
 }
 
-// gains keeps, by service, the gates that this instance got lately.
-type gains struct {
+// gateGains keeps, by service, the gates that this instance got lately.
+type gateGains struct {
 	mu       sync.Mutex
-	services map[string][]gain
+	services map[string][]gateGain
 }
 
-func newGains() *gains {
-	return &gains{services: make(map[string][]gain)}
+func newGateGains() *gateGains {
+	return &gateGains{services: make(map[string][]gateGain)}
 }
 
 // update notes the gates that an instance has in a table and did not have in the one before.
-func (g *gains) update(old, next *route.Table, instance string, now time.Time) {
+func (g *gateGains) update(old, next *route.Table, instance string, now time.Time) {
 	former := make(map[string]string)
 	if old != nil {
 		for _, o := range old.Gates {
@@ -79,18 +79,18 @@
 		if n.Instance != instance || from == instance {
 			continue
 		}
-		g.services[n.Service] = append(g.services[n.Service], gain{from: from, until: now.Add(gateWait)})
+		g.services[n.Service] = append(g.services[n.Service], gateGain{formerGate: from, mayActUntil: now.Add(formerGateTimeout)})
 	}
 }
 
-// open returns the gains of a service whose former gate may still act, but for those whose
+// unconfirmed returns the gains of a service whose former gate may still act, but for those whose
 // former gate is in told: it has said that it knows the present table.
-func (g *gains) open(service string, told []string, now time.Time) int {
+func (g *gateGains) unconfirmed(service string, told []string, now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	kept := g.services[service][:0]
 	for _, n := range g.services[service] {
-		if now.Before(n.until) && !slices.Contains(told, n.from) {
+		if now.Before(n.mayActUntil) && !slices.Contains(told, n.formerGate) {
 			kept = append(kept, n)
 		}
 	}
--- a/internal/entry/pulse_bench_test.go
+++ b/internal/entry/heartbeat_bench_test.go
@@ -33,19 +33,19 @@
 
 // carry makes one call with all its encoding and returns the bytes of both messages.
 func carry(b *testing.B, from, to *talker, now leader.Time) int {
-	pulse := from.peers.pulse(now, to.heartbeat.Name, from.heartbeat)
+	pulse := from.peers.nextHeartbeat(now, to.heartbeat.Name, from.heartbeat)
 	request := jsonrpc2.Request{Method: string(methodHeartbeat), ID: jsonrpc2.ID{Num: 12345}}
 	must(b, request.SetParams(pulse))
 	asked := encode(b, request)
-	var got Pulse
+	var got Heartbeat
 	must(b, json.Unmarshal(*request.Params, &got))
-	to.peers.hear(now, got, false)
+	to.peers.receive(now, got, false)
 	response := jsonrpc2.Response{ID: request.ID}
 	must(b, response.SetResult(to.peers.reply(now, got, to.heartbeat)))
 	answered := encode(b, response)
-	var answer Pulse
+	var answer Heartbeat
 	must(b, json.Unmarshal(*response.Result, &answer))
-	from.peers.hear(now, answer.restore(pulse, to.heartbeat.Name), true)
+	from.peers.receive(now, answer.restore(pulse, to.heartbeat.Name), true)
 	return len(asked) + len(answered)
 }
 
--- a/internal/entry/pulse.go
+++ b/internal/entry/instancestate.go
@@ -12,25 +12,25 @@
 	"example.org/mustardring/internal/policy"
 )
 
-// statedBits keeps the number that stands for a Heartbeat short on the wire. Two in sequence
+// stateIDBits keeps the number that stands for a Heartbeat short on the wire. Two in sequence
 // are taken for the same once in 2^48 changes.
-const statedBits = 48
+const stateIDBits = 48
 
-// stated returns the number that stands for a Heartbeat. It differs after a restart, because
+// stateID returns the number that stands for a Heartbeat. It differs after a restart, because
 // the incarnation is part of the Heartbeat, and is never zero.
-func stated(h Heartbeat) uint64 {
+func stateID(h InstanceState) uint64 {
 	data, err := json.Marshal(h)
 	if err != nil {
 		return 1
 	}
-	return xxhash.Sum64(data)>>(64-statedBits) | 1
+	return xxhash.Sum64(data)>>(64-stateIDBits) | 1
 }
 
-// heartbeat returns what this instance says of itself now.
-func (e *Entry) heartbeat() Heartbeat {
+// instanceState returns what this instance says of itself now.
+func (e *Entry) instanceState() InstanceState {
 	view, stopping := e.state.snapshot()
 	settings := e.deps.Settings
-	h := Heartbeat{
+	h := InstanceState{
 		Name:           settings.Name,
 		Domain:         settings.Domain,
 		Incarnation:    e.deps.Incarnation,
@@ -46,7 +46,7 @@
 	}
 	h.Blocks = e.front.Blocks()
 	slices.SortFunc(h.Blocks, compareBlocks)
-	if core := e.coreView.heartbeat.Load(); core != nil {
+	if core := e.leadership.heartbeat.Load(); core != nil {
 		h.Leading, h.Term = core.Leading, core.Term
 	}
 	return h
@@ -56,7 +56,7 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
 }
 
-func (h Heartbeat) instance() member.Instance {
+func (h InstanceState) instance() member.Instance {
 	return member.Instance{
 		Process: member.Process{Name: h.Name, Incarnation: h.Incarnation},
 		Domain:  h.Domain,
@@ -65,30 +65,30 @@
 }
 
 // shorten leaves out of a result what its caller can tell.
-func (p Pulse) shorten(asked Pulse) Pulse {
-	if p.Stated == asked.Knows {
-		p.Name, p.Stated, p.Heartbeat = "", 0, nil
+func (p Heartbeat) shorten(asked Heartbeat) Heartbeat {
+	if p.StateID == asked.KnownStateID {
+		p.Name, p.StateID, p.State = "", 0, nil
 	}
-	p.Lacks = p.Knows == 0
-	if p.Knows == asked.Stated {
-		p.Knows = 0
+	p.StateMissing = p.KnownStateID == 0
+	if p.KnownStateID == asked.StateID {
+		p.KnownStateID = 0
 	}
 	return p
 }
 
 // restore adds to a result what was left out of it.
-func (p Pulse) restore(asked Pulse, name string) Pulse {
-	if p.Stated == 0 {
-		p.Name, p.Stated = name, asked.Knows
+func (p Heartbeat) restore(asked Heartbeat, name string) Heartbeat {
+	if p.StateID == 0 {
+		p.Name, p.StateID = name, asked.KnownStateID
 	}
-	if p.Knows == 0 && !p.Lacks {
-		p.Knows = asked.Stated
+	if p.KnownStateID == 0 && !p.StateMissing {
+		p.KnownStateID = asked.StateID
 	}
 	return p
 }
 
-// beat returns the heartbeat of the core of membership that a pulse with h stands for.
-func (p Pulse) beat(h Heartbeat, self member.Process) member.Beat {
+// memberBeat returns the heartbeat of the core of membership that a pulse with h stands for.
+func (p Heartbeat) memberBeat(h InstanceState, self member.Process) member.Beat {
 	b := member.Beat{
 		Instance: h.instance(),
 		Count:    p.Count,
@@ -99,13 +99,13 @@
 	if h.Leading {
 		b.Leader = b.Process
 	}
-	if !p.Deaf {
+	if !p.NotHearing {
 		b.Direct = []member.Process{self}
 	}
 	return b
 }
 
-func peerHeard(h Heartbeat) leader.Heartbeat {
+func leaderHeartbeat(h InstanceState) leader.Heartbeat {
 	return leader.Heartbeat{
 		Name:        h.Name,
 		Incarnation: h.Incarnation,
--- a/internal/entry/configured.go
+++ b/internal/entry/leaderconfig.go
@@ -12,9 +12,9 @@
 // voterService is the service under which entry instances vote.
 const voterService = "entry-instances"
 
-// configured returns what a bundle asks of one domain, which may serve the allowed ranges of
+// leaderConfig returns what a bundle asks of one domain, which may serve the allowed ranges of
 // its divided services.
-func configured(b *bundle.Bundle, domain string, allowed map[string][]keys.Range) leader.Configured {
+func leaderConfig(b *bundle.Bundle, domain string, allowed map[string][]keys.Range) leader.Configured {
 	c := leader.Configured{Version: b.Version}
 	for i := range b.Services {
 		s := domainService(&b.Services[i], domain)
--- a/internal/entry/configured_test.go
+++ b/internal/entry/leaderconfig_test.go
@@ -38,7 +38,7 @@
 				b.Instances = append(b.Instances, bundle.Instance{Name: name, Domain: domain})
 			}
 			voters := 0
-			for _, s := range configured(b, "klet", nil).Services {
+			for _, s := range leaderConfig(b, "klet", nil).Services {
 				for _, v := range s.Servers {
 					if v.Votes {
 						voters++
--- a/internal/entry/lister.go
+++ b/internal/entry/list.go
@@ -15,36 +15,36 @@
 
 // Periods of reading the platform's list.
 const (
-	listPeriod = 500 * time.Millisecond
-	listLimit  = 2 * time.Second
-	// listSettle is the time that instances have to register again at a list that lost them.
-	listSettle = 10 * time.Second
+	listInterval = 500 * time.Millisecond
+	listTimeout  = 2 * time.Second
+	// reregisterTime is the time that instances have to register again at a list that lost them.
+	reregisterTime = 10 * time.Second
 )
 
 // runList reads the platform's list and registers this instance there.
 func (e *Entry) runList(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !e.listing.registered {
-			e.listing.registered = e.register(ctx)
+		if !e.list.registered {
+			e.list.registered = e.register(ctx)
 		}
 		e.readList(ctx)
-		duty.Pause(ctx, listPeriod)
+		duty.Pause(ctx, listInterval)
 	}
 	return ctx.Err()
 }
 
 func (e *Entry) register(ctx context.Context) bool {
-	bounded, cancel := context.WithTimeout(ctx, listLimit)
+	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	if err := e.deps.List.Register(bounded, e.listed()); err != nil {
+	if err := e.deps.List.Register(bounded, e.listEntry()); err != nil {
 		e.deps.Logger.Warn("list-unavailable", "error", err)
 		return false
 	}
 	return true
 }
 
-// listed is this instance as the platform lists it.
-func (e *Entry) listed() listcl.Instance {
+// listEntry is this instance as the platform lists it.
+func (e *Entry) listEntry() listcl.Instance {
 	s := e.deps.Settings
 	return listcl.Instance{
 		Name:           s.Name,
@@ -56,19 +56,19 @@
 }
 
 func (e *Entry) readList(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, listLimit)
+	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	list, err := e.deps.List.List(bounded)
 	if err != nil {
 		e.deps.Logger.Debug("list-unavailable", "error", err)
 		return
 	}
-	e.takeList(ctx, list)
+	e.applyList(ctx, list)
 }
 
-// takeList learns from the list, and takes it as evidence of what is gone unless the service
+// applyList learns from the list, and takes it as evidence of what is gone unless the service
 // has lost what it knew.
-func (e *Entry) takeList(ctx context.Context, list listcl.List) {
+func (e *Entry) applyList(ctx context.Context, list listcl.List) {
 	ev := leader.Listed{}
 	var listed []member.ListedInstance
 	for _, i := range list.Instances {
@@ -77,7 +77,7 @@
 		if i.Leaving || i.Name == e.deps.Settings.Name {
 			continue
 		}
-		e.peers.learn(config.Peer{
+		e.peers.add(config.Peer{
 			Name:           i.Name,
 			Domain:         i.Domain,
 			PeerAddress:    i.PeerAddress,
@@ -87,33 +87,33 @@
 	for _, s := range list.Servers {
 		ev.Servers = append(ev.Servers, s.Name)
 	}
-	if !e.listing.isEvidence(time.Now(), e.deps.Settings.Name, ev.Instances) {
+	if !e.list.isTrusted(time.Now(), e.deps.Settings.Name, ev.Instances) {
 		return
 	}
-	if e.peers.list(e.now(), listed) {
+	if e.peers.applyList(e.now(), listed) {
 		e.deps.Logger.Warn("removed", "instance", e.deps.Settings.Name)
 		e.state.stop()
-		e.tell(ctx, leader.Stopping{})
+		e.notifyLeaderCore(ctx, leader.Stopping{})
 	}
-	e.tell(ctx, ev)
+	e.notifyLeaderCore(ctx, ev)
 }
 
-// listing is what the list showed. Only the list duty touches it.
-type listing struct {
+// listTracker is what the list showed. Only the list duty touches it.
+type listTracker struct {
 	names []string
 	// registered says that this instance need not register.
 	registered bool
-	// evidenceFrom is from when on the list is evidence again.
-	evidenceFrom time.Time
+	// trustedFrom is from when on the list is evidence again.
+	trustedFrom time.Time
 }
 
-// isEvidence reports whether the list proves that what it shows no more is gone.
+// isTrusted reports whether the list proves that what it shows no more is gone.
 //
 // The failure guarded against is a list service that lost what it knew. It shows few instances
 // although all run, and each would take the others for gone, for good. It shows by the absence
 // of this instance and of most others at once; the instances then register again, and the
 // list counts as evidence when all have had the time to do so.
-func (l *listing) isEvidence(now time.Time, self string, names []string) bool {
+func (l *listTracker) isTrusted(now time.Time, self string, names []string) bool {
 	missing := 0
 	for _, name := range l.names {
 		if !slices.Contains(names, name) {
@@ -122,9 +122,9 @@
 	}
 	lost := slices.Contains(l.names, self) && !slices.Contains(names, self) && 2*missing > len(l.names)
 	if lost {
-		l.registered, l.evidenceFrom = false, now.Add(listSettle)
+		l.registered, l.trustedFrom = false, now.Add(reregisterTime)
 	}
-	if now.Before(l.evidenceFrom) {
+	if now.Before(l.trustedFrom) {
 		return false
 	}
 	l.names = names
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -14,12 +14,12 @@
 
 // Bounds of HTTP connections.
 const (
-	headerLimit = 10 * time.Second
-	idleLimit   = 2 * time.Minute
-	maxHeader   = 64 << 10
-	// shutdownGrace is for how long connections without a request are waited for.
-	shutdownGrace = 300 * time.Millisecond
-	shutdownLimit = 5 * time.Second
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	// shutdownGracePeriod is for how long connections without a request are waited for.
+	shutdownGracePeriod = 300 * time.Millisecond
+	shutdownTimeout     = 5 * time.Second
 )
 
 // listeners are the open addresses of an instance.
@@ -79,9 +79,9 @@
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerLimit,
-		IdleTimeout:       idleLimit,
-		MaxHeaderBytes:    maxHeader,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
@@ -91,7 +91,7 @@
 	return func(ctx context.Context) error {
 		ended := make(chan error, 1)
 		stop := context.AfterFunc(ctx, func() {
-			ended <- shutDown(context.WithoutCancel(ctx), server, drained)
+			ended <- shutdown(context.WithoutCancel(ctx), server, drained)
 		})
 		defer stop()
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -101,18 +101,18 @@
 	}
 }
 
-// shutDown ends a server without cutting a request. net/http waits 5 s for a connection on
+// shutdown ends a server without cutting a request. net/http waits 5 s for a connection on
 // which no request has come yet, such as one that a balancer holds in reserve, so after a
 // short grace only the requests are waited for.
-func shutDown(ctx context.Context, server *http.Server, drained func(context.Context) error) error {
-	grace, cancel := context.WithTimeout(ctx, shutdownGrace)
+func shutdown(ctx context.Context, server *http.Server, drained func(context.Context) error) error {
+	grace, cancel := context.WithTimeout(ctx, shutdownGracePeriod)
 	defer cancel()
 	err := server.Shutdown(grace)
 	if err == nil {
 		return nil
 	}
 	if drained != nil {
-		limit, cancel := context.WithTimeout(ctx, shutdownLimit)
+		limit, cancel := context.WithTimeout(ctx, shutdownTimeout)
 		defer cancel()
 		err = drained(limit)
 	}
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -20,12 +20,12 @@
 
 // Bounds of counting.
 const (
-	loadPeriod    = time.Second
-	loadLimit     = 500 * time.Millisecond
-	sketchSize    = 256
-	maxHotCounter = 32
-	// loadForget is after how long the loads of a silent gate count no more.
-	loadForget = 5 * time.Second
+	loadInterval   = time.Second
+	loadTimeout    = 500 * time.Millisecond
+	sketchSize     = 256
+	maxHotCounters = 32
+	// loadExpiry is after how long the loads of a silent gate count no more.
+	loadExpiry = 5 * time.Second
 )
 
 // LoadReport is what one gate has counted in about a second.
@@ -47,8 +47,8 @@
 	Load  float64    `json:"load"`
 }
 
-// loads counts what this instance's gates have run since the last report.
-type loads struct {
+// loadCounter counts what this instance's gates have run since the last report.
+type loadCounter struct {
 	mu       sync.Mutex
 	since    time.Time
 	services map[string]*serviceCount
@@ -59,12 +59,12 @@
 	keys   *sketch.Sketch
 }
 
-func newLoads(now time.Time) *loads {
-	return &loads{since: now, services: make(map[string]*serviceCount)}
+func newLoadCounter(now time.Time) *loadCounter {
+	return &loadCounter{since: now, services: make(map[string]*serviceCount)}
 }
 
 // add counts a request that ran.
-func (l *loads) add(service string, r keys.Range, hash uint64) {
+func (l *loadCounter) add(service string, r keys.Range, hash uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, found := l.services[service]
@@ -76,8 +76,8 @@
 	c.keys.Add(hash, 1)
 }
 
-// take returns the report since the last one and begins another.
-func (l *loads) take(instance string, now time.Time) LoadReport {
+// flush returns the report since the last one and begins another.
+func (l *loadCounter) flush(instance string, now time.Time) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seconds := max(now.Sub(l.since).Seconds(), 0.001)
@@ -88,7 +88,7 @@
 			s.Loads = append(s.Loads, RangeLoad{Range: r, Load: count / seconds})
 		}
 		slices.SortFunc(s.Loads, func(a, b RangeLoad) int { return compareRanges(a.Range, b.Range) })
-		s.Hot = hottest(c.keys, seconds)
+		s.Hot = hottestCounters(c.keys, seconds)
 		report.Services = append(report.Services, s)
 	}
 	l.since = now
@@ -107,10 +107,10 @@
 	}
 }
 
-// hottest returns the counters of the most frequent keys as rates.
-func hottest(s *sketch.Sketch, seconds float64) []sketch.Counter {
+// hottestCounters returns the counters of the most frequent keys as rates.
+func hottestCounters(s *sketch.Sketch, seconds float64) []sketch.Counter {
 	all := s.Counters()
-	all = all[:min(len(all), maxHotCounter)]
+	all = all[:min(len(all), maxHotCounters)]
 	for i := range all {
 		all[i].Count /= seconds
 		all[i].Error /= seconds
@@ -118,8 +118,8 @@
 	return all
 }
 
-// ran is told of each request that ran at this instance's gates.
-func (e *Entry) ran(service, _ string, hash uint64, _ time.Duration) {
+// countRequest is told of each request that ran at this instance's gates.
+func (e *Entry) countRequest(service, _ string, hash uint64, _ time.Duration) {
 	if o, found := e.state.directory.Owner(service, hash); found {
 		e.loads.add(service, o.Range, hash)
 	}
@@ -128,14 +128,14 @@
 // runLoads reports loads to the leader of the domain.
 func (e *Entry) runLoads(ctx context.Context) error {
 	for ctx.Err() == nil {
-		duty.Pause(ctx, loadPeriod)
-		report := e.loads.take(e.deps.Settings.Name, time.Now())
+		duty.Pause(ctx, loadInterval)
+		report := e.loads.flush(e.deps.Settings.Name, time.Now())
 		leads, client := e.leaderClient()
 		switch {
 		case leads:
-			e.takeLoads(ctx, report)
+			e.mergeLoads(ctx, report)
 		case client != nil:
-			_, _ = call[LoadReport, Done](ctx, client, loadLimit, methodLoads, report)
+			_, _ = call[LoadReport, Empty](ctx, client, loadTimeout, methodLoads, report)
 		}
 	}
 	return ctx.Err()
@@ -144,28 +144,28 @@
 // leaderClient reports whether this instance leads, and else returns the client of the
 // instance that said so last.
 func (e *Entry) leaderClient() (bool, *peer.Client) {
-	if h := e.coreView.heartbeat.Load(); h != nil && h.Leading {
+	if h := e.leadership.heartbeat.Load(); h != nil && h.Leading {
 		return true, nil
 	}
 	return false, e.peers.leader()
 }
 
-func (e *Entry) handleLoads(ctx context.Context, r LoadReport) (Done, error) {
-	e.takeLoads(ctx, r)
-	return Done{}, nil
+func (e *Entry) handleLoads(ctx context.Context, r LoadReport) (Empty, error) {
+	e.mergeLoads(ctx, r)
+	return Empty{}, nil
 }
 
-// takeLoads keeps the newest report of each gate and tells the core their sums.
-func (e *Entry) takeLoads(ctx context.Context, r LoadReport) {
-	for _, m := range e.reports.take(r, time.Now(), e.state.table()) {
-		e.tell(ctx, m)
+// mergeLoads keeps the newest report of each gate and tells the core their sums.
+func (e *Entry) mergeLoads(ctx context.Context, r LoadReport) {
+	for _, m := range e.reports.merge(r, time.Now(), e.state.table()) {
+		e.notifyLeaderCore(ctx, m)
 	}
 }
 
-// reports are the newest load reports of the gates of a domain.
-type reports struct {
-	mu  sync.Mutex
-	all map[string]timedReport
+// loadReports are the newest load reports of the gates of a domain.
+type loadReports struct {
+	mu         sync.Mutex
+	byInstance map[string]timedReport
 	// hot has the hot keys of each service until now.
 	hot map[string][]uint64
 }
@@ -175,20 +175,20 @@
 	at     time.Time
 }
 
-func newReports() *reports {
-	return &reports{all: make(map[string]timedReport), hot: make(map[string][]uint64)}
+func newLoadReports() *loadReports {
+	return &loadReports{byInstance: make(map[string]timedReport), hot: make(map[string][]uint64)}
 }
 
-// take adds a report and returns the sums over all gates, one event for each service. Ranges
+// merge adds a report and returns the sums over all gates, one event for each service. Ranges
 // of the table that no gate reported count as idle.
-func (s *reports) take(r LoadReport, now time.Time, t *route.Table) []leader.Measured {
+func (s *loadReports) merge(r LoadReport, now time.Time, t *route.Table) []leader.Measured {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all[r.Instance] = timedReport{report: r, at: now}
-	sums := newSums(t)
-	for name, o := range s.all {
-		if now.After(o.at.Add(loadForget)) {
-			delete(s.all, name)
+	s.byInstance[r.Instance] = timedReport{report: r, at: now}
+	sums := newLoadSums(t)
+	for name, o := range s.byInstance {
+		if now.After(o.at.Add(loadExpiry)) {
+			delete(s.byInstance, name)
 			continue
 		}
 		sums.add(o.report)
--- a/internal/entry/sums.go
+++ b/internal/entry/loadsums.go
@@ -12,14 +12,14 @@
 
 // When a key is set apart: it brings this part of one server's share of the load.
 const (
-	hotPart = 0.25
-	maxHot  = 32
+	hotShare   = 0.25
+	maxHotKeys = 32
 	// minHotRate keeps an idle service from setting apart the few keys that are asked for.
 	minHotRate = 20
 )
 
-// sums adds up the loads of several gates.
-type sums struct {
+// loadSums adds up the loads of several gates.
+type loadSums struct {
 	services map[string]*serviceSum
 }
 
@@ -30,9 +30,9 @@
 	servers map[string]bool
 }
 
-// newSums starts every range of a table at zero.
-func newSums(t *route.Table) *sums {
-	s := &sums{services: make(map[string]*serviceSum)}
+// newLoadSums starts every range of a table at zero.
+func newLoadSums(t *route.Table) *loadSums {
+	s := &loadSums{services: make(map[string]*serviceSum)}
 	if t == nil {
 		return s
 	}
@@ -44,7 +44,7 @@
 	return s
 }
 
-func (s *sums) of(service string) *serviceSum {
+func (s *loadSums) of(service string) *serviceSum {
 	v, found := s.services[service]
 	if !found {
 		v = &serviceSum{
@@ -59,7 +59,7 @@
 
 // add adds a report. Loads of ranges that the table does not have any more are left out: the
 // ranges were split, merged or moved since.
-func (s *sums) add(r LoadReport) {
+func (s *loadSums) add(r LoadReport) {
 	for _, l := range r.Services {
 		v := s.of(l.Service)
 		for _, part := range l.Loads {
@@ -78,11 +78,11 @@
 }
 
 // measured returns one event for each service. Present has the hot keys until now.
-func (s *sums) measured(present map[string][]uint64) []leader.Measured {
+func (s *loadSums) measured(present map[string][]uint64) []leader.Measured {
 	var all []leader.Measured
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
-		m := leader.Measured{Service: name, HotHashes: v.hottest(present[name])}
+		m := leader.Measured{Service: name, HotHashes: v.hotHashes(present[name])}
 		for r, load := range v.ranges {
 			m.Loads = append(m.Loads, leader.RangeLoad{Range: r, Load: load})
 		}
@@ -92,9 +92,9 @@
 	return all
 }
 
-// hottest returns the hashes of the hot keys, sorted, the hottest if there are many.
-func (v *serviceSum) hottest(present []uint64) []uint64 {
-	rule := sketch.RuleFor(len(v.servers), hotPart, maxHot)
+// hotHashes returns the hashes of the hot keys, sorted, the hottest if there are many.
+func (v *serviceSum) hotHashes(present []uint64) []uint64 {
+	rule := sketch.RuleFor(len(v.servers), hotShare, maxHotKeys)
 	var hot []uint64
 	for hash, c := range v.hot {
 		was := slices.Contains(present, hash)
@@ -111,7 +111,7 @@
 		}
 		return 1
 	})
-	hot = hot[:min(len(hot), maxHot)]
+	hot = hot[:min(len(hot), maxHotKeys)]
 	slices.Sort(hot)
 	return hot
 }
--- a/internal/entry/logduty.go
+++ b/internal/entry/logworker.go
@@ -16,17 +16,17 @@
 
 // Bounds of the traffic with the log. The rates are those of one instance.
 const (
-	readLimit       = 1000
-	readWait        = 1500 * time.Millisecond
-	readsPerSecond  = 100
-	readBurst       = 20
-	appendLimit     = 2 * time.Second
-	appendPerSecond = 30
-	appendBurst     = 20
-	appendCalls     = 4
-	appendQueue     = 4096
-	logTick         = 100 * time.Millisecond
-	provenAgain     = 5 * time.Second
+	maxReadEntries   = 1000
+	readTimeout      = 1500 * time.Millisecond
+	readsPerSecond   = 100
+	readBurst        = 20
+	appendTimeout    = 2 * time.Second
+	appendsPerSecond = 30
+	appendBurst      = 20
+	maxAppendCalls   = 4
+	appendQueue      = 4096
+	logTick          = 100 * time.Millisecond
+	restoreInterval  = 5 * time.Second
 )
 
 // Bounds of checkpoints.
@@ -36,8 +36,8 @@
 	checkpointGrace    = 5 * time.Second
 )
 
-// logDuty is all that this instance does with the log. Only the log duty touches it.
-type logDuty struct {
+// logWorker is all that this instance does with the log. Only the log duty touches it.
+type logWorker struct {
 	entry        *Entry
 	appender     *logcl.Appender
 	reader       *logcl.Reader
@@ -46,32 +46,32 @@
 	fetched      chan logcl.Fetched
 	oldest       uint64
 	current      bool
-	// provenAt is when the bundle in force may be appended next, should the log lack it.
-	provenAt time.Time
+	// nextRestoreAt is when the bundle in force may be appended next, should the log lack it.
+	nextRestoreAt time.Time
 }
 
-func newLogDuty(e *Entry) *logDuty {
+func newLogWorker(e *Entry) *logWorker {
 	random := rand.New(rand.NewPCG(e.deps.Incarnation, 0))
-	return &logDuty{
+	return &logWorker{
 		entry: e,
 		appender: logcl.NewAppender(logcl.AppenderConfig{
-			PerSecond: appendPerSecond, Burst: appendBurst, Queue: appendQueue, Calls: appendCalls, Random: random,
+			PerSecond: appendsPerSecond, Burst: appendBurst, Queue: appendQueue, Calls: maxAppendCalls, Random: random,
 		}),
 		reader: logcl.NewReader(logcl.ReaderConfig{
-			Anchors: e.deps.Settings.Roots, Limit: readLimit, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
+			Anchors: e.deps.Settings.Roots, Limit: maxReadEntries, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
 		}),
 		checkpointer: logcl.NewCheckpointer(logcl.CheckpointerConfig{
 			Instance: e.deps.Settings.Name, Incarnation: e.deps.Incarnation,
 			Records: checkpointRecords, Interval: checkpointInterval, Grace: checkpointGrace,
 		}),
-		written: make(chan logcl.Written, appendCalls),
+		written: make(chan logcl.Written, maxAppendCalls),
 		fetched: make(chan logcl.Fetched, 1),
 	}
 }
 
 // runLog appends what the cores ask for and tells them what the log says.
 func (e *Entry) runLog(ctx context.Context) error {
-	d := newLogDuty(e)
+	d := newLogWorker(e)
 	ticker := time.NewTicker(logTick)
 	defer ticker.Stop()
 	go d.fetch(ctx, d.reader.Start(e.now()))
@@ -86,24 +86,24 @@
 		case w := <-d.written:
 			d.append(ctx, w)
 		case f := <-d.fetched:
-			d.read(ctx, f)
+			d.handleRead(ctx, f)
 		}
 	}
 }
 
 // append hands an event to the appender and carries out what it decides.
-func (d *logDuty) append(ctx context.Context, ev logcl.AppendEvent) {
+func (d *logWorker) append(ctx context.Context, ev logcl.AppendEvent) {
 	if w, is := ev.(logcl.Written); is && w.Err != nil {
 		d.entry.meter.LogAppendsFailed.Add(1)
 		d.entry.deps.Logger.Warn("append-failed", "id", w.ID, "error", w.Err)
-		d.entry.tell(ctx, leader.LogFailed{})
+		d.entry.notifyLeaderCore(ctx, leader.LogFailed{})
 	}
 	for _, effect := range d.appender.Handle(d.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.Write:
 			go d.write(ctx, f)
 		case logcl.Acknowledged:
-			d.entry.tell(ctx, leader.Appended{ID: f.ID, Offset: f.Offset})
+			d.entry.notifyLeaderCore(ctx, leader.Appended{ID: f.ID, Offset: f.Offset})
 		case logcl.Dropped:
 			d.entry.deps.Logger.Warn("append-dropped", "id", f.ID, "reason", f.Reason)
 		case logcl.WakeAt:
@@ -112,8 +112,8 @@
 	}
 }
 
-func (d *logDuty) write(ctx context.Context, w logcl.Write) {
-	bounded, cancel := context.WithTimeout(ctx, appendLimit)
+func (d *logWorker) write(ctx context.Context, w logcl.Write) {
+	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	d.entry.meter.LogAppends.Add(1)
 	offset, err := d.entry.deps.Log.Append(bounded, w.ID, w.Data)
@@ -123,10 +123,10 @@
 	}
 }
 
-func (d *logDuty) fetch(ctx context.Context, f logcl.Fetch) {
+func (d *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
 	duty.Pause(ctx, time.Duration(f.At-d.entry.now()))
 	result := logcl.Fetched{Fetch: f, AskedAt: d.entry.now()}
-	bounded, cancel := context.WithTimeout(ctx, readWait)
+	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	d.entry.meter.LogReads.Add(1)
 	result.Batch, result.Err = d.entry.deps.Log.Read(bounded, f.From, f.Limit)
@@ -136,13 +136,13 @@
 	}
 }
 
-// read hands the answer of a read to the reader, carries out what it decides and reads on.
-func (d *logDuty) read(ctx context.Context, f logcl.Fetched) {
+// handleRead hands the answer of a read to the reader, carries out what it decides and reads on.
+func (d *logWorker) handleRead(ctx context.Context, f logcl.Fetched) {
 	d.oldest = f.Batch.Oldest
 	d.current = false
 	effects, next := d.reader.Handle(d.entry.now(), f)
 	for _, effect := range effects {
-		d.perform(ctx, effect)
+		d.performReadEffect(ctx, effect)
 	}
 	d.checkpoint(ctx, logcl.Progressed{
 		Next:   d.reader.State().Next,
@@ -153,11 +153,11 @@
 	go d.fetch(ctx, next)
 }
 
-func (d *logDuty) perform(ctx context.Context, effect logcl.ReadEffect) {
+func (d *logWorker) performReadEffect(ctx context.Context, effect logcl.ReadEffect) {
 	logger := d.entry.deps.Logger
 	switch f := effect.(type) {
 	case logcl.Folded:
-		d.folded(ctx, f)
+		d.handleFolded(ctx, f)
 	case logcl.Current:
 		d.current = true
 		d.publish(ctx, f.AskedAt)
@@ -169,11 +169,11 @@
 	case logcl.Unread:
 		d.entry.meter.LogReadsFailed.Add(1)
 		logger.Warn("log-unavailable", "error", f.Err)
-		d.entry.tell(ctx, leader.LogFailed{})
+		d.entry.notifyLeaderCore(ctx, leader.LogFailed{})
 	}
 }
 
-func (d *logDuty) folded(ctx context.Context, f logcl.Folded) {
+func (d *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
 	if v, refused := f.Verdict.(fold.Refused); refused {
 		d.entry.meter.RecordsRefused.Add(1)
 		d.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
@@ -189,7 +189,7 @@
 	d.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
 }
 
-func (d *logDuty) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
+func (d *logWorker) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
 	for _, effect := range d.checkpointer.Handle(d.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.SubmitMark:
@@ -200,7 +200,7 @@
 	}
 }
 
-func (d *logDuty) submit(ctx context.Context, id string, make func() (record.Record, error)) {
+func (d *logWorker) submit(ctx context.Context, id string, make func() (record.Record, error)) {
 	r, err := make()
 	if err != nil {
 		d.entry.deps.Logger.Warn("checkpoint-failed", "id", id, "error", err)
@@ -212,34 +212,34 @@
 // publish hands the folded state to the other duties. What it says of homes goes first: the
 // read extends leases of services that may move, which must not reach ranges that the domain
 // has lost meanwhile.
-func (d *logDuty) publish(ctx context.Context, askedAt leader.Time) {
+func (d *logWorker) publish(ctx context.Context, askedAt leader.Time) {
 	e := d.entry
 	view := d.reader.State().Snapshot()
-	e.folded.Store(view)
-	if e.state.follow(view) {
-		e.enforced(ctx)
+	e.logState.Store(view)
+	if e.state.followLog(view) {
+		e.applyBundle(ctx)
 	}
-	e.state.takeHomes(view.Homes)
+	e.state.setHomes(view.Homes)
 	domain := e.deps.Settings.Domain
-	e.tellHomes(ctx, homes.LogRead{State: view})
-	e.tell(ctx, leader.LogRead{
+	e.notifyHomesCore(ctx, homes.LogRead{State: view})
+	e.notifyLeaderCore(ctx, leader.LogRead{
 		ReadAt:   askedAt,
 		Term:     view.Terms[domain],
 		Assigned: view.Assigned[domain],
 	})
-	d.restore(ctx, view)
+	d.restoreBundle(ctx, view)
 }
 
-// restore appends the bundle in force to a log that lacks it, because it started anew or
+// restoreBundle appends the bundle in force to a log that lacks it, because it started anew or
 // lost records. A version in force never reverts.
-func (d *logDuty) restore(ctx context.Context, view *fold.State) {
-	if d.entry.rank() > 0 || time.Now().Before(d.provenAt) {
+func (d *logWorker) restoreBundle(ctx context.Context, view *fold.State) {
+	if d.entry.rank() > 0 || time.Now().Before(d.nextRestoreAt) {
 		return
 	}
 	r, id, missing := d.entry.state.missing(view)
 	if !missing {
 		return
 	}
-	d.provenAt = time.Now().Add(provenAgain)
+	d.nextRestoreAt = time.Now().Add(restoreInterval)
 	d.append(ctx, logcl.Submitted{ID: id, Record: r})
 }
--- a/internal/entry/logduty_test.go
+++ b/internal/entry/logworker_test.go
@@ -61,7 +61,7 @@
 				start := time.Now()
 				acknowledged, held := false, false
 				for !acknowledged || !held {
-					told, forLeads := (<-e.events).(forLeader)
+					told, forLeads := (<-e.events).(leaderEvent)
 					if !forLeads {
 						continue
 					}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -12,11 +12,11 @@
 func (p *peers) due(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.take(p.member.Handle(now, member.Ticked{}))
+	return p.markBusy(p.membership.Handle(now, member.Ticked{}))
 }
 
-// take returns whom the core wants to send to, but for those that have not answered yet.
-func (p *peers) take(effects []member.Effect) []*remote {
+// markBusy returns whom the core wants to send to, but for those that have not answered yet.
+func (p *peers) markBusy(effects []member.Effect) []*remote {
 	var all []*remote
 	for _, effect := range effects {
 		send, is := effect.(member.Send)
@@ -31,29 +31,29 @@
 	return all
 }
 
-// ended notes that a heartbeat has ended.
-func (p *peers) ended(r *remote) {
+// clearBusy notes that a heartbeat has ended.
+func (p *peers) clearBusy(r *remote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.busy = false
 }
 
-// led tells the core of membership whether this instance leads.
-func (p *peers) led(now member.Time, h Heartbeat) {
+// setLeading tells the core of membership whether this instance leads.
+func (p *peers) setLeading(now member.Time, h InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ev := member.LedBy{Term: h.Term}
 	if h.Leading {
-		ev.Leader = p.own
+		ev.Leader = p.process
 	}
-	p.member.Handle(now, ev)
+	p.membership.Handle(now, ev)
 }
 
-// stop tells the core that this instance is leaving and returns the others of the domain.
-func (p *peers) stop(now member.Time) []*remote {
+// leave tells the core that this instance is leaving and returns the others of the domain.
+func (p *peers) leave(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.member.Handle(now, member.Stopping{})
+	p.membership.Handle(now, member.Stopping{})
 	var all []*remote
 	for _, r := range p.known {
 		if r.Domain == p.self.Domain {
@@ -63,105 +63,105 @@
 	return all
 }
 
-// list takes what the platform's list shows. It reports whether this process was removed.
-func (p *peers) list(now member.Time, listed []member.ListedInstance) bool {
+// applyList takes what the platform's list shows. It reports whether this process was removed.
+func (p *peers) applyList(now member.Time, listed []member.ListedInstance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	removed := false
-	for _, effect := range p.member.Handle(now, member.Listed{Instances: listed}) {
+	for _, effect := range p.membership.Handle(now, member.Listed{Instances: listed}) {
 		_, is := effect.(member.Removed)
 		removed = removed || is
 	}
 	return removed
 }
 
-// pulse returns the next heartbeat for an instance. It carries own unless the instance has
+// nextHeartbeat returns the next heartbeat for an instance. It carries own unless the instance has
 // said that it has it.
-func (p *peers) pulse(now member.Time, to string, own Heartbeat) Pulse {
+func (p *peers) nextHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pulse := p.fill(now, to, own)
-	if r := p.known[to]; r != nil && r.knows == pulse.Stated {
-		pulse.Heartbeat = nil
+	pulse := p.newHeartbeat(now, to, own)
+	if r := p.known[to]; r != nil && r.knownStateID == pulse.StateID {
+		pulse.State = nil
 	}
 	return pulse
 }
 
 // reply returns the answer to a pulse.
-func (p *peers) reply(now member.Time, asked Pulse, own Heartbeat) Pulse {
+func (p *peers) reply(now member.Time, asked Heartbeat, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fill(now, asked.Name, own).shorten(asked)
+	return p.newHeartbeat(now, asked.Name, own).shorten(asked)
 }
 
-// fill returns a whole pulse.
-func (p *peers) fill(now member.Time, to string, own Heartbeat) Pulse {
-	b := p.member.Beat(now)
-	pulse := Pulse{Name: own.Name, Count: b.Count, Stated: stated(own), Heartbeat: &own, Hearsay: b.Hearsay, Deaf: true}
+// newHeartbeat returns a whole pulse.
+func (p *peers) newHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
+	b := p.membership.Beat(now)
+	pulse := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
 	r := p.known[to]
 	if r == nil {
 		return pulse
 	}
-	pulse.Knows = r.stated
-	pulse.Deaf = !slices.Contains(b.Direct, r.heartbeat.instance().Process)
+	pulse.KnownStateID = r.stateID
+	pulse.NotHearing = !slices.Contains(b.Direct, r.state.instance().Process)
 	return pulse
 }
 
-// hear takes a pulse. It returns what its sender says of itself and whether that was not known
+// receive takes a pulse. It returns what its sender says of itself and whether that was not known
 // before. Held is false if that is not known yet, or if the sender is not the process that has
 // its name: one that was replaced or is gone.
-func (p *peers) hear(now member.Time, pulse Pulse, answer bool) (h Heartbeat, fresh, held bool) {
+func (p *peers) receive(now member.Time, pulse Heartbeat, answer bool) (h InstanceState, fresh, held bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pulse.Name == p.self.Name {
 		return h, false, false
 	}
 	if r := p.known[pulse.Name]; r != nil {
-		r.knows = pulse.Knows
+		r.knownStateID = pulse.KnownStateID
 	}
-	h, found := p.resolve(pulse)
+	h, found := p.resolveState(pulse)
 	if !found {
 		return h, false, false
 	}
-	p.member.Handle(now, member.Heard{Beat: pulse.beat(h, p.own), Answered: answer})
-	if !p.member.Holds(h.instance().Process) {
+	p.membership.Handle(now, member.Heard{Beat: pulse.memberBeat(h, p.process), Answered: answer})
+	if !p.membership.Holds(h.instance().Process) {
 		return h, false, false
 	}
-	if pulse.Heartbeat != nil {
-		fresh = p.note(h, pulse)
+	if pulse.State != nil {
+		fresh = p.storeState(h, pulse)
 	}
 	r := p.known[h.Name]
-	r.knows, r.heardAt = pulse.Knows, time.Now()
+	r.knownStateID, r.lastHeardAt = pulse.KnownStateID, time.Now()
 	return h, fresh, true
 }
 
-// resolve returns the Heartbeat that a pulse carries or stands for. One that stands for another
+// resolveState returns the Heartbeat that a pulse carries or stands for. One that stands for another
 // than the last one known is of no use: its sender learns so by the number in the answer.
-func (p *peers) resolve(pulse Pulse) (Heartbeat, bool) {
-	if pulse.Heartbeat != nil {
-		return *pulse.Heartbeat, pulse.Heartbeat.Name == pulse.Name
+func (p *peers) resolveState(pulse Heartbeat) (InstanceState, bool) {
+	if pulse.State != nil {
+		return *pulse.State, pulse.State.Name == pulse.Name
 	}
 	r := p.known[pulse.Name]
-	if r == nil || r.stated != pulse.Stated {
-		return Heartbeat{}, false
+	if r == nil || r.stateID != pulse.StateID {
+		return InstanceState{}, false
 	}
-	return r.heartbeat, true
+	return r.state, true
 }
 
-// note keeps what an instance says of itself, unless it has said newer things: pulses may
+// storeState keeps what an instance says of itself, unless it has said newer things: pulses may
 // overtake each other.
-func (p *peers) note(h Heartbeat, pulse Pulse) (fresh bool) {
-	p.learnLocked(config.Peer{
+func (p *peers) storeState(h InstanceState, pulse Heartbeat) (fresh bool) {
+	p.addLocked(config.Peer{
 		Name:           h.Name,
 		Domain:         h.Domain,
 		PeerAddress:    h.PeerAddress,
 		ForwardAddress: h.ForwardAddress,
 	})
 	r := p.known[h.Name]
-	if r.heartbeat.Incarnation == h.Incarnation && pulse.Count <= r.count {
+	if r.state.Incarnation == h.Incarnation && pulse.Count <= r.heartbeatCount {
 		return false
 	}
-	fresh = r.stated != pulse.Stated
-	r.heartbeat, r.stated, r.count = h, pulse.Stated, pulse.Count
+	fresh = r.stateID != pulse.StateID
+	r.state, r.stateID, r.heartbeatCount = h, pulse.StateID, pulse.Count
 	return fresh
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -17,14 +17,14 @@
 // talker is the membership of one instance without sockets.
 type talker struct {
 	peers     *peers
-	heartbeat Heartbeat
+	heartbeat InstanceState
 }
 
 func newTalker(name string, incarnation uint64) *talker {
 	settings := config.Run{Name: name, Domain: "klet", PeerAddress: name + ":1", ForwardAddress: name + ":2"}
 	return &talker{
 		peers: newPeers(settings, incarnation, nil, meter.NewControl()),
-		heartbeat: Heartbeat{
+		heartbeat: InstanceState{
 			Name: name, Domain: "klet", Incarnation: incarnation,
 			PeerAddress: settings.PeerAddress, ForwardAddress: settings.ForwardAddress,
 		},
@@ -32,18 +32,18 @@
 }
 
 // call sends a heartbeat to another and returns both messages as they go over the wire.
-func (t *talker) call(now leader.Time, to *talker) (asked, answer Pulse) {
-	asked = t.peers.pulse(now, to.heartbeat.Name, t.heartbeat)
-	to.peers.hear(now, asked, false)
+func (t *talker) call(now leader.Time, to *talker) (asked, answer Heartbeat) {
+	asked = t.peers.nextHeartbeat(now, to.heartbeat.Name, t.heartbeat)
+	to.peers.receive(now, asked, false)
 	answer = to.peers.reply(now, asked, to.heartbeat)
-	t.peers.hear(now, answer.restore(asked, to.heartbeat.Name), true)
+	t.peers.receive(now, answer.restore(asked, to.heartbeat.Name), true)
 	return asked, answer
 }
 
 // knows reports whether an instance has what another says of itself now, and holds it live.
 func (t *talker) knows(other *talker) bool {
 	r := t.peers.remote(other.heartbeat.Name)
-	return r != nil && stated(r.heartbeat) == stated(other.heartbeat) && len(t.peers.liveInDomain()) == 1
+	return r != nil && stateID(r.state) == stateID(other.heartbeat) && len(t.peers.liveInDomain()) == 1
 }
 
 // Heartbeats carry statements only while the other lacks them. One that is never sent again
@@ -71,17 +71,17 @@
 			}
 			is.True(a.knows(b) && b.knows(a))
 			asked, answer := a.call(now, b)
-			is.True(asked.Heartbeat == nil && answer.Heartbeat == nil)
-			is.True(!asked.Deaf && !answer.Deaf)
+			is.True(asked.State == nil && answer.State == nil)
+			is.True(!asked.NotHearing && !answer.NotHearing)
 			a, b = change(a, b)
-			now += leader.Time(silentInDomain)
+			now += leader.Time(suspectTimeout)
 			for range 3 {
 				a.call(now, b)
 				now += testStep
 			}
 			is.True(a.knows(b) && b.knows(a))
 			asked, answer = a.call(now, b)
-			is.True(asked.Heartbeat == nil && answer.Heartbeat == nil)
+			is.True(asked.State == nil && answer.State == nil)
 		})
 	}
 }
@@ -108,16 +108,16 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := listing{registered: true}
+			l := listTracker{registered: true}
 			now := time.Unix(100, 0)
 			evidence := false
 			for _, names := range test.lists {
-				now = now.Add(listPeriod)
-				evidence = l.isEvidence(now, "a", names)
+				now = now.Add(listInterval)
+				evidence = l.isTrusted(now, "a", names)
 			}
 			is.Equal(evidence, test.evidence)
 			is.Equal(l.registered, test.registered)
-			is.True(l.isEvidence(now.Add(listSettle), "a", all))
+			is.True(l.isTrusted(now.Add(reregisterTime), "a", all))
 		})
 	}
 }
@@ -134,12 +134,12 @@
 		a.call(now, b)
 		now += testStep
 	}
-	asked := a.peers.pulse(now, "b", a.heartbeat)
-	b.peers.hear(now, asked, false)
+	asked := a.peers.nextHeartbeat(now, "b", a.heartbeat)
+	b.peers.receive(now, asked, false)
 	answer := b.peers.reply(now, asked, b.heartbeat)
 	b.heartbeat.TableSerial = 8
 	b.call(now, a)
 	is.True(a.knows(b))
-	_, _, held := a.peers.hear(now, answer.restore(asked, "b"), true)
+	_, _, held := a.peers.receive(now, answer.restore(asked, "b"), true)
 	is.True(!held)
 }
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -15,31 +15,31 @@
 	methodHeartbeat peer.Method = "heartbeat"
 	methodTable     peer.Method = "table"
 	methodExchange  peer.Method = "exchange"
-	methodProof     peer.Method = "bundle-proof"
+	methodBundle    peer.Method = "bundle-proof"
 )
 
-// Pulse is a heartbeat, as the parameters and as the result of a call. It carries the sender's
+// Heartbeat is a heartbeat, as the parameters and as the result of a call. It carries the sender's
 // Heartbeat only to a receiver that lacks it. A result leaves out what its caller can tell.
-type Pulse struct {
+type Heartbeat struct {
 	// Name and Stated are left out of a result if the caller knows the sender's Heartbeat.
 	Name string `json:"name,omitempty"`
 	// Count grows with each pulse of the process.
 	Count uint64 `json:"count"`
-	// Stated identifies the sender's Heartbeat.
-	Stated uint64 `json:"stated,omitempty"`
-	// Knows identifies the receiver's Heartbeat as the sender has it, zero for none. It is left
+	// StateID identifies the sender's Heartbeat.
+	StateID uint64 `json:"stated,omitempty"`
+	// KnownStateID identifies the receiver's Heartbeat as the sender has it, zero for none. It is left
 	// out of a result if that is the one that the caller stated.
-	Knows uint64 `json:"knows,omitempty"`
-	// Lacks says in a result that the sender has no Heartbeat of the caller.
-	Lacks bool `json:"lacks,omitempty"`
-	// Deaf says that the sender does not hear the receiver.
-	Deaf      bool           `json:"deaf,omitempty"`
-	Heartbeat *Heartbeat     `json:"heartbeat,omitempty"`
-	Hearsay   []member.Count `json:"hearsay,omitempty"`
+	KnownStateID uint64 `json:"knows,omitempty"`
+	// StateMissing says in a result that the sender has no Heartbeat of the caller.
+	StateMissing bool `json:"lacks,omitempty"`
+	// NotHearing says that the sender does not hear the receiver.
+	NotHearing bool           `json:"deaf,omitempty"`
+	State      *InstanceState `json:"heartbeat,omitempty"`
+	Hearsay    []member.Count `json:"hearsay,omitempty"`
 }
 
-// Heartbeat is what an instance says of itself.
-type Heartbeat struct {
+// InstanceState is what an instance says of itself.
+type InstanceState struct {
 	Name           string `json:"name"`
 	Domain         string `json:"domain"`
 	Incarnation    uint64 `json:"incarnation"`
@@ -64,23 +64,23 @@
 	Table *route.Table `json:"table"`
 }
 
-// ProofFetch asks for the bundle in force. Have is the version that the caller holds.
-type ProofFetch struct {
+// BundleFetch asks for the bundle in force. Have is the version that the caller holds.
+type BundleFetch struct {
 	Have uint64 `json:"have"`
 }
 
-// ProofPush hands over a bundle in force with the signatures that prove it, and the homes
+// BundlePush hands over a bundle in force with the signatures that prove it, and the homes
 // that the instance last read. The homes count only within a failure domain, whose instances
 // authenticate each other.
-type ProofPush struct {
+type BundlePush struct {
 	Proof bundle.Proof `json:"proof"`
 	// Update stands in place of Proof if the caller holds the version before.
 	Update *bundle.Update `json:"update,omitempty"`
 	Homes  []fold.Taken   `json:"homes,omitempty"`
 }
 
-// Done is the result of a call that returns nothing.
-type Done struct{}
+// Empty is the result of a call that returns nothing.
+type Empty struct{}
 
 // ExchangeCall carries an exchange to the instance that holds the grant of a server.
 type ExchangeCall struct {
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -21,13 +21,13 @@
 		Stopping:    stopping,
 		Services:    e.front.Status(),
 	}
-	if h := e.coreView.heartbeat.Load(); h != nil {
+	if h := e.leadership.heartbeat.Load(); h != nil {
 		s.Leading, s.Term = h.Leading, h.Term
 	}
 	if view.Bundle != nil {
 		s.BundleVersion = view.Bundle.Version
 	}
-	if state := e.folded.Load(); state != nil {
+	if state := e.logState.Load(); state != nil {
 		s.LogNext = state.Next
 	}
 	if t := view.Table; t != nil {
@@ -36,7 +36,7 @@
 		s.Provisional = countProvisional(t)
 		s.Owned = ownedShare(view)
 	}
-	s.Domains = e.peers.versions(s.BundleVersion)
+	s.Domains = e.peers.bundleVersions(s.BundleVersion)
 	return s
 }
 
@@ -112,7 +112,7 @@
 
 // Assignments implements admin.Source.
 func (e *Entry) Assignments() []admin.Assignment {
-	state := e.folded.Load()
+	state := e.logState.Load()
 	if state == nil {
 		return nil
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -21,29 +21,29 @@
 // peers are the other instances that this one knows of, with a client for each. The core of
 // membership decides which of them live and whom to send heartbeats to.
 type peers struct {
-	self   config.Run
-	config *tls.Config
-	meter  *meter.Control
+	self      config.Run
+	tlsConfig *tls.Config
+	meter     *meter.Control
 
-	mu     sync.Mutex
-	member *member.Core
-	own    member.Process
-	known  map[string]*remote
+	mu         sync.Mutex
+	membership *member.Core
+	process    member.Process
+	known      map[string]*remote
 }
 
 // remote is another instance.
 type remote struct {
 	config.Peer
 	client *peer.Client
-	// heartbeat is what it last said of itself, stated the number of that, and count that of the
+	// state is what it last said of itself, stated the number of that, and count that of the
 	// pulse which said so.
-	heartbeat Heartbeat
-	stated    uint64
-	count     uint64
-	// knows is the number of this instance's Heartbeat that it last had.
-	knows uint64
-	// heardAt is when it was last heard; the zero time if never.
-	heardAt time.Time
+	state          InstanceState
+	stateID        uint64
+	heartbeatCount uint64
+	// knownStateID is the number of this instance's Heartbeat that it last had.
+	knownStateID uint64
+	// lastHeardAt is when it was last heard; the zero time if never.
+	lastHeardAt time.Time
 	// busy is true while a heartbeat to it is under way.
 	busy     bool
 	fetching atomic.Bool
@@ -51,33 +51,33 @@
 
 func newPeers(self config.Run, incarnation uint64, tlsConfig *tls.Config, m *meter.Control) *peers {
 	own := member.Process{Name: self.Name, Incarnation: incarnation}
-	p := &peers{self: self, config: tlsConfig, meter: m, own: own, known: make(map[string]*remote)}
-	p.member = member.New(member.Config{
+	p := &peers{self: self, tlsConfig: tlsConfig, meter: m, process: own, known: make(map[string]*remote)}
+	p.membership = member.New(member.Config{
 		Self:           member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
-		Period:         beatInDomain,
-		PeriodOutside:  beatElsewhere,
-		Silence:        silentInDomain,
-		SilenceOutside: silentElsewhere,
-		All:            beatAll,
-		Delegates:      beatDelegates,
-		Patience:       beatPatience,
-		Hearsay:        beatHearsay,
+		Period:         heartbeatInterval,
+		PeriodOutside:  heartbeatIntervalOutside,
+		Silence:        suspectTimeout,
+		SilenceOutside: suspectTimeoutOutside,
+		All:            maxFullMesh,
+		Delegates:      maxDelegates,
+		Patience:       listedNameTimeout,
+		Hearsay:        maxHearsay,
 	})
 	for _, seed := range self.Peers {
-		p.learn(seed)
+		p.add(seed)
 	}
 	return p
 }
 
-// learn adds an instance, or moves it to another address. The process at the new address is
+// add adds an instance, or moves it to another address. The process at the new address is
 // another one, so nothing known of the old process stands.
-func (p *peers) learn(found config.Peer) {
+func (p *peers) add(found config.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.learnLocked(found)
+	p.addLocked(found)
 }
 
-func (p *peers) learnLocked(found config.Peer) {
+func (p *peers) addLocked(found config.Peer) {
 	if found.Name == "" || found.Name == p.self.Name {
 		return
 	}
@@ -88,16 +88,16 @@
 	if known {
 		go old.client.Close()
 	}
-	p.known[found.Name] = &remote{Peer: found, client: peer.NewClient(found.PeerAddress, p.config, p.count)}
-	p.member.Handle(0, member.Learned{Instance: member.Instance{
+	p.known[found.Name] = &remote{Peer: found, client: peer.NewClient(found.PeerAddress, p.tlsConfig, p.countBytes)}
+	p.membership.Handle(0, member.Learned{Instance: member.Instance{
 		Process: member.Process{Name: found.Name},
 		Domain:  found.Domain,
 		Address: found.PeerAddress,
 	}})
 }
 
-// count adds the bytes of a connection to another instance.
-func (p *peers) count(in, out int) {
+// countBytes adds the bytes of a connection to another instance.
+func (p *peers) countBytes(in, out int) {
 	p.meter.PeerBytesIn.Add(int64(in))
 	p.meter.PeerBytesOut.Add(int64(out))
 }
@@ -131,17 +131,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var clients []*peer.Client
-	for _, l := range p.member.View().Live {
-		if r := p.known[l.Name]; r != nil && accepts(l) {
+	for _, l := range p.membership.View().Live {
+		if r := p.known[l.Name]; r != nil && acceptsWork(l) {
 			clients = append(clients, r.client)
 		}
 	}
 	return clients
 }
 
-// accepts reports whether work may be sent to an instance. One that is known by hearsay only
+// acceptsWork reports whether work may be sent to an instance. One that is known by hearsay only
 // is beyond the direct contacts of a large domain.
-func accepts(l member.Live) bool {
+func acceptsWork(l member.Live) bool {
 	return !l.Leaving && (l.Link == member.LinkBoth || l.Link == member.LinkNone)
 }
 
@@ -153,22 +153,22 @@
 	var clients []*peer.Client
 	for _, name := range slices.Sorted(maps.Keys(p.known)) {
 		r := p.known[name]
-		if r.Domain == p.self.Domain && !r.heardAt.IsZero() && now.Before(r.heardAt.Add(recallAfter)) {
+		if r.Domain == p.self.Domain && !r.lastHeardAt.IsZero() && now.Before(r.lastHeardAt.Add(recoveryWindow)) {
 			clients = append(clients, r.client)
 		}
 	}
 	return clients
 }
 
-// heardInDomain returns the processes of the other instances of this domain that were heard within the time
+// recordHolders returns the processes of the other instances of this domain that were heard within the time
 // for which what they remember may matter.
-func (p *peers) heardInDomain(now time.Time) []Remembering {
+func (p *peers) recordHolders(now time.Time) []RecordHolder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var processes []Remembering
+	var processes []RecordHolder
 	for _, r := range p.known {
-		if r.Domain == p.self.Domain && !r.heardAt.IsZero() && now.Before(r.heardAt.Add(recallAfter)) {
-			processes = append(processes, r.heartbeat.remembering())
+		if r.Domain == p.self.Domain && !r.lastHeardAt.IsZero() && now.Before(r.lastHeardAt.Add(recoveryWindow)) {
+			processes = append(processes, r.state.remembering())
 		}
 	}
 	return processes
@@ -178,7 +178,7 @@
 func (p *peers) leader() *peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r := p.known[p.member.View().Leader.Name]; r != nil {
+	if r := p.known[p.membership.View().Leader.Name]; r != nil {
 		return r.client
 	}
 	return nil
@@ -205,15 +205,15 @@
 // liveLocked returns the live instances of all domains but this one.
 func (p *peers) liveLocked() []*remote {
 	var all []*remote
-	view := p.member.View()
+	view := p.membership.View()
 	for _, l := range view.Live {
-		if r := p.known[l.Name]; r != nil && accepts(l) {
+		if r := p.known[l.Name]; r != nil && acceptsWork(l) {
 			all = append(all, r)
 		}
 	}
 	for _, d := range view.Domains {
 		for _, i := range d.Reachable {
-			if r := p.known[i.Name]; r != nil && !r.heartbeat.Stopping {
+			if r := p.known[i.Name]; r != nil && !r.state.Stopping {
 				all = append(all, r)
 			}
 		}
@@ -221,12 +221,12 @@
 	return all
 }
 
-// domains returns the other failure domains of which an instance was heard lately.
-func (p *peers) domains() []string {
+// reachableDomains returns the other failure domains of which an instance was heard lately.
+func (p *peers) reachableDomains() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var heard []string
-	for _, d := range p.member.View().Domains {
+	for _, d := range p.membership.View().Domains {
 		if len(d.Reachable) > 0 {
 			heard = append(heard, d.Name)
 		}
@@ -234,14 +234,14 @@
 	return heard
 }
 
-// versions returns the bundle versions in force by domain, sorted by domain. Own is that of
+// bundleVersions returns the bundle versions in force by domain, sorted by domain. Own is that of
 // this instance.
-func (p *peers) versions(own uint64) []admin.DomainVersion {
+func (p *peers) bundleVersions(own uint64) []admin.DomainVersion {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := []admin.DomainVersion{{Domain: p.self.Domain, Lowest: own, Highest: own}}
 	for _, r := range p.liveLocked() {
-		version := r.heartbeat.BundleVersion
+		version := r.state.BundleVersion
 		i := slices.IndexFunc(all, func(v admin.DomainVersion) bool { return v.Domain == r.Domain })
 		if i < 0 {
 			all = append(all, admin.DomainVersion{Domain: r.Domain, Lowest: version, Highest: version})
--- a/internal/entry/losses_test.go
+++ b/internal/entry/recover_test.go
@@ -29,7 +29,7 @@
 func (s *site) answerPeers(e *Entry) {
 	l, err := net.Listen("tcp", e.deps.Settings.PeerAddress)
 	s.is.NoErr(err)
-	server := peer.NewServer(l, e.deps.TLS, e.mux(), nil)
+	server := peer.NewServer(l, e.deps.TLS, e.newMux(), nil)
 	s.start(e.deps.Settings.Name, func(ctx context.Context) error {
 		if err := server.Run(ctx); !errors.Is(err, context.Canceled) {
 			return err
@@ -40,8 +40,8 @@
 
 // says lets one process hear another.
 func (s *site) says(from, to *Entry) {
-	h := from.heartbeat()
-	to.hear(Pulse{Name: h.Name, Heartbeat: &h, Stated: stated(h)}, true)
+	h := from.instanceState()
+	to.receive(Heartbeat{Name: h.Name, State: &h, StateID: stateID(h)}, true)
 }
 
 // A domain was cut off, and two of its three instances were killed and started again. The third
@@ -90,8 +90,8 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := asker.witness.Recall(ctx, service, keys.Full)
-			s.is.Equal(errors.Is(err, errRecall), test.wantErr)
+			_, err := asker.replicator.Recall(ctx, service, keys.Full)
+			s.is.Equal(errors.Is(err, errUnrecoverable), test.wantErr)
 		})
 	}
 }
@@ -106,6 +106,6 @@
 	asker := s.life(2, 12)
 	s.says(witness, asker)
 	s.answerPeers(witness)
-	_, err := asker.witness.Recall(t.Context(), service, keys.Full)
-	s.is.True(errors.Is(err, errRecall))
+	_, err := asker.replicator.Recall(t.Context(), service, keys.Full)
+	s.is.True(errors.Is(err, errUnrecoverable))
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -20,11 +20,11 @@
 	mu     sync.Mutex
 	view   route.View
 	newest *fold.Newest
-	// before is the bundle that the newest one replaced at this instance.
-	before bundle.Held
-	// taken is what the domains have by the log, as far as this instance knows.
-	taken    []fold.Taken
-	stopping bool
+	// previous is the bundle that the newest one replaced at this instance.
+	previous bundle.Held
+	// takenHomes is what the domains have by the log, as far as this instance knows.
+	takenHomes []fold.Taken
+	stopping   bool
 }
 
 func newState(settings config.Run) *state {
@@ -35,21 +35,21 @@
 	}
 }
 
-// follow takes the bundle in force by the log. It reports whether the bundle changed.
-func (s *state) follow(log *fold.State) bool {
+// followLog takes the bundle in force by the log. It reports whether the bundle changed.
+func (s *state) followLog(log *fold.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.newest.Held()
 	if !s.newest.Follow(log) {
 		return false
 	}
-	s.replace(before)
+	s.replaceView(before)
 	return true
 }
 
-// learn takes a bundle that another instance handed over, as an update of the one held or
+// applyBundle takes a bundle that another instance handed over, as an update of the one held or
 // else as a whole proof. Only signatures count.
-func (s *state) learn(push ProofPush) error {
+func (s *state) applyBundle(push BundlePush) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.newest.Held()
@@ -62,15 +62,15 @@
 	if err != nil {
 		return err
 	}
-	s.replace(before)
+	s.replaceView(before)
 	return nil
 }
 
-// replace makes the view of a bundle that came after another one. The lock is held.
-func (s *state) replace(before bundle.Held) {
-	s.before = before
+// replaceView makes the view of a bundle that came after another one. The lock is held.
+func (s *state) replaceView(before bundle.Held) {
+	s.previous = before
 	s.view.Bundle = s.newest.Bundle()
-	s.view.Homes = homesOf(s.view.Bundle, s.taken)
+	s.view.Homes = currentHomes(s.view.Bundle, s.takenHomes)
 	s.directory.Set(s.view)
 }
 
@@ -83,46 +83,46 @@
 
 // offer returns what an instance that holds a version needs to have the newest: an update if
 // it holds the version before, the whole proof otherwise.
-func (s *state) offer(version uint64) ProofPush {
+func (s *state) offer(version uint64) BundlePush {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version > 0 && version == s.before.Proof.Version() {
-		if u, err := bundle.NewUpdate(s.before, s.newest.Held()); err == nil {
-			return ProofPush{Update: &u}
+	if version > 0 && version == s.previous.Proof.Version() {
+		if u, err := bundle.NewUpdate(s.previous, s.newest.Held()); err == nil {
+			return BundlePush{Update: &u}
 		}
 	}
-	return ProofPush{Proof: s.newest.Proof()}
+	return BundlePush{Proof: s.newest.Proof()}
 }
 
-// takeHomes notes which domain has which ranges by the log. Requests go to the domain that has
+// setHomes notes which domain has which ranges by the log. Requests go to the domain that has
 // a range, which for a while is not the one that should have it.
-func (s *state) takeHomes(taken []fold.Taken) {
+func (s *state) setHomes(taken []fold.Taken) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.EqualFunc(s.taken, taken, func(a, b fold.Taken) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
+	if slices.EqualFunc(s.takenHomes, taken, func(a, b fold.Taken) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
 		return
 	}
-	s.taken = taken
-	s.view.Homes = homesOf(s.view.Bundle, taken)
+	s.takenHomes = taken
+	s.view.Homes = currentHomes(s.view.Bundle, taken)
 	s.directory.Set(s.view)
 }
 
-// homesOf returns the homes of each divided service, sorted: what the domains have taken, and
+// currentHomes returns the homes of each divided service, sorted: what the domains have taken, and
 // in the gaps what the bundle says they should.
-func homesOf(b *bundle.Bundle, taken []fold.Taken) map[string][]route.Home {
+func currentHomes(b *bundle.Bundle, taken []fold.Taken) map[string][]route.Home {
 	homes := make(map[string][]route.Home)
 	if b == nil {
 		return homes
 	}
 	for _, service := range b.Services {
 		if service.Divided {
-			homes[service.Name] = homesOfService(b, service.Name, taken)
+			homes[service.Name] = currentServiceHomes(b, service.Name, taken)
 		}
 	}
 	return homes
 }
 
-func homesOfService(b *bundle.Bundle, service string, taken []fold.Taken) []route.Home {
+func currentServiceHomes(b *bundle.Bundle, service string, taken []fold.Taken) []route.Home {
 	var homes []route.Home
 	var covered []keys.Range
 	for _, t := range taken {
