--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -107,8 +107,8 @@
 
 // extendOwnGateLease extends the right of the leader to be a gate itself.
 func (e *Entry) extendOwnGateLease() {
-	if asked, leads := e.leaderCore.QuorumAskedAt(); leads {
-		e.gateLease.extend(asked + leader.Time(gateLeaseDuration))
+	if askedAt, leads := e.leaderCore.QuorumAskedAt(); leads {
+		e.gateLease.extend(askedAt + leader.Time(gateLeaseDuration))
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -110,10 +110,10 @@
 		sends:   make(chan leader.Send, sendCapacity),
 		appends: make(chan leader.Append, appendCapacity),
 	}
-	leading := leader.DefaultConfig(d.Settings.Domain, d.Settings.Name, d.Incarnation)
-	e.leaderCore = leader.New(leading, d.Placer)
+	lc := leader.DefaultConfig(d.Settings.Domain, d.Settings.Name, d.Incarnation)
+	e.leaderCore = leader.New(lc, d.Placer)
 	e.meter = meter.NewControl()
-	e.homesCore = homes.New(homesConfig(leading))
+	e.homesCore = homes.New(homesConfig(lc))
 	e.peers = newPeers(d.Settings, d.Incarnation, d.TLS, e.meter)
 	e.holders = newGrantHolders(d.Incarnation, e.grantNow)
 	e.loads = newLoadCounter(time.Now())
@@ -196,26 +196,26 @@
 	if err != nil {
 		return err
 	}
-	group := duty.New(context.WithoutCancel(ctx), maxWorkers)
-	doors := duty.New(context.WithoutCancel(ctx), maxWorkers)
-	e.startWorkers(group, listeners)
-	e.startServers(doors, listeners)
+	workers := duty.New(context.WithoutCancel(ctx), maxWorkers)
+	servers := duty.New(context.WithoutCancel(ctx), maxWorkers)
+	e.startWorkers(workers, listeners)
+	e.startServers(servers, listeners)
 	e.deps.Logger.Info("started", "instance", e.deps.Settings.Name, "domain", e.deps.Settings.Domain,
 		"incarnation", e.deps.Incarnation, "callers", e.deps.Settings.CallerAddress)
 	select {
-	case end := <-group.Ends():
-		_ = doors.Wait(0)
-		_ = group.Wait(1)
+	case end := <-workers.Ends():
+		_ = servers.Wait(0)
+		_ = workers.Wait(1)
 		return fmt.Errorf("%w: %s: %w", ErrWorkerEnded, end.Name, end.Err)
-	case end := <-doors.Ends():
-		_ = doors.Wait(1)
-		_ = group.Wait(0)
+	case end := <-servers.Ends():
+		_ = servers.Wait(1)
+		_ = workers.Wait(0)
 		return fmt.Errorf("%w: %s: %w", ErrWorkerEnded, end.Name, end.Err)
 	case <-ctx.Done():
 	}
 	drained := e.drain()
-	closed := doors.Wait(0)
-	return cmp.Or(drained, closed, group.Wait(0))
+	closed := servers.Wait(0)
+	return cmp.Or(drained, closed, workers.Wait(0))
 }
 
 // startServers starts the duties by which requests come in. They end before the others, which serve
@@ -251,8 +251,8 @@
 func (e *Entry) drain() error {
 	e.deps.Logger.Info("stopping", "instance", e.deps.Settings.Name)
 	e.state.stop()
-	limit := time.Duration(e.deps.Settings.DrainMillis) * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	timeout := time.Duration(e.deps.Settings.DrainMillis) * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	e.notifyLeaderCore(ctx, leader.Stopping{})
 	e.announceLeaving(ctx)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -33,8 +33,8 @@
 	errStatus   = errors.New("entry: exchange refused")
 )
 
-// exchangeResult is an exchange that has ended.
-type exchangeResult struct {
+// finishedExchange is an exchange that has ended.
+type finishedExchange struct {
 	send   leader.Send
 	answer grant.Answer
 	err    error
@@ -43,33 +43,33 @@
 // exchangeTarget names where an exchange goes.
 type exchangeTarget struct {
 	server string
-	via    string
+	gate   string
 }
 
 // runExchanges carries the core's exchanges to servers and gates, one at a time to each.
 func (e *Entry) runExchanges(ctx context.Context) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleExchangeConns, DisableCompression: true}}
-	ended := make(chan exchangeResult, maxExchanges)
+	ended := make(chan finishedExchange, maxExchanges)
 	busy := make(map[exchangeTarget]bool)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case s := <-e.sends:
-			at := exchangeTarget{server: s.Server, via: s.Gate}
+			at := exchangeTarget{server: s.Server, gate: s.Gate}
 			if busy[at] || len(busy) >= maxExchanges {
 				continue
 			}
 			busy[at] = true
-			go e.exchange(ctx, client, s, ended)
+			go e.doExchange(ctx, client, s, ended)
 		case x := <-ended:
-			delete(busy, exchangeTarget{server: x.send.Server, via: x.send.Gate})
-			e.exchangeEnded(ctx, x)
+			delete(busy, exchangeTarget{server: x.send.Server, gate: x.send.Gate})
+			e.finishExchange(ctx, x)
 		}
 	}
 }
 
-func (e *Entry) exchangeEnded(ctx context.Context, x exchangeResult) {
+func (e *Entry) finishExchange(ctx context.Context, x finishedExchange) {
 	e.meter.ExchangesSent.Add(1)
 	if x.err != nil {
 		e.meter.ExchangesFailed.Add(1)
@@ -84,39 +84,39 @@
 	})
 }
 
-func (e *Entry) exchange(ctx context.Context, client *http.Client, s leader.Send, ended chan<- exchangeResult) {
+func (e *Entry) doExchange(ctx context.Context, client *http.Client, s leader.Send, ended chan<- finishedExchange) {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	answer, err := e.sendExchange(bounded, client, s)
 	select {
-	case ended <- exchangeResult{send: s, answer: answer, err: err}:
+	case ended <- finishedExchange{send: s, answer: answer, err: err}:
 	case <-ctx.Done():
 	}
 }
 
 // sendExchange sends an exchange to wherever the server's grant is held.
 func (e *Entry) sendExchange(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
-	via := s.Gate
+	holder := s.Gate
 	if s.Exchange.Service == voterService {
-		via = s.Server
+		holder = s.Server
 	}
 	if e.now() > s.SendBefore {
 		return grant.Answer{}, errTooLate
 	}
-	switch via {
+	switch holder {
 	case "":
 		return e.postToServer(ctx, client, s)
 	case e.deps.Settings.Name:
 		return e.holders.exchange(s.Exchange), nil
 	default:
-		return e.callGrantHolder(ctx, via, s.Exchange)
+		return e.callGrantHolder(ctx, holder, s.Exchange)
 	}
 }
 
-func (e *Entry) callGrantHolder(ctx context.Context, via string, x grant.Exchange) (grant.Answer, error) {
-	c := e.peers.client(via)
+func (e *Entry) callGrantHolder(ctx context.Context, holder string, x grant.Exchange) (grant.Answer, error) {
+	c := e.peers.client(holder)
 	if c == nil {
-		return grant.Answer{}, fmt.Errorf("%w: %s", errNoPeer, via)
+		return grant.Answer{}, fmt.Errorf("%w: %s", errNoPeer, holder)
 	}
 	result, err := call[ExchangeCall, ExchangeResult](ctx, c, exchangeTimeout, methodExchange, ExchangeCall{Exchange: x})
 	return result.Answer, err
--- a/internal/entry/gatelease.go
+++ b/internal/entry/gatelease.go
@@ -35,14 +35,14 @@
 // A request that must not run twice is sent only while the leader has confirmed lately that
 // this instance is the gate. A gate that was cut off or paused would otherwise send a request
 // whose resend the next gate, which cannot know of it, sends as well.
-func (r gateChecker) Begin(a front.Approach) (front.Work, error) {
-	if !a.Idempotent && r.now() >= r.gateLease.until() {
+func (c gateChecker) Begin(a front.Approach) (front.Work, error) {
+	if !a.Idempotent && c.now() >= c.gateLease.until() {
 		return nil, errGateUnconfirmed
 	}
 	if a.Checks || !a.Divided {
 		return untrackedWork{}, nil
 	}
-	return r.holders.begin(a.Service, a.Server, a.Hash)
+	return c.holders.begin(a.Service, a.Server, a.Hash)
 }
 
 // untrackedWork is a Work whose end nobody waits for.
@@ -57,24 +57,24 @@
 	deadline leader.Time
 }
 
-func (g *gateLease) until() leader.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.deadline
+func (l *gateLease) until() leader.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.deadline
 }
 
 // confirm extends the right by an answer of the leader to a heartbeat that was sent at
 // askedAt. It counts only if the instance's own table is the leader's: a newer one, which the
 // instance has not seen yet, may name other gates.
-func (g *gateLease) confirm(askedAt leader.Time, h InstanceState, t *route.Table) {
-	if !h.Leading || t == nil || h.Domain != t.Domain || t.Term != h.Term || t.Term != h.TableTerm || t.Serial != h.TableSerial {
+func (l *gateLease) confirm(askedAt leader.Time, s InstanceState, t *route.Table) {
+	if !s.Leading || t == nil || s.Domain != t.Domain || t.Term != s.Term || t.Term != s.TableTerm || t.Serial != s.TableSerial {
 		return
 	}
-	g.extend(askedAt + leader.Time(gateLeaseDuration))
+	l.extend(askedAt + leader.Time(gateLeaseDuration))
 }
 
-func (g *gateLease) extend(deadline leader.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.deadline = max(g.deadline, deadline)
+func (l *gateLease) extend(deadline leader.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.deadline = max(l.deadline, deadline)
 }
--- a/internal/entry/heartbeat_bench_test.go
+++ b/internal/entry/heartbeat_bench_test.go
@@ -9,31 +9,31 @@
 	"example.org/mustardring/internal/leader"
 )
 
-// BenchmarkPulse measures a heartbeat and its answer between two instances: the time that both
+// BenchmarkHeartbeat measures a heartbeat and its answer between two instances: the time that both
 // take without the sockets, and the bytes of both messages.
-func BenchmarkPulse(b *testing.B) {
-	tests := map[string]func(t *talker, n uint64){
-		"nothing new": func(*talker, uint64) {},
-		"new table":   func(t *talker, n uint64) { t.heartbeat.TableSerial = n },
+func BenchmarkHeartbeat(b *testing.B) {
+	tests := map[string]func(t *testInstance, n uint64){
+		"nothing new": func(*testInstance, uint64) {},
+		"new table":   func(t *testInstance, n uint64) { t.state.TableSerial = n },
 	}
 	for name, change := range tests {
 		b.Run(name, func(b *testing.B) {
-			asker, asked := newTalker("dvorana-a-2", 1<<62), newTalker("dvorana-a-1", 1<<63)
+			asker, asked := newTestInstance("dvorana-a-2", 1<<62), newTestInstance("dvorana-a-1", 1<<63)
 			now, n, bytes := testStep, uint64(1000), 0
 			for b.Loop() {
 				now += leader.Time(1000)
 				n++
 				change(asker, n)
-				bytes = carry(b, asker, asked, now)
+				bytes = callEncoded(b, asker, asked, now)
 			}
 			b.ReportMetric(float64(bytes), "bytes/call")
 		})
 	}
 }
 
-// carry makes one call with all its encoding and returns the bytes of both messages.
-func carry(b *testing.B, from, to *talker, now leader.Time) int {
-	pulse := from.peers.nextHeartbeat(now, to.heartbeat.Name, from.heartbeat)
+// callEncoded makes one call with all its encoding and returns the bytes of both messages.
+func callEncoded(b *testing.B, from, to *testInstance, now leader.Time) int {
+	pulse := from.peers.nextHeartbeat(now, to.state.Name, from.state)
 	request := jsonrpc2.Request{Method: string(methodHeartbeat), ID: jsonrpc2.ID{Num: 12345}}
 	must(b, request.SetParams(pulse))
 	asked := encode(b, request)
@@ -41,11 +41,11 @@
 	must(b, json.Unmarshal(*request.Params, &got))
 	to.peers.receive(now, got, false)
 	response := jsonrpc2.Response{ID: request.ID}
-	must(b, response.SetResult(to.peers.reply(now, got, to.heartbeat)))
+	must(b, response.SetResult(to.peers.reply(now, got, to.state)))
 	answered := encode(b, response)
 	var answer Heartbeat
 	must(b, json.Unmarshal(*response.Result, &answer))
-	from.peers.receive(now, answer.restore(pulse, to.heartbeat.Name), true)
+	from.peers.receive(now, answer.restore(pulse, to.state.Name), true)
 	return len(asked) + len(answered)
 }
 
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -66,8 +66,8 @@
 
 // sendDueHeartbeats sends the heartbeats that are due and hands on what the core now believes.
 func (e *Entry) sendDueHeartbeats(ctx context.Context, ended chan<- heartbeatResult) {
-	h := e.instanceState()
-	e.peers.setLeading(e.now(), h)
+	s := e.instanceState()
+	e.peers.setLeading(e.now(), s)
 	for _, r := range e.peers.due(e.now()) {
 		go func() {
 			b := e.sendHeartbeat(ctx, r)
@@ -87,13 +87,13 @@
 // sendHeartbeat sends one heartbeat and waits for its end.
 func (e *Entry) sendHeartbeat(ctx context.Context, r *remote) heartbeatResult {
 	b := heartbeatResult{remote: r, askedAt: e.now()}
-	pulse := e.peers.nextHeartbeat(e.now(), r.Name, e.instanceState())
-	result, err := call[Heartbeat, Heartbeat](ctx, r.client, heartbeatTimeout, methodHeartbeat, pulse)
+	request := e.peers.nextHeartbeat(e.now(), r.Name, e.instanceState())
+	result, err := call[Heartbeat, Heartbeat](ctx, r.client, heartbeatTimeout, methodHeartbeat, request)
 	e.meter.CallsSent.Add(1)
 	if err != nil {
 		e.meter.CallsFailed.Add(1)
 	}
-	result = result.restore(pulse, r.Name)
+	result = result.restore(request, r.Name)
 	if err == nil && result.Name == r.Name {
 		b.result = &result
 	}
@@ -103,43 +103,43 @@
 // handleAnswer handles what another instance said in answer to a heartbeat. The right to be a
 // gate is extended only by an answer that states the leader's present table.
 func (e *Entry) handleAnswer(ctx context.Context, b heartbeatResult) {
-	h, fresh, held := e.receive(*b.result, true)
-	if !held {
+	s, isNew, accepted := e.receive(*b.result, true)
+	if !accepted {
 		return
 	}
-	e.handleState(ctx, h, fresh)
-	e.gateLease.confirm(b.askedAt, h, e.state.table())
+	e.handleState(ctx, s, isNew)
+	e.gateLease.confirm(b.askedAt, s, e.state.table())
 }
 
 // receive takes a pulse. A process that is not believed to have its name yet may answer calls all
 // the same, so that it took the place of another is noted before anything else.
-func (e *Entry) receive(p Heartbeat, answer bool) (h InstanceState, fresh, held bool) {
-	if p.State != nil && p.State.Domain == e.deps.Settings.Domain {
-		e.replaced.observe(*p.State, time.Now())
+func (e *Entry) receive(h Heartbeat, isAnswer bool) (s InstanceState, isNew, accepted bool) {
+	if h.State != nil && h.State.Domain == e.deps.Settings.Domain {
+		e.replaced.observe(*h.State, time.Now())
 	}
-	return e.peers.receive(e.now(), p, answer)
+	return e.peers.receive(e.now(), h, isAnswer)
 }
 
 // handleState handles what another instance says of itself. Fresh says that it was not known.
-func (e *Entry) handleState(ctx context.Context, h InstanceState, fresh bool) {
-	if fresh {
-		e.front.Merge(h.Blocks)
+func (e *Entry) handleState(ctx context.Context, s InstanceState, isNew bool) {
+	if isNew {
+		e.front.Merge(s.Blocks)
 	}
-	if h.Domain == e.deps.Settings.Domain {
-		e.notifyLeaderCore(ctx, leaderHeartbeat(h))
+	if s.Domain == e.deps.Settings.Domain {
+		e.notifyLeaderCore(ctx, leaderHeartbeat(s))
 	}
 	view, _ := e.state.snapshot()
-	newer := view.Bundle == nil && h.BundleVersion > 0 || view.Bundle != nil && h.BundleVersion > view.Bundle.Version
-	homes := h.BundleVersion > 0 && h.Domain == e.deps.Settings.Domain && e.lacksHomes()
-	if newer || homes {
-		e.startFetch(h.Name, func(r *remote) { e.fetchBundle(ctx, r) })
+	needsBundle := view.Bundle == nil && s.BundleVersion > 0 || view.Bundle != nil && s.BundleVersion > view.Bundle.Version
+	needsHomes := s.BundleVersion > 0 && s.Domain == e.deps.Settings.Domain && e.lacksHomes()
+	if needsBundle || needsHomes {
+		e.startFetch(s.Name, func(r *remote) { e.fetchBundle(ctx, r) })
 	}
-	if h.Domain != e.deps.Settings.Domain {
+	if s.Domain != e.deps.Settings.Domain {
 		return
 	}
 	t := view.Table
-	if t == nil || h.TableTerm.Compare(t.Term) > 0 || h.TableTerm == t.Term && h.TableSerial > t.Serial {
-		e.startFetch(h.Name, func(r *remote) { e.fetchTable(ctx, r.client) })
+	if t == nil || s.TableTerm.Compare(t.Term) > 0 || s.TableTerm == t.Term && s.TableSerial > t.Serial {
+		e.startFetch(s.Name, func(r *remote) { e.fetchTable(ctx, r.client) })
 	}
 }
 
@@ -169,21 +169,21 @@
 	return m
 }
 
-func (e *Entry) handleHeartbeat(ctx context.Context, p Heartbeat) (Heartbeat, error) {
-	h, fresh, held := e.receive(p, false)
-	if held {
-		e.handleState(ctx, h, fresh)
+func (e *Entry) handleHeartbeat(ctx context.Context, h Heartbeat) (Heartbeat, error) {
+	s, isNew, accepted := e.receive(h, false)
+	if accepted {
+		e.handleState(ctx, s, isNew)
 	}
-	return e.peers.reply(e.now(), p, e.instanceState()), nil
+	return e.peers.reply(e.now(), h, e.instanceState()), nil
 }
 
 // announceLeaving tells the domain at once that this instance is leaving.
 func (e *Entry) announceLeaving(ctx context.Context) {
-	var told sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, r := range e.peers.leave(e.now()) {
-		told.Go(func() { e.sendHeartbeat(ctx, r) })
+		wg.Go(func() { e.sendHeartbeat(ctx, r) })
 	}
-	told.Wait()
+	wg.Wait()
 	if err := e.deps.List.Leave(ctx, e.listEntry()); err != nil {
 		e.deps.Logger.Warn("list-unavailable", "error", err)
 	}
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -18,8 +18,8 @@
 
 // stateID returns the number that stands for a Heartbeat. It differs after a restart, because
 // the incarnation is part of the Heartbeat, and is never zero.
-func stateID(h InstanceState) uint64 {
-	data, err := json.Marshal(h)
+func stateID(s InstanceState) uint64 {
+	data, err := json.Marshal(s)
 	if err != nil {
 		return 1
 	}
@@ -30,7 +30,7 @@
 func (e *Entry) instanceState() InstanceState {
 	view, stopping := e.state.snapshot()
 	settings := e.deps.Settings
-	h := InstanceState{
+	s := InstanceState{
 		Name:           settings.Name,
 		Domain:         settings.Domain,
 		Incarnation:    e.deps.Incarnation,
@@ -39,78 +39,78 @@
 		Stopping:       stopping,
 	}
 	if view.Bundle != nil {
-		h.BundleVersion = view.Bundle.Version
+		s.BundleVersion = view.Bundle.Version
 	}
 	if view.Table != nil {
-		h.TableTerm, h.TableSerial = view.Table.Term, view.Table.Serial
+		s.TableTerm, s.TableSerial = view.Table.Term, view.Table.Serial
 	}
-	h.Blocks = e.front.Blocks()
-	slices.SortFunc(h.Blocks, compareBlocks)
+	s.Blocks = e.front.Blocks()
+	slices.SortFunc(s.Blocks, compareBlocks)
 	if core := e.leadership.heartbeat.Load(); core != nil {
-		h.Leading, h.Term = core.Leading, core.Term
+		s.Leading, s.Term = core.Leading, core.Term
 	}
-	return h
+	return s
 }
 
 func compareBlocks(a, b policy.Block) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
 }
 
-func (h InstanceState) instance() member.Instance {
+func (s InstanceState) memberInstance() member.Instance {
 	return member.Instance{
-		Process: member.Process{Name: h.Name, Incarnation: h.Incarnation},
-		Domain:  h.Domain,
-		Address: h.PeerAddress,
+		Process: member.Process{Name: s.Name, Incarnation: s.Incarnation},
+		Domain:  s.Domain,
+		Address: s.PeerAddress,
 	}
 }
 
 // shorten leaves out of a result what its caller can tell.
-func (p Heartbeat) shorten(asked Heartbeat) Heartbeat {
-	if p.StateID == asked.KnownStateID {
-		p.Name, p.StateID, p.State = "", 0, nil
+func (h Heartbeat) shorten(request Heartbeat) Heartbeat {
+	if h.StateID == request.KnownStateID {
+		h.Name, h.StateID, h.State = "", 0, nil
 	}
-	p.StateMissing = p.KnownStateID == 0
-	if p.KnownStateID == asked.StateID {
-		p.KnownStateID = 0
+	h.StateMissing = h.KnownStateID == 0
+	if h.KnownStateID == request.StateID {
+		h.KnownStateID = 0
 	}
-	return p
+	return h
 }
 
 // restore adds to a result what was left out of it.
-func (p Heartbeat) restore(asked Heartbeat, name string) Heartbeat {
-	if p.StateID == 0 {
-		p.Name, p.StateID = name, asked.KnownStateID
+func (h Heartbeat) restore(request Heartbeat, name string) Heartbeat {
+	if h.StateID == 0 {
+		h.Name, h.StateID = name, request.KnownStateID
 	}
-	if p.KnownStateID == 0 && !p.StateMissing {
-		p.KnownStateID = asked.StateID
+	if h.KnownStateID == 0 && !h.StateMissing {
+		h.KnownStateID = request.StateID
 	}
-	return p
+	return h
 }
 
-// memberBeat returns the heartbeat of the core of membership that a pulse with h stands for.
-func (p Heartbeat) memberBeat(h InstanceState, self member.Process) member.Beat {
+// memberBeat returns the heartbeat of the core of membership that a pulse with s stands for.
+func (h Heartbeat) memberBeat(s InstanceState, self member.Process) member.Beat {
 	b := member.Beat{
-		Instance: h.instance(),
-		Count:    p.Count,
-		Leaving:  h.Stopping,
-		Term:     h.Term,
-		Hearsay:  p.Hearsay,
+		Instance: s.memberInstance(),
+		Count:    h.Count,
+		Leaving:  s.Stopping,
+		Term:     s.Term,
+		Hearsay:  h.Hearsay,
 	}
-	if h.Leading {
+	if s.Leading {
 		b.Leader = b.Process
 	}
-	if !p.NotHearing {
+	if !h.NotHearing {
 		b.Direct = []member.Process{self}
 	}
 	return b
 }
 
-func leaderHeartbeat(h InstanceState) leader.Heartbeat {
+func leaderHeartbeat(s InstanceState) leader.Heartbeat {
 	return leader.Heartbeat{
-		Name:        h.Name,
-		Incarnation: h.Incarnation,
-		Leading:     h.Leading,
-		Term:        h.Term,
-		Leaving:     h.Stopping,
+		Name:        s.Name,
+		Incarnation: s.Incarnation,
+		Leading:     s.Leading,
+		Term:        s.Term,
+		Leaving:     s.Stopping,
 	}
 }
--- a/internal/entry/logworker_test.go
+++ b/internal/entry/logworker_test.go
@@ -26,7 +26,7 @@
 // A leader has moved a range while the log has a fault, which ends after a minute. The move
 // must be acknowledged with its offset, and what is read must hold it. Operators would
 // otherwise see a provisional move for ever, or lose it.
-func TestLogDutyOutlivesFaults(t *testing.T) {
+func TestLogWorkerSurvivesFaults(t *testing.T) {
 	tests := map[string]stand.LogFault{
 		"well":         {},
 		"down":         {Down: true},
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -39,11 +39,11 @@
 }
 
 // setLeading tells the core of membership whether this instance leads.
-func (p *peers) setLeading(now member.Time, h InstanceState) {
+func (p *peers) setLeading(now member.Time, s InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ev := member.LedBy{Term: h.Term}
-	if h.Leading {
+	ev := member.LedBy{Term: s.Term}
+	if s.Leading {
 		ev.Leader = p.process
 	}
 	p.membership.Handle(now, ev)
@@ -80,69 +80,69 @@
 func (p *peers) nextHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pulse := p.newHeartbeat(now, to, own)
-	if r := p.known[to]; r != nil && r.knownStateID == pulse.StateID {
-		pulse.State = nil
+	h := p.newHeartbeat(now, to, own)
+	if r := p.known[to]; r != nil && r.knownStateID == h.StateID {
+		h.State = nil
 	}
-	return pulse
+	return h
 }
 
-// reply returns the answer to a pulse.
-func (p *peers) reply(now member.Time, asked Heartbeat, own InstanceState) Heartbeat {
+// reply returns the answer to a h.
+func (p *peers) reply(now member.Time, request Heartbeat, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.newHeartbeat(now, asked.Name, own).shorten(asked)
+	return p.newHeartbeat(now, request.Name, own).shorten(request)
 }
 
-// newHeartbeat returns a whole pulse.
+// newHeartbeat returns a whole h.
 func (p *peers) newHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	b := p.membership.Beat(now)
-	pulse := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
+	h := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
 	r := p.known[to]
 	if r == nil {
-		return pulse
+		return h
 	}
-	pulse.KnownStateID = r.stateID
-	pulse.NotHearing = !slices.Contains(b.Direct, r.state.instance().Process)
-	return pulse
+	h.KnownStateID = r.stateID
+	h.NotHearing = !slices.Contains(b.Direct, r.state.memberInstance().Process)
+	return h
 }
 
-// receive takes a pulse. It returns what its sender says of itself and whether that was not known
+// receive takes a h. It returns what its sender says of itself and whether that was not known
 // before. Held is false if that is not known yet, or if the sender is not the process that has
 // its name: one that was replaced or is gone.
-func (p *peers) receive(now member.Time, pulse Heartbeat, answer bool) (h InstanceState, fresh, held bool) {
+func (p *peers) receive(now member.Time, h Heartbeat, isAnswer bool) (s InstanceState, isNew, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pulse.Name == p.self.Name {
-		return h, false, false
+	if h.Name == p.self.Name {
+		return s, false, false
 	}
-	if r := p.known[pulse.Name]; r != nil {
-		r.knownStateID = pulse.KnownStateID
+	if r := p.known[h.Name]; r != nil {
+		r.knownStateID = h.KnownStateID
 	}
-	h, found := p.resolveState(pulse)
+	s, found := p.resolveState(h)
 	if !found {
-		return h, false, false
+		return s, false, false
 	}
-	p.membership.Handle(now, member.Heard{Beat: pulse.memberBeat(h, p.process), Answered: answer})
-	if !p.membership.Holds(h.instance().Process) {
-		return h, false, false
+	p.membership.Handle(now, member.Heard{Beat: h.memberBeat(s, p.process), Answered: isAnswer})
+	if !p.membership.Holds(s.memberInstance().Process) {
+		return s, false, false
 	}
-	if pulse.State != nil {
-		fresh = p.storeState(h, pulse)
+	if h.State != nil {
+		isNew = p.storeState(s, h)
 	}
-	r := p.known[h.Name]
-	r.knownStateID, r.lastHeardAt = pulse.KnownStateID, time.Now()
-	return h, fresh, true
+	r := p.known[s.Name]
+	r.knownStateID, r.lastHeardAt = h.KnownStateID, time.Now()
+	return s, isNew, true
 }
 
-// resolveState returns the Heartbeat that a pulse carries or stands for. One that stands for another
+// resolveState returns the Heartbeat that a h carries or stands for. One that stands for another
 // than the last one known is of no use: its sender learns so by the number in the answer.
-func (p *peers) resolveState(pulse Heartbeat) (InstanceState, bool) {
-	if pulse.State != nil {
-		return *pulse.State, pulse.State.Name == pulse.Name
+func (p *peers) resolveState(h Heartbeat) (InstanceState, bool) {
+	if h.State != nil {
+		return *h.State, h.State.Name == h.Name
 	}
-	r := p.known[pulse.Name]
-	if r == nil || r.stateID != pulse.StateID {
+	r := p.known[h.Name]
+	if r == nil || r.stateID != h.StateID {
 		return InstanceState{}, false
 	}
 	return r.state, true
@@ -150,18 +150,18 @@
 
 // storeState keeps what an instance says of itself, unless it has said newer things: pulses may
 // overtake each other.
-func (p *peers) storeState(h InstanceState, pulse Heartbeat) (fresh bool) {
+func (p *peers) storeState(s InstanceState, h Heartbeat) (isNew bool) {
 	p.addLocked(config.Peer{
-		Name:           h.Name,
-		Domain:         h.Domain,
-		PeerAddress:    h.PeerAddress,
-		ForwardAddress: h.ForwardAddress,
+		Name:           s.Name,
+		Domain:         s.Domain,
+		PeerAddress:    s.PeerAddress,
+		ForwardAddress: s.ForwardAddress,
 	})
-	r := p.known[h.Name]
-	if r.state.Incarnation == h.Incarnation && pulse.Count <= r.heartbeatCount {
+	r := p.known[s.Name]
+	if r.state.Incarnation == s.Incarnation && h.Count <= r.heartbeatCount {
 		return false
 	}
-	fresh = r.stateID != pulse.StateID
-	r.state, r.stateID, r.heartbeatCount = h, pulse.StateID, pulse.Count
-	return fresh
+	isNew = r.stateID != h.StateID
+	r.state, r.stateID, r.heartbeatCount = s, h.StateID, h.Count
+	return isNew
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -14,17 +14,17 @@
 
 const testStep = leader.Time(100 * time.Millisecond)
 
-// talker is the membership of one instance without sockets.
-type talker struct {
-	peers     *peers
-	heartbeat InstanceState
+// testInstance is the membership of one instance without sockets.
+type testInstance struct {
+	peers *peers
+	state InstanceState
 }
 
-func newTalker(name string, incarnation uint64) *talker {
+func newTestInstance(name string, incarnation uint64) *testInstance {
 	settings := config.Run{Name: name, Domain: "klet", PeerAddress: name + ":1", ForwardAddress: name + ":2"}
-	return &talker{
+	return &testInstance{
 		peers: newPeers(settings, incarnation, nil, meter.NewControl()),
-		heartbeat: InstanceState{
+		state: InstanceState{
 			Name: name, Domain: "klet", Incarnation: incarnation,
 			PeerAddress: settings.PeerAddress, ForwardAddress: settings.ForwardAddress,
 		},
@@ -32,44 +32,44 @@
 }
 
 // call sends a heartbeat to another and returns both messages as they go over the wire.
-func (t *talker) call(now leader.Time, to *talker) (asked, answer Heartbeat) {
-	asked = t.peers.nextHeartbeat(now, to.heartbeat.Name, t.heartbeat)
+func (t *testInstance) call(now leader.Time, to *testInstance) (asked, answer Heartbeat) {
+	asked = t.peers.nextHeartbeat(now, to.state.Name, t.state)
 	to.peers.receive(now, asked, false)
-	answer = to.peers.reply(now, asked, to.heartbeat)
-	t.peers.receive(now, answer.restore(asked, to.heartbeat.Name), true)
+	answer = to.peers.reply(now, asked, to.state)
+	t.peers.receive(now, answer.restore(asked, to.state.Name), true)
 	return asked, answer
 }
 
-// knows reports whether an instance has what another says of itself now, and holds it live.
-func (t *talker) knows(other *talker) bool {
-	r := t.peers.remote(other.heartbeat.Name)
-	return r != nil && stateID(r.state) == stateID(other.heartbeat) && len(t.peers.liveInDomain()) == 1
+// hasCurrentState reports whether an instance has what another says of itself now, and holds it live.
+func (t *testInstance) hasCurrentState(other *testInstance) bool {
+	r := t.peers.remote(other.state.Name)
+	return r != nil && stateID(r.state) == stateID(other.state) && len(t.peers.liveInDomain()) == 1
 }
 
 // Heartbeats carry statements only while the other lacks them. One that is never sent again
 // after a change or a restart would leave the other with an old leader, table or address.
-func TestStatementsReachThoseWhoLackThem(t *testing.T) {
-	tests := map[string]func(a, b *talker) (*talker, *talker){
-		"nothing changes":   func(a, b *talker) (*talker, *talker) { return a, b },
-		"the asker changes": func(a, b *talker) (*talker, *talker) { a.heartbeat.TableSerial = 7; return a, b },
-		"the asked changes": func(a, b *talker) (*talker, *talker) { b.heartbeat.Leading = true; return a, b },
-		"both change": func(a, b *talker) (*talker, *talker) {
-			a.heartbeat.BundleVersion, b.heartbeat.Term = 2, grant.Term{Log: 3}
+func TestChangedStateReachesPeers(t *testing.T) {
+	tests := map[string]func(a, b *testInstance) (*testInstance, *testInstance){
+		"nothing changes":   func(a, b *testInstance) (*testInstance, *testInstance) { return a, b },
+		"the asker changes": func(a, b *testInstance) (*testInstance, *testInstance) { a.state.TableSerial = 7; return a, b },
+		"the asked changes": func(a, b *testInstance) (*testInstance, *testInstance) { b.state.Leading = true; return a, b },
+		"both change": func(a, b *testInstance) (*testInstance, *testInstance) {
+			a.state.BundleVersion, b.state.Term = 2, grant.Term{Log: 3}
 			return a, b
 		},
-		"the asker starts again": func(_, b *talker) (*talker, *talker) { return newTalker("a", 11), b },
-		"the asked starts again": func(a, _ *talker) (*talker, *talker) { return a, newTalker("b", 12) },
+		"the asker starts again": func(_, b *testInstance) (*testInstance, *testInstance) { return newTestInstance("a", 11), b },
+		"the asked starts again": func(a, _ *testInstance) (*testInstance, *testInstance) { return a, newTestInstance("b", 12) },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a, b := newTalker("a", 1), newTalker("b", 2)
+			a, b := newTestInstance("a", 1), newTestInstance("b", 2)
 			now := testStep
 			for range 3 {
 				a.call(now, b)
 				now += testStep
 			}
-			is.True(a.knows(b) && b.knows(a))
+			is.True(a.hasCurrentState(b) && b.hasCurrentState(a))
 			asked, answer := a.call(now, b)
 			is.True(asked.State == nil && answer.State == nil)
 			is.True(!asked.NotHearing && !answer.NotHearing)
@@ -79,7 +79,7 @@
 				a.call(now, b)
 				now += testStep
 			}
-			is.True(a.knows(b) && b.knows(a))
+			is.True(a.hasCurrentState(b) && b.hasCurrentState(a))
 			asked, answer = a.call(now, b)
 			is.True(asked.State == nil && answer.State == nil)
 		})
@@ -89,7 +89,7 @@
 // The list service restarts and has forgotten all instances, which run on. Taken as evidence,
 // its lists would make each instance call the others gone for good. One instance that is
 // missing is another matter: it is gone.
-func TestForgetfulListIsNoEvidence(t *testing.T) {
+func TestListThatLostInstancesIsNotTrusted(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	tests := map[string]struct {
 		lists      [][]string
@@ -126,20 +126,20 @@
 // own heartbeat brings the news. Then the answer arrives, which only says that nothing was new.
 // Taken for a confirmation of the new table, it would extend the right of a gate that the
 // leader did not confirm.
-func TestOvertakenAnswerConfirmsNothing(t *testing.T) {
+func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	is := is.New(t)
-	a, b := newTalker("a", 1), newTalker("b", 2)
+	a, b := newTestInstance("a", 1), newTestInstance("b", 2)
 	now := testStep
 	for range 3 {
 		a.call(now, b)
 		now += testStep
 	}
-	asked := a.peers.nextHeartbeat(now, "b", a.heartbeat)
+	asked := a.peers.nextHeartbeat(now, "b", a.state)
 	b.peers.receive(now, asked, false)
-	answer := b.peers.reply(now, asked, b.heartbeat)
-	b.heartbeat.TableSerial = 8
+	answer := b.peers.reply(now, asked, b.state)
+	b.state.TableSerial = 8
 	b.call(now, a)
-	is.True(a.knows(b))
+	is.True(a.hasCurrentState(b))
 	_, _, held := a.peers.receive(now, answer.restore(asked, "b"), true)
 	is.True(!held)
 }
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -29,7 +29,7 @@
 type site struct {
 	t         *testing.T
 	is        *is.I
-	net       int
+	network   int
 	publisher ed25519.PrivateKey
 	approver  ed25519.PrivateKey
 	bundle    *bundle.Bundle
@@ -38,14 +38,14 @@
 }
 
 const (
-	service  = "pregled"
-	unowned  = "oddaja"
-	testWait = 60 * time.Second
+	service   = "pregled"
+	undivided = "oddaja"
+	testWait  = 60 * time.Second
 )
 
 func newSite(t *testing.T, network int) *site {
 	t.Helper()
-	s := &site{t: t, is: is.New(t), net: network}
+	s := &site{t: t, is: is.New(t), network: network}
 	publisher, publisherKey, err := ed25519.GenerateKey(nil)
 	s.is.NoErr(err)
 	approver, approverKey, err := ed25519.GenerateKey(nil)
@@ -54,12 +54,12 @@
 	s.bundle = s.newBundle(publisher, approver)
 	s.authority, err = certs.NewAuthority(time.Now())
 	s.is.NoErr(err)
-	s.log = logcl.New("http://"+s.at(0, 1, 7000), http.DefaultClient)
+	s.log = logcl.New("http://"+s.address(0, 1, 7000), http.DefaultClient)
 	return s
 }
 
-func (s *site) at(domain, host, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", s.net, domain, host, port)
+func (s *site) address(domain, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", s.network, domain, host, port)
 }
 
 func (s *site) newBundle(publisher, approver ed25519.PublicKey) *bundle.Bundle {
@@ -73,18 +73,18 @@
 		Domains: []bundle.Domain{{Name: "klet"}, {Name: "podstresje"}},
 		Services: []bundle.Service{
 			{Name: service, Divided: true, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
-			{Name: unowned, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
+			{Name: undivided, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
 		},
 	}
 	for d, domain := range b.Domains {
 		for k := 1; k <= 2; k++ {
 			b.Services[0].Servers = append(b.Services[0].Servers, bundle.Server{
 				Name: fmt.Sprintf("%s-%s-%d", service, domain.Name, k), Domain: domain.Name,
-				Address: s.at(d+1, 100+k, 8000), ChecksGrants: true, Slots: 2, Connections: 110,
+				Address: s.address(d+1, 100+k, 8000), ChecksGrants: true, Slots: 2, Connections: 110,
 			})
 		}
 		b.Services[1].Servers = append(b.Services[1].Servers, bundle.Server{
-			Name: unowned + "-" + domain.Name, Domain: domain.Name, Address: s.at(d+1, 120, 8000), Slots: 2, Connections: 110,
+			Name: undivided + "-" + domain.Name, Domain: domain.Name, Address: s.address(d+1, 120, 8000), Slots: 2, Connections: 110,
 		})
 	}
 	return b
@@ -92,8 +92,8 @@
 
 func (s *site) startStandIns() {
 	settings := stand.Settings{
-		Log:  &stand.LogSettings{Address: s.at(0, 1, 7000)},
-		List: &stand.ListSettings{Address: s.at(0, 1, 7001)},
+		Log:  &stand.LogSettings{Address: s.address(0, 1, 7000)},
+		List: &stand.ListSettings{Address: s.address(0, 1, 7001)},
 	}
 	for _, v := range s.bundle.Services {
 		for _, b := range v.Servers {
@@ -126,10 +126,10 @@
 	return config.Run{
 		Name:            name,
 		Domain:          s.bundle.Domains[domain-1].Name,
-		CallerAddress:   s.at(domain, host, 8080),
-		PeerAddress:     s.at(domain, host, 9080),
-		ForwardAddress:  s.at(domain, host, 9081),
-		OperatorAddress: s.at(domain, host, 9090),
+		CallerAddress:   s.address(domain, host, 8080),
+		PeerAddress:     s.address(domain, host, 9080),
+		ForwardAddress:  s.address(domain, host, 9081),
+		OperatorAddress: s.address(domain, host, 9090),
 		OperatorToken:   "token",
 		Roots:           s.bundle.Signers,
 		DrainMillis:     5000,
@@ -142,7 +142,7 @@
 		Settings:    settings,
 		TLS:         s.tls(settings.Name),
 		Log:         s.log,
-		List:        listcl.New("http://"+s.at(0, 1, 7001), http.DefaultClient),
+		List:        listcl.New("http://"+s.address(0, 1, 7001), http.DefaultClient),
 		Placer:      place.New(),
 		Logger:      log.New(io.Discard),
 		Incarnation: uint64(domain*1000 + host),
@@ -193,9 +193,9 @@
 	}
 }
 
-// ask sends one request and returns its status, outcome, server and body.
-func (s *site) ask(domain, host int, service, key string) (status int, outcome, server, body string) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.at(domain, host, 8080)+"/"+service+"/page", nil)
+// request sends one request and returns its status, outcome, server and body.
+func (s *site) request(domain, host int, service, key string) (status int, outcome, server, body string) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.address(domain, host, 8080)+"/"+service+"/page", nil)
 	s.is.NoErr(err)
 	req.Header.Set(caller.HeaderKey, key)
 	resp, err := http.DefaultClient.Do(req)
@@ -225,7 +225,7 @@
 		for domain := 1; domain <= 2; domain++ {
 			for host := 1; host <= 2; host++ {
 				s.eventually(key, func() bool {
-					status, outcome, server, _ := s.ask(domain, host, service, key)
+					status, outcome, server, _ := s.request(domain, host, service, key)
 					if status != http.StatusOK || outcome != string(caller.Ran) {
 						return false
 					}
@@ -236,8 +236,8 @@
 		}
 		s.is.Equal(len(owners), 1)
 	}
-	s.eventually(unowned, func() bool {
-		status, _, _, _ := s.ask(1, 1, unowned, "")
+	s.eventually(undivided, func() bool {
+		status, _, _, _ := s.request(1, 1, undivided, "")
 		return status == http.StatusOK
 	})
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -168,7 +168,7 @@
 	var processes []RecordHolder
 	for _, r := range p.known {
 		if r.Domain == p.self.Domain && !r.lastHeardAt.IsZero() && now.Before(r.lastHeardAt.Add(recoveryWindow)) {
-			processes = append(processes, r.state.remembering())
+			processes = append(processes, r.state.recordHolder())
 		}
 	}
 	return processes
--- a/internal/entry/recordholders.go
+++ b/internal/entry/recordholders.go
@@ -23,7 +23,7 @@
 	handOverCopies    = 2
 )
 
-// ReplicateBatchCall hands over marks.
+// ReplicateBatchCall hands over records.
 type ReplicateBatchCall struct {
 	Records []policy.Mark `json:"marks"`
 }
@@ -35,9 +35,9 @@
 	HandedOver bool `json:"handed-over,omitempty"`
 }
 
-// remembering returns the process that says something of itself as one that may remember requests.
-func (h InstanceState) remembering() RecordHolder {
-	return RecordHolder{Process: h.instance().Process, HandedOver: h.Stopping}
+// recordHolder returns the process that says something of itself as one that may remember requests.
+func (s InstanceState) recordHolder() RecordHolder {
+	return RecordHolder{Process: s.memberInstance().Process, HandedOver: s.Stopping}
 }
 
 // replacedProcesses keeps the processes of this domain that others took the place of. A new process under the name of
@@ -54,22 +54,22 @@
 }
 
 // observe notes what an instance of the domain says of itself.
-func (l *replacedProcesses) observe(h InstanceState, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	before, known := l.newest[h.Name]
-	if known && before.Incarnation != h.Incarnation {
-		l.replacedAt[before] = now
+func (p *replacedProcesses) observe(s InstanceState, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	previous, known := p.newest[s.Name]
+	if known && previous.Incarnation != s.Incarnation {
+		p.replacedAt[previous] = now
 	}
-	l.newest[h.Name] = h.remembering()
+	p.newest[s.Name] = s.recordHolder()
 }
 
 // recent returns the processes that ended while what they remembered may still matter.
-func (l *replacedProcesses) recent(now time.Time) []RecordHolder {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	maps.DeleteFunc(l.replacedAt, func(_ RecordHolder, at time.Time) bool { return now.After(at.Add(policy.MemoryTime)) })
-	return slices.Collect(maps.Keys(l.replacedAt))
+func (p *replacedProcesses) recent(now time.Time) []RecordHolder {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	maps.DeleteFunc(p.replacedAt, func(_ RecordHolder, at time.Time) bool { return now.After(at.Add(policy.MemoryTime)) })
+	return slices.Collect(maps.Keys(p.replacedAt))
 }
 
 // countUnrecoverable counts the processes that may remember what matters, as anybody knows of them, and have neither
@@ -80,19 +80,19 @@
 // requests ran twice. What the others know counts as well: an instance that has just started knows of nobody
 // who is down.
 func countUnrecoverable(known []RecordHolder, answered []member.Process) int {
-	gone := make(map[member.Process]bool)
+	lost := make(map[member.Process]bool)
 	for _, r := range known {
-		gone[r.Process] = true
+		lost[r.Process] = true
 	}
 	for _, r := range known {
 		if r.HandedOver {
-			delete(gone, r.Process)
+			delete(lost, r.Process)
 		}
 	}
 	for _, p := range answered {
-		delete(gone, p)
+		delete(lost, p)
 	}
-	return len(gone)
+	return len(lost)
 }
 
 // handOverRecords tells other instances of the domain what this one remembers, before it stops.
@@ -103,10 +103,10 @@
 	}
 	clients := e.peers.liveInDomain()
 	for _, s := range b.Services {
-		marks := e.front.Marks(s.Name, keys.Full)
-		for part := range slices.Chunk(marks, maxRecordsPerCall) {
+		records := e.front.Marks(s.Name, keys.Full)
+		for batch := range slices.Chunk(records, maxRecordsPerCall) {
 			for _, c := range clients[:min(len(clients), handOverCopies)] {
-				if _, err := call[ReplicateBatchCall, Empty](ctx, c, handOverTimeout, methodReplicateBatch, ReplicateBatchCall{Records: part}); err != nil {
+				if _, err := call[ReplicateBatchCall, Empty](ctx, c, handOverTimeout, methodReplicateBatch, ReplicateBatchCall{Records: batch}); err != nil {
 					e.deps.Logger.Warn("marks-untold", "service", s.Name, "error", err)
 				}
 			}
@@ -115,8 +115,8 @@
 }
 
 func (e *Entry) handleReplicateBatch(_ context.Context, c ReplicateBatchCall) (Empty, error) {
-	for _, m := range c.Records {
-		if !e.front.Witnessed(m) {
+	for _, r := range c.Records {
+		if !e.front.Witnessed(r) {
 			return Empty{}, errMemoryFull
 		}
 	}
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -15,8 +15,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// life makes one process of an instance of the first domain that is not run.
-func (s *site) life(host int, incarnation uint64) *Entry {
+// newProcess makes one process of an instance of the first domain that is not run.
+func (s *site) newProcess(host int, incarnation uint64) *Entry {
 	settings := s.settings(1, host)
 	e, err := New(Deps{
 		Settings: settings, TLS: s.tls(settings.Name), Placer: place.New(), Logger: log.New(io.Discard), Incarnation: incarnation,
@@ -25,8 +25,8 @@
 	return e
 }
 
-// answerPeers lets a process answer the calls of other instances until the test ends.
-func (s *site) answerPeers(e *Entry) {
+// servePeers lets a process answer the calls of other instances until the test ends.
+func (s *site) servePeers(e *Entry) {
 	l, err := net.Listen("tcp", e.deps.Settings.PeerAddress)
 	s.is.NoErr(err)
 	server := peer.NewServer(l, e.deps.TLS, e.newMux(), nil)
@@ -38,8 +38,8 @@
 	})
 }
 
-// says lets one process hear another.
-func (s *site) says(from, to *Entry) {
+// receiveState lets one process hear another.
+func (s *site) receiveState(from, to *Entry) {
 	h := from.instanceState()
 	to.receive(Heartbeat{Name: h.Name, State: &h, StateID: stateID(h)}, true)
 }
@@ -48,7 +48,7 @@
 // asked them what they remembered before it had heard that they were new. Both answered, with
 // nothing, and that passed for all there was: a caller who sent a request again, not knowing
 // its outcome, had it run twice, as what remembered it had been in the two that were killed.
-func TestRecallFromNewProcesses(t *testing.T) {
+func TestRecoverFromRestartedProcesses(t *testing.T) {
 	tests := map[string]struct {
 		// again are the hosts that were killed and are back, down those that were killed; told says
 		// that the asker has heard of the new processes.
@@ -71,22 +71,22 @@
 		network++
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, network)
-			asker := s.life(1, 1)
-			lives := map[int]*Entry{2: s.life(2, 2), 3: s.life(3, 3)}
+			asker := s.newProcess(1, 1)
+			lives := map[int]*Entry{2: s.newProcess(2, 2), 3: s.newProcess(3, 3)}
 			for _, e := range lives {
-				s.says(e, asker)
+				s.receiveState(e, asker)
 			}
 			for _, host := range test.again {
-				lives[host] = s.life(host, uint64(10+host))
+				lives[host] = s.newProcess(host, uint64(10+host))
 				if test.told {
-					s.says(lives[host], asker)
+					s.receiveState(lives[host], asker)
 				}
 			}
 			for _, host := range test.down {
 				delete(lives, host)
 			}
 			for _, e := range lives {
-				s.answerPeers(e)
+				s.servePeers(e)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
@@ -98,14 +98,14 @@
 
 // An instance that has just started knows nobody but the one that answers it. That one has heard of
 // two processes that were killed, and says so: what they remembered is gone.
-func TestRecallByNewProcess(t *testing.T) {
+func TestRecoverByRestartedProcess(t *testing.T) {
 	s := newSite(t, 230)
-	witness, killed := s.life(1, 1), s.life(3, 3)
-	s.says(s.life(2, 2), witness)
-	s.says(killed, witness)
-	asker := s.life(2, 12)
-	s.says(witness, asker)
-	s.answerPeers(witness)
+	witness, killed := s.newProcess(1, 1), s.newProcess(3, 3)
+	s.receiveState(s.newProcess(2, 2), witness)
+	s.receiveState(killed, witness)
+	asker := s.newProcess(2, 12)
+	s.receiveState(witness, asker)
+	s.servePeers(witness)
 	_, err := asker.replicator.Recall(t.Context(), service, keys.Full)
 	s.is.True(errors.Is(err, errUnrecoverable))
 }
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -25,7 +25,7 @@
 const (
 	replicateTimeout = 400 * time.Millisecond
 	outcomeCapacity  = 4096
-	// maxOutcomeSenders is the number of outcomes that are told to other instances at once.
+	// maxOutcomeSenders is the number of outcomes that are confirmed to other instances at once.
 	maxOutcomeSenders = 8
 	// recoveryWindow is for how long after its last answer an instance is asked what it remembers.
 	recoveryWindow = 10 * time.Minute
@@ -80,21 +80,21 @@
 	Warn(msg any, keyvals ...any)
 }
 
-func newReplicator(p *peers, g *gateGains, lost *replacedProcesses, s *state, l logger) *replicator {
-	return &replicator{peers: p, gateGains: g, replaced: lost, state: s, outcomes: make(chan policy.Mark, outcomeCapacity), logger: l}
+func newReplicator(p *peers, g *gateGains, replaced *replacedProcesses, s *state, l logger) *replicator {
+	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.Mark, outcomeCapacity), logger: l}
 }
 
 // Begin implements front.Witness. The instance is chosen by the mark, the next one if it
 // does not answer.
-func (w *replicator) Begin(ctx context.Context, m policy.Mark) error {
-	others := w.peers.liveInDomain()
+func (r *replicator) Begin(ctx context.Context, rec policy.Mark) error {
+	others := r.peers.liveInDomain()
 	if len(others) == 0 {
 		return nil
 	}
 	var err error
-	first := int(replicaHash(m) % uint64(len(others)))
+	first := int(replicaHash(rec) % uint64(len(others)))
 	for i := range min(len(others), 2) {
-		if err = sendRecord(ctx, others[(first+i)%len(others)], m); err == nil {
+		if err = sendRecord(ctx, others[(first+i)%len(others)], rec); err == nil {
 			return nil
 		}
 	}
@@ -102,35 +102,35 @@
 }
 
 // replicaHash returns where a mark stands among the instances.
-func replicaHash(m policy.Mark) uint64 {
+func replicaHash(rec policy.Mark) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, m.Name)
+	_, _ = fmt.Fprint(h, rec.Name)
 	return h.Sum64()
 }
 
-func sendRecord(ctx context.Context, c *peer.Client, m policy.Mark) error {
-	_, err := call[ReplicateCall, Empty](ctx, c, replicateTimeout, methodReplicate, ReplicateCall{Record: m})
+func sendRecord(ctx context.Context, c *peer.Client, rec policy.Mark) error {
+	_, err := call[ReplicateCall, Empty](ctx, c, replicateTimeout, methodReplicate, ReplicateCall{Record: rec})
 	return err
 }
 
 // End implements front.Witness. A full ring drops the outcome: the witness then goes on
 // calling the request in doubt, which is safe.
-func (w *replicator) End(m policy.Mark) {
+func (r *replicator) End(rec policy.Mark) {
 	select {
-	case w.outcomes <- m:
+	case r.outcomes <- rec:
 	default:
-		w.logger.Warn("mark-dropped", "service", m.Service)
+		r.logger.Warn("mark-dropped", "service", rec.Service)
 	}
 }
 
 // run tells outcomes to the instances that remember the requests.
-func (w *replicator) run(ctx context.Context) error {
+func (r *replicator) run(ctx context.Context) error {
 	free := make(chan struct{}, maxOutcomeSenders)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case m := <-w.outcomes:
+		case rec := <-r.outcomes:
 			select {
 			case free <- struct{}{}:
 			case <-ctx.Done():
@@ -138,8 +138,8 @@
 			}
 			go func() {
 				defer func() { <-free }()
-				if err := w.Begin(ctx, m); err != nil && ctx.Err() == nil {
-					w.logger.Warn("mark-untold", "service", m.Service, "error", err)
+				if err := r.Begin(ctx, rec); err != nil && ctx.Err() == nil {
+					r.logger.Warn("mark-untold", "service", rec.Service, "error", err)
 				}
 			}()
 		}
@@ -149,8 +149,8 @@
 // Recall implements front.Witness. Until the former gate of a server of the service has said
 // that it knows of its end, or cannot act any more, it returns an error: what the former gate
 // is about to send is not remembered anywhere yet.
-func (w *replicator) Recall(ctx context.Context, service string, r keys.Range) ([]policy.Mark, error) {
-	clients := w.peers.recentInDomain(time.Now())
+func (r *replicator) Recall(ctx context.Context, service string, rng keys.Range) ([]policy.Mark, error) {
+	clients := r.peers.recentInDomain(time.Now())
 	type answer struct {
 		result RecoverResult
 		err    error
@@ -158,40 +158,40 @@
 	answers := make(chan answer, len(clients))
 	for _, c := range clients {
 		go func() {
-			result, err := call[RecoverCall, RecoverResult](ctx, c, replicateTimeout, methodRecover, RecoverCall{Service: service, Range: r})
+			result, err := call[RecoverCall, RecoverResult](ctx, c, replicateTimeout, methodRecover, RecoverCall{Service: service, Range: rng})
 			answers <- answer{result: result, err: err}
 		}()
 	}
-	var marks []policy.Mark
-	var told []string
-	known := w.recordHolders(time.Now())
-	present := []member.Process{w.peers.process}
-	table := w.state.table()
+	var records []policy.Mark
+	var confirmed []string
+	holders := r.recordHolders(time.Now())
+	answered := []member.Process{r.peers.process}
+	table := r.state.table()
 	for range clients {
 		a := <-answers
 		if a.err != nil {
 			continue
 		}
-		marks = append(marks, a.result.Records...)
-		known = append(known, a.result.KnownHolders...)
-		present = append(present, a.result.Process)
+		records = append(records, a.result.Records...)
+		holders = append(holders, a.result.KnownHolders...)
+		answered = append(answered, a.result.Process)
 		if table != nil && !table.Newer(&route.Table{Term: a.result.TableTerm, Serial: a.result.TableSerial}) {
-			told = append(told, a.result.Name)
+			confirmed = append(confirmed, a.result.Name)
 		}
 	}
-	if n := w.gateGains.unconfirmed(service, told, time.Now()); n > 0 {
-		return marks, fmt.Errorf("%w: of %d servers", errFormerGate, n)
+	if n := r.gateGains.unconfirmed(service, confirmed, time.Now()); n > 0 {
+		return records, fmt.Errorf("%w: of %d servers", errFormerGate, n)
 	}
-	if n := countUnrecoverable(known, present); n > maxLostHolders {
-		return marks, fmt.Errorf("%w: %d processes of %d", errUnrecoverable, n, len(known))
+	if n := countUnrecoverable(holders, answered); n > maxLostHolders {
+		return records, fmt.Errorf("%w: %d processes of %d", errUnrecoverable, n, len(holders))
 	}
-	return marks, nil
+	return records, nil
 }
 
 // recordHolders returns the processes of the domain of which this instance knows that they may remember
 // requests which matter.
-func (w *replicator) recordHolders(now time.Time) []RecordHolder {
-	return append(w.peers.recordHolders(now), w.replaced.recent(now)...)
+func (r *replicator) recordHolders(now time.Time) []RecordHolder {
+	return append(r.peers.recordHolders(now), r.replaced.recent(now)...)
 }
 
 func (e *Entry) handleReplicate(_ context.Context, c ReplicateCall) (Empty, error) {
