--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' interface of an entry instance over HTTP. It has an
-// address of its own, demands a bearer token and changes nothing.
+// Package admin is the HTTP interface of an entry instance for operators. It is served on a separate
+// address, is read-only and, except for the readiness check, requires a bearer token.
 package admin
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/kataras/iris/v12"
 )
 
-// Paths of the interface.
+// Paths of the interface. All are used with GET. PathOwner takes the query parameters service and
+// key.
 const (
 	PathStatus      = "/status"
 	PathOwner       = "/owner"
@@ -22,20 +23,22 @@
 	PathReady       = "/ready"
 )
 
-// Source answers the questions of operators.
+// Source supplies the answers of the interface.
 type Source interface {
-	// Status returns the present status.
+	// Status returns the current status of the instance.
 	Status() Status
-	// Owner returns where requests for a key go, as far as this instance knows, and false for
-	// an unknown service.
+	// Owner returns where requests for a key go to the best of this instance's knowledge. It
+	// returns false for an unknown service.
 	Owner(service, key string) (Ownership, bool)
-	// Assignments returns the assignments recorded in the log, sorted by domain and server.
+	// Assignments returns the assignments of all domains recorded in the log, sorted by domain
+	// and server.
 	Assignments() []Assignment
-	// Ready reports whether callers should be sent to this instance.
+	// Ready reports whether the balancer should send callers to this instance.
 	Ready() bool
 }
 
-// New returns the handler. Every path but PathReady demands the token.
+// New returns the handler of the interface. Every path except PathReady requires the token, as
+// "Authorization: Bearer TOKEN".
 func New(token string, source Source) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -51,8 +54,8 @@
 	return app, nil
 }
 
-// requireToken compares hashes, so that the time of the comparison says nothing about the
-// token.
+// requireToken rejects requests without the token. It compares hashes in constant time, so that the
+// duration reveals nothing about the token or its length.
 func requireToken(token string) iris.Handler {
 	want := sha256.Sum256([]byte(token))
 	return func(ctx iris.Context) {
@@ -65,12 +68,14 @@
 	}
 }
 
+// ready answers the readiness check of a balancer, with status 503 if the instance is not ready.
 func ready(ctx iris.Context, source Source) {
 	if !source.Ready() {
 		ctx.StatusCode(http.StatusServiceUnavailable)
 	}
 }
 
+// owner answers where requests for a key go, with status 404 for an unknown service.
 func owner(ctx iris.Context, source Source) {
 	found, known := source.Owner(ctx.URLParam("service"), ctx.URLParam("key"))
 	if !known {
@@ -80,7 +85,7 @@
 	reply(ctx, found)
 }
 
-// reply writes a value as JSON. An error means that the operator has gone.
+// reply writes a value as JSON. An error means that the client has disconnected.
 func reply(ctx iris.Context, value any) {
 	if err := ctx.JSON(value); err != nil {
 		ctx.StopWithStatus(http.StatusInternalServerError)
--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -6,7 +6,8 @@
 	"example.org/mustardring/internal/homes"
 )
 
-// applyBundle makes the bundle that has just come in force at this instance take effect.
+// applyBundle makes the bundle that has just been installed take effect: it updates the metric and
+// the lifted blocks, and notifies the homes core.
 func (e *Entry) applyBundle(ctx context.Context) {
 	b := e.state.bundle()
 	e.meter.BundleVersion.Set(int64(b.Version))
@@ -17,7 +18,8 @@
 	e.notifyHomesCore(ctx, homes.InForce{Bundle: b})
 }
 
-// rank is the number of live instances before this one in the order of their names.
+// rank returns the number of live instances before this one in the order of their names. The
+// instance of rank zero is the first to write checkpoints and to restore the bundle.
 func (e *Entry) rank() int {
 	view, _ := e.state.snapshot()
 	for i, m := range view.Members {
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -10,24 +10,25 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// tickInterval is how often the cores look at their deadlines.
+// tickInterval is how often the leader core checks its deadlines.
 const tickInterval = 20 * time.Millisecond
 
-// heldInterval is how often the core of homes is told what this instance holds, beside each time
-// that it decides on other news.
+// heldInterval is how often the homes core is told which ranges this instance holds, in addition
+// to the report before each of its events.
 const heldInterval = 100 * time.Millisecond
 
-// event is an input of the duty that runs the cores: forLeader or forHomes. The set is sealed.
+// event is an input of the worker that runs the cores: a leaderEvent or a homesEvent. The set is
+// sealed.
 type event interface {
 	isEvent()
 }
 
-// leaderEvent is an event of the core that leads the domain.
+// leaderEvent is an event for the leader core, which leads the domain.
 type leaderEvent struct {
 	event leader.Event
 }
 
-// homesEvent is an event of the core that keeps the homes of the domain.
+// homesEvent is an event for the homes core, which decides which ranges the domain may serve.
 type homesEvent struct {
 	event homes.Event
 }
@@ -35,12 +36,14 @@
 func (leaderEvent) isEvent() {}
 func (homesEvent) isEvent()  {}
 
-// leadership holds the core's statement about itself. The core duty writes it, others read it.
+// leadership holds the newest heartbeat of the leader core, nil before its first event. The core
+// worker writes it, the other workers read it.
 type leadership struct {
 	heartbeat atomic.Pointer[leader.Heartbeat]
 }
 
-// runCores is the only duty that touches the cores. It turns events into effects.
+// runCores passes events to the cores and performs their effects. It is the only worker that uses
+// the cores.
 func (e *Entry) runCores(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -63,9 +66,9 @@
 	}
 }
 
-// handleEvent hands an event to the core that it is for. The core of homes decides only on what
-// this instance holds at that moment: a range that the leader adopted just before must not
-// count as one that nobody holds.
+// handleEvent passes an event to its core. The homes core first gets the ranges that this
+// instance holds at that moment; otherwise it would take a range that the leader has just adopted
+// for one that nobody holds.
 func (e *Entry) handleEvent(ev event) {
 	switch ev := ev.(type) {
 	case homesEvent:
@@ -76,6 +79,8 @@
 	}
 }
 
+// handleLeaderEvent passes an event to the leader core, performs the effects and publishes
+// whether this instance leads.
 func (e *Entry) handleLeaderEvent(ev leader.Event) {
 	for _, effect := range e.leaderCore.Handle(e.now(), ev) {
 		e.performLeaderEffect(effect)
@@ -84,7 +89,8 @@
 	e.leadership.heartbeat.Store(&heartbeat)
 }
 
-// reportHeldRanges tells the core of homes what this instance holds as leader.
+// reportHeldRanges tells the homes core which ranges of each divided service this instance holds
+// as leader, or that it does not lead.
 func (e *Entry) reportHeldRanges() {
 	term, leads := e.leaderCore.LogTerm()
 	b := e.state.bundle()
@@ -105,7 +111,8 @@
 	e.performHomesEffects(e.homesCore.Handle(e.now(), held))
 }
 
-// extendOwnGateLease extends the right of the leader to be a gate itself.
+// extendOwnGateLease extends the gate lease of an instance that leads. It needs no answer from
+// another leader; a quorum that follows it confirms it.
 func (e *Entry) extendOwnGateLease() {
 	if askedAt, leads := e.leaderCore.QuorumAskedAt(); leads {
 		e.gateLease.extend(askedAt + leader.Time(gateLeaseDuration))
@@ -144,7 +151,8 @@
 	}
 }
 
-// queueSend drops an exchange when the ring is full: the core sends the next one soon.
+// queueSend queues an exchange. It drops the exchange if the channel is full; the core soon sends
+// the next one.
 func (e *Entry) queueSend(s leader.Send) {
 	select {
 	case e.sends <- s:
@@ -154,8 +162,8 @@
 	}
 }
 
-// queueAppend drops an append when the ring is full, which the core sees as one that the
-// log never acknowledged.
+// queueAppend queues an append. It drops the append if the channel is full; to the core this looks
+// like an append that the log never acknowledged.
 func (e *Entry) queueAppend(a leader.Append) {
 	select {
 	case e.appends <- a:
@@ -165,18 +173,18 @@
 	}
 }
 
-// notifyLeaderCore hands an event to the core that leads.
+// notifyLeaderCore queues an event for the leader core.
 func (e *Entry) notifyLeaderCore(ctx context.Context, ev leader.Event) {
 	e.enqueue(ctx, leaderEvent{event: ev})
 }
 
-// notifyHomesCore hands an event to the core of homes.
+// notifyHomesCore queues an event for the homes core.
 func (e *Entry) notifyHomesCore(ctx context.Context, ev homes.Event) {
 	e.enqueue(ctx, homesEvent{event: ev})
 }
 
-// enqueue gives an event to the core duty. A full ring means that the cores are far behind; the
-// event waits until there is room or the context ends.
+// enqueue queues an event for the core worker. If the channel is full, it blocks until there is
+// room or the context is done.
 func (e *Entry) enqueue(ctx context.Context, ev event) {
 	select {
 	case e.events <- ev:
--- a/internal/entry/distribute.go
+++ b/internal/entry/distribute.go
@@ -11,8 +11,8 @@
 	"example.org/mustardring/internal/route"
 )
 
-// pushTable hands a new routing table to the other instances of the domain at once. One that
-// misses it fetches the table after the next heartbeat.
+// pushTable sends a new routing table to the other instances of the domain in the background. An
+// instance that misses it fetches the table after the next heartbeat.
 func (e *Entry) pushTable(t *route.Table) {
 	for _, c := range e.peers.inDomain() {
 		go func() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// handleTable takes a pushed table, if any, and returns the newest.
+// handleTable installs the pushed table, if any, and returns the newest one.
 func (e *Entry) handleTable(ctx context.Context, push TablePush) (TablePush, error) {
 	e.applyTable(ctx, push.Table)
 	return TablePush{Table: e.state.table()}, nil
@@ -46,8 +46,8 @@
 	return push, nil
 }
 
-// fetchBundle takes a newer bundle from another instance. The signatures are checked: a peer
-// is trusted no more than a stranger with the same bytes.
+// fetchBundle fetches a newer bundle from another instance, and the homes if that instance belongs
+// to this domain. The bundle is trusted for its signatures alone, whichever instance sends it.
 func (e *Entry) fetchBundle(ctx context.Context, r *remote) {
 	fetch := BundleFetch{}
 	if b := e.state.bundle(); b != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// knownHomes returns the homes of all domains as this instance has read them, or else as
-// another instance of its domain has.
+// knownHomes returns the homes of all domains as this instance has read them from the log or, before
+// its first read, as another instance of its domain has.
 func (e *Entry) knownHomes() []fold.Taken {
 	if state := e.logState.Load(); state != nil {
 		return state.Homes
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// lacksHomes reports whether this instance knows of no homes yet. One that starts while its
-// domain is cut off from the log cannot lead without.
+// lacksHomes reports whether this instance knows no homes yet. Without homes it cannot lead, also
+// not if it starts while its domain is cut off from the log.
 func (e *Entry) lacksHomes() bool {
 	return len(e.knownHomes()) == 0
 }
 
-// handleExchange serves the leader's exchange with a grant that this instance holds for a
-// server which does not check grants, or with its own vote.
+// handleExchange answers an exchange of the leader for a grant that this instance holds on behalf of
+// a server which does not check grants, or for its own vote.
 func (e *Entry) handleExchange(_ context.Context, x ExchangeCall) (ExchangeResult, error) {
 	return ExchangeResult{Answer: e.holders.exchange(x.Exchange)}, nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is one running entry instance: the sockets, timers and goroutines round the
-// cores that lead a failure domain, fold the log and decide about requests.
+// Package entry runs one entry instance. It owns the sockets, timers and goroutines around the
+// cores, which do no I/O themselves: they lead a failure domain, read the log and decide about
+// requests.
 package entry
 
 import (
@@ -32,16 +33,16 @@
 
 // Errors of an entry instance.
 var (
-	// ErrWorkerEnded says that a duty ended before the instance was stopped.
-	ErrWorkerEnded = errors.New("entry: duty ended")
-	// ErrListen says that an address of the settings cannot be listened on.
+	// ErrWorkerEnded is returned by Run when a worker ends before the instance is stopped.
+	ErrWorkerEnded = errors.New("entry: worker ended before the instance was stopped")
+	// ErrListen is returned by Run when an address of the settings cannot be listened on.
 	ErrListen = errors.New("entry: cannot listen")
-	// ErrDrain says that requests were still in flight when the drain deadline passed.
-	ErrDrain = errors.New("entry: drain deadline passed")
+	// ErrDrain is returned by Run when requests are still in flight at the drain deadline.
+	ErrDrain = errors.New("entry: requests in flight at the drain deadline")
 )
 
-// Capacities of the rings between duties. A full ring drops what is sent again anyway
-// (exchanges, heartbeats) and blocks the sender of what is not.
+// Capacities of the channels between workers. When a channel is full, messages that are
+// repeated anyway (exchanges, heartbeats) are dropped; senders of other messages block.
 const (
 	eventCapacity  = 4096
 	sendCapacity   = 4096
@@ -49,22 +50,22 @@
 	maxWorkers     = 16
 )
 
-// Deps is what an instance depends on beside its settings.
+// Deps are the settings and dependencies of an instance. Tracer may be nil.
 type Deps struct {
 	Settings config.Run
-	// TLS authenticates this instance to others and them to it.
+	// TLS authenticates this instance and the other instances to each other.
 	TLS    *tls.Config
 	Log    logcl.Log
 	List   *listcl.Client
 	Placer place.Placer
 	Logger *log.Logger
-	// Incarnation differs between all processes that ever ran under the instance's name.
+	// Incarnation is unique among all processes that ever ran under the instance's name.
 	Incarnation uint64
-	// Tracer makes a span for each hop of a request. Nil means none.
+	// Tracer creates a span for each hop of a request. If nil, there are no spans.
 	Tracer trace.Tracer
 }
 
-// Entry is an entry instance.
+// Entry is one entry instance. It implements admin.Source.
 type Entry struct {
 	deps   Deps
 	origin time.Time
@@ -82,13 +83,13 @@
 	loads      *loadCounter
 	reports    *loadReports
 	list       listTracker
-	// nextDomainsAt is when the core of homes is next told which domains are heard. Only the
-	// heartbeat duty touches it.
+	// nextDomainsAt is when the homes core is next told which domains are reachable. Only the
+	// heartbeat worker uses it.
 	nextDomainsAt leader.Time
 	front         *front.Front
-	// logState is the newest folded state of the log, or nil.
+	// logState is the newest state folded from the log. It is nil before the first read.
 	logState atomic.Pointer[fold.State]
-	// copiedHomes are the homes that another instance of the domain has read, or nil.
+	// copiedHomes are the homes received from another instance of the domain, or nil.
 	copiedHomes atomic.Pointer[[]fold.Taken]
 
 	events        chan event
@@ -96,11 +97,11 @@
 	appends       chan leader.Append
 	callerServer  *http.Server
 	forwardServer *http.Server
-	// leadership is the core's newest statement about itself, for heartbeats.
+	// leadership tells the other workers whether this instance leads.
 	leadership leadership
 }
 
-// New returns an instance that does nothing until Run.
+// New returns an instance that opens no socket and starts no goroutine before Run.
 func New(d Deps) (*Entry, error) {
 	e := &Entry{
 		deps:    d,
@@ -144,7 +145,8 @@
 	return e, nil
 }
 
-// homesConfig takes the bounds that another domain waits for from the leader that keeps to them.
+// homesConfig returns the configuration of the homes core. The times that another domain waits
+// before it takes over homes are those that the leader of this domain keeps to.
 func homesConfig(l leader.Config) homes.Config {
 	c := homes.DefaultConfig(l.Domain)
 	c.MoveBound = l.IsolationTimeout
@@ -153,7 +155,8 @@
 	return c
 }
 
-// ControlCounters returns the counters of this instance's control traffic.
+// ControlCounters returns the counters of this instance's traffic with the log, other instances and
+// servers, apart from requests.
 func (e *Entry) ControlCounters() *meter.Control {
 	return e.meter
 }
@@ -163,17 +166,17 @@
 	return e.front.Vars()
 }
 
-// now reads the monotonic clock of the cores.
+// now returns the time on the monotonic clock of the cores, which starts at zero in New.
 func (e *Entry) now() leader.Time {
 	return leader.Time(time.Since(e.origin))
 }
 
-// grantNow reads the monotonic clock of the grants that this instance holds.
+// grantNow returns the same time as now, in the type used by grants.
 func (e *Entry) grantNow() grant.Instant {
 	return grant.Instant(time.Since(e.origin))
 }
 
-// newForwardTransport returns the transport for requests to other instances.
+// newForwardTransport returns the transport for requests that are forwarded to other instances.
 func newForwardTransport(config *tls.Config) http.RoundTripper {
 	return &http.Transport{
 		TLSClientConfig:     config.Clone(),
@@ -183,14 +186,15 @@
 	}
 }
 
-// Bounds of the connections that are kept to another instance.
+// Bounds of the idle connections that are kept to each other instance.
 const (
 	maxForwardIdleConns = 256
 	forwardIdleTimeout  = 90 * time.Second
 )
 
-// Run serves until the context ends, then stops gracefully: it hands its duties on, finishes
-// the requests in flight and returns nil, or ErrDrain when they did not end in time.
+// Run serves until the context is done and then stops gracefully: it gives up the leadership,
+// finishes the requests in flight and hands over its idempotency records. It returns nil,
+// ErrDrain if requests were still in flight at the drain deadline, ErrListen, or ErrWorkerEnded.
 func (e *Entry) Run(ctx context.Context) error {
 	listeners, err := e.listen()
 	if err != nil {
@@ -218,17 +222,18 @@
 	return cmp.Or(drained, closed, workers.Wait(0))
 }
 
-// startServers starts the duties by which requests come in. They end before the others, which serve
-// the requests that are still in flight.
+// startServers starts the HTTP servers of callers and forwarded requests. They stop before the
+// other workers, which the requests in flight still need.
 func (e *Entry) startServers(group *duty.Group, l *listeners) {
 	group.Go("caller-http", e.serveCallers(l.caller))
 	group.Go("forward-http", e.serveForwards(l.forward))
 }
 
-// balancerDelay is for how long a stopping instance goes on serving, so that the balancer and
-// the other instances have turned away before it closes its addresses.
+// balancerDelay is how long a stopping instance continues to serve, so that the balancer and the
+// other instances stop sending requests before its listeners are closed.
 const balancerDelay = 500 * time.Millisecond
 
+// awaitBalancer reports the instance as not ready and waits for balancerDelay.
 func (e *Entry) awaitBalancer(ctx context.Context) {
 	e.front.Refuse()
 	duty.Pause(ctx, balancerDelay)
@@ -246,8 +251,8 @@
 	group.Go("operator-http", e.serveOperators(l.operator))
 }
 
-// drain ends this instance's part in the domain while it still serves. The leadership goes
-// first, so that the successor adopts leases that still run.
+// drain takes this instance out of its domain while it still serves. It gives up the leadership
+// first, so that the next leader adopts leases that are still valid.
 func (e *Entry) drain() error {
 	e.deps.Logger.Info("stopping", "instance", e.deps.Settings.Name)
 	e.state.stop()
@@ -256,8 +261,9 @@
 	defer cancel()
 	e.notifyLeaderCore(ctx, leader.Stopping{})
 	e.announceLeaving(ctx)
-	// From here on each answer asks its caller to connect anew, elsewhere: a caller whose kept
-	// connection is closed cannot tell whether the request that it just wrote was read.
+	// From here on each response closes its connection, so that callers reconnect to another
+	// instance. A caller whose idle connection is closed while it writes a request cannot tell
+	// whether the request was read.
 	e.callerServer.SetKeepAlivesEnabled(false)
 	e.forwardServer.SetKeepAlivesEnabled(false)
 	e.awaitBalancer(ctx)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -15,11 +15,12 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Limits of exchanges.
+// Bounds of exchanges. An exchange sends a grant of the leader and returns the holder's answer.
 const (
-	// exchangeTimeout is well below a lease, so that an exchange on a connection that went silent
-	// is given up, and the next one on a new connection still renews the lease.
-	exchangeTimeout      = 250 * time.Millisecond
+	// exchangeTimeout is well below the duration of a lease. After an exchange on a dead connection
+	// has timed out, the next one on a new connection can still renew the lease.
+	exchangeTimeout = 250 * time.Millisecond
+	// maxExchanges is the maximum number of exchanges under way.
 	maxExchanges         = 256
 	maxAnswerBytes       = 4 << 20
 	maxIdleExchangeConns = 1
@@ -27,26 +28,28 @@
 
 // Errors of exchanges.
 var (
-	errNoServer = errors.New("entry: no such server in the bundle")
-	errNoPeer   = errors.New("entry: no link to the instance that holds the grant")
-	errTooLate  = errors.New("entry: exchange no longer valid")
-	errStatus   = errors.New("entry: exchange refused")
+	errNoServer = errors.New("entry: server not in the bundle")
+	errNoPeer   = errors.New("entry: unknown instance as holder of a grant")
+	errTooLate  = errors.New("entry: exchange expired before it was sent")
+	errStatus   = errors.New("entry: unexpected status of an exchange")
 )
 
-// finishedExchange is an exchange that has ended.
+// finishedExchange is an exchange that has ended, with its answer or error.
 type finishedExchange struct {
 	send   leader.Send
 	answer grant.Answer
 	err    error
 }
 
-// exchangeTarget names where an exchange goes.
+// exchangeTarget is the destination of an exchange. The gate is empty for a server that checks
+// grants itself.
 type exchangeTarget struct {
 	server string
 	gate   string
 }
 
-// runExchanges carries the core's exchanges to servers and gates, one at a time to each.
+// runExchanges sends the exchanges of the leader core to servers and gates, one at a time to each.
+// It drops an exchange whose target is busy, since the core soon sends the next one.
 func (e *Entry) runExchanges(ctx context.Context) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleExchangeConns, DisableCompression: true}}
 	ended := make(chan finishedExchange, maxExchanges)
@@ -69,6 +72,7 @@
 	}
 }
 
+// finishExchange passes the answer of an exchange to the leader core.
 func (e *Entry) finishExchange(ctx context.Context, x finishedExchange) {
 	e.meter.ExchangesSent.Add(1)
 	if x.err != nil {
@@ -84,6 +88,7 @@
 	})
 }
 
+// doExchange sends one exchange and reports its end on the channel.
 func (e *Entry) doExchange(ctx context.Context, client *http.Client, s leader.Send, ended chan<- finishedExchange) {
 	bounded, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -94,7 +99,8 @@
 	}
 }
 
-// sendExchange sends an exchange to wherever the server's grant is held.
+// sendExchange sends an exchange to the holder of the grant: the server itself, its gate, or the
+// entry instance that votes.
 func (e *Entry) sendExchange(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
 	holder := s.Gate
 	if s.Exchange.Service == voterService {
@@ -122,6 +128,7 @@
 	return result.Answer, err
 }
 
+// postToServer sends an exchange over HTTP to a server that checks grants itself.
 func (e *Entry) postToServer(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
 	var answer grant.Answer
 	server := findServer(e.state.bundle(), s.Exchange.Service, s.Server)
@@ -135,7 +142,7 @@
 	url := "http://" + server.Address + grant.ExchangePath
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return answer, fmt.Errorf("entry: making an exchange: %w", err)
+		return answer, fmt.Errorf("entry: creating an exchange request: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
@@ -148,15 +155,16 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return answer, fmt.Errorf("entry: reading an answer: %w", err)
+		return answer, fmt.Errorf("entry: reading the answer to an exchange: %w", err)
 	}
 	e.meter.ExchangeBytes.Add(int64(len(body) + len(data)))
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return answer, fmt.Errorf("entry: decoding an answer: %w", err)
+		return answer, fmt.Errorf("entry: decoding the answer to an exchange: %w", err)
 	}
 	return answer, nil
 }
 
+// findServer returns a server of a service in the bundle, or nil.
 func findServer(b *bundle.Bundle, service, name string) *bundle.Server {
 	if b == nil {
 		return nil
--- a/internal/entry/gatelease.go
+++ b/internal/entry/gatelease.go
@@ -10,20 +10,21 @@
 	"example.org/mustardring/internal/route"
 )
 
-// Bounds of the lease by which an instance is a gate.
+// Bounds of the lease under which an instance acts as a gate.
 const (
-	// gateLeaseDuration is for how long after it asked the leader, and was told that its routing
-	// table is current, an instance may send requests that must not run twice.
+	// gateLeaseDuration is how long an instance may send non-idempotent requests after it sent the
+	// heartbeat by which the leader confirmed that its routing table is current.
 	gateLeaseDuration = 600 * time.Millisecond
-	// formerGateTimeout is how long a new gate waits for a former one that does not answer: its lease,
-	// the lease of a former leader that may have extended it, and the drift of clocks.
+	// formerGateTimeout is how long a new gate waits for a former one that does not answer. It
+	// covers the gate lease, the lease of a former leader that may have extended it, and the
+	// drift of clocks.
 	formerGateTimeout = 1650 * time.Millisecond
 )
 
-// errGateUnconfirmed says that this instance has not heard lately that it is still the gate.
-var errGateUnconfirmed = errors.New("entry: not confirmed as the gate lately")
+// errGateLeaseExpired is returned for a non-idempotent request without a valid gate lease.
+var errGateLeaseExpired = errors.New("entry: gate lease expired")
 
-// gateChecker is this instance's right to send work to servers as their gate.
+// gateChecker decides before each write to a server whether this instance may send the request.
 type gateChecker struct {
 	holders   *grantHolders
 	gateLease *gateLease
@@ -32,12 +33,12 @@
 
 // Begin implements front.Right.
 //
-// A request that must not run twice is sent only while the leader has confirmed lately that
-// this instance is the gate. A gate that was cut off or paused would otherwise send a request
-// whose resend the next gate, which cannot know of it, sends as well.
+// A non-idempotent request is sent only under a valid gate lease. Otherwise a gate that was cut off
+// or paused could send a request after the next gate, which has no record of it, has already sent
+// the caller's retry.
 func (c gateChecker) Begin(a front.Approach) (front.Work, error) {
 	if !a.Idempotent && c.now() >= c.gateLease.until() {
-		return nil, errGateUnconfirmed
+		return nil, errGateLeaseExpired
 	}
 	if a.Checks || !a.Divided {
 		return untrackedWork{}, nil
@@ -45,13 +46,14 @@
 	return c.holders.begin(a.Service, a.Server, a.Hash)
 }
 
-// untrackedWork is a Work whose end nobody waits for.
+// untrackedWork is a front.Work whose end need not be known, because no grant is held here for it.
 type untrackedWork struct{}
 
 // End implements front.Work.
 func (untrackedWork) End() {}
 
-// gateLease keeps until when this instance may act as the gate that its table makes it.
+// gateLease is the lease under which this instance acts as the gate of the servers that its
+// routing table assigns to it.
 type gateLease struct {
 	mu       sync.Mutex
 	deadline leader.Time
@@ -63,9 +65,9 @@
 	return l.deadline
 }
 
-// confirm extends the right by an answer of the leader to a heartbeat that was sent at
-// askedAt. It counts only if the instance's own table is the leader's: a newer one, which the
-// instance has not seen yet, may name other gates.
+// confirm extends the lease after the leader has answered a heartbeat sent at askedAt with state s.
+// It does so only if t, the table of this instance, is the leader's table: a newer table that this
+// instance has not yet seen may name other gates.
 func (l *gateLease) confirm(askedAt leader.Time, s InstanceState, t *route.Table) {
 	if !s.Leading || t == nil || s.Domain != t.Domain || t.Term != s.Term || t.Term != s.TableTerm || t.Serial != s.TableSerial {
 		return
@@ -73,6 +75,7 @@
 	l.extend(askedAt + leader.Time(gateLeaseDuration))
 }
 
+// extend moves the deadline forward, never back.
 func (l *gateLease) extend(deadline leader.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -8,8 +8,8 @@
 	"example.org/mustardring/internal/route"
 )
 
-// setTable takes a routing table and lets go of the servers whose gate this instance is no
-// longer. It reports whether the table is newer.
+// setTable installs a routing table if it is newer, and stops sending to the servers whose gate
+// this instance no longer is. It reports whether the table is newer.
 func (e *Entry) setTable(t *route.Table) bool {
 	old, newer := e.state.setTable(t)
 	if !newer {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// lostGates returns the gates that an instance had in one table and has no longer in the next.
+// lostGates returns the gates that an instance has in the old table and not in the next one.
 func lostGates(old, next *route.Table, instance string) []route.Gate {
 	if old == nil {
 		return nil
@@ -37,24 +37,25 @@
 	return lost
 }
 
-// closeExpiredGrants closes the connections to servers that check nothing when the grant that this
-// instance held for them has ended. What is written to such a server afterwards may reach it
-// when another instance has become its gate.
+// closeExpiredGrants closes the connections to servers that do not check grants when the grant that
+// this instance held for them has expired. Data written later could reach the server when another
+// instance is already its gate.
 func (e *Entry) closeExpiredGrants() {
 	for _, name := range e.holders.newlyExpired() {
 		e.front.RightLost(name.service, name.server)
 	}
 }
 
-// gateGain is a gate that this instance got from another one.
+// gateGain is a server whose gate this instance has become.
 type gateGain struct {
-	// formerGate is the former gate, empty if unknown.
+	// formerGate is the instance that was the gate before, empty if unknown.
 	formerGate string
-	// mayActUntil is when the former gate cannot act any more, whether it knows or not.
+	// mayActUntil is when the former gate can certainly no longer send requests, even if it has not
+	// seen the new table.
 	mayActUntil time.Time
 }
 
-// gateGains keeps, by service, the gates that this instance got lately.
+// gateGains keeps, by service, the recent gateGains of this instance.
 type gateGains struct {
 	mu       sync.Mutex
 	services map[string][]gateGain
@@ -64,7 +65,7 @@
 	return &gateGains{services: make(map[string][]gateGain)}
 }
 
-// update notes the gates that an instance has in a table and did not have in the one before.
+// update records the gates that an instance has in the next table and not in the old one.
 func (g *gateGains) update(old, next *route.Table, instance string, now time.Time) {
 	former := make(map[string]string)
 	if old != nil {
@@ -83,8 +84,9 @@
 	}
 }
 
-// unconfirmed returns the gains of a service whose former gate may still act, but for those whose
-// former gate is in told: it has said that it knows the present table.
+// unconfirmed drops the gains of a service that are confirmed or expired and returns the number of
+// the others, whose former gate may still send requests. A gain is confirmed if its former gate is
+// in confirmed, the names of the instances that have reported the current table.
 func (g *gateGains) unconfirmed(service string, told []string, now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/entry/grantholders.go
+++ b/internal/entry/grantholders.go
@@ -9,20 +9,21 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// maxHeldLease is the longest lease that this instance accepts for the grants it holds.
+// maxHeldLease is the longest lease that this instance accepts for a grant.
 const maxHeldLease = 1100 * time.Millisecond
 
-// errNoGrant says that this instance holds no grant for a server that does not check.
-var errNoGrant = errors.New("entry: no grant is held for the server")
+// errNoGrant is returned when this instance has never got a grant for a server that does not check
+// grants itself.
+var errNoGrant = errors.New("entry: no grant held for server")
 
-// grantHolders keeps the grants that this instance holds in place of servers which do not check
-// them, and its own vote.
+// grantHolders keeps the grants that this instance holds on behalf of servers that do not check
+// grants themselves, and this instance's own vote.
 type grantHolders struct {
 	incarnation uint64
 	now         func() grant.Instant
 	mu          sync.Mutex
 	byName      map[grantHolderName]*grant.Holder
-	// wasValid are the holders that had ranges at the last call of lapsed.
+	// wasValid says which holders had a valid grant at the last call of newlyExpired.
 	wasValid map[grantHolderName]bool
 }
 
@@ -35,12 +36,13 @@
 	return &grantHolders{incarnation: incarnation, now: clock, byName: make(map[grantHolderName]*grant.Holder), wasValid: make(map[grantHolderName]bool)}
 }
 
-// exchange serves an exchange for any server name: the leader decides which instance is the
-// gate of which server.
+// exchange answers an exchange of the leader. It accepts any server name, because the leader decides
+// which instance is the gate of which server.
 func (h *grantHolders) exchange(x grant.Exchange) grant.Answer {
 	return h.get(grantHolderName{service: x.Service, server: x.Server}).Exchange(x)
 }
 
+// get returns the holder of a server, which it creates if needed.
 func (h *grantHolders) get(name grantHolderName) *grant.Holder {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -58,7 +60,8 @@
 	return holder
 }
 
-// begin starts work on a hash under the grant held here for a server.
+// begin starts a request for a key hash under the grant held here for a server. It returns an
+// error if there is no such grant or the grant does not cover the hash.
 func (h *grantHolders) begin(service, server string, hash uint64) (*grant.Work, error) {
 	h.mu.Lock()
 	holder, found := h.byName[grantHolderName{service: service, server: server}]
@@ -69,7 +72,7 @@
 	return holder.Begin(hash)
 }
 
-// newlyExpired returns the holders whose grant ended since the last call.
+// newlyExpired returns the holders whose grant has expired since the last call.
 func (h *grantHolders) newlyExpired() []grantHolderName {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/entry/heartbeat_bench_test.go
+++ b/internal/entry/heartbeat_bench_test.go
@@ -9,8 +9,8 @@
 	"example.org/mustardring/internal/leader"
 )
 
-// BenchmarkHeartbeat measures a heartbeat and its answer between two instances: the time that both
-// take without the sockets, and the bytes of both messages.
+// BenchmarkHeartbeat measures a heartbeat call between two instances: the time that both spend on it,
+// without sockets, and the bytes of the request and the answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	tests := map[string]func(t *testInstance, n uint64){
 		"nothing new": func(*testInstance, uint64) {},
@@ -31,7 +31,8 @@
 	}
 }
 
-// callEncoded makes one call with all its encoding and returns the bytes of both messages.
+// callEncoded makes one heartbeat call, including the encoding, and returns the bytes of both
+// messages.
 func callEncoded(b *testing.B, from, to *testInstance, now leader.Time) int {
 	pulse := from.peers.nextHeartbeat(now, to.state.Name, from.state)
 	request := jsonrpc2.Request{Method: string(methodHeartbeat), ID: jsonrpc2.ID{Num: 12345}}
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -10,41 +10,44 @@
 	"example.org/mustardring/internal/peer"
 )
 
-// Periods and limits of heartbeats.
+// Intervals and timeouts of heartbeats. Those with the suffix Outside hold for instances of other
+// failure domains.
 const (
 	heartbeatInterval        = 100 * time.Millisecond
 	heartbeatIntervalOutside = time.Second
 	heartbeatTimeout         = 400 * time.Millisecond
-	suspectTimeout           = 500 * time.Millisecond
-	suspectTimeoutOutside    = 3 * time.Second
-	heartbeatTick            = 50 * time.Millisecond
-	fetchTimeout             = 2 * time.Second
-	heartbeatResultCapacity  = 64
-	// domainsInterval is how often it is said which domains are heard: a tenth of the silence for
-	// which a domain may be given notice.
+	// unreachableAfter is the time without a heartbeat after which an instance is not live.
+	unreachableAfter        = 500 * time.Millisecond
+	unreachableAfterOutside = 3 * time.Second
+	heartbeatTick           = 50 * time.Millisecond
+	fetchTimeout            = 2 * time.Second
+	heartbeatResultCapacity = 64
+	// domainsInterval is how often the homes core is told which domains are reachable: a tenth of
+	// the time without heartbeats after which ranges of a domain may be freed.
 	domainsInterval = time.Second
 )
 
 // Bounds of membership.
 const (
-	// maxFullMesh is the size up to which all instances of a domain are in direct contact.
+	// maxFullMesh is the number of instances of a domain up to which all send heartbeats to all.
 	maxFullMesh = 16
-	// maxDelegates is the number of instances of another domain that are contacted.
+	// maxDelegates is the number of instances of each other domain that get heartbeats.
 	maxDelegates = 2
-	maxHearsay   = 64
-	// listedNameTimeout is after how long a silence another process may take the name of a listed
-	// one although the list does not say so.
+	// maxHearsay is the maximum number of heartbeat counts of other instances in one heartbeat.
+	maxHearsay = 64
+	// listedNameTimeout is how long a process must be silent before another one may take over its
+	// name while the platform's list still shows the silent one.
 	listedNameTimeout = 3 * time.Second
 )
 
-// heartbeatResult is a heartbeat that has ended, with its result or nil.
+// heartbeatResult is a heartbeat call that has ended. The result is nil if the call failed.
 type heartbeatResult struct {
 	remote  *remote
 	askedAt leader.Time
 	result  *Heartbeat
 }
 
-// runHeartbeats tells the other instances of this one and learns of them by their results.
+// runHeartbeats sends heartbeats to the other instances and handles their answers.
 func (e *Entry) runHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(heartbeatTick)
 	defer ticker.Stop()
@@ -64,7 +67,7 @@
 	}
 }
 
-// sendDueHeartbeats sends the heartbeats that are due and hands on what the core now believes.
+// sendDueHeartbeats sends the heartbeats that are due and publishes the current membership.
 func (e *Entry) sendDueHeartbeats(ctx context.Context, ended chan<- heartbeatResult) {
 	s := e.instanceState()
 	e.peers.setLeading(e.now(), s)
@@ -84,7 +87,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and waits for its end.
+// sendHeartbeat sends one heartbeat and waits for the answer or the timeout.
 func (e *Entry) sendHeartbeat(ctx context.Context, r *remote) heartbeatResult {
 	b := heartbeatResult{remote: r, askedAt: e.now()}
 	request := e.peers.nextHeartbeat(e.now(), r.Name, e.instanceState())
@@ -100,8 +103,8 @@
 	return b
 }
 
-// handleAnswer handles what another instance said in answer to a heartbeat. The right to be a
-// gate is extended only by an answer that states the leader's present table.
+// handleAnswer handles the answer to a heartbeat. The gate lease is extended only by an answer of
+// the leader that states the routing table which this instance has.
 func (e *Entry) handleAnswer(ctx context.Context, b heartbeatResult) {
 	s, isNew, accepted := e.receive(*b.result, true)
 	if !accepted {
@@ -111,8 +114,9 @@
 	e.gateLease.confirm(b.askedAt, s, e.state.table())
 }
 
-// receive takes a pulse. A process that is not believed to have its name yet may answer calls all
-// the same, so that it took the place of another is noted before anything else.
+// receive handles a heartbeat or the answer to one; see peers.receive for the results. It first
+// records that the sender replaces another process of its name: the membership may not accept the
+// new process yet, but the process already answers calls.
 func (e *Entry) receive(h Heartbeat, isAnswer bool) (s InstanceState, isNew, accepted bool) {
 	if h.State != nil && h.State.Domain == e.deps.Settings.Domain {
 		e.replaced.observe(*h.State, time.Now())
@@ -120,7 +124,8 @@
 	return e.peers.receive(e.now(), h, isAnswer)
 }
 
-// handleState handles what another instance says of itself. Fresh says that it was not known.
+// handleState handles the state of another instance, and fetches the bundle, the homes or the
+// routing table if the other instance has newer ones. isNew reports that the state has changed.
 func (e *Entry) handleState(ctx context.Context, s InstanceState, isNew bool) {
 	if isNew {
 		e.front.Merge(s.Blocks)
@@ -143,7 +148,7 @@
 	}
 }
 
-// startFetch runs a fetch from an instance unless one is under way.
+// startFetch runs a fetch from an instance in the background, unless one is already running.
 func (e *Entry) startFetch(name string, run func(r *remote)) {
 	r := e.peers.remote(name)
 	if r == nil || !r.fetching.CompareAndSwap(false, true) {
@@ -155,7 +160,7 @@
 	}()
 }
 
-// newMux answers the calls of other instances.
+// newMux returns the handlers for the calls of other instances.
 func (e *Entry) newMux() *peer.Mux {
 	m := peer.NewMux()
 	peer.Register(m, methodHeartbeat, e.handleHeartbeat)
@@ -177,7 +182,8 @@
 	return e.peers.reply(e.now(), h, e.instanceState()), nil
 }
 
-// announceLeaving tells the domain at once that this instance is leaving.
+// announceLeaving tells the other instances of the domain and the platform's list at once that
+// this instance is leaving.
 func (e *Entry) announceLeaving(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, r := range e.peers.leave(e.now()) {
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -12,12 +12,12 @@
 	"example.org/mustardring/internal/policy"
 )
 
-// stateIDBits keeps the number that stands for a Heartbeat short on the wire. Two in sequence
-// are taken for the same once in 2^48 changes.
+// stateIDBits is the size of a state ID, which keeps heartbeats short. Two successive states have
+// the same ID once in 2^48 changes.
 const stateIDBits = 48
 
-// stateID returns the number that stands for a Heartbeat. It differs after a restart, because
-// the incarnation is part of the Heartbeat, and is never zero.
+// stateID returns the ID of a state, a hash that is never zero. It changes with a restart, because
+// the incarnation is part of the state.
 func stateID(s InstanceState) uint64 {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return xxhash.Sum64(data)>>(64-stateIDBits) | 1
 }
 
-// instanceState returns what this instance says of itself now.
+// instanceState returns the current state of this instance for heartbeats.
 func (e *Entry) instanceState() InstanceState {
 	view, stopping := e.state.snapshot()
 	settings := e.deps.Settings
@@ -64,7 +64,7 @@
 	}
 }
 
-// shorten leaves out of a result what its caller can tell.
+// shorten removes from a result what the caller can infer from its request.
 func (h Heartbeat) shorten(request Heartbeat) Heartbeat {
 	if h.StateID == request.KnownStateID {
 		h.Name, h.StateID, h.State = "", 0, nil
@@ -76,7 +76,7 @@
 	return h
 }
 
-// restore adds to a result what was left out of it.
+// restore adds what shorten has removed from a result. name is the instance that was called.
 func (h Heartbeat) restore(request Heartbeat, name string) Heartbeat {
 	if h.StateID == 0 {
 		h.Name, h.StateID = name, request.KnownStateID
@@ -87,7 +87,8 @@
 	return h
 }
 
-// memberBeat returns the heartbeat of the core of membership that a pulse with s stands for.
+// memberBeat returns the heartbeat of a sender with state s as an input of the membership core. self
+// is the process of the receiver.
 func (h Heartbeat) memberBeat(s InstanceState, self member.Process) member.Beat {
 	b := member.Beat{
 		Instance: s.memberInstance(),
--- a/internal/entry/leaderconfig.go
+++ b/internal/entry/leaderconfig.go
@@ -9,25 +9,27 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// voterService is the service under which entry instances vote.
+// voterService is the name of the pseudo-service whose servers are the entry instances that vote.
 const voterService = "entry-instances"
 
-// leaderConfig returns what a bundle asks of one domain, which may serve the allowed ranges of
-// its divided services.
+// leaderConfig returns the configuration of the leader core of a domain: the services of the bundle
+// with the servers of the domain, and as homes the ranges that the domain is allowed to serve. The
+// entry instances that vote are added as servers of voterService.
 func leaderConfig(b *bundle.Bundle, domain string, allowed map[string][]keys.Range) leader.Configured {
 	c := leader.Configured{Version: b.Version}
 	for i := range b.Services {
-		s := domainService(&b.Services[i], domain)
+		s := leaderService(&b.Services[i], domain)
 		s.Homes = allowed[s.Name]
 		c.Services = append(c.Services, s)
 	}
-	if s := instanceVoters(b, domain); len(s.Servers) > 0 {
+	if s := voterServiceOf(b, domain); len(s.Servers) > 0 {
 		c.Services = append(c.Services, s)
 	}
 	return c
 }
 
-func domainService(s *bundle.Service, domain string) leader.Service {
+// leaderService returns the configuration of one service in a domain, without its homes.
+func leaderService(s *bundle.Service, domain string) leader.Service {
 	made := leader.Service{
 		Name:          s.Name,
 		Divided:       s.Divided,
@@ -59,8 +61,8 @@
 	return made
 }
 
-// instanceVoters has the entry instances of a domain that vote by the bundle.
-func instanceVoters(b *bundle.Bundle, domain string) leader.Service {
+// voterServiceOf returns the pseudo-service of the entry instances of a domain that vote.
+func voterServiceOf(b *bundle.Bundle, domain string) leader.Service {
 	made := leader.Service{Name: voterService}
 	voters := b.Voters(domain)
 	for _, i := range b.Instances {
--- a/internal/entry/leaderconfig_test.go
+++ b/internal/entry/leaderconfig_test.go
@@ -8,9 +8,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// A domain with two servers that check grants loses one. With those two as its only voters
-// its leader has no majority, and every key of the domain is unavailable until the server is
-// back. Entry instances vote too where there are fewer than three such servers.
+// Guards against a domain that loses its majority with a single server: if two servers that check
+// grants were the only voters, the loss of one would make every key of the domain unavailable. Entry
+// instances therefore also vote where fewer than three servers check grants.
 func TestVoters(t *testing.T) {
 	tests := map[string]struct {
 		checking int
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -13,15 +13,15 @@
 	"example.org/mustardring/internal/member"
 )
 
-// Periods of reading the platform's list.
+// Intervals and timeouts of the platform's list, which shows the running instances and servers.
 const (
 	listInterval = 500 * time.Millisecond
 	listTimeout  = 2 * time.Second
-	// reregisterTime is the time that instances have to register again at a list that lost them.
+	// reregisterTime is how long instances have to register again after the list has lost them.
 	reregisterTime = 10 * time.Second
 )
 
-// runList reads the platform's list and registers this instance there.
+// runList registers this instance in the platform's list and reads the list periodically.
 func (e *Entry) runList(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !e.list.registered {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// listEntry is this instance as the platform lists it.
+// listEntry returns the entry of this instance in the platform's list.
 func (e *Entry) listEntry() listcl.Instance {
 	s := e.deps.Settings
 	return listcl.Instance{
@@ -66,8 +66,9 @@
 	e.applyList(ctx, list)
 }
 
-// applyList learns from the list, and takes it as evidence of what is gone unless the service
-// has lost what it knew.
+// applyList adds the listed instances to the peers. Unless the list has lost entries, it also takes
+// instances and servers that are not listed for gone. If this process was removed from the list, it
+// stops taking part in its domain.
 func (e *Entry) applyList(ctx context.Context, list listcl.List) {
 	ev := leader.Listed{}
 	var listed []member.ListedInstance
@@ -98,21 +99,22 @@
 	e.notifyLeaderCore(ctx, ev)
 }
 
-// listTracker is what the list showed. Only the list duty touches it.
+// listTracker decides whether the list can be trusted. Only the list worker uses it.
 type listTracker struct {
+	// names are the instances in the last trusted list.
 	names []string
 	// registered says that this instance need not register.
 	registered bool
-	// trustedFrom is from when on the list is evidence again.
+	// trustedFrom is when the list can be trusted again after it has lost entries.
 	trustedFrom time.Time
 }
 
-// isTrusted reports whether the list proves that what it shows no more is gone.
+// isTrusted reports whether instances that are missing from the list are gone.
 //
-// The failure guarded against is a list service that lost what it knew. It shows few instances
-// although all run, and each would take the others for gone, for good. It shows by the absence
-// of this instance and of most others at once; the instances then register again, and the
-// list counts as evidence when all have had the time to do so.
+// This guards against a list service that has lost its entries. It shows few instances although all
+// are running, and each instance would take the others for gone permanently. The sign of such a loss
+// is that this instance and more than half of all instances disappear at once. The instances then
+// register again, and the list is trusted again after reregisterTime.
 func (l *listTracker) isTrusted(now time.Time, self string, names []string) bool {
 	missing := 0
 	for _, name := range l.names {
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -12,17 +12,18 @@
 	"example.org/mustardring/internal/admin"
 )
 
-// Bounds of HTTP connections.
+// Timeouts and limits of the HTTP servers.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// shutdownGracePeriod is for how long connections without a request are waited for.
+	// shutdownGracePeriod is how long a shutdown waits for connections without a request.
 	shutdownGracePeriod = 300 * time.Millisecond
-	shutdownTimeout     = 5 * time.Second
+	// shutdownTimeout is how long a shutdown then waits for the requests in flight.
+	shutdownTimeout = 5 * time.Second
 )
 
-// listeners are the open addresses of an instance.
+// listeners are the listeners on the addresses of an instance.
 type listeners struct {
 	caller   net.Listener
 	forward  net.Listener
@@ -30,7 +31,7 @@
 	peer     net.Listener
 }
 
-// listen opens all addresses, or none.
+// listen listens on all addresses of the settings, or on none if one of them fails.
 func (e *Entry) listen() (*listeners, error) {
 	s := e.deps.Settings
 	l := &listeners{}
@@ -56,14 +57,14 @@
 	return l, nil
 }
 
-// serveCallers serves callers. It goes on while the instance drains: the balancer's view of
-// readiness lags.
+// serveCallers returns a worker that serves callers. It continues to accept requests while the
+// instance drains, because the balancer learns late that the instance is no longer ready.
 func (e *Entry) serveCallers(l net.Listener) func(context.Context) error {
 	return serveHTTP(l, e.callerServer, e.front.Drain)
 }
 
-// serveForwards serves requests that other instances forward, which the authority's
-// signature on their certificate identifies.
+// serveForwards returns a worker that serves requests forwarded by other instances, which
+// authenticate with certificates signed by the authority.
 func (e *Entry) serveForwards(l net.Listener) func(context.Context) error {
 	return serveHTTP(tls.NewListener(l, e.deps.TLS), e.forwardServer, e.front.Drain)
 }
@@ -85,8 +86,8 @@
 	}
 }
 
-// serveHTTP serves until the context ends, and then lets the requests in flight end. Drained,
-// if not nil, returns when there are none.
+// serveHTTP returns a worker that serves until the context is done and then finishes the requests
+// in flight. drained, if not nil, waits until there are none.
 func serveHTTP(l net.Listener, server *http.Server, drained func(context.Context) error) func(context.Context) error {
 	return func(ctx context.Context) error {
 		ended := make(chan error, 1)
@@ -101,9 +102,9 @@
 	}
 }
 
-// shutdown ends a server without cutting a request. net/http waits 5 s for a connection on
-// which no request has come yet, such as one that a balancer holds in reserve, so after a
-// short grace only the requests are waited for.
+// shutdown stops a server without interrupting a request. http.Server.Shutdown waits 5 s for a
+// connection on which no request has arrived yet, such as a spare connection of a balancer, so
+// after a short grace period only the requests in flight are waited for.
 func shutdown(ctx context.Context, server *http.Server, drained func(context.Context) error) error {
 	grace, cancel := context.WithTimeout(ctx, shutdownGracePeriod)
 	defer cancel()
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -15,30 +15,34 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// methodLoads hands the loads that a gate has counted to the leader of the domain.
+// methodLoads reports the loads counted by a gate to the leader of the domain.
 const methodLoads peer.Method = "loads"
 
-// Bounds of counting.
+// Bounds of load reports.
 const (
-	loadInterval   = time.Second
-	loadTimeout    = 500 * time.Millisecond
-	sketchSize     = 256
+	loadInterval = time.Second
+	loadTimeout  = 500 * time.Millisecond
+	// sketchSize is the number of keys that are counted per service.
+	sketchSize = 256
+	// maxHotCounters is the maximum number of keys per service in a report.
 	maxHotCounters = 32
-	// loadExpiry is after how long the loads of a silent gate count no more.
+	// loadExpiry is the age at which the last report of a gate is no longer counted.
 	loadExpiry = 5 * time.Second
 )
 
-// LoadReport is what one gate has counted in about a second.
+// LoadReport holds the loads that one instance has counted at its gates since its last report,
+// about a second ago.
 type LoadReport struct {
 	Instance string        `json:"instance"`
 	Services []ServiceLoad `json:"services"`
 }
 
-// ServiceLoad is the load of one divided service at one gate.
+// ServiceLoad is the load of one divided service at one instance. HotKeys has the most frequent
+// keys in requests per second.
 type ServiceLoad struct {
 	Service string           `json:"service"`
 	Loads   []RangeLoad      `json:"loads"`
-	Hot     []sketch.Counter `json:"hot,omitempty"`
+	HotKeys []sketch.Counter `json:"hot,omitempty"`
 }
 
 // RangeLoad is the load of one range in requests per second.
@@ -47,7 +51,7 @@
 	Load  float64    `json:"load"`
 }
 
-// loadCounter counts what this instance's gates have run since the last report.
+// loadCounter counts the requests that ran at this instance's gates since the last report.
 type loadCounter struct {
 	mu       sync.Mutex
 	since    time.Time
@@ -76,7 +80,7 @@
 	c.keys.Add(hash, 1)
 }
 
-// flush returns the report since the last one and begins another.
+// flush returns the loads since the last report and resets the counts.
 func (l *loadCounter) flush(instance string, now time.Time) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +92,7 @@
 			s.Loads = append(s.Loads, RangeLoad{Range: r, Load: count / seconds})
 		}
 		slices.SortFunc(s.Loads, func(a, b RangeLoad) int { return compareRanges(a.Range, b.Range) })
-		s.Hot = hottestCounters(c.keys, seconds)
+		s.HotKeys = hottestCounters(c.keys, seconds)
 		report.Services = append(report.Services, s)
 	}
 	l.since = now
@@ -107,7 +111,7 @@
 	}
 }
 
-// hottestCounters returns the counters of the most frequent keys as rates.
+// hottestCounters returns the counters of the most frequent keys, in requests per second.
 func hottestCounters(s *sketch.Sketch, seconds float64) []sketch.Counter {
 	all := s.Counters()
 	all = all[:min(len(all), maxHotCounters)]
@@ -118,14 +122,14 @@
 	return all
 }
 
-// countRequest is told of each request that ran at this instance's gates.
+// countRequest counts a request that ran at one of this instance's gates.
 func (e *Entry) countRequest(service, _ string, hash uint64, _ time.Duration) {
 	if o, found := e.state.directory.Owner(service, hash); found {
 		e.loads.add(service, o.Range, hash)
 	}
 }
 
-// runLoads reports loads to the leader of the domain.
+// runLoads periodically reports loads to the leader of the domain.
 func (e *Entry) runLoads(ctx context.Context) error {
 	for ctx.Err() == nil {
 		duty.Pause(ctx, loadInterval)
@@ -141,8 +145,8 @@
 	return ctx.Err()
 }
 
-// leaderClient reports whether this instance leads, and else returns the client of the
-// instance that said so last.
+// leaderClient reports whether this instance leads. If it does not, it returns the client of the
+// instance that leads to the best of its knowledge, or nil.
 func (e *Entry) leaderClient() (bool, *peer.Client) {
 	if h := e.leadership.heartbeat.Load(); h != nil && h.Leading {
 		return true, nil
@@ -155,19 +159,19 @@
 	return Empty{}, nil
 }
 
-// mergeLoads keeps the newest report of each gate and tells the core their sums.
+// mergeLoads stores a report and passes the sums over all gates to the leader core.
 func (e *Entry) mergeLoads(ctx context.Context, r LoadReport) {
 	for _, m := range e.reports.merge(r, time.Now(), e.state.table()) {
 		e.notifyLeaderCore(ctx, m)
 	}
 }
 
-// loadReports are the newest load reports of the gates of a domain.
+// loadReports are the newest load reports of the gates of a domain, kept by its leader.
 type loadReports struct {
 	mu         sync.Mutex
 	byInstance map[string]timedReport
-	// hot has the hot keys of each service until now.
-	hot map[string][]uint64
+	// hotHashes has the hashes of the hot keys of each service as of the last report.
+	hotHashes map[string][]uint64
 }
 
 type timedReport struct {
@@ -176,11 +180,11 @@
 }
 
 func newLoadReports() *loadReports {
-	return &loadReports{byInstance: make(map[string]timedReport), hot: make(map[string][]uint64)}
+	return &loadReports{byInstance: make(map[string]timedReport), hotHashes: make(map[string][]uint64)}
 }
 
-// merge adds a report and returns the sums over all gates, one event for each service. Ranges
-// of the table that no gate reported count as idle.
+// merge adds a report and returns the sums over all gates, one event for each service. Ranges of
+// the table that no gate has reported get a load of zero.
 func (s *loadReports) merge(r LoadReport, now time.Time, t *route.Table) []leader.Measured {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,9 +197,9 @@
 		}
 		sums.add(o.report)
 	}
-	measured := sums.measured(s.hot)
+	measured := sums.measured(s.hotHashes)
 	for _, m := range measured {
-		s.hot[m.Service] = m.HotHashes
+		s.hotHashes[m.Service] = m.HotHashes
 	}
 	return measured
 }
--- a/internal/entry/loadsums.go
+++ b/internal/entry/loadsums.go
@@ -10,74 +10,82 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// When a key is set apart: it brings this part of one server's share of the load.
+// Bounds of hot keys.
 const (
-	hotShare   = 0.25
+	// hotShare is the part of one server's share of the load that makes a single key hot.
+	hotShare = 0.25
+	// maxHotKeys is the maximum number of hot keys per service.
 	maxHotKeys = 32
-	// minHotRate keeps an idle service from setting apart the few keys that are asked for.
+	// minHotRate is the minimum rate of a hot key in requests per second. Without it the few
+	// keys of a nearly idle service would all be hot.
 	minHotRate = 20
 )
 
-// loadSums adds up the loads of several gates.
+// loadSums adds up the loads of several gates, by service.
 type loadSums struct {
 	services map[string]*serviceSum
 }
 
+// serviceSum is the load of one service: the total, the load of each range of the routing table,
+// and the counters of the most frequent keys by hash, all in requests per second. servers are the
+// servers that own a range.
 type serviceSum struct {
-	ranges  map[keys.Range]float64
-	hot     map[uint64]sketch.Counter
-	total   float64
-	servers map[string]bool
+	ranges      map[keys.Range]float64
+	hotCounters map[uint64]sketch.Counter
+	total       float64
+	servers     map[string]bool
 }
 
-// newLoadSums starts every range of a table at zero.
+// newLoadSums returns sums in which every range of the table has a load of zero.
 func newLoadSums(t *route.Table) *loadSums {
 	s := &loadSums{services: make(map[string]*serviceSum)}
 	if t == nil {
 		return s
 	}
 	for _, o := range t.Owners {
-		v := s.of(o.Service)
+		v := s.service(o.Service)
 		v.ranges[o.Range] = 0
 		v.servers[o.Server] = true
 	}
 	return s
 }
 
-func (s *loadSums) of(service string) *serviceSum {
-	v, found := s.services[service]
+// service returns the sum of a service, which it creates if needed.
+func (s *loadSums) service(name string) *serviceSum {
+	v, found := s.services[name]
 	if !found {
 		v = &serviceSum{
-			ranges:  make(map[keys.Range]float64),
-			hot:     make(map[uint64]sketch.Counter),
-			servers: make(map[string]bool),
+			ranges:      make(map[keys.Range]float64),
+			hotCounters: make(map[uint64]sketch.Counter),
+			servers:     make(map[string]bool),
 		}
-		s.services[service] = v
+		s.services[name] = v
 	}
 	return v
 }
 
-// add adds a report. Loads of ranges that the table does not have any more are left out: the
-// ranges were split, merged or moved since.
+// add adds a report. The load of a range that is no longer in the table, because it was split,
+// merged or moved, counts only towards the total.
 func (s *loadSums) add(r LoadReport) {
 	for _, l := range r.Services {
-		v := s.of(l.Service)
+		v := s.service(l.Service)
 		for _, part := range l.Loads {
 			v.total += part.Load
 			if _, found := v.ranges[part.Range]; found {
 				v.ranges[part.Range] += part.Load
 			}
 		}
-		for _, h := range l.Hot {
-			sum := v.hot[h.Hash]
+		for _, h := range l.HotKeys {
+			sum := v.hotCounters[h.Hash]
 			sum.Count += h.Count
 			sum.Error += h.Error
-			v.hot[h.Hash] = sum
+			v.hotCounters[h.Hash] = sum
 		}
 	}
 }
 
-// measured returns one event for each service. Present has the hot keys until now.
+// measured returns one event for each service. present has the hashes of the keys that are hot so
+// far.
 func (s *loadSums) measured(present map[string][]uint64) []leader.Measured {
 	var all []leader.Measured
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
@@ -92,11 +100,12 @@
 	return all
 }
 
-// hotHashes returns the hashes of the hot keys, sorted, the hottest if there are many.
+// hotHashes returns the sorted hashes of the hot keys, at most the maxHotKeys hottest. A key that is
+// hot already stays so down to a lower share of the load.
 func (v *serviceSum) hotHashes(present []uint64) []uint64 {
 	rule := sketch.RuleFor(len(v.servers), hotShare, maxHotKeys)
 	var hot []uint64
-	for hash, c := range v.hot {
+	for hash, c := range v.hotCounters {
 		was := slices.Contains(present, hash)
 		if c.Count < minHotRate {
 			continue
@@ -106,7 +115,7 @@
 		}
 	}
 	slices.SortFunc(hot, func(a, b uint64) int {
-		if v.hot[a].Count > v.hot[b].Count {
+		if v.hotCounters[a].Count > v.hotCounters[b].Count {
 			return -1
 		}
 		return 1
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -14,7 +14,7 @@
 	"example.org/mustardring/internal/record"
 )
 
-// Bounds of the traffic with the log. The rates are those of one instance.
+// Bounds of the calls to the log service. The rates are per instance.
 const (
 	maxReadEntries   = 1000
 	readTimeout      = 1500 * time.Millisecond
@@ -29,14 +29,15 @@
 	restoreInterval  = 5 * time.Second
 )
 
-// Bounds of checkpoints.
+// When a checkpoint is due; see logcl.CheckpointerConfig.
 const (
 	checkpointRecords  = 5000
 	checkpointInterval = 30 * time.Minute
 	checkpointGrace    = 5 * time.Second
 )
 
-// logWorker is all that this instance does with the log. Only the log duty touches it.
+// logWorker reads the log and appends to it. Its fields belong to the goroutine of runLog; calls
+// to the log service run in goroutines of their own and return their results by the channels.
 type logWorker struct {
 	entry        *Entry
 	appender     *logcl.Appender
@@ -44,9 +45,11 @@
 	checkpointer *logcl.Checkpointer
 	written      chan logcl.Written
 	fetched      chan logcl.Fetched
-	oldest       uint64
-	current      bool
-	// nextRestoreAt is when the bundle in force may be appended next, should the log lack it.
+	// oldest is the offset of the oldest entry that the log retains, as of the last read.
+	oldest uint64
+	// current says that the last read reached the end of the log.
+	current bool
+	// nextRestoreAt is when the bundle in force may be appended again if the log lacks it.
 	nextRestoreAt time.Time
 }
 
@@ -69,7 +72,7 @@
 	}
 }
 
-// runLog appends what the cores ask for and tells them what the log says.
+// runLog appends the records that the cores submit and passes the state read from the log to them.
 func (e *Entry) runLog(ctx context.Context) error {
 	d := newLogWorker(e)
 	ticker := time.NewTicker(logTick)
@@ -91,7 +94,7 @@
 	}
 }
 
-// append hands an event to the appender and carries out what it decides.
+// append passes an event to the appender and performs its effects.
 func (d *logWorker) append(ctx context.Context, ev logcl.AppendEvent) {
 	if w, is := ev.(logcl.Written); is && w.Err != nil {
 		d.entry.meter.LogAppendsFailed.Add(1)
@@ -107,11 +110,12 @@
 		case logcl.Dropped:
 			d.entry.deps.Logger.Warn("append-dropped", "id", f.ID, "reason", f.Reason)
 		case logcl.WakeAt:
-			// The ticker is finer than the pace of retries.
+			// The ticker fires more often than appends are retried.
 		}
 	}
 }
 
+// write makes one append call and sends the result to written.
 func (d *logWorker) write(ctx context.Context, w logcl.Write) {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -123,6 +127,7 @@
 	}
 }
 
+// fetch waits until a read is due, makes it and sends the result to fetched.
 func (d *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
 	duty.Pause(ctx, time.Duration(f.At-d.entry.now()))
 	result := logcl.Fetched{Fetch: f, AskedAt: d.entry.now()}
@@ -136,7 +141,8 @@
 	}
 }
 
-// handleRead hands the answer of a read to the reader, carries out what it decides and reads on.
+// handleRead passes the result of a read to the reader, performs its effects and starts the next
+// read.
 func (d *logWorker) handleRead(ctx context.Context, f logcl.Fetched) {
 	d.oldest = f.Batch.Oldest
 	d.current = false
@@ -173,6 +179,7 @@
 	}
 }
 
+// handleFolded handles one log entry that the reader has applied to its state or refused.
 func (d *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
 	if v, refused := f.Verdict.(fold.Refused); refused {
 		d.entry.meter.RecordsRefused.Add(1)
@@ -189,6 +196,7 @@
 	d.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
 }
 
+// checkpoint passes an event to the checkpointer and performs its effects.
 func (d *logWorker) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
 	for _, effect := range d.checkpointer.Handle(d.entry.now(), ev) {
 		switch f := effect.(type) {
@@ -209,9 +217,9 @@
 	d.append(ctx, logcl.Submitted{ID: id, Record: r})
 }
 
-// publish hands the folded state to the other duties. What it says of homes goes first: the
-// read extends leases of services that may move, which must not reach ranges that the domain
-// has lost meanwhile.
+// publish passes the state read from the log to the other workers. The homes go first: the read
+// lets the leader extend leases of services that may move between domains, and it must not extend
+// them for ranges that the domain has lost since.
 func (d *logWorker) publish(ctx context.Context, askedAt leader.Time) {
 	e := d.entry
 	view := d.reader.State().Snapshot()
@@ -230,8 +238,8 @@
 	d.restoreBundle(ctx, view)
 }
 
-// restoreBundle appends the bundle in force to a log that lacks it, because it started anew or
-// lost records. A version in force never reverts.
+// restoreBundle appends the bundle in force to a log that lacks it because the log was reset or
+// has lost records. A bundle version in force is never rolled back.
 func (d *logWorker) restoreBundle(ctx context.Context, view *fold.State) {
 	if d.entry.rank() > 0 || time.Now().Before(d.nextRestoreAt) {
 		return
--- a/internal/entry/logworker_test.go
+++ b/internal/entry/logworker_test.go
@@ -23,12 +23,12 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// A leader has moved a range while the log has a fault, which ends after a minute. The move
-// must be acknowledged with its offset, and what is read must hold it. Operators would
-// otherwise see a provisional move for ever, or lose it.
+// Guards against a move of a range that stays provisional or is lost because the log service was
+// faulty for a minute. The move must be acknowledged with its offset, and the state read from the log
+// must contain it.
 func TestLogWorkerSurvivesFaults(t *testing.T) {
 	tests := map[string]stand.LogFault{
-		"well":         {},
+		"no fault":     {},
 		"down":         {Down: true},
 		"answers lost": {LoseAnswers: 1000},
 		"very slow":    {SlowMillis: 60_000},
@@ -59,17 +59,17 @@
 					}},
 				}})
 				start := time.Now()
-				acknowledged, held := false, false
-				for !acknowledged || !held {
-					told, forLeads := (<-e.events).(leaderEvent)
-					if !forLeads {
+				acknowledged, found := false, false
+				for !acknowledged || !found {
+					queued, isLeaderEvent := (<-e.events).(leaderEvent)
+					if !isLeaderEvent {
 						continue
 					}
-					switch ev := told.event.(type) {
+					switch ev := queued.event.(type) {
 					case leader.Appended:
 						acknowledged = ev.ID == "move" && ev.Offset < uint64(service.Appends())
 					case leader.LogRead:
-						held = ev.Assigned["pregled-1"].Assignment.Epoch.Sequence == 3
+						found = ev.Assigned["pregled-1"].Assignment.Epoch.Sequence == 3
 					}
 				}
 				is.True(time.Since(start) < 70*time.Second)
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -8,14 +8,15 @@
 	"example.org/mustardring/internal/member"
 )
 
-// due returns the instances to which a heartbeat is due and marks them busy.
+// due returns the instances to which a heartbeat is due, and marks them busy.
 func (p *peers) due(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.markBusy(p.membership.Handle(now, member.Ticked{}))
 }
 
-// markBusy returns whom the core wants to send to, but for those that have not answered yet.
+// markBusy marks busy and returns the instances to which the membership core sends, except those
+// with a heartbeat still under way.
 func (p *peers) markBusy(effects []member.Effect) []*remote {
 	var all []*remote
 	for _, effect := range effects {
@@ -31,14 +32,14 @@
 	return all
 }
 
-// clearBusy notes that a heartbeat has ended.
+// clearBusy notes that the heartbeat to an instance has ended.
 func (p *peers) clearBusy(r *remote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.busy = false
 }
 
-// setLeading tells the core of membership whether this instance leads.
+// setLeading tells the membership core whether this instance leads, from its state s.
 func (p *peers) setLeading(now member.Time, s InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,8 @@
 	p.membership.Handle(now, ev)
 }
 
-// leave tells the core that this instance is leaving and returns the others of the domain.
+// leave tells the membership core that this instance is leaving and returns the other instances
+// of the domain.
 func (p *peers) leave(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +65,8 @@
 	return all
 }
 
-// applyList takes what the platform's list shows. It reports whether this process was removed.
+// applyList passes the platform's list to the membership core. It reports whether this process was
+// removed from the list.
 func (p *peers) applyList(now member.Time, listed []member.ListedInstance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,8 +78,8 @@
 	return removed
 }
 
-// nextHeartbeat returns the next heartbeat for an instance. It carries own unless the instance has
-// said that it has it.
+// nextHeartbeat returns the next heartbeat for an instance. It carries own, the state of this
+// instance, unless the receiver has reported that it has it.
 func (p *peers) nextHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,14 +90,14 @@
 	return h
 }
 
-// reply returns the answer to a h.
+// reply returns the answer to a heartbeat.
 func (p *peers) reply(now member.Time, request Heartbeat, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.newHeartbeat(now, request.Name, own).shorten(request)
 }
 
-// newHeartbeat returns a whole h.
+// newHeartbeat returns a heartbeat with all its fields.
 func (p *peers) newHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	b := p.membership.Beat(now)
 	h := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
@@ -107,9 +110,9 @@
 	return h
 }
 
-// receive takes a h. It returns what its sender says of itself and whether that was not known
-// before. Held is false if that is not known yet, or if the sender is not the process that has
-// its name: one that was replaced or is gone.
+// receive handles a heartbeat or the answer to one. It returns the state of the sender and whether
+// that state is new. accepted is false if the state is not known yet, or if the sender is not the
+// current process of its name because it was replaced or is gone.
 func (p *peers) receive(now member.Time, h Heartbeat, isAnswer bool) (s InstanceState, isNew, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +138,9 @@
 	return s, isNew, true
 }
 
-// resolveState returns the Heartbeat that a h carries or stands for. One that stands for another
-// than the last one known is of no use: its sender learns so by the number in the answer.
+// resolveState returns the state that a heartbeat carries, or that its StateID refers to. It returns
+// false if the StateID is not that of the last known state. The sender learns this from the
+// KnownStateID in the answer and sends its whole state.
 func (p *peers) resolveState(h Heartbeat) (InstanceState, bool) {
 	if h.State != nil {
 		return *h.State, h.State.Name == h.Name
@@ -148,8 +152,8 @@
 	return r.state, true
 }
 
-// storeState keeps what an instance says of itself, unless it has said newer things: pulses may
-// overtake each other.
+// storeState stores the state of an instance unless a newer one is known, since heartbeats may
+// overtake each other. It reports whether the state differs from the last known one.
 func (p *peers) storeState(s InstanceState, h Heartbeat) (isNew bool) {
 	p.addLocked(config.Peer{
 		Name:           s.Name,
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -14,7 +14,7 @@
 
 const testStep = leader.Time(100 * time.Millisecond)
 
-// testInstance is the membership of one instance without sockets.
+// testInstance is one instance as far as heartbeats go, without sockets.
 type testInstance struct {
 	peers *peers
 	state InstanceState
@@ -31,7 +31,8 @@
 	}
 }
 
-// call sends a heartbeat to another and returns both messages as they go over the wire.
+// call sends a heartbeat to another instance and returns the request and the answer as encoded on
+// the wire.
 func (t *testInstance) call(now leader.Time, to *testInstance) (asked, answer Heartbeat) {
 	asked = t.peers.nextHeartbeat(now, to.state.Name, t.state)
 	to.peers.receive(now, asked, false)
@@ -40,14 +41,16 @@
 	return asked, answer
 }
 
-// hasCurrentState reports whether an instance has what another says of itself now, and holds it live.
+// hasCurrentState reports whether this instance has the current state of the other one and takes it
+// for live.
 func (t *testInstance) hasCurrentState(other *testInstance) bool {
 	r := t.peers.remote(other.state.Name)
 	return r != nil && stateID(r.state) == stateID(other.state) && len(t.peers.liveInDomain()) == 1
 }
 
-// Heartbeats carry statements only while the other lacks them. One that is never sent again
-// after a change or a restart would leave the other with an old leader, table or address.
+// Heartbeats carry the state of the sender only until the receiver has it. Guards against a state
+// that is not sent again after a change or a restart, which would leave the receiver with an outdated
+// leader, table or address.
 func TestChangedStateReachesPeers(t *testing.T) {
 	tests := map[string]func(a, b *testInstance) (*testInstance, *testInstance){
 		"nothing changes":   func(a, b *testInstance) (*testInstance, *testInstance) { return a, b },
@@ -74,7 +77,7 @@
 			is.True(asked.State == nil && answer.State == nil)
 			is.True(!asked.NotHearing && !answer.NotHearing)
 			a, b = change(a, b)
-			now += leader.Time(suspectTimeout)
+			now += leader.Time(unreachableAfter)
 			for range 3 {
 				a.call(now, b)
 				now += testStep
@@ -86,9 +89,9 @@
 	}
 }
 
-// The list service restarts and has forgotten all instances, which run on. Taken as evidence,
-// its lists would make each instance call the others gone for good. One instance that is
-// missing is another matter: it is gone.
+// Guards against a list service that restarts without its entries while all instances are running: if
+// its lists were trusted, each instance would take the others for gone permanently. A single instance
+// that is missing from the list, however, is gone.
 func TestListThatLostInstancesIsNotTrusted(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	tests := map[string]struct {
@@ -122,10 +125,9 @@
 	}
 }
 
-// A gate asks its leader, whose answer is slow: meanwhile the leader publishes a table and its
-// own heartbeat brings the news. Then the answer arrives, which only says that nothing was new.
-// Taken for a confirmation of the new table, it would extend the right of a gate that the
-// leader did not confirm.
+// The answer of the leader to a gate's heartbeat is overtaken by a heartbeat of the leader with a newer
+// table. The answer says that the leader's state is unchanged. Guards against taking it for a
+// confirmation of the newer table, which would extend a gate lease that the leader did not confirm.
 func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	is := is.New(t)
 	a, b := newTestInstance("a", 1), newTestInstance("b", 2)
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -40,8 +40,8 @@
 	return s
 }
 
-// ownedShare returns the least share, over the divided services, of the domain's homes by the
-// bundle that has an owner.
+// ownedShare returns, for the divided service where it is lowest, the share of the key space that has
+// an owner, out of what the bundle assigns to this domain. It is 1 when every key has an owner.
 func ownedShare(view route.View) float64 {
 	least := 1.0
 	for service := range view.Homes {
@@ -56,14 +56,15 @@
 				have = append(have, o.Range)
 			}
 		}
-		if total := width(want); total > 0 {
-			least = min(least, width(keys.Intersect(want, have))/total)
+		if total := totalWidth(want); total > 0 {
+			least = min(least, totalWidth(keys.Intersect(want, have))/total)
 		}
 	}
 	return least
 }
 
-func width(ranges []keys.Range) float64 {
+// totalWidth returns the sum of the widths of the ranges.
+func totalWidth(ranges []keys.Range) float64 {
 	sum := 0.0
 	for _, r := range ranges {
 		sum += r.Width()
@@ -71,6 +72,7 @@
 	return sum
 }
 
+// countProvisional returns the number of owners whose assignment is not yet in the log.
 func countProvisional(t *route.Table) int {
 	count := 0
 	for _, o := range t.Owners {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -25,7 +25,8 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// site is a small deployment in one process, over real sockets on loopback addresses.
+// site is a small deployment in one process that uses sockets on loopback addresses: two domains, the
+// stand-ins of the log, the list and the servers, and the instances that a test starts.
 type site struct {
 	t         *testing.T
 	is        *is.I
@@ -38,9 +39,11 @@
 }
 
 const (
-	service   = "pregled"
+	service = "pregled"
+	// undivided is a service whose keys have no owners.
 	undivided = "oddaja"
-	testWait  = 60 * time.Second
+	// testWait is the timeout of each condition.
+	testWait = 60 * time.Second
 )
 
 func newSite(t *testing.T, network int) *site {
@@ -107,7 +110,7 @@
 	s.start("stand-in", stand.New(settings).Run)
 }
 
-// start runs a part of the site until the test ends.
+// start runs a part of the site until the test ends. It fails the test if run returns an error.
 func (s *site) start(name string, run func(context.Context) error) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -181,19 +184,20 @@
 	})
 }
 
-// eventually waits until a condition holds. The wait is only there to end a broken test.
+// eventually waits until a condition holds. The timeout only ends a test that would hang.
 func (s *site) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(testWait)
 	for !holds() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("%s: not after %v", what, testWait)
+			s.t.Fatalf("%s: condition not met after %v", what, testWait)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// request sends one request and returns its status, outcome, server and body.
+// request sends one request through an instance and returns its status, outcome, server and body. If
+// sending fails, the status is zero and the body is the error.
 func (s *site) request(domain, host int, service, key string) (status int, outcome, server, body string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.address(domain, host, 8080)+"/"+service+"/page", nil)
 	s.is.NoErr(err)
@@ -208,8 +212,8 @@
 	return resp.StatusCode, resp.Header.Get(caller.HeaderOutcome), resp.Header.Get(caller.HeaderServer), string(data)
 }
 
-// A request for a key reaches the one server that owns the key, through whichever instance
-// the balancer picked, and the whole answer comes back.
+// Guards against requests for one key that reach different servers depending on the instance that
+// receives them.
 func TestEachInstanceReachesTheSameOwner(t *testing.T) {
 	s := newSite(t, 20+os.Getpid()%100)
 	s.startStandIns()
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -18,9 +18,10 @@
 	"example.org/mustardring/internal/route"
 )
 
-// peers are the other instances that this one knows of, with a client for each. The core of
-// membership decides which of them live and whom to send heartbeats to.
+// peers are the other instances that this one knows of, with a client for each. The membership core
+// decides which of them are live and which ones get heartbeats.
 type peers struct {
+	// self are the settings of this instance, and process its current process.
 	self      config.Run
 	tlsConfig *tls.Config
 	meter     *meter.Control
@@ -28,24 +29,26 @@
 	mu         sync.Mutex
 	membership *member.Core
 	process    member.Process
-	known      map[string]*remote
+	// known has the other instances by name.
+	known map[string]*remote
 }
 
-// remote is another instance.
+// remote is another instance and what is known of it.
 type remote struct {
 	config.Peer
 	client *peer.Client
-	// state is what it last said of itself, stated the number of that, and count that of the
-	// pulse which said so.
+	// state is the last known state, stateID its ID, and heartbeatCount the count of the heartbeat
+	// that carried it.
 	state          InstanceState
 	stateID        uint64
 	heartbeatCount uint64
-	// knownStateID is the number of this instance's Heartbeat that it last had.
+	// knownStateID is the ID of this instance's state that the remote instance has, zero for none.
 	knownStateID uint64
-	// lastHeardAt is when it was last heard; the zero time if never.
+	// lastHeardAt is when its last heartbeat or answer arrived, zero if none did.
 	lastHeardAt time.Time
 	// busy is true while a heartbeat to it is under way.
-	busy     bool
+	busy bool
+	// fetching is true while a bundle or routing table is being fetched from it.
 	fetching atomic.Bool
 }
 
@@ -56,8 +59,8 @@
 		Self:           member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
 		Period:         heartbeatInterval,
 		PeriodOutside:  heartbeatIntervalOutside,
-		Silence:        suspectTimeout,
-		SilenceOutside: suspectTimeoutOutside,
+		Silence:        unreachableAfter,
+		SilenceOutside: unreachableAfterOutside,
 		All:            maxFullMesh,
 		Delegates:      maxDelegates,
 		Patience:       listedNameTimeout,
@@ -69,14 +72,15 @@
 	return p
 }
 
-// add adds an instance, or moves it to another address. The process at the new address is
-// another one, so nothing known of the old process stands.
+// add adds an instance or changes its address. The process at the new address is a different one,
+// so everything known of the old process is dropped.
 func (p *peers) add(found config.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addLocked(found)
 }
 
+// addLocked is add for callers that hold p.mu.
 func (p *peers) addLocked(found config.Peer) {
 	if found.Name == "" || found.Name == p.self.Name {
 		return
@@ -96,13 +100,13 @@
 	}})
 }
 
-// countBytes adds the bytes of a connection to another instance.
+// countBytes counts bytes received from and sent to other instances.
 func (p *peers) countBytes(in, out int) {
 	p.meter.PeerBytesIn.Add(int64(in))
 	p.meter.PeerBytesOut.Add(int64(out))
 }
 
-// client returns the client of an instance, or nil.
+// client returns the client of an instance, or nil if the instance is not known.
 func (p *peers) client(name string) *peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,8 +129,8 @@
 	return clients
 }
 
-// liveInDomain returns the clients of the other live instances of this domain, in the order of
-// their names.
+// liveInDomain returns the clients of the other instances of this domain that are live and accept
+// work, in the order of their names.
 func (p *peers) liveInDomain() []*peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,14 +143,15 @@
 	return clients
 }
 
-// acceptsWork reports whether work may be sent to an instance. One that is known by hearsay only
-// is beyond the direct contacts of a large domain.
+// acceptsWork reports whether work may be sent to an instance: it is not leaving, and heartbeats with
+// it succeed in both directions. LinkNone is accepted as well: in a large domain most instances are
+// not in direct contact and are known to be live by hearsay only.
 func acceptsWork(l member.Live) bool {
 	return !l.Leaving && (l.Link == member.LinkBoth || l.Link == member.LinkNone)
 }
 
-// recentInDomain returns the clients of the other instances of this domain that were heard
-// within the time for which what they remember may matter, in the order of their names.
+// recentInDomain returns the clients of the other instances of this domain that were heard within
+// the recoveryWindow, so that their records may still be needed, in the order of their names.
 func (p *peers) recentInDomain(now time.Time) []*peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,8 +165,7 @@
 	return clients
 }
 
-// recordHolders returns the processes of the other instances of this domain that were heard within the time
-// for which what they remember may matter.
+// recordHolders returns the processes of the instances that recentInDomain returns.
 func (p *peers) recordHolders(now time.Time) []RecordHolder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +178,7 @@
 	return processes
 }
 
-// leader returns the client of the instance that leads this domain, or nil.
+// leader returns the client of the instance that leads this domain, or nil if it is not known.
 func (p *peers) leader() *peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +194,7 @@
 	return p.known[name]
 }
 
-// members returns the live instances, this one included, sorted by name.
+// members returns the live instances of all domains, including this instance, sorted by name.
 func (p *peers) members() []route.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +206,7 @@
 	return all
 }
 
-// liveLocked returns the live instances of all domains but this one.
+// liveLocked returns the other live instances of all domains. The caller holds p.mu.
 func (p *peers) liveLocked() []*remote {
 	var all []*remote
 	view := p.membership.View()
@@ -221,7 +225,7 @@
 	return all
 }
 
-// reachableDomains returns the other failure domains of which an instance was heard lately.
+// reachableDomains returns the other failure domains with a reachable instance.
 func (p *peers) reachableDomains() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,8 +238,8 @@
 	return heard
 }
 
-// bundleVersions returns the bundle versions in force by domain, sorted by domain. Own is that of
-// this instance.
+// bundleVersions returns the lowest and highest bundle version in force in each domain, sorted by
+// domain. own is the version of this instance.
 func (p *peers) bundleVersions(own uint64) []admin.DomainVersion {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,9 +258,9 @@
 	return all
 }
 
-// call runs a method at an instance within a limit.
-func call[P, R any](ctx context.Context, c *peer.Client, limit time.Duration, method peer.Method, params P) (R, error) {
-	bounded, cancel := context.WithTimeout(ctx, limit)
+// call calls a method of another instance with a timeout.
+func call[P, R any](ctx context.Context, c *peer.Client, timeout time.Duration, method peer.Method, params P) (R, error) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return peer.Call[P, R](bounded, c, method, params)
 }
--- a/internal/entry/recordholders.go
+++ b/internal/entry/recordholders.go
@@ -13,39 +13,43 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// methodReplicateBatch hands over what a stopping instance remembers.
+// methodReplicateBatch is the call by which a stopping instance hands over its records.
 const methodReplicateBatch peer.Method = "marks"
 
-// Bounds of handing over.
+// Bounds of handing over records.
 const (
 	maxRecordsPerCall = 2000
-	handOverTimeout   = 2 * time.Second
-	handOverCopies    = 2
+	// handOverTimeout is the timeout of one call.
+	handOverTimeout = 2 * time.Second
+	// handOverCopies is the number of instances that get each record.
+	handOverCopies = 2
 )
 
-// ReplicateBatchCall hands over records.
+// ReplicateBatchCall hands over idempotency records of a stopping instance.
 type ReplicateBatchCall struct {
 	Records []policy.Mark `json:"marks"`
 }
 
-// RecordHolder is a process of the domain that may remember requests which matter, living or not.
-// HandedOver says that it told others what it remembered before it ended.
+// RecordHolder is a process of the domain, running or not, that may hold idempotency records which
+// are still needed. HandedOver says that it is stopping and hands its records over before it ends.
 type RecordHolder struct {
 	member.Process
 	HandedOver bool `json:"handed-over,omitempty"`
 }
 
-// recordHolder returns the process that says something of itself as one that may remember requests.
+// recordHolder returns the process that reported the state, as a holder of records.
 func (s InstanceState) recordHolder() RecordHolder {
 	return RecordHolder{Process: s.memberInstance().Process, HandedOver: s.Stopping}
 }
 
-// replacedProcesses keeps the processes of this domain that others took the place of. A new process under the name of
-// one that was killed answers, but remembers nothing: it must not pass for one that has nothing to tell.
+// replacedProcesses keeps the processes of this domain that were replaced by another process of the
+// same name. The new process answers calls but has no records of the old one, so its answer must
+// not be taken for that of the old one.
 type replacedProcesses struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// newest has the latest process seen under each name.
 	newest map[string]RecordHolder
-	// replacedAt holds when the place of a process was first seen taken.
+	// replacedAt is when the replacement of a process was first seen.
 	replacedAt map[RecordHolder]time.Time
 }
 
@@ -53,7 +57,8 @@
 	return &replacedProcesses{newest: make(map[string]RecordHolder), replacedAt: make(map[RecordHolder]time.Time)}
 }
 
-// observe notes what an instance of the domain says of itself.
+// observe records the process that reported a state, and whether it replaces another one. The
+// process must belong to this domain.
 func (p *replacedProcesses) observe(s InstanceState, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +69,7 @@
 	p.newest[s.Name] = s.recordHolder()
 }
 
-// recent returns the processes that ended while what they remembered may still matter.
+// recent returns the replaced processes whose records may still be needed.
 func (p *replacedProcesses) recent(now time.Time) []RecordHolder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,13 +77,13 @@
 	return slices.Collect(maps.Keys(p.replacedAt))
 }
 
-// countUnrecoverable counts the processes that may remember what matters, as anybody knows of them, and have neither
-// answered nor handed over what they remembered.
+// countUnrecoverable counts the known holders that have neither answered nor handed over their
+// records.
 //
-// Who answers is told by its process, not by its name or by what was heard of it: two instances that were
-// killed and started again answered, before anybody had heard that they were new, with nothing, and
-// requests ran twice. What the others know counts as well: an instance that has just started knows of nobody
-// who is down.
+// Answers count by process, name and incarnation, and not by name alone or by earlier heartbeats.
+// Otherwise two instances that were killed and restarted answer with no records before their new
+// incarnations are known, and requests run twice. The known holders include those that other
+// instances report, because an instance that has just started does not know which ones are down.
 func countUnrecoverable(known []RecordHolder, answered []member.Process) int {
 	lost := make(map[member.Process]bool)
 	for _, r := range known {
@@ -95,7 +100,8 @@
 	return len(lost)
 }
 
-// handOverRecords tells other instances of the domain what this one remembers, before it stops.
+// handOverRecords sends the idempotency records of this instance to other instances of the domain
+// before it stops.
 func (e *Entry) handOverRecords(ctx context.Context) {
 	b := e.state.bundle()
 	if b == nil {
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -15,7 +15,7 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// newProcess makes one process of an instance of the first domain that is not run.
+// newProcess returns a process of an instance of the first domain. It is not run.
 func (s *site) newProcess(host int, incarnation uint64) *Entry {
 	settings := s.settings(1, host)
 	e, err := New(Deps{
@@ -25,7 +25,7 @@
 	return e
 }
 
-// servePeers lets a process answer the calls of other instances until the test ends.
+// servePeers makes a process answer the calls of other instances until the test ends.
 func (s *site) servePeers(e *Entry) {
 	l, err := net.Listen("tcp", e.deps.Settings.PeerAddress)
 	s.is.NoErr(err)
@@ -38,33 +38,32 @@
 	})
 }
 
-// receiveState lets one process hear another.
+// receiveState passes the state of one process to another, as in the answer to a heartbeat.
 func (s *site) receiveState(from, to *Entry) {
 	h := from.instanceState()
 	to.receive(Heartbeat{Name: h.Name, State: &h, StateID: stateID(h)}, true)
 }
 
-// A domain was cut off, and two of its three instances were killed and started again. The third
-// asked them what they remembered before it had heard that they were new. Both answered, with
-// nothing, and that passed for all there was: a caller who sent a request again, not knowing
-// its outcome, had it run twice, as what remembered it had been in the two that were killed.
+// Guards against requests that run twice after two of three instances were killed and restarted. The
+// third asks the new processes for idempotency records before it knows that they are new. Their
+// answers, without any record, must not count as those of the old processes, which held both copies.
 func TestRecoverFromRestartedProcesses(t *testing.T) {
 	tests := map[string]struct {
-		// again are the hosts that were killed and are back, down those that were killed; told says
-		// that the asker has heard of the new processes.
-		again, down []int
-		told        bool
-		wantErr     bool
+		// restarted are the hosts that were killed and restarted, down those that were killed. If
+		// heard is true, the asker has received the state of the new processes.
+		restarted, down []int
+		heard           bool
+		wantErr         bool
 	}{
-		"nobody was lost":                          {},
-		"one is new":                               {again: []int{2}},
-		"one is new, as was heard":                 {again: []int{2}, told: true},
-		"one is down":                              {down: []int{2}},
-		"both are new":                             {again: []int{2, 3}, wantErr: true},
-		"both are new, as was heard":               {again: []int{2, 3}, told: true, wantErr: true},
-		"one is new, the other down":               {again: []int{2}, down: []int{3}, wantErr: true},
-		"one is new, as was heard, the other down": {again: []int{2}, down: []int{3}, told: true, wantErr: true},
-		"both are down":                            {down: []int{2, 3}, wantErr: true},
+		"nobody was lost":                       {},
+		"one is new":                            {restarted: []int{2}},
+		"one is new, and known":                 {restarted: []int{2}, heard: true},
+		"one is down":                           {down: []int{2}},
+		"both are new":                          {restarted: []int{2, 3}, wantErr: true},
+		"both are new, and known":               {restarted: []int{2, 3}, heard: true, wantErr: true},
+		"one is new, the other down":            {restarted: []int{2}, down: []int{3}, wantErr: true},
+		"one is new, and known, the other down": {restarted: []int{2}, down: []int{3}, heard: true, wantErr: true},
+		"both are down":                         {down: []int{2, 3}, wantErr: true},
 	}
 	network := 210
 	for name, test := range tests {
@@ -72,20 +71,20 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, network)
 			asker := s.newProcess(1, 1)
-			lives := map[int]*Entry{2: s.newProcess(2, 2), 3: s.newProcess(3, 3)}
-			for _, e := range lives {
+			processes := map[int]*Entry{2: s.newProcess(2, 2), 3: s.newProcess(3, 3)}
+			for _, e := range processes {
 				s.receiveState(e, asker)
 			}
-			for _, host := range test.again {
-				lives[host] = s.newProcess(host, uint64(10+host))
-				if test.told {
-					s.receiveState(lives[host], asker)
+			for _, host := range test.restarted {
+				processes[host] = s.newProcess(host, uint64(10+host))
+				if test.heard {
+					s.receiveState(processes[host], asker)
 				}
 			}
 			for _, host := range test.down {
-				delete(lives, host)
+				delete(processes, host)
 			}
-			for _, e := range lives {
+			for _, e := range processes {
 				s.servePeers(e)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -96,8 +95,8 @@
 	}
 }
 
-// An instance that has just started knows nobody but the one that answers it. That one has heard of
-// two processes that were killed, and says so: what they remembered is gone.
+// An instance that has just started knows only the one that answers it. That one knows two processes
+// that were killed, so Recall must report that their records are lost.
 func TestRecoverByRestartedProcess(t *testing.T) {
 	s := newSite(t, 230)
 	witness, killed := s.newProcess(1, 1), s.newProcess(3, 3)
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -15,57 +15,58 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// The calls by which instances of one domain remember each other's requests.
+// The calls by which instances of one domain keep copies of each other's idempotency records.
 const (
 	methodReplicate peer.Method = "mark"
 	methodRecover   peer.Method = "recall"
 )
 
-// Bounds of the witness.
+// Bounds of the replication of idempotency records.
 const (
 	replicateTimeout = 400 * time.Millisecond
 	outcomeCapacity  = 4096
-	// maxOutcomeSenders is the number of outcomes that are confirmed to other instances at once.
+	// maxOutcomeSenders is the maximum number of outcomes that are being sent at once.
 	maxOutcomeSenders = 8
-	// recoveryWindow is for how long after its last answer an instance is asked what it remembers.
+	// recoveryWindow is how long after it was last heard an instance is asked for its records.
 	recoveryWindow = 10 * time.Minute
-	// maxLostHolders is the number of processes whose memory may be missing: each request is remembered by
-	// two.
+	// maxLostHolders is the number of processes whose records may be lost: two processes hold
+	// each record.
 	maxLostHolders = 1
 )
 
-// Errors of the witness.
+// Errors of the replication of idempotency records.
 var (
-	errMemoryFull    = errors.New("entry: the witness has no room for a mark")
-	errUnrecoverable = errors.New("entry: instances that may remember requests did not answer")
-	errFormerGate    = errors.New("entry: the former gate may still act")
+	errMemoryFull    = errors.New("entry: no room for another idempotency record")
+	errUnrecoverable = errors.New("entry: processes that may hold idempotency records did not answer")
+	errFormerGate    = errors.New("entry: the former gate may still send requests")
 )
 
-// ReplicateCall hands a mark to the instance that is to remember it.
+// ReplicateCall passes an idempotency record to the instance that is to keep a copy.
 type ReplicateCall struct {
 	Record policy.Mark `json:"mark"`
 }
 
-// RecoverCall asks what an instance remembers of requests in a range of a service.
+// RecoverCall asks an instance for its idempotency records in a range of a service.
 type RecoverCall struct {
 	Service string     `json:"service"`
 	Range   keys.Range `json:"range"`
 }
 
-// RecoverResult is the answer to a RecallCall. The table is the newest that the instance
-// knows: from one that is current it follows that the instance is the gate of no server which
-// the table gives to another.
+// RecoverResult is the answer to a RecoverCall. The table term and serial identify the newest
+// routing table of the instance: if it is current, the instance no longer acts as the gate of any
+// server that the table assigns to another instance.
 type RecoverResult struct {
 	member.Process
 	Records     []policy.Mark `json:"marks"`
 	TableTerm   grant.Term    `json:"table-term"`
 	TableSerial uint64        `json:"table-serial"`
-	// KnownHolders are the processes of the domain of which the instance knows that they may remember
-	// requests which matter.
+	// KnownHolders are the processes of the domain that, to the instance's knowledge, may hold
+	// records that are still needed.
 	KnownHolders []RecordHolder `json:"known"`
 }
 
-// replicator implements front.Witness by calls to the other instances of the domain.
+// replicator keeps a copy of each idempotency record at one other instance of the domain. It
+// implements front.Witness.
 type replicator struct {
 	peers     *peers
 	gateGains *gateGains
@@ -75,7 +76,7 @@
 	logger    logger
 }
 
-// logger is the part of the log of events that the witness uses.
+// logger is the part of log.Logger that the replicator uses.
 type logger interface {
 	Warn(msg any, keyvals ...any)
 }
@@ -84,8 +85,8 @@
 	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.Mark, outcomeCapacity), logger: l}
 }
 
-// Begin implements front.Witness. The instance is chosen by the mark, the next one if it
-// does not answer.
+// Begin implements front.Witness. A hash of the record selects the instance that gets the copy. If
+// that one does not answer, the next one in the order of names gets it.
 func (r *replicator) Begin(ctx context.Context, rec policy.Mark) error {
 	others := r.peers.liveInDomain()
 	if len(others) == 0 {
@@ -101,7 +102,7 @@
 	return err
 }
 
-// replicaHash returns where a mark stands among the instances.
+// replicaHash returns the hash that selects the instance for the copy of a record.
 func replicaHash(rec policy.Mark) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, rec.Name)
@@ -113,8 +114,8 @@
 	return err
 }
 
-// End implements front.Witness. A full ring drops the outcome: the witness then goes on
-// calling the request in doubt, which is safe.
+// End implements front.Witness. It drops the outcome if the channel is full. The copy then still
+// says that the outcome is unknown, which is safe.
 func (r *replicator) End(rec policy.Mark) {
 	select {
 	case r.outcomes <- rec:
@@ -123,7 +124,7 @@
 	}
 }
 
-// run tells outcomes to the instances that remember the requests.
+// run sends outcomes to the instances that hold copies of the records.
 func (r *replicator) run(ctx context.Context) error {
 	free := make(chan struct{}, maxOutcomeSenders)
 	for {
@@ -146,9 +147,9 @@
 	}
 }
 
-// Recall implements front.Witness. Until the former gate of a server of the service has said
-// that it knows of its end, or cannot act any more, it returns an error: what the former gate
-// is about to send is not remembered anywhere yet.
+// Recall implements front.Witness. It returns an error while a former gate of a server of the
+// service may still send requests: of a request that it is about to send there is no record yet.
+// This ends when the former gate reports the current routing table, or when its lease has expired.
 func (r *replicator) Recall(ctx context.Context, service string, rng keys.Range) ([]policy.Mark, error) {
 	clients := r.peers.recentInDomain(time.Now())
 	type answer struct {
@@ -180,16 +181,16 @@
 		}
 	}
 	if n := r.gateGains.unconfirmed(service, confirmed, time.Now()); n > 0 {
-		return records, fmt.Errorf("%w: of %d servers", errFormerGate, n)
+		return records, fmt.Errorf("%w: to %d servers", errFormerGate, n)
 	}
 	if n := countUnrecoverable(holders, answered); n > maxLostHolders {
-		return records, fmt.Errorf("%w: %d processes of %d", errUnrecoverable, n, len(holders))
+		return records, fmt.Errorf("%w: %d of %d processes", errUnrecoverable, n, len(holders))
 	}
 	return records, nil
 }
 
-// recordHolders returns the processes of the domain of which this instance knows that they may remember
-// requests which matter.
+// recordHolders returns the processes of the domain that, to this instance's knowledge, may hold
+// records that are still needed.
 func (r *replicator) recordHolders(now time.Time) []RecordHolder {
 	return append(r.peers.recordHolders(now), r.replaced.recent(now)...)
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -12,17 +12,18 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// state is what the duties of an instance share: the bundle in force, the routing table and
-// the live instances. Each change makes a new view for the directory.
+// state is shared by the workers of an instance: the bundle in force, the routing table and the live
+// instances. Each change sets a new view in the directory, which routes requests.
 type state struct {
 	directory *route.Directory
 
-	mu     sync.Mutex
-	view   route.View
+	mu   sync.Mutex
+	view route.View
+	// newest keeps the newest bundle that is proven by its signatures.
 	newest *fold.Newest
 	// previous is the bundle that the newest one replaced at this instance.
 	previous bundle.Held
-	// takenHomes is what the domains have by the log, as far as this instance knows.
+	// takenHomes are the ranges that the domains have taken according to the log.
 	takenHomes []fold.Taken
 	stopping   bool
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// followLog takes the bundle in force by the log. It reports whether the bundle changed.
+// followLog installs the bundle in force according to the log. It reports whether the bundle changed.
 func (s *state) followLog(log *fold.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +48,9 @@
 	return true
 }
 
-// applyBundle takes a bundle that another instance handed over, as an update of the one held or
-// else as a whole proof. Only signatures count.
+// applyBundle installs a bundle received from another instance, as an update of the current one or
+// as a whole proof. Only the signatures are trusted, not the sender. It returns fold.ErrOlder if the
+// bundle is not newer.
 func (s *state) applyBundle(push BundlePush) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// replaceView makes the view of a bundle that came after another one. The lock is held.
+// replaceView sets the view of the newest bundle, which has replaced the one in before. The caller
+// holds s.mu.
 func (s *state) replaceView(before bundle.Held) {
 	s.previous = before
 	s.view.Bundle = s.newest.Bundle()
@@ -74,15 +77,16 @@
 	s.directory.Set(s.view)
 }
 
-// missing returns the record that brings the bundle back into a log which lost it.
+// missing returns the record, and the ID to append it with, that restores the bundle in a log which
+// has lost it. It returns false if the log has the bundle.
 func (s *state) missing(log *fold.State) (record.Record, string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest.Missing(log)
 }
 
-// offer returns what an instance that holds a version needs to have the newest: an update if
-// it holds the version before, the whole proof otherwise.
+// offer returns what an instance with the given bundle version needs to get the newest: an update if
+// it has the previous version, the whole proof otherwise.
 func (s *state) offer(version uint64) BundlePush {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +98,8 @@
 	return BundlePush{Proof: s.newest.Proof()}
 }
 
-// setHomes notes which domain has which ranges by the log. Requests go to the domain that has
-// a range, which for a while is not the one that should have it.
+// setHomes sets which domain has taken which ranges according to the log. Requests go to the domain
+// that has a range, which may for a while differ from the one to which the bundle assigns it.
 func (s *state) setHomes(taken []fold.Taken) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +111,8 @@
 	s.directory.Set(s.view)
 }
 
-// currentHomes returns the homes of each divided service, sorted: what the domains have taken, and
-// in the gaps what the bundle says they should.
+// currentHomes returns the homes of each divided service, sorted by range: the ranges that the
+// domains have taken, and elsewhere those that the bundle assigns to them.
 func currentHomes(b *bundle.Bundle, taken []fold.Taken) map[string][]route.Home {
 	homes := make(map[string][]route.Home)
 	if b == nil {
@@ -122,6 +126,7 @@
 	return homes
 }
 
+// currentServiceHomes returns the currentHomes of one service.
 func currentServiceHomes(b *bundle.Bundle, service string, taken []fold.Taken) []route.Home {
 	var homes []route.Home
 	var covered []keys.Range
@@ -143,8 +148,8 @@
 	return homes
 }
 
-// setTable takes a routing table of this domain. It returns the table before and whether the
-// new one is newer.
+// setTable installs a routing table if it belongs to this domain and is newer than the current one.
+// It returns the table before and whether the new one was installed.
 func (s *state) setTable(t *route.Table) (old *route.Table, newer bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +179,7 @@
 	s.stopping = true
 }
 
-// snapshot returns the present view, and whether the instance is stopping.
+// snapshot returns the current view, and whether the instance is stopping.
 func (s *state) snapshot() (route.View, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
