--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -24,9 +24,9 @@
 	TableTerm   grant.Term `json:"table-term"`
 	TableSerial uint64     `json:"table-serial"`
 	Ranges      int        `json:"ranges"`
-	// OwnedShare is, for the divided service where it is lowest, the share of the key space that
-	// has an owner, out of what the bundle assigns to the domain. It is 1 when every key has an
-	// owner, and 0 without a table.
+	// OwnedShare is how much of the ranges that the bundle assigns to the domain has an owner. Of
+	// several divided services the lowest share counts. It is 1 when no key is unavailable, and 0
+	// without a table.
 	OwnedShare float64 `json:"owned"`
 	// Provisional is the number of ranges whose assignment is not yet in the log.
 	Provisional int `json:"provisional"`
--- a/internal/entry/distribute.go
+++ b/internal/entry/distribute.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// lacksHomes reports whether this instance knows no homes yet. Without homes it cannot lead, also
-// not if it starts while its domain is cut off from the log.
+// lacksHomes reports whether this instance knows no homes yet. Without homes it cannot lead. If it
+// starts while its domain is cut off from the log, it gets them from another instance.
 func (e *Entry) lacksHomes() bool {
 	return len(e.knownHomes()) == 0
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 	maxWorkers     = 16
 )
 
-// Deps are the settings and dependencies of an instance. Tracer may be nil.
+// Deps are the settings and dependencies of an instance. Run needs all of them but Tracer.
 type Deps struct {
 	Settings config.Run
 	// TLS authenticates this instance and the other instances to each other.
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// gateGain is a server whose gate this instance has become.
+// gateGain is a server whose gate this instance has become. The gate of a server is the one entry
+// instance through which all requests to the server pass.
 type gateGain struct {
 	// formerGate is the instance that was the gate before, empty if unknown.
 	formerGate string
@@ -87,12 +88,12 @@
 // unconfirmed drops the gains of a service that are confirmed or expired and returns the number of
 // the others, whose former gate may still send requests. A gain is confirmed if its former gate is
 // in confirmed, the names of the instances that have reported the current table.
-func (g *gateGains) unconfirmed(service string, told []string, now time.Time) int {
+func (g *gateGains) unconfirmed(service string, confirmed []string, now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	kept := g.services[service][:0]
 	for _, n := range g.services[service] {
-		if now.Before(n.mayActUntil) && !slices.Contains(told, n.formerGate) {
+		if now.Before(n.mayActUntil) && !slices.Contains(confirmed, n.formerGate) {
 			kept = append(kept, n)
 		}
 	}
--- a/internal/entry/heartbeat_bench_test.go
+++ b/internal/entry/heartbeat_bench_test.go
@@ -18,13 +18,13 @@
 	}
 	for name, change := range tests {
 		b.Run(name, func(b *testing.B) {
-			asker, asked := newTestInstance("dvorana-a-2", 1<<62), newTestInstance("dvorana-a-1", 1<<63)
+			caller, callee := newTestInstance("dvorana-a-2", 1<<62), newTestInstance("dvorana-a-1", 1<<63)
 			now, n, bytes := testStep, uint64(1000), 0
 			for b.Loop() {
 				now += leader.Time(1000)
 				n++
-				change(asker, n)
-				bytes = callEncoded(b, asker, asked, now)
+				change(caller, n)
+				bytes = callEncoded(b, caller, callee, now)
 			}
 			b.ReportMetric(float64(bytes), "bytes/call")
 		})
@@ -34,20 +34,20 @@
 // callEncoded makes one heartbeat call, including the encoding, and returns the bytes of both
 // messages.
 func callEncoded(b *testing.B, from, to *testInstance, now leader.Time) int {
-	pulse := from.peers.nextHeartbeat(now, to.state.Name, from.state)
+	heartbeat := from.peers.nextHeartbeat(now, to.state.Name, from.state)
 	request := jsonrpc2.Request{Method: string(methodHeartbeat), ID: jsonrpc2.ID{Num: 12345}}
-	must(b, request.SetParams(pulse))
-	asked := encode(b, request)
+	must(b, request.SetParams(heartbeat))
+	requestBytes := encode(b, request)
 	var got Heartbeat
 	must(b, json.Unmarshal(*request.Params, &got))
 	to.peers.receive(now, got, false)
 	response := jsonrpc2.Response{ID: request.ID}
 	must(b, response.SetResult(to.peers.reply(now, got, to.state)))
-	answered := encode(b, response)
+	answerBytes := encode(b, response)
 	var answer Heartbeat
 	must(b, json.Unmarshal(*response.Result, &answer))
-	from.peers.receive(now, answer.restore(pulse, to.state.Name), true)
-	return len(asked) + len(answered)
+	from.peers.receive(now, answer.restore(heartbeat, to.state.Name), true)
+	return len(requestBytes) + len(answerBytes)
 }
 
 func encode(b *testing.B, message any) []byte {
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -35,8 +35,8 @@
 	maxDelegates = 2
 	// maxHearsay is the maximum number of heartbeat counts of other instances in one heartbeat.
 	maxHearsay = 64
-	// listedNameTimeout is how long a process must be silent before another one may take over its
-	// name while the platform's list still shows the silent one.
+	// listedNameTimeout is the time without a heartbeat of a process after which another process
+	// may take over its name while the platform's list still shows the old one.
 	listedNameTimeout = 3 * time.Second
 )
 
@@ -58,10 +58,10 @@
 			return ctx.Err()
 		case <-ticker.C:
 			e.sendDueHeartbeats(ctx, ended)
-		case b := <-ended:
-			e.peers.clearBusy(b.remote)
-			if b.result != nil {
-				e.handleAnswer(ctx, b)
+		case done := <-ended:
+			e.peers.clearBusy(done.remote)
+			if done.result != nil {
+				e.handleAnswer(ctx, done)
 			}
 		}
 	}
@@ -73,9 +73,9 @@
 	e.peers.setLeading(e.now(), s)
 	for _, r := range e.peers.due(e.now()) {
 		go func() {
-			b := e.sendHeartbeat(ctx, r)
+			done := e.sendHeartbeat(ctx, r)
 			select {
-			case ended <- b:
+			case ended <- done:
 			case <-ctx.Done():
 			}
 		}()
@@ -89,7 +89,7 @@
 
 // sendHeartbeat sends one heartbeat and waits for the answer or the timeout.
 func (e *Entry) sendHeartbeat(ctx context.Context, r *remote) heartbeatResult {
-	b := heartbeatResult{remote: r, askedAt: e.now()}
+	done := heartbeatResult{remote: r, askedAt: e.now()}
 	request := e.peers.nextHeartbeat(e.now(), r.Name, e.instanceState())
 	result, err := call[Heartbeat, Heartbeat](ctx, r.client, heartbeatTimeout, methodHeartbeat, request)
 	e.meter.CallsSent.Add(1)
@@ -98,20 +98,20 @@
 	}
 	result = result.restore(request, r.Name)
 	if err == nil && result.Name == r.Name {
-		b.result = &result
+		done.result = &result
 	}
-	return b
+	return done
 }
 
 // handleAnswer handles the answer to a heartbeat. The gate lease is extended only by an answer of
 // the leader that states the routing table which this instance has.
-func (e *Entry) handleAnswer(ctx context.Context, b heartbeatResult) {
-	s, isNew, accepted := e.receive(*b.result, true)
+func (e *Entry) handleAnswer(ctx context.Context, done heartbeatResult) {
+	s, isNew, accepted := e.receive(*done.result, true)
 	if !accepted {
 		return
 	}
 	e.handleState(ctx, s, isNew)
-	e.gateLease.confirm(b.askedAt, s, e.state.table())
+	e.gateLease.confirm(done.askedAt, s, e.state.table())
 }
 
 // receive handles a heartbeat or the answer to one; see peers.receive for the results. It first
--- a/internal/entry/leaderconfig.go
+++ b/internal/entry/leaderconfig.go
@@ -30,7 +30,7 @@
 
 // leaderService returns the configuration of one service in a domain, without its homes.
 func leaderService(s *bundle.Service, domain string) leader.Service {
-	made := leader.Service{
+	svc := leader.Service{
 		Name:          s.Name,
 		Divided:       s.Divided,
 		Isolation:     cmp.Or(s.Isolation, bundle.IsolationHold),
@@ -43,7 +43,7 @@
 		if v.Domain != domain {
 			continue
 		}
-		made.Servers = append(made.Servers, leader.Server{
+		svc.Servers = append(svc.Servers, leader.Server{
 			Name:         v.Name,
 			ChecksGrants: v.ChecksGrants,
 			Votes:        v.ChecksGrants,
@@ -52,23 +52,23 @@
 		})
 	}
 	if !s.Divided {
-		return made
+		return svc
 	}
 	for _, key := range s.HotKeys {
-		made.HotHashes = append(made.HotHashes, keys.Hash(s.Name, key))
+		svc.HotHashes = append(svc.HotHashes, keys.Hash(s.Name, key))
 	}
-	slices.Sort(made.HotHashes)
-	return made
+	slices.Sort(svc.HotHashes)
+	return svc
 }
 
 // voterServiceOf returns the pseudo-service of the entry instances of a domain that vote.
 func voterServiceOf(b *bundle.Bundle, domain string) leader.Service {
-	made := leader.Service{Name: voterService}
+	svc := leader.Service{Name: voterService}
 	voters := b.Voters(domain)
 	for _, i := range b.Instances {
 		if i.Domain == domain && slices.Contains(voters, i.Name) {
-			made.Servers = append(made.Servers, leader.Server{Name: i.Name, Votes: true})
+			svc.Servers = append(svc.Servers, leader.Server{Name: i.Name, Votes: true})
 		}
 	}
-	return made
+	return svc
 }
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -25,8 +25,10 @@
 	appendBurst      = 20
 	maxAppendCalls   = 4
 	appendQueue      = 4096
-	logTick          = 100 * time.Millisecond
-	restoreInterval  = 5 * time.Second
+	// logTick is how often the appender checks for retries that are due.
+	logTick = 100 * time.Millisecond
+	// restoreInterval is the minimum time between two attempts to restore the bundle.
+	restoreInterval = 5 * time.Second
 )
 
 // When a checkpoint is due; see logcl.CheckpointerConfig.
@@ -74,41 +76,41 @@
 
 // runLog appends the records that the cores submit and passes the state read from the log to them.
 func (e *Entry) runLog(ctx context.Context) error {
-	d := newLogWorker(e)
+	w := newLogWorker(e)
 	ticker := time.NewTicker(logTick)
 	defer ticker.Stop()
-	go d.fetch(ctx, d.reader.Start(e.now()))
+	go w.fetch(ctx, w.reader.Start(e.now()))
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			d.append(ctx, logcl.Ticked{})
+			w.append(ctx, logcl.Ticked{})
 		case a := <-e.appends:
-			d.append(ctx, logcl.Submitted{ID: a.ID, Record: a.Record})
-		case w := <-d.written:
-			d.append(ctx, w)
-		case f := <-d.fetched:
-			d.handleRead(ctx, f)
+			w.append(ctx, logcl.Submitted{ID: a.ID, Record: a.Record})
+		case wr := <-w.written:
+			w.append(ctx, wr)
+		case f := <-w.fetched:
+			w.handleRead(ctx, f)
 		}
 	}
 }
 
 // append passes an event to the appender and performs its effects.
-func (d *logWorker) append(ctx context.Context, ev logcl.AppendEvent) {
-	if w, is := ev.(logcl.Written); is && w.Err != nil {
-		d.entry.meter.LogAppendsFailed.Add(1)
-		d.entry.deps.Logger.Warn("append-failed", "id", w.ID, "error", w.Err)
-		d.entry.notifyLeaderCore(ctx, leader.LogFailed{})
+func (w *logWorker) append(ctx context.Context, ev logcl.AppendEvent) {
+	if wr, is := ev.(logcl.Written); is && wr.Err != nil {
+		w.entry.meter.LogAppendsFailed.Add(1)
+		w.entry.deps.Logger.Warn("append-failed", "id", wr.ID, "error", wr.Err)
+		w.entry.notifyLeaderCore(ctx, leader.LogFailed{})
 	}
-	for _, effect := range d.appender.Handle(d.entry.now(), ev) {
+	for _, effect := range w.appender.Handle(w.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.Write:
-			go d.write(ctx, f)
+			go w.write(ctx, f)
 		case logcl.Acknowledged:
-			d.entry.notifyLeaderCore(ctx, leader.Appended{ID: f.ID, Offset: f.Offset})
+			w.entry.notifyLeaderCore(ctx, leader.Appended{ID: f.ID, Offset: f.Offset})
 		case logcl.Dropped:
-			d.entry.deps.Logger.Warn("append-dropped", "id", f.ID, "reason", f.Reason)
+			w.entry.deps.Logger.Warn("append-dropped", "id", f.ID, "reason", f.Reason)
 		case logcl.WakeAt:
 			// The ticker fires more often than appends are retried.
 		}
@@ -116,76 +118,76 @@
 }
 
 // write makes one append call and sends the result to written.
-func (d *logWorker) write(ctx context.Context, w logcl.Write) {
+func (w *logWorker) write(ctx context.Context, wr logcl.Write) {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	d.entry.meter.LogAppends.Add(1)
-	offset, err := d.entry.deps.Log.Append(bounded, w.ID, w.Data)
+	w.entry.meter.LogAppends.Add(1)
+	offset, err := w.entry.deps.Log.Append(bounded, wr.ID, wr.Data)
 	select {
-	case d.written <- logcl.Written{ID: w.ID, Offset: offset, Err: err}:
+	case w.written <- logcl.Written{ID: wr.ID, Offset: offset, Err: err}:
 	case <-ctx.Done():
 	}
 }
 
 // fetch waits until a read is due, makes it and sends the result to fetched.
-func (d *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
-	duty.Pause(ctx, time.Duration(f.At-d.entry.now()))
-	result := logcl.Fetched{Fetch: f, AskedAt: d.entry.now()}
+func (w *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
+	duty.Pause(ctx, time.Duration(f.At-w.entry.now()))
+	result := logcl.Fetched{Fetch: f, AskedAt: w.entry.now()}
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	d.entry.meter.LogReads.Add(1)
-	result.Batch, result.Err = d.entry.deps.Log.Read(bounded, f.From, f.Limit)
+	w.entry.meter.LogReads.Add(1)
+	result.Batch, result.Err = w.entry.deps.Log.Read(bounded, f.From, f.Limit)
 	select {
-	case d.fetched <- result:
+	case w.fetched <- result:
 	case <-ctx.Done():
 	}
 }
 
 // handleRead passes the result of a read to the reader, performs its effects and starts the next
 // read.
-func (d *logWorker) handleRead(ctx context.Context, f logcl.Fetched) {
-	d.oldest = f.Batch.Oldest
-	d.current = false
-	effects, next := d.reader.Handle(d.entry.now(), f)
+func (w *logWorker) handleRead(ctx context.Context, f logcl.Fetched) {
+	w.oldest = f.Batch.Oldest
+	w.current = false
+	effects, next := w.reader.Handle(w.entry.now(), f)
 	for _, effect := range effects {
-		d.performReadEffect(ctx, effect)
+		w.performReadEffect(ctx, effect)
 	}
-	d.checkpoint(ctx, logcl.Progressed{
-		Next:   d.reader.State().Next,
-		Oldest: d.oldest,
-		Rank:   d.entry.rank(),
-		Able:   d.current && d.reader.State().MayLead(),
+	w.checkpoint(ctx, logcl.Progressed{
+		Next:   w.reader.State().Next,
+		Oldest: w.oldest,
+		Rank:   w.entry.rank(),
+		Able:   w.current && w.reader.State().MayLead(),
 	})
-	go d.fetch(ctx, next)
+	go w.fetch(ctx, next)
 }
 
-func (d *logWorker) performReadEffect(ctx context.Context, effect logcl.ReadEffect) {
-	logger := d.entry.deps.Logger
+func (w *logWorker) performReadEffect(ctx context.Context, effect logcl.ReadEffect) {
+	logger := w.entry.deps.Logger
 	switch f := effect.(type) {
 	case logcl.Folded:
-		d.handleFolded(ctx, f)
+		w.handleFolded(ctx, f)
 	case logcl.Current:
-		d.current = true
-		d.publish(ctx, f.AskedAt)
+		w.current = true
+		w.publish(ctx, f.AskedAt)
 	case logcl.Gapped:
 		logger.Warn("log-gap", "wanted", f.Wanted, "oldest", f.Oldest)
 	case logcl.Restarted:
 		logger.Warn("log-started-anew", "identity", f.Identity)
-		d.append(ctx, logcl.LogRestarted{})
+		w.append(ctx, logcl.LogRestarted{})
 	case logcl.Unread:
-		d.entry.meter.LogReadsFailed.Add(1)
+		w.entry.meter.LogReadsFailed.Add(1)
 		logger.Warn("log-unavailable", "error", f.Err)
-		d.entry.notifyLeaderCore(ctx, leader.LogFailed{})
+		w.entry.notifyLeaderCore(ctx, leader.LogFailed{})
 	}
 }
 
 // handleFolded handles one log entry that the reader has applied to its state or refused.
-func (d *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
+func (w *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
 	if v, refused := f.Verdict.(fold.Refused); refused {
-		d.entry.meter.RecordsRefused.Add(1)
-		d.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
+		w.entry.meter.RecordsRefused.Add(1)
+		w.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
-	d.append(ctx, logcl.Seen{ID: f.Entry.ID, Offset: f.Entry.Offset})
+	w.append(ctx, logcl.Seen{ID: f.Entry.ID, Offset: f.Entry.Offset})
 	if _, accepted := f.Verdict.(fold.Accepted); !accepted {
 		return
 	}
@@ -193,36 +195,37 @@
 	if err != nil {
 		return
 	}
-	d.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
+	w.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
 }
 
 // checkpoint passes an event to the checkpointer and performs its effects.
-func (d *logWorker) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
-	for _, effect := range d.checkpointer.Handle(d.entry.now(), ev) {
+func (w *logWorker) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
+	for _, effect := range w.checkpointer.Handle(w.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.SubmitMark:
-			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().Mark(d.entry.deps.Settings.Name) })
+			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().Mark(w.entry.deps.Settings.Name) })
 		case logcl.SubmitCheckpoint:
-			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().Checkpoint() })
+			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().Checkpoint() })
 		}
 	}
 }
 
-func (d *logWorker) submit(ctx context.Context, id string, make func() (record.Record, error)) {
+// submit appends the record that make returns, under the given ID.
+func (w *logWorker) submit(ctx context.Context, id string, make func() (record.Record, error)) {
 	r, err := make()
 	if err != nil {
-		d.entry.deps.Logger.Warn("checkpoint-failed", "id", id, "error", err)
+		w.entry.deps.Logger.Warn("checkpoint-failed", "id", id, "error", err)
 		return
 	}
-	d.append(ctx, logcl.Submitted{ID: id, Record: r})
+	w.append(ctx, logcl.Submitted{ID: id, Record: r})
 }
 
 // publish passes the state read from the log to the other workers. The homes go first: the read
 // lets the leader extend leases of services that may move between domains, and it must not extend
 // them for ranges that the domain has lost since.
-func (d *logWorker) publish(ctx context.Context, askedAt leader.Time) {
-	e := d.entry
-	view := d.reader.State().Snapshot()
+func (w *logWorker) publish(ctx context.Context, askedAt leader.Time) {
+	e := w.entry
+	view := w.reader.State().Snapshot()
 	e.logState.Store(view)
 	if e.state.followLog(view) {
 		e.applyBundle(ctx)
@@ -235,19 +238,19 @@
 		Term:     view.Terms[domain],
 		Assigned: view.Assigned[domain],
 	})
-	d.restoreBundle(ctx, view)
+	w.restoreBundle(ctx, view)
 }
 
 // restoreBundle appends the bundle in force to a log that lacks it because the log was reset or
 // has lost records. A bundle version in force is never rolled back.
-func (d *logWorker) restoreBundle(ctx context.Context, view *fold.State) {
-	if d.entry.rank() > 0 || time.Now().Before(d.nextRestoreAt) {
+func (w *logWorker) restoreBundle(ctx context.Context, view *fold.State) {
+	if w.entry.rank() > 0 || time.Now().Before(w.nextRestoreAt) {
 		return
 	}
-	r, id, missing := d.entry.state.missing(view)
+	r, id, missing := w.entry.state.missing(view)
 	if !missing {
 		return
 	}
-	d.nextRestoreAt = time.Now().Add(restoreInterval)
-	d.append(ctx, logcl.Submitted{ID: id, Record: r})
+	w.nextRestoreAt = time.Now().Add(restoreInterval)
+	w.append(ctx, logcl.Submitted{ID: id, Record: r})
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -31,14 +31,14 @@
 	}
 }
 
-// call sends a heartbeat to another instance and returns the request and the answer as encoded on
-// the wire.
-func (t *testInstance) call(now leader.Time, to *testInstance) (asked, answer Heartbeat) {
-	asked = t.peers.nextHeartbeat(now, to.state.Name, t.state)
-	to.peers.receive(now, asked, false)
-	answer = to.peers.reply(now, asked, to.state)
-	t.peers.receive(now, answer.restore(asked, to.state.Name), true)
-	return asked, answer
+// call sends a heartbeat to another instance and returns the request and the answer as they are
+// sent, without the fields that are left out.
+func (t *testInstance) call(now leader.Time, to *testInstance) (request, answer Heartbeat) {
+	request = t.peers.nextHeartbeat(now, to.state.Name, t.state)
+	to.peers.receive(now, request, false)
+	answer = to.peers.reply(now, request, to.state)
+	t.peers.receive(now, answer.restore(request, to.state.Name), true)
+	return request, answer
 }
 
 // hasCurrentState reports whether this instance has the current state of the other one and takes it
@@ -53,15 +53,15 @@
 // leader, table or address.
 func TestChangedStateReachesPeers(t *testing.T) {
 	tests := map[string]func(a, b *testInstance) (*testInstance, *testInstance){
-		"nothing changes":   func(a, b *testInstance) (*testInstance, *testInstance) { return a, b },
-		"the asker changes": func(a, b *testInstance) (*testInstance, *testInstance) { a.state.TableSerial = 7; return a, b },
-		"the asked changes": func(a, b *testInstance) (*testInstance, *testInstance) { b.state.Leading = true; return a, b },
+		"nothing changes":             func(a, b *testInstance) (*testInstance, *testInstance) { return a, b },
+		"the caller changes":          func(a, b *testInstance) (*testInstance, *testInstance) { a.state.TableSerial = 7; return a, b },
+		"the called instance changes": func(a, b *testInstance) (*testInstance, *testInstance) { b.state.Leading = true; return a, b },
 		"both change": func(a, b *testInstance) (*testInstance, *testInstance) {
 			a.state.BundleVersion, b.state.Term = 2, grant.Term{Log: 3}
 			return a, b
 		},
-		"the asker starts again": func(_, b *testInstance) (*testInstance, *testInstance) { return newTestInstance("a", 11), b },
-		"the asked starts again": func(a, _ *testInstance) (*testInstance, *testInstance) { return a, newTestInstance("b", 12) },
+		"the caller starts again":          func(_, b *testInstance) (*testInstance, *testInstance) { return newTestInstance("a", 11), b },
+		"the called instance starts again": func(a, _ *testInstance) (*testInstance, *testInstance) { return a, newTestInstance("b", 12) },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -73,9 +73,9 @@
 				now += testStep
 			}
 			is.True(a.hasCurrentState(b) && b.hasCurrentState(a))
-			asked, answer := a.call(now, b)
-			is.True(asked.State == nil && answer.State == nil)
-			is.True(!asked.NotHearing && !answer.NotHearing)
+			request, answer := a.call(now, b)
+			is.True(request.State == nil && answer.State == nil)
+			is.True(!request.NotHearing && !answer.NotHearing)
 			a, b = change(a, b)
 			now += leader.Time(unreachableAfter)
 			for range 3 {
@@ -83,8 +83,8 @@
 				now += testStep
 			}
 			is.True(a.hasCurrentState(b) && b.hasCurrentState(a))
-			asked, answer = a.call(now, b)
-			is.True(asked.State == nil && answer.State == nil)
+			request, answer = a.call(now, b)
+			is.True(request.State == nil && answer.State == nil)
 		})
 	}
 }
@@ -96,36 +96,36 @@
 	all := []string{"a", "b", "c"}
 	tests := map[string]struct {
 		lists      [][]string
-		evidence   bool
+		trusted    bool
 		registered bool
 	}{
-		"as before":                   {lists: [][]string{all, all}, evidence: true, registered: true},
-		"another one is missing":      {lists: [][]string{all, {"a", "b"}}, evidence: true, registered: true},
-		"the others are missing":      {lists: [][]string{all, {"a"}}, evidence: true, registered: true},
-		"this one is missing":         {lists: [][]string{all, {"b", "c"}}, evidence: true, registered: true},
+		"as before":                   {lists: [][]string{all, all}, trusted: true, registered: true},
+		"another one is missing":      {lists: [][]string{all, {"a", "b"}}, trusted: true, registered: true},
+		"the others are missing":      {lists: [][]string{all, {"a"}}, trusted: true, registered: true},
+		"this one is missing":         {lists: [][]string{all, {"b", "c"}}, trusted: true, registered: true},
 		"all are missing":             {lists: [][]string{all, {}}},
 		"all but one are missing":     {lists: [][]string{all, {"b"}}},
 		"not all have returned":       {lists: [][]string{all, {}, {"a"}}},
-		"not listed yet at the start": {lists: [][]string{{}, {"b"}}, evidence: true, registered: true},
+		"not listed yet at the start": {lists: [][]string{{}, {"b"}}, trusted: true, registered: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := listTracker{registered: true}
 			now := time.Unix(100, 0)
-			evidence := false
+			trusted := false
 			for _, names := range test.lists {
 				now = now.Add(listInterval)
-				evidence = l.isTrusted(now, "a", names)
+				trusted = l.isTrusted(now, "a", names)
 			}
-			is.Equal(evidence, test.evidence)
+			is.Equal(trusted, test.trusted)
 			is.Equal(l.registered, test.registered)
 			is.True(l.isTrusted(now.Add(reregisterTime), "a", all))
 		})
 	}
 }
 
-// The answer of the leader to a gate's heartbeat is overtaken by a heartbeat of the leader with a newer
+// The leader's answer to a gate's heartbeat is overtaken by a heartbeat of the leader with a newer
 // table. The answer says that the leader's state is unchanged. Guards against taking it for a
 // confirmation of the newer table, which would extend a gate lease that the leader did not confirm.
 func TestOvertakenAnswerIsIgnored(t *testing.T) {
@@ -136,12 +136,12 @@
 		a.call(now, b)
 		now += testStep
 	}
-	asked := a.peers.nextHeartbeat(now, "b", a.state)
-	b.peers.receive(now, asked, false)
-	answer := b.peers.reply(now, asked, b.state)
+	request := a.peers.nextHeartbeat(now, "b", a.state)
+	b.peers.receive(now, request, false)
+	answer := b.peers.reply(now, request, b.state)
 	b.state.TableSerial = 8
 	b.call(now, a)
 	is.True(a.hasCurrentState(b))
-	_, _, held := a.peers.receive(now, answer.restore(asked, "b"), true)
-	is.True(!held)
+	_, _, accepted := a.peers.receive(now, answer.restore(request, "b"), true)
+	is.True(!accepted)
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -40,8 +40,8 @@
 	return s
 }
 
-// ownedShare returns, for the divided service where it is lowest, the share of the key space that has
-// an owner, out of what the bundle assigns to this domain. It is 1 when every key has an owner.
+// ownedShare returns how much of the ranges that the bundle assigns to this domain has an owner, as a
+// share between 0 and 1. Of several divided services the lowest share counts.
 func ownedShare(view route.View) float64 {
 	least := 1.0
 	for service := range view.Homes {
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -212,8 +212,8 @@
 	return resp.StatusCode, resp.Header.Get(caller.HeaderOutcome), resp.Header.Get(caller.HeaderServer), string(data)
 }
 
-// Guards against requests for one key that reach different servers depending on the instance that
-// receives them.
+// A request for a key must reach the one server that owns the key, whichever instance receives it,
+// and its response must reach the caller.
 func TestEachInstanceReachesTheSameOwner(t *testing.T) {
 	s := newSite(t, 20+os.Getpid()%100)
 	s.startStandIns()
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -29,7 +29,7 @@
 	maxOutcomeSenders = 8
 	// recoveryWindow is how long after it was last heard an instance is asked for its records.
 	recoveryWindow = 10 * time.Minute
-	// maxLostHolders is the number of processes whose records may be lost: two processes hold
+	// maxLostHolders is the maximum number of processes whose records may be lost: two processes hold
 	// each record.
 	maxLostHolders = 1
 )
@@ -65,7 +65,8 @@
 	KnownHolders []RecordHolder `json:"known"`
 }
 
-// replicator keeps a copy of each idempotency record at one other instance of the domain. It
+// replicator keeps a copy of each idempotency record at one other instance of the domain. The record
+// of a non-idempotent request prevents a retry from running the request twice. The replicator
 // implements front.Witness.
 type replicator struct {
 	peers     *peers
