--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -15,7 +15,7 @@
 	if err := e.front.Lift(b.Lifted); err != nil {
 		e.deps.Logger.Warn("lifted-block-ignored", "error", err)
 	}
-	e.notifyHomesCore(ctx, homes.InForce{Bundle: b})
+	e.notifyHomesCore(ctx, homes.BundleInForce{Bundle: b})
 }
 
 // rank returns the number of live instances before this one in the order of their names. The
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -95,11 +95,11 @@
 	term, leads := e.leaderCore.LogTerm()
 	b := e.state.bundle()
 	if !leads || b == nil {
-		e.performHomesEffects(e.homesCore.Handle(e.now(), homes.Follows{}))
+		e.performHomesEffects(e.homesCore.Handle(e.now(), homes.NotLeading{}))
 		return
 	}
-	held := homes.Held{Log: term, Settled: true, Ranges: make(map[string][]keys.Range)}
-	held.Fence, held.Taught = e.leaderCore.HomesFence()
+	held := homes.LeaderState{LogTerm: term, Settled: true, Ranges: make(map[string][]keys.Range)}
+	held.Fence, held.MajorityFence = e.leaderCore.HomesFence()
 	for _, s := range b.Services {
 		if !s.Divided {
 			continue
@@ -126,7 +126,7 @@
 			e.handleLeaderEvent(leaderConfig(f.Bundle, e.deps.Settings.Domain, f.Ranges))
 		case homes.Append:
 			e.queueAppend(leader.Append{ID: f.ID, Record: f.Record})
-		case homes.Teach:
+		case homes.DistributeFence:
 			e.leaderCore.RaiseHomesFence(f.Fence)
 		}
 	}
--- a/internal/entry/distribute.go
+++ b/internal/entry/distribute.go
@@ -60,7 +60,7 @@
 	switch err := e.state.applyBundle(result); {
 	case err == nil:
 		e.applyBundle(ctx)
-	case !errors.Is(err, fold.ErrOlder):
+	case !errors.Is(err, fold.ErrNotNewer):
 		e.deps.Logger.Warn("bundle-refused", "from", r.Name, "error", err)
 	}
 	if r.Domain == e.deps.Settings.Domain && len(result.Homes) > 0 {
@@ -68,13 +68,13 @@
 		if e.logState.Load() == nil {
 			e.state.setHomes(result.Homes)
 		}
-		e.notifyHomesCore(ctx, homes.Copied{Homes: result.Homes})
+		e.notifyHomesCore(ctx, homes.PeerHomes{Homes: result.Homes})
 	}
 }
 
 // knownHomes returns the homes of all domains as this instance has read them from the log or, before
 // its first read, as another instance of its domain has.
-func (e *Entry) knownHomes() []fold.Taken {
+func (e *Entry) knownHomes() []fold.DomainHomes {
 	if state := e.logState.Load(); state != nil {
 		return state.Homes
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -90,7 +90,7 @@
 	// logState is the newest state folded from the log. It is nil before the first read.
 	logState atomic.Pointer[fold.State]
 	// copiedHomes are the homes received from another instance of the domain, or nil.
-	copiedHomes atomic.Pointer[[]fold.Taken]
+	copiedHomes atomic.Pointer[[]fold.DomainHomes]
 
 	events        chan event
 	sends         chan leader.Send
@@ -149,8 +149,8 @@
 // before it takes over homes are those that the leader of this domain keeps to.
 func homesConfig(l leader.Config) homes.Config {
 	c := homes.DefaultConfig(l.Domain)
-	c.MoveBound = l.IsolationTimeout
-	c.Pause = l.MaxPause
+	c.IsolationTimeout = l.IsolationTimeout
+	c.MaxPause = l.MaxPause
 	c.DriftPerMille = l.DriftPerMille
 	return c
 }
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -83,7 +83,7 @@
 	e.state.setMembers(e.peers.members())
 	if now := e.now(); now >= e.nextDomainsAt {
 		e.nextDomainsAt = now + leader.Time(domainsInterval)
-		e.notifyHomesCore(ctx, homes.Domains{Heard: e.peers.reachableDomains()})
+		e.notifyHomesCore(ctx, homes.ReachableDomains{Names: e.peers.reachableDomains()})
 	}
 }
 
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -52,7 +52,7 @@
 	return s
 }
 
-func compareBlocks(a, b policy.Block) int {
+func compareBlocks(a, b policy.CrashRecord) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
 }
 
--- a/internal/entry/loadsums.go
+++ b/internal/entry/loadsums.go
@@ -110,7 +110,7 @@
 		if c.Count < minHotRate {
 			continue
 		}
-		if c.Count-c.Error >= rule.Enter*v.total || was && c.Count >= rule.Leave*v.total {
+		if c.Count-c.Error >= rule.EnterShare*v.total || was && c.Count >= rule.LeaveShare*v.total {
 			hot = append(hot, hash)
 		}
 	}
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -183,7 +183,7 @@
 
 // handleFolded handles one log entry that the reader has applied to its state or refused.
 func (w *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
-	if v, refused := f.Verdict.(fold.Refused); refused {
+	if v, refused := f.Verdict.(fold.Rejected); refused {
 		w.entry.meter.RecordsRefused.Add(1)
 		w.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
@@ -203,9 +203,9 @@
 	for _, effect := range w.checkpointer.Handle(w.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.SubmitMark:
-			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().Mark(w.entry.deps.Settings.Name) })
+			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().NewMark(w.entry.deps.Settings.Name) })
 		case logcl.SubmitCheckpoint:
-			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().Checkpoint() })
+			w.submit(ctx, f.ID, func() (record.Record, error) { return w.reader.State().NewCheckpoint() })
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	e.notifyLeaderCore(ctx, leader.LogRead{
 		ReadAt:   askedAt,
 		Term:     view.Terms[domain],
-		Assigned: view.Assigned[domain],
+		Assigned: view.Assignments[domain],
 	})
 	w.restoreBundle(ctx, view)
 }
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -59,7 +59,7 @@
 	TableTerm   grant.Term `json:"table-term"`
 	TableSerial uint64     `json:"table-serial"`
 	// Blocks describe requests that may crash servers.
-	Blocks []policy.Block `json:"blocks,omitempty"`
+	Blocks []policy.CrashRecord `json:"blocks,omitempty"`
 }
 
 // TablePush is both the parameter and the result of a table call. A nil table in the parameter only
@@ -79,8 +79,8 @@
 type BundlePush struct {
 	Proof bundle.Proof `json:"proof"`
 	// Update replaces Proof if the caller has the previous version.
-	Update *bundle.Update `json:"update,omitempty"`
-	Homes  []fold.Taken   `json:"homes,omitempty"`
+	Update *bundle.Update     `json:"update,omitempty"`
+	Homes  []fold.DomainHomes `json:"homes,omitempty"`
 }
 
 // Empty is the result of calls that return only an error.
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -119,7 +119,7 @@
 		return nil
 	}
 	var all []admin.Assignment
-	for domain, servers := range state.Assigned {
+	for domain, servers := range state.Assignments {
 		for server, a := range servers {
 			all = append(all, admin.Assignment{
 				Domain:      domain,
--- a/internal/entry/recordholders.go
+++ b/internal/entry/recordholders.go
@@ -27,7 +27,7 @@
 
 // ReplicateBatchCall hands over idempotency records of a stopping instance.
 type ReplicateBatchCall struct {
-	Records []policy.Mark `json:"marks"`
+	Records []policy.IdempotencyRecord `json:"marks"`
 }
 
 // RecordHolder is a process of the domain, running or not, that may hold idempotency records which
@@ -73,7 +73,7 @@
 func (p *replacedProcesses) recent(now time.Time) []RecordHolder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.replacedAt, func(_ RecordHolder, at time.Time) bool { return now.After(at.Add(policy.MemoryTime)) })
+	maps.DeleteFunc(p.replacedAt, func(_ RecordHolder, at time.Time) bool { return now.After(at.Add(policy.RecordRetention)) })
 	return slices.Collect(maps.Keys(p.replacedAt))
 }
 
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -43,7 +43,7 @@
 
 // ReplicateCall passes an idempotency record to the instance that is to keep a copy.
 type ReplicateCall struct {
-	Record policy.Mark `json:"mark"`
+	Record policy.IdempotencyRecord `json:"mark"`
 }
 
 // RecoverCall asks an instance for its idempotency records in a range of a service.
@@ -57,9 +57,9 @@
 // server that the table assigns to another instance.
 type RecoverResult struct {
 	member.Process
-	Records     []policy.Mark `json:"marks"`
-	TableTerm   grant.Term    `json:"table-term"`
-	TableSerial uint64        `json:"table-serial"`
+	Records     []policy.IdempotencyRecord `json:"marks"`
+	TableTerm   grant.Term                 `json:"table-term"`
+	TableSerial uint64                     `json:"table-serial"`
 	// KnownHolders are the processes of the domain that, to the instance's knowledge, may hold
 	// records that are still needed.
 	KnownHolders []RecordHolder `json:"known"`
@@ -73,7 +73,7 @@
 	gateGains *gateGains
 	replaced  *replacedProcesses
 	state     *state
-	outcomes  chan policy.Mark
+	outcomes  chan policy.IdempotencyRecord
 	logger    logger
 }
 
@@ -83,12 +83,12 @@
 }
 
 func newReplicator(p *peers, g *gateGains, replaced *replacedProcesses, s *state, l logger) *replicator {
-	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.Mark, outcomeCapacity), logger: l}
+	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.IdempotencyRecord, outcomeCapacity), logger: l}
 }
 
 // Begin implements front.Witness. A hash of the record selects the instance that gets the copy. If
 // that one does not answer, the next one in the order of names gets it.
-func (r *replicator) Begin(ctx context.Context, rec policy.Mark) error {
+func (r *replicator) Begin(ctx context.Context, rec policy.IdempotencyRecord) error {
 	others := r.peers.liveInDomain()
 	if len(others) == 0 {
 		return nil
@@ -104,20 +104,20 @@
 }
 
 // replicaHash returns the hash that selects the instance for the copy of a record.
-func replicaHash(rec policy.Mark) uint64 {
+func replicaHash(rec policy.IdempotencyRecord) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, rec.Name)
+	_, _ = fmt.Fprint(h, rec.RequestID)
 	return h.Sum64()
 }
 
-func sendRecord(ctx context.Context, c *peer.Client, rec policy.Mark) error {
+func sendRecord(ctx context.Context, c *peer.Client, rec policy.IdempotencyRecord) error {
 	_, err := call[ReplicateCall, Empty](ctx, c, replicateTimeout, methodReplicate, ReplicateCall{Record: rec})
 	return err
 }
 
 // End implements front.Witness. It drops the outcome if the channel is full. The copy then still
 // says that the outcome is unknown, which is safe.
-func (r *replicator) End(rec policy.Mark) {
+func (r *replicator) End(rec policy.IdempotencyRecord) {
 	select {
 	case r.outcomes <- rec:
 	default:
@@ -151,7 +151,7 @@
 // Recall implements front.Witness. It returns an error while a former gate of a server of the
 // service may still send requests: of a request that it is about to send there is no record yet.
 // This ends when the former gate reports the current routing table, or when its lease has expired.
-func (r *replicator) Recall(ctx context.Context, service string, rng keys.Range) ([]policy.Mark, error) {
+func (r *replicator) Recall(ctx context.Context, service string, rng keys.Range) ([]policy.IdempotencyRecord, error) {
 	clients := r.peers.recentInDomain(time.Now())
 	type answer struct {
 		result RecoverResult
@@ -164,7 +164,7 @@
 			answers <- answer{result: result, err: err}
 		}()
 	}
-	var records []policy.Mark
+	var records []policy.IdempotencyRecord
 	var confirmed []string
 	holders := r.recordHolders(time.Now())
 	answered := []member.Process{r.peers.process}
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -15,23 +15,23 @@
 // state is shared by the workers of an instance: the bundle in force, the routing table and the live
 // instances. Each change sets a new view in the directory, which routes requests.
 type state struct {
-	directory *route.Directory
+	directory *route.Router
 
 	mu   sync.Mutex
 	view route.View
 	// newest keeps the newest bundle that is proven by its signatures.
-	newest *fold.Newest
+	newest *fold.BundleTracker
 	// previous is the bundle that the newest one replaced at this instance.
 	previous bundle.Held
 	// takenHomes are the ranges that the domains have taken according to the log.
-	takenHomes []fold.Taken
+	takenHomes []fold.DomainHomes
 	stopping   bool
 }
 
 func newState(settings config.Run) *state {
 	return &state{
-		directory: route.NewDirectory(),
-		newest:    fold.NewNewest(settings.Roots),
+		directory: route.NewRouter(),
+		newest:    fold.NewBundleTracker(settings.Roots),
 		view:      route.View{Self: settings.Name, Domain: settings.Domain},
 	}
 }
@@ -41,7 +41,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.newest.Held()
-	if !s.newest.Follow(log) {
+	if !s.newest.AdoptFromLog(log) {
 		return false
 	}
 	s.replaceView(before)
@@ -57,9 +57,9 @@
 	before := s.newest.Held()
 	var err error
 	if push.Update != nil {
-		err = s.newest.Update(*push.Update)
+		err = s.newest.ApplyUpdate(*push.Update)
 	} else {
-		err = s.newest.Learn(push.Proof)
+		err = s.newest.AdoptProof(push.Proof)
 	}
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 func (s *state) missing(log *fold.State) (record.Record, string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest.Missing(log)
+	return s.newest.MissingRecord(log)
 }
 
 // offer returns what an instance with the given bundle version needs to get the newest: an update if
@@ -100,10 +100,10 @@
 
 // setHomes sets which domain has taken which ranges according to the log. Requests go to the domain
 // that has a range, which may for a while differ from the one to which the bundle assigns it.
-func (s *state) setHomes(taken []fold.Taken) {
+func (s *state) setHomes(taken []fold.DomainHomes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.EqualFunc(s.takenHomes, taken, func(a, b fold.Taken) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
+	if slices.EqualFunc(s.takenHomes, taken, func(a, b fold.DomainHomes) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
 		return
 	}
 	s.takenHomes = taken
@@ -113,7 +113,7 @@
 
 // currentHomes returns the homes of each divided service, sorted by range: the ranges that the
 // domains have taken, and elsewhere those that the bundle assigns to them.
-func currentHomes(b *bundle.Bundle, taken []fold.Taken) map[string][]route.Home {
+func currentHomes(b *bundle.Bundle, taken []fold.DomainHomes) map[string][]route.Home {
 	homes := make(map[string][]route.Home)
 	if b == nil {
 		return homes
@@ -127,7 +127,7 @@
 }
 
 // currentServiceHomes returns the currentHomes of one service.
-func currentServiceHomes(b *bundle.Bundle, service string, taken []fold.Taken) []route.Home {
+func currentServiceHomes(b *bundle.Bundle, service string, taken []fold.DomainHomes) []route.Home {
 	var homes []route.Home
 	var covered []keys.Range
 	for _, t := range taken {
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -54,7 +54,7 @@
 	// unavailable says that a call of the log has failed since it was last read.
 	unavailable bool
 	term        fold.Term
-	assigned    map[string]fold.Assigned
+	assigned    map[string]fold.RecordedAssignment
 }
 
 // peer is another instance of the domain.
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -297,9 +297,9 @@
 	return uint64(len(l.entries))
 }
 
-func (l *simLog) fold() (fold.Term, map[string]fold.Assigned) {
+func (l *simLog) fold() (fold.Term, map[string]fold.RecordedAssignment) {
 	var term fold.Term
-	assigned := make(map[string]fold.Assigned)
+	assigned := make(map[string]fold.RecordedAssignment)
 	for i, e := range l.entries {
 		offset := uint64(i) + 1
 		switch r := e.r.(type) {
@@ -310,7 +310,7 @@
 		case record.AssignmentMade:
 			for _, a := range r.Assignments {
 				if old, found := assigned[a.Server]; !found || old.Assignment.Epoch.Compare(a.Epoch) < 0 {
-					assigned[a.Server] = fold.Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
+					assigned[a.Server] = fold.RecordedAssignment{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
 				}
 			}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -79,7 +79,7 @@
 type LogRead struct {
 	ReadAt   Time
 	Term     fold.Term
-	Assigned map[string]fold.Assigned
+	Assigned map[string]fold.RecordedAssignment
 }
 
 // LogFailed says that an attempt to read or write the log has failed.
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -86,7 +86,7 @@
 	for _, s := range c.services {
 		for _, b := range s.Servers {
 			if gate := c.gates[b.Name]; gate != "" && b.Slots > 0 {
-				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.ChecksGrants})
+				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, ChecksGrants: b.ChecksGrants})
 			}
 		}
 	}
