--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -53,7 +53,7 @@
 }
 
 func compareBlocks(a, b policy.CrashRecord) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
 
 func (s InstanceState) memberInstance() member.Instance {
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -41,7 +41,7 @@
 			if len(b.Losses) > maxLosses {
 				t.Fatalf("%d losses", len(b.Losses))
 			}
-			if s.Degree(b.Print, 1, 0) != Blocked && len(b.Losses) > 0 {
+			if s.Degree(b.Fingerprint, 1, 0) != Blocked && len(b.Losses) > 0 {
 				t.Fatalf("%+v is not blocked", b)
 			}
 		}
--- a/internal/policy/suspect.go
+++ b/internal/policy/suspect.go
@@ -30,9 +30,9 @@
 // CrashRecord is what is known of a request that is suspected to crash servers. Two Blocks of one
 // request merge into one that holds the losses of both.
 type CrashRecord struct {
-	Service string      `json:"service"`
-	Print   Fingerprint `json:"print"`
-	Losses  []Loss      `json:"losses,omitempty"`
+	Service     string      `json:"service"`
+	Fingerprint Fingerprint `json:"print"`
+	Losses      []Loss      `json:"losses,omitempty"`
 	// ClearedNanos is when the request last had a whole answer. Losses up to then do not
 	// count: a request that crashes servers has no answers.
 	ClearedNanos int64 `json:"cleared-ns,omitempty"`
@@ -92,7 +92,7 @@
 
 // Lost says that a server was lost while the request ran there.
 func (s *Suspects) Lost(p Fingerprint, l Loss, untilMillis int64) {
-	s.take(CrashRecord{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
+	s.take(CrashRecord{Service: s.service, Fingerprint: p, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
 // Hold says that a connection to a server was lost while the request ran, and that it is being
@@ -195,16 +195,16 @@
 		known.Losses = slices.Clone(b.Losses)
 		blocks = append(blocks, known)
 	}
-	slices.SortFunc(blocks, func(a, b CrashRecord) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(blocks, func(a, b CrashRecord) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return blocks
 }
 
 func (s *Suspects) take(o CrashRecord) {
-	b := s.blocks[o.Print]
+	b := s.blocks[o.Fingerprint]
 	if b == nil {
 		s.makeRoom()
-		b = &CrashRecord{Service: s.service, Print: o.Print}
-		s.blocks[o.Print] = b
+		b = &CrashRecord{Service: s.service, Fingerprint: o.Fingerprint}
+		s.blocks[o.Fingerprint] = b
 	}
 	b.merge(o)
 }
@@ -219,5 +219,5 @@
 			oldest = b
 		}
 	}
-	delete(s.blocks, oldest.Print)
+	delete(s.blocks, oldest.Fingerprint)
 }
--- a/internal/policy/suspect_test.go
+++ b/internal/policy/suspect_test.go
@@ -80,7 +80,7 @@
 func TestBlocksMergeInAnyOrder(t *testing.T) {
 	block := rapid.Custom(func(t *rapid.T) CrashRecord {
 		return CrashRecord{
-			Service: "pregled", Print: 1,
+			Service: "pregled", Fingerprint: 1,
 			Losses: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Loss {
 				return Loss{Server: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"), AtNanos: rapid.Int64Range(1, 9).Draw(t, "at")}
 			}), 0, 3).Draw(t, "losses"),
