--- a/internal/entry/configured_test.go
+++ b/internal/entry/leaderconfig_test.go
@@ -8,9 +8,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// A domain with two servers that check grants loses one. With those two as its only voters
-// its leader has no majority, and every key of the domain is unavailable until the server is
-// back. Entry instances vote too where there are fewer than three such servers.
+// Guards against a domain that loses its majority with a single server: if two servers that check
+// grants were the only voters, the loss of one would make every key of the domain unavailable. Entry
+// instances therefore also vote where fewer than three servers check grants.
 func TestVoters(t *testing.T) {
 	tests := map[string]struct {
 		checking int
@@ -38,7 +38,7 @@
 				b.Instances = append(b.Instances, bundle.Instance{Name: name, Domain: domain})
 			}
 			voters := 0
-			for _, s := range configured(b, "klet", nil).Services {
+			for _, s := range leaderConfig(b, "klet", nil).Services {
 				for _, v := range s.Servers {
 					if v.Votes {
 						voters++
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -8,15 +8,16 @@
 	"example.org/mustardring/internal/member"
 )
 
-// due returns the instances to which a heartbeat is due and marks them busy.
+// due returns the instances to which a heartbeat is due, and marks them busy.
 func (p *peers) due(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.take(p.member.Handle(now, member.Ticked{}))
+	return p.markBusy(p.membership.Handle(now, member.Ticked{}))
 }
 
-// take returns whom the core wants to send to, but for those that have not answered yet.
-func (p *peers) take(effects []member.Effect) []*remote {
+// markBusy marks busy and returns the instances to which the membership core sends, except those
+// with a heartbeat still under way.
+func (p *peers) markBusy(effects []member.Effect) []*remote {
 	var all []*remote
 	for _, effect := range effects {
 		send, is := effect.(member.Send)
@@ -31,29 +32,30 @@
 	return all
 }
 
-// ended notes that a heartbeat has ended.
-func (p *peers) ended(r *remote) {
+// clearBusy notes that the heartbeat to an instance has ended.
+func (p *peers) clearBusy(r *remote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.busy = false
 }
 
-// led tells the core of membership whether this instance leads.
-func (p *peers) led(now member.Time, h Heartbeat) {
+// setLeading tells the membership core whether this instance leads, from its state s.
+func (p *peers) setLeading(now member.Time, s InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ev := member.LedBy{Term: h.Term}
-	if h.Leading {
-		ev.Leader = p.own
+	ev := member.LedBy{Term: s.Term}
+	if s.Leading {
+		ev.Leader = p.process
 	}
-	p.member.Handle(now, ev)
+	p.membership.Handle(now, ev)
 }
 
-// stop tells the core that this instance is leaving and returns the others of the domain.
-func (p *peers) stop(now member.Time) []*remote {
+// leave tells the membership core that this instance is leaving and returns the other instances
+// of the domain.
+func (p *peers) leave(now member.Time) []*remote {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.member.Handle(now, member.Stopping{})
+	p.membership.Handle(now, member.Stopping{})
 	var all []*remote
 	for _, r := range p.known {
 		if r.Domain == p.self.Domain {
@@ -63,105 +65,107 @@
 	return all
 }
 
-// list takes what the platform's list shows. It reports whether this process was removed.
-func (p *peers) list(now member.Time, listed []member.ListedInstance) bool {
+// applyList passes the platform's list to the membership core. It reports whether this process was
+// removed from the list.
+func (p *peers) applyList(now member.Time, listed []member.ListedInstance) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	removed := false
-	for _, effect := range p.member.Handle(now, member.Listed{Instances: listed}) {
+	for _, effect := range p.membership.Handle(now, member.Listed{Instances: listed}) {
 		_, is := effect.(member.Removed)
 		removed = removed || is
 	}
 	return removed
 }
 
-// pulse returns the next heartbeat for an instance. It carries own unless the instance has
-// said that it has it.
-func (p *peers) pulse(now member.Time, to string, own Heartbeat) Pulse {
+// nextHeartbeat returns the next heartbeat for an instance. It carries own, the state of this
+// instance, unless the receiver has reported that it has it.
+func (p *peers) nextHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pulse := p.fill(now, to, own)
-	if r := p.known[to]; r != nil && r.knows == pulse.Stated {
-		pulse.Heartbeat = nil
+	h := p.newHeartbeat(now, to, own)
+	if r := p.known[to]; r != nil && r.knownStateID == h.StateID {
+		h.State = nil
 	}
-	return pulse
+	return h
 }
 
-// reply returns the answer to a pulse.
-func (p *peers) reply(now member.Time, asked Pulse, own Heartbeat) Pulse {
+// reply returns the answer to a heartbeat.
+func (p *peers) reply(now member.Time, request Heartbeat, own InstanceState) Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fill(now, asked.Name, own).shorten(asked)
+	return p.newHeartbeat(now, request.Name, own).shorten(request)
 }
 
-// fill returns a whole pulse.
-func (p *peers) fill(now member.Time, to string, own Heartbeat) Pulse {
-	b := p.member.Beat(now)
-	pulse := Pulse{Name: own.Name, Count: b.Count, Stated: stated(own), Heartbeat: &own, Hearsay: b.Hearsay, Deaf: true}
+// newHeartbeat returns a heartbeat with all its fields.
+func (p *peers) newHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
+	b := p.membership.Beat(now)
+	h := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
 	r := p.known[to]
 	if r == nil {
-		return pulse
+		return h
 	}
-	pulse.Knows = r.stated
-	pulse.Deaf = !slices.Contains(b.Direct, r.heartbeat.instance().Process)
-	return pulse
+	h.KnownStateID = r.stateID
+	h.NotHearing = !slices.Contains(b.Direct, r.state.memberInstance().Process)
+	return h
 }
 
-// hear takes a pulse. It returns what its sender says of itself and whether that was not known
-// before. Held is false if that is not known yet, or if the sender is not the process that has
-// its name: one that was replaced or is gone.
-func (p *peers) hear(now member.Time, pulse Pulse, answer bool) (h Heartbeat, fresh, held bool) {
+// receive handles a heartbeat or the answer to one. It returns the state of the sender and whether
+// that state is new. accepted is false if the state is not known yet, or if the sender is not the
+// current process of its name because it was replaced or is gone.
+func (p *peers) receive(now member.Time, h Heartbeat, isAnswer bool) (s InstanceState, isNew, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pulse.Name == p.self.Name {
-		return h, false, false
+	if h.Name == p.self.Name {
+		return s, false, false
 	}
-	if r := p.known[pulse.Name]; r != nil {
-		r.knows = pulse.Knows
+	if r := p.known[h.Name]; r != nil {
+		r.knownStateID = h.KnownStateID
 	}
-	h, found := p.resolve(pulse)
+	s, found := p.resolveState(h)
 	if !found {
-		return h, false, false
+		return s, false, false
 	}
-	p.member.Handle(now, member.Heard{Beat: pulse.beat(h, p.own), Answered: answer})
-	if !p.member.Holds(h.instance().Process) {
-		return h, false, false
+	p.membership.Handle(now, member.Heard{Beat: h.memberBeat(s, p.process), Answered: isAnswer})
+	if !p.membership.Holds(s.memberInstance().Process) {
+		return s, false, false
 	}
-	if pulse.Heartbeat != nil {
-		fresh = p.note(h, pulse)
+	if h.State != nil {
+		isNew = p.storeState(s, h)
 	}
-	r := p.known[h.Name]
-	r.knows, r.heardAt = pulse.Knows, time.Now()
-	return h, fresh, true
+	r := p.known[s.Name]
+	r.knownStateID, r.lastHeardAt = h.KnownStateID, time.Now()
+	return s, isNew, true
 }
 
-// resolve returns the Heartbeat that a pulse carries or stands for. One that stands for another
-// than the last one known is of no use: its sender learns so by the number in the answer.
-func (p *peers) resolve(pulse Pulse) (Heartbeat, bool) {
-	if pulse.Heartbeat != nil {
-		return *pulse.Heartbeat, pulse.Heartbeat.Name == pulse.Name
+// resolveState returns the state that a heartbeat carries, or that its StateID refers to. It returns
+// false if the StateID is not that of the last known state. The sender learns this from the
+// KnownStateID in the answer and sends its whole state.
+func (p *peers) resolveState(h Heartbeat) (InstanceState, bool) {
+	if h.State != nil {
+		return *h.State, h.State.Name == h.Name
 	}
-	r := p.known[pulse.Name]
-	if r == nil || r.stated != pulse.Stated {
-		return Heartbeat{}, false
+	r := p.known[h.Name]
+	if r == nil || r.stateID != h.StateID {
+		return InstanceState{}, false
 	}
-	return r.heartbeat, true
+	return r.state, true
 }
 
-// note keeps what an instance says of itself, unless it has said newer things: pulses may
-// overtake each other.
-func (p *peers) note(h Heartbeat, pulse Pulse) (fresh bool) {
-	p.learnLocked(config.Peer{
-		Name:           h.Name,
-		Domain:         h.Domain,
-		PeerAddress:    h.PeerAddress,
-		ForwardAddress: h.ForwardAddress,
+// storeState stores the state of an instance unless a newer one is known, since heartbeats may
+// overtake each other. It reports whether the state differs from the last known one.
+func (p *peers) storeState(s InstanceState, h Heartbeat) (isNew bool) {
+	p.addLocked(config.Peer{
+		Name:           s.Name,
+		Domain:         s.Domain,
+		PeerAddress:    s.PeerAddress,
+		ForwardAddress: s.ForwardAddress,
 	})
-	r := p.known[h.Name]
-	if r.heartbeat.Incarnation == h.Incarnation && pulse.Count <= r.count {
+	r := p.known[s.Name]
+	if r.state.Incarnation == s.Incarnation && h.Count <= r.heartbeatCount {
 		return false
 	}
-	fresh = r.stated != pulse.Stated
-	r.heartbeat, r.stated, r.count = h, pulse.Stated, pulse.Count
-	return fresh
+	isNew = r.stateID != h.StateID
+	r.state, r.stateID, r.heartbeatCount = s, h.StateID, h.Count
+	return isNew
 }
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -21,27 +21,27 @@
 		Stopping:    stopping,
 		Services:    e.front.Status(),
 	}
-	if h := e.coreView.heartbeat.Load(); h != nil {
+	if h := e.leadership.heartbeat.Load(); h != nil {
 		s.Leading, s.Term = h.Leading, h.Term
 	}
 	if view.Bundle != nil {
 		s.BundleVersion = view.Bundle.Version
 	}
-	if state := e.folded.Load(); state != nil {
-		s.LogNext = state.Next
+	if state := e.logState.Load(); state != nil {
+		s.NextLogOffset = state.Next
 	}
 	if t := view.Table; t != nil {
 		s.TableTerm, s.TableSerial = t.Term, t.Serial
 		s.Ranges = len(t.Owners)
 		s.Provisional = countProvisional(t)
-		s.Owned = ownedShare(view)
+		s.OwnedShare = ownedShare(view)
 	}
-	s.Domains = e.peers.versions(s.BundleVersion)
+	s.Domains = e.peers.bundleVersions(s.BundleVersion)
 	return s
 }
 
-// ownedShare returns the least share, over the divided services, of the domain's homes by the
-// bundle that has an owner.
+// ownedShare returns how much of the ranges that the bundle assigns to this domain has an owner, as a
+// share between 0 and 1. Of several divided services the lowest share counts.
 func ownedShare(view route.View) float64 {
 	least := 1.0
 	for service := range view.Homes {
@@ -56,14 +56,15 @@
 				have = append(have, o.Range)
 			}
 		}
-		if total := width(want); total > 0 {
-			least = min(least, width(keys.Intersect(want, have))/total)
+		if total := totalWidth(want); total > 0 {
+			least = min(least, totalWidth(keys.Intersect(want, have))/total)
 		}
 	}
 	return least
 }
 
-func width(ranges []keys.Range) float64 {
+// totalWidth returns the sum of the widths of the ranges.
+func totalWidth(ranges []keys.Range) float64 {
 	sum := 0.0
 	for _, r := range ranges {
 		sum += r.Width()
@@ -71,6 +72,7 @@
 	return sum
 }
 
+// countProvisional returns the number of owners whose assignment is not yet in the log.
 func countProvisional(t *route.Table) int {
 	count := 0
 	for _, o := range t.Owners {
@@ -112,7 +114,7 @@
 
 // Assignments implements admin.Source.
 func (e *Entry) Assignments() []admin.Assignment {
-	state := e.folded.Load()
+	state := e.logState.Load()
 	if state == nil {
 		return nil
 	}
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -25,11 +25,12 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// site is a small deployment in one process, over real sockets on loopback addresses.
+// site is a small deployment in one process that uses sockets on loopback addresses: two domains, the
+// stand-ins of the log, the list and the servers, and the instances that a test starts.
 type site struct {
 	t         *testing.T
 	is        *is.I
-	net       int
+	network   int
 	publisher ed25519.PrivateKey
 	approver  ed25519.PrivateKey
 	bundle    *bundle.Bundle
@@ -38,14 +39,16 @@
 }
 
 const (
-	service  = "pregled"
-	unowned  = "oddaja"
+	service = "pregled"
+	// undivided is a service whose keys have no owners.
+	undivided = "oddaja"
+	// testWait is the timeout of each condition.
 	testWait = 60 * time.Second
 )
 
 func newSite(t *testing.T, network int) *site {
 	t.Helper()
-	s := &site{t: t, is: is.New(t), net: network}
+	s := &site{t: t, is: is.New(t), network: network}
 	publisher, publisherKey, err := ed25519.GenerateKey(nil)
 	s.is.NoErr(err)
 	approver, approverKey, err := ed25519.GenerateKey(nil)
@@ -54,12 +57,12 @@
 	s.bundle = s.newBundle(publisher, approver)
 	s.authority, err = certs.NewAuthority(time.Now())
 	s.is.NoErr(err)
-	s.log = logcl.New("http://"+s.at(0, 1, 7000), http.DefaultClient)
+	s.log = logcl.New("http://"+s.address(0, 1, 7000), http.DefaultClient)
 	return s
 }
 
-func (s *site) at(domain, host, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", s.net, domain, host, port)
+func (s *site) address(domain, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", s.network, domain, host, port)
 }
 
 func (s *site) newBundle(publisher, approver ed25519.PublicKey) *bundle.Bundle {
@@ -73,18 +76,18 @@
 		Domains: []bundle.Domain{{Name: "klet"}, {Name: "podstresje"}},
 		Services: []bundle.Service{
 			{Name: service, Divided: true, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
-			{Name: unowned, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
+			{Name: undivided, Limits: bundle.Limits{Queue: 16, RequestMillis: 10_000}},
 		},
 	}
 	for d, domain := range b.Domains {
 		for k := 1; k <= 2; k++ {
 			b.Services[0].Servers = append(b.Services[0].Servers, bundle.Server{
 				Name: fmt.Sprintf("%s-%s-%d", service, domain.Name, k), Domain: domain.Name,
-				Address: s.at(d+1, 100+k, 8000), ChecksGrants: true, Slots: 2, Connections: 110,
+				Address: s.address(d+1, 100+k, 8000), ChecksGrants: true, Slots: 2, Connections: 110,
 			})
 		}
 		b.Services[1].Servers = append(b.Services[1].Servers, bundle.Server{
-			Name: unowned + "-" + domain.Name, Domain: domain.Name, Address: s.at(d+1, 120, 8000), Slots: 2, Connections: 110,
+			Name: undivided + "-" + domain.Name, Domain: domain.Name, Address: s.address(d+1, 120, 8000), Slots: 2, Connections: 110,
 		})
 	}
 	return b
@@ -92,8 +95,8 @@
 
 func (s *site) startStandIns() {
 	settings := stand.Settings{
-		Log:  &stand.LogSettings{Address: s.at(0, 1, 7000)},
-		List: &stand.ListSettings{Address: s.at(0, 1, 7001)},
+		Log:  &stand.LogSettings{Address: s.address(0, 1, 7000)},
+		List: &stand.ListSettings{Address: s.address(0, 1, 7001)},
 	}
 	for _, v := range s.bundle.Services {
 		for _, b := range v.Servers {
@@ -107,7 +110,7 @@
 	s.start("stand-in", stand.New(settings).Run)
 }
 
-// start runs a part of the site until the test ends.
+// start runs a part of the site until the test ends. It fails the test if run returns an error.
 func (s *site) start(name string, run func(context.Context) error) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -126,10 +129,10 @@
 	return config.Run{
 		Name:            name,
 		Domain:          s.bundle.Domains[domain-1].Name,
-		CallerAddress:   s.at(domain, host, 8080),
-		PeerAddress:     s.at(domain, host, 9080),
-		ForwardAddress:  s.at(domain, host, 9081),
-		OperatorAddress: s.at(domain, host, 9090),
+		CallerAddress:   s.address(domain, host, 8080),
+		PeerAddress:     s.address(domain, host, 9080),
+		ForwardAddress:  s.address(domain, host, 9081),
+		OperatorAddress: s.address(domain, host, 9090),
 		OperatorToken:   "token",
 		Roots:           s.bundle.Signers,
 		DrainMillis:     5000,
@@ -142,7 +145,7 @@
 		Settings:    settings,
 		TLS:         s.tls(settings.Name),
 		Log:         s.log,
-		List:        listcl.New("http://"+s.at(0, 1, 7001), http.DefaultClient),
+		List:        listcl.New("http://"+s.address(0, 1, 7001), http.DefaultClient),
 		Placer:      place.New(),
 		Logger:      log.New(io.Discard),
 		Incarnation: uint64(domain*1000 + host),
@@ -181,21 +184,22 @@
 	})
 }
 
-// eventually waits until a condition holds. The wait is only there to end a broken test.
+// eventually waits until a condition holds. The timeout only ends a test that would hang.
 func (s *site) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(testWait)
 	for !holds() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("%s: not after %v", what, testWait)
+			s.t.Fatalf("%s: condition not met after %v", what, testWait)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// ask sends one request and returns its status, outcome, server and body.
-func (s *site) ask(domain, host int, service, key string) (status int, outcome, server, body string) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.at(domain, host, 8080)+"/"+service+"/page", nil)
+// request sends one request through an instance and returns its status, outcome, server and body. If
+// sending fails, the status is zero and the body is the error.
+func (s *site) request(domain, host int, service, key string) (status int, outcome, server, body string) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.address(domain, host, 8080)+"/"+service+"/page", nil)
 	s.is.NoErr(err)
 	req.Header.Set(caller.HeaderKey, key)
 	resp, err := http.DefaultClient.Do(req)
@@ -208,8 +212,8 @@
 	return resp.StatusCode, resp.Header.Get(caller.HeaderOutcome), resp.Header.Get(caller.HeaderServer), string(data)
 }
 
-// A request for a key reaches the one server that owns the key, through whichever instance
-// the balancer picked, and the whole answer comes back.
+// A request for a key must reach the one server that owns the key, whichever instance receives it,
+// and its response must reach the caller.
 func TestEachInstanceReachesTheSameOwner(t *testing.T) {
 	s := newSite(t, 20+os.Getpid()%100)
 	s.startStandIns()
@@ -225,7 +229,7 @@
 		for domain := 1; domain <= 2; domain++ {
 			for host := 1; host <= 2; host++ {
 				s.eventually(key, func() bool {
-					status, outcome, server, _ := s.ask(domain, host, service, key)
+					status, outcome, server, _ := s.request(domain, host, service, key)
 					if status != http.StatusOK || outcome != string(caller.Ran) {
 						return false
 					}
@@ -236,8 +240,8 @@
 		}
 		s.is.Equal(len(owners), 1)
 	}
-	s.eventually(unowned, func() bool {
-		status, _, _, _ := s.ask(1, 1, unowned, "")
+	s.eventually(undivided, func() bool {
+		status, _, _, _ := s.request(1, 1, undivided, "")
 		return status == http.StatusOK
 	})
 }
