--- a/pkg/grant/handler.go
+++ b/pkg/grant/handler.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// maxExchangeBytes bounds the body of an exchange. A set of 100,000 ranges fits.
+// maxExchangeBytes is the largest accepted body of an exchange. A grant of 100,000 ranges fits.
 const maxExchangeBytes = 4 << 20
 
-// Handler serves exchanges posted to ExchangePath.
+// Handler serves the exchange protocol over HTTP. Register it for ExchangePath.
 type Handler struct {
 	holder *Holder
 }
@@ -18,12 +18,13 @@
 	return &Handler{holder: holder}
 }
 
-// ServeHTTP answers 200 with an Answer as JSON, refusals included; 405 for a method other
-// than POST and 400 for a body that is not an Exchange.
+// ServeHTTP responds with 200 and an Answer as JSON, also when the exchange is refused. It
+// responds with 405 to methods other than POST, and with 400 to a body that is not an Exchange
+// or is longer than 4 MiB.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
-		http.Error(w, "exchanges are posted", http.StatusMethodNotAllowed)
+		http.Error(w, "method not allowed, use POST", http.StatusMethodNotAllowed)
 		return
 	}
 	var exchange Exchange
--- a/pkg/grant/holder.go
+++ b/pkg/grant/holder.go
@@ -7,22 +7,23 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// HolderConfig names the server that a Holder speaks for.
+// HolderConfig configures the Holder of one server.
 type HolderConfig struct {
 	Service string
 	Server  string
-	// Incarnation differs for each process that ever ran as this server.
+	// Incarnation is different for every process that ever ran as this server.
 	Incarnation uint64
-	// Clock reads a monotonic clock. It goes on while the process is paused.
+	// Clock reads a monotonic clock that keeps running while the process is paused.
 	Clock func() Instant
-	// MaxLease bounds how far a deadline may lie ahead of the clock.
+	// MaxLease is the longest time from now to the deadline of a grant that is accepted.
 	MaxLease time.Duration
 }
 
-// Holder keeps the grant of one server: the fence, the set of ranges and the deadline. It is
-// safe for concurrent use.
+// Holder keeps the grant that one server holds (epoch, ranges and deadline) and its fence. It
+// is safe for concurrent use.
 type Holder struct {
-	config  HolderConfig
+	config HolderConfig
+	// votesAt is when the process starts to vote.
 	votesAt Instant
 
 	mu       sync.Mutex
@@ -32,17 +33,20 @@
 	epoch    Epoch
 	deadline Instant
 	ranges   []keys.Range
-	tenure   uint64
-	homes    uint64
-	running  map[*Work]struct{}
+	// generation counts the grants that were accepted after the one before had expired. Work
+	// of an earlier generation has lost its right to its key.
+	generation uint64
+	homesFence uint64
+	running    map[*Work]struct{}
 }
 
-// NewHolder returns a Holder that holds nothing.
+// NewHolder returns a Holder that has no grant.
 //
-// A new process has forgotten the fence of the one before it. If it voted at once, a leader
-// that the old process had refused could regain its majority while the leases of the newer
-// leader still run, and both would grant the same range. It does not vote until every lease
-// that the old process knew of has ended.
+// A new process does not know the fence of the process before it. If it voted at once, a
+// leader that the old process had refused could regain its majority while leases of the newer
+// leader are still valid, and both could grant the same range. The holder therefore does not
+// vote for MaxLease after its start: by then every lease that the old process accepted has
+// expired.
 func NewHolder(config HolderConfig) *Holder {
 	return &Holder{
 		config:  config,
@@ -51,7 +55,8 @@
 	}
 }
 
-// Exchange obeys or refuses an exchange and states what is held.
+// Exchange applies or refuses an exchange and returns the resulting state, which also goes
+// with a refusal.
 func (h *Holder) Exchange(x Exchange) Answer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,7 +74,7 @@
 		Epoch:       h.epoch,
 		Deadline:    h.deadline,
 		Draining:    h.draining(now),
-		HomesFence:  h.homes,
+		HomesFence:  h.homesFence,
 	}
 	if x.Known != h.epoch {
 		answer.Ranges = h.ranges
@@ -77,6 +82,8 @@
 	return answer
 }
 
+// apply updates the state by an exchange, or returns why it doesn't. The fence rises to the
+// term of the exchange even if its grant is then refused. The caller holds h.mu.
 func (h *Holder) apply(now Instant, x Exchange) Refusal {
 	if x.Server != h.config.Server || x.Service != h.config.Service {
 		return RefusalOtherName
@@ -88,23 +95,23 @@
 	if x.Term != (Term{}) {
 		h.ledAt = now
 	}
-	h.homes = max(h.homes, x.HomesFence)
+	h.homesFence = max(h.homesFence, x.HomesFence)
 	if x.Grant == nil {
 		return RefusalNone
 	}
-	if refusal := h.judge(now, x.Grant); refusal != RefusalNone {
+	if refusal := h.checkGrant(now, x.Grant); refusal != RefusalNone {
 		return refusal
 	}
 	h.accept(now, x.Grant)
 	return RefusalNone
 }
 
-// judge decides whether a grant may be accepted.
+// checkGrant returns why a grant can't be accepted, or RefusalNone.
 //
-// A set whose deadline has passed never comes back under its epoch: its leader may have
-// counted it lapsed and given the ranges away, and a late renewal would make a second owner.
-func (h *Holder) judge(now Instant, g *Grant) Refusal {
-	lapsed := now >= h.deadline
+// An expired grant is never extended under its epoch. Its leader may have treated it as
+// expired and granted the ranges to another server, so a late renewal would make two owners.
+func (h *Holder) checkGrant(now Instant, g *Grant) Refusal {
+	expired := now >= h.deadline
 	switch {
 	case g.Incarnation != h.config.Incarnation:
 		return RefusalIncarnation
@@ -114,7 +121,7 @@
 		return RefusalTooLong
 	case g.Epoch.Compare(h.epoch) < 0:
 		return RefusalOldEpoch
-	case g.Epoch == h.epoch && lapsed:
+	case g.Epoch == h.epoch && expired:
 		return RefusalUnknownSet
 	case g.Renewal && g.Epoch != h.epoch:
 		return RefusalUnknownSet
@@ -123,9 +130,11 @@
 	}
 }
 
+// accept stores a grant that checkGrant let pass. Under the epoch that is already held the
+// deadline is only ever extended.
 func (h *Holder) accept(now Instant, g *Grant) {
 	if now >= h.deadline {
-		h.tenure++
+		h.generation++
 	}
 	if g.Epoch == h.epoch {
 		h.deadline = max(h.deadline, g.Deadline)
@@ -136,12 +145,12 @@
 	h.ranges = g.Ranges
 }
 
-// draining returns, as ranges of one hash, where requests run that the held set does not
-// cover.
+// draining returns the hashes of the running requests that the held grant does not cover, as
+// sorted ranges of one hash each.
 func (h *Holder) draining(now Instant) []keys.Range {
 	var ranges []keys.Range
 	for w := range h.running {
-		if now < h.deadline && w.tenure == h.tenure && keys.Find(h.ranges, w.hash) >= 0 {
+		if now < h.deadline && w.generation == h.generation && keys.Find(h.ranges, w.hash) >= 0 {
 			continue
 		}
 		ranges = append(ranges, keys.Range{First: w.hash, Last: w.hash})
@@ -150,6 +159,7 @@
 	return compact(ranges)
 }
 
+// compact removes repeated ranges from a sorted list, in place.
 func compact(ranges []keys.Range) []keys.Range {
 	kept := ranges[:0]
 	for i, r := range ranges {
--- a/pkg/grant/holder_test.go
+++ b/pkg/grant/holder_test.go
@@ -17,7 +17,7 @@
 	newer = Term{Log: 1, Sub: 1}
 )
 
-// clock is set by hand.
+// clock is a manual clock for tests.
 type clock struct{ now Instant }
 
 func (c *clock) read() Instant { return c.now }
@@ -53,17 +53,17 @@
 		"other server":             {exchange: Exchange{Service: "svc", Server: "t", Term: newer}, want: RefusalOtherName},
 		"other service":            {exchange: Exchange{Service: "svd", Server: "s", Term: newer}, want: RefusalOtherName},
 		"lower term":               {exchange: exchangeOf(older, grantOf(older, 9, 1050, high)), want: RefusalFenced},
-		"lower term asks":          {exchange: exchangeOf(older, nil), want: RefusalFenced},
+		"lower term, no grant":     {exchange: exchangeOf(older, nil), want: RefusalFenced},
 		"other process":            {exchange: exchangeOf(newer, foreign), want: RefusalIncarnation},
 		"deadline passed":          {exchange: exchangeOf(newer, grantOf(newer, 3, 1000, high)), want: RefusalLapsed},
 		"deadline too far":         {exchange: exchangeOf(newer, grantOf(newer, 3, 1101, high)), want: RefusalTooLong},
-		"older set":                {exchange: exchangeOf(newer, grantOf(newer, 1, 1050, high)), want: RefusalOldEpoch},
-		"renewal of newer set":     {exchange: exchangeOf(newer, renewalOf(newer, 3, 1050)), want: RefusalUnknownSet},
-		"renewal after the lapse":  {exchange: exchangeOf(newer, renewalOf(newer, 2, 1090)), at: 1050, want: RefusalUnknownSet},
-		"same set after the lapse": {exchange: exchangeOf(newer, grantOf(newer, 2, 1090, low)), at: 1050, want: RefusalUnknownSet},
+		"older epoch":              {exchange: exchangeOf(newer, grantOf(newer, 1, 1050, high)), want: RefusalOldEpoch},
+		"renewal of unknown epoch": {exchange: exchangeOf(newer, renewalOf(newer, 3, 1050)), want: RefusalUnknownSet},
+		"renewal after expiry":     {exchange: exchangeOf(newer, renewalOf(newer, 2, 1090)), at: 1050, want: RefusalUnknownSet},
+		"same epoch after expiry":  {exchange: exchangeOf(newer, grantOf(newer, 2, 1090, low)), at: 1050, want: RefusalUnknownSet},
 		"renewal":                  {exchange: exchangeOf(newer, renewalOf(newer, 2, 1100))},
 		"new set":                  {exchange: exchangeOf(newer, grantOf(newer, 3, 1100, high))},
-		"question":                 {exchange: exchangeOf(newer, nil)},
+		"query":                    {exchange: exchangeOf(newer, nil)},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 	is.Equal(h.Exchange(exchangeOf(newer, renewalOf(newer, 1, 1040))).Deadline, Instant(1080))
 }
 
-func TestAnswerLeavesOutWhatIsKnown(t *testing.T) {
+func TestAnswerOmitsKnownRanges(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(&clock{now: 1000})
 	a := h.Exchange(exchangeOf(newer, grantOf(newer, 1, 1080, low)))
@@ -103,9 +103,9 @@
 	is.Equal(h.Exchange(x).Ranges, nil)
 }
 
-// A server restarts and forgets that it had followed a newer leader. If it voted at once, the
-// older leader would have its majority back while leases of the newer one run.
-func TestYoungHolderDoesNotVote(t *testing.T) {
+// A restarted server no longer knows that it accepted a newer leader. If it voted at once, the
+// older leader could regain its majority while leases of the newer one are still valid.
+func TestNewHolderDoesNotVote(t *testing.T) {
 	is := is.New(t)
 	c := &clock{now: 1000}
 	h := newTestHolder(c)
@@ -124,7 +124,7 @@
 		"owned":       {hash: 99, at: 1000},
 		"not owned":   {hash: 100, at: 1000, want: ErrNotOwner},
 		"last moment": {hash: 0, at: 1049},
-		"lapsed":      {hash: 0, at: 1050, want: ErrLapsed},
+		"expired":     {hash: 0, at: 1050, want: ErrLapsed},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -140,15 +140,15 @@
 	}
 }
 
-// A coordinator claims a page batch while its range is moved to another server. The claim
-// began before the move; the leader must not grant the range elsewhere until it has run.
-func TestWorkKeepsItsRangeUntilItEnds(t *testing.T) {
+// A request begins, and then its range is moved away by a newer grant. The range must not be
+// granted to another server while the request runs, so it is reported as draining.
+func TestRunningWorkIsDraining(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(&clock{now: 1000})
 	h.Exchange(exchangeOf(newer, grantOf(newer, 1, 1050, low, high)))
 	work, err := h.Begin(150)
 	is.NoErr(err)
-	twin, err := h.Begin(150)
+	second, err := h.Begin(150)
 	is.NoErr(err)
 
 	a := h.Exchange(exchangeOf(newer, grantOf(newer, 2, 1050, low)))
@@ -158,15 +158,15 @@
 	is.NoErr(work.Check())
 
 	work.End()
-	twin.End()
+	second.End()
 	is.Equal(work.Check(), ErrEnded)
 	is.Equal(h.Exchange(exchangeOf(newer, nil)).Draining, nil)
 }
 
-// A server is paused within a payout, its lease lapses, another server gets the range, runs
-// the payout that the caller sent again, and the range comes back. The paused payout then
-// goes on and would post it twice: its right ended with the lapse.
-func TestWorkLosesItsRightWithTheLapse(t *testing.T) {
+// A server is paused within a request and its grant expires. Another server gets the range and
+// runs the request when the caller retries it, and then the range comes back. If the paused
+// request went on, its effect would happen twice.
+func TestCheckFailsAfterExpiry(t *testing.T) {
 	tests := map[string]struct {
 		pause   Instant
 		regrant bool
--- a/pkg/grant/message.go
+++ b/pkg/grant/message.go
@@ -1,10 +1,10 @@
-// Package grant is the protocol by which a leader gives one backend server the exclusive
-// right to a set of key ranges, and the library with which a server's author obeys it.
+// Package grant defines the protocol by which a leader grants key ranges exclusively to one
+// backend server, and implements the side of the server.
 //
-// A leader sends an Exchange and the server replies with an Answer. Each carries the term of
-// the leader: the server remembers the highest term it has seen (its fence) and refuses
-// lower ones. A grant names the whole set of ranges that the server may serve, an epoch that
-// only grows, and a deadline on the clock of the server itself.
+// A leader sends an Exchange and the server replies with an Answer. Each exchange carries the
+// term of its leader. The server remembers the highest term it has seen, its fence, and
+// refuses exchanges of lower terms. A Grant is a lease: it holds the complete set of ranges
+// that the server may serve, an epoch that only grows, and a deadline on the server's clock.
 package grant
 
 import (
@@ -14,23 +14,26 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Paths and headers of the protocol as it is spoken over HTTP. An Exchange is posted as JSON
-// to ExchangePath of the server's address and the reply body is an Answer.
+// Paths of the protocol over HTTP, at the address of the server.
 const (
+	// ExchangePath accepts an Exchange as JSON by POST. The response body is an Answer.
 	ExchangePath = "/.mustardring/exchange"
-	LoadPath     = "/.mustardring/load"
+	// LoadPath returns the server's report of its own load by GET.
+	LoadPath = "/.mustardring/load"
 )
 
-// Instant is a reading of one server's monotonic clock, in nanoseconds since an arbitrary
-// origin of that server's process. Readings of two processes cannot be compared.
+// Instant is a reading of a server's monotonic clock, in nanoseconds since an arbitrary origin
+// that differs for each process. Readings of different processes cannot be compared.
 type Instant int64
 
-// Term orders the leaders of one failure domain: by the term of the log, then by the
-// sub-term with which an instance succeeds without the log, then by the incarnation of the
-// claimant, so that two terms of two instances are never equal.
+// Term identifies a leadership in one failure domain. Terms are ordered by Log, then Sub, then
+// Incarnation. Terms of different instances are never equal.
 type Term struct {
-	Log         uint64 `json:"log"`
-	Sub         uint64 `json:"sub"`
+	// Log is the term that is recorded in the log.
+	Log uint64 `json:"log"`
+	// Sub grows when an instance becomes leader while the log is not available.
+	Sub uint64 `json:"sub"`
+	// Incarnation is that of the instance that claims the term.
 	Incarnation uint64 `json:"incarnation"`
 }
 
@@ -39,14 +42,15 @@
 	return cmp.Or(cmp.Compare(t.Log, o.Log), cmp.Compare(t.Sub, o.Sub), cmp.Compare(t.Incarnation, o.Incarnation))
 }
 
-// String returns the three parts joined by dots.
+// String returns the three numbers joined by dots, the incarnation in hexadecimal.
 func (t Term) String() string {
 	return fmt.Sprintf("%d.%d.%x", t.Log, t.Sub, t.Incarnation)
 }
 
-// Epoch orders the grants of one server: by term, then by the sequence within the term.
+// Epoch identifies a grant of one server. Epochs are ordered by Term, then by Sequence.
 type Epoch struct {
-	Term     Term   `json:"term"`
+	Term Term `json:"term"`
+	// Sequence counts the grants of the server within the term.
 	Sequence uint64 `json:"sequence"`
 }
 
@@ -55,79 +59,93 @@
 	return cmp.Or(e.Term.Compare(o.Term), cmp.Compare(e.Sequence, o.Sequence))
 }
 
-// IsZero reports whether no grant has this epoch.
+// IsZero reports whether e is the zero value, which stands for no grant.
 func (e Epoch) IsZero() bool {
 	return e == Epoch{}
 }
 
-// Grant is the right of one server to a set of ranges until a deadline.
+// Grant gives one server the exclusive right to a set of ranges until a deadline.
 type Grant struct {
 	Epoch Epoch `json:"epoch"`
-	// Incarnation is that of the server process the grant is meant for.
+	// Incarnation is that of the server process to which the ranges are granted.
 	Incarnation uint64 `json:"incarnation"`
-	// Deadline is on the clock of the server. The grant is void from then on.
+	// Deadline is the time on the server's clock from which on the grant is no longer valid.
 	Deadline Instant `json:"deadline"`
-	// Ranges is the whole set, sorted and disjoint. It is nil when Renewal is set.
+	// Ranges is the complete set, sorted and disjoint. It is nil when Renewal is set.
 	Ranges []keys.Range `json:"ranges,omitempty"`
-	// Renewal says that the set is that of the grant which the server holds under Epoch.
+	// Renewal extends the grant that the server holds under Epoch and leaves its ranges as
+	// they are.
 	Renewal bool `json:"renewal,omitempty"`
 }
 
-// Exchange is what a leader sends to a server: its term, which fences lower ones, and
-// optionally a grant. With the zero term it only asks.
+// Exchange is the message of a leader to a server. It raises the server's fence to Term and
+// can carry a grant. With the zero term and no grant it changes nothing: it only queries the
+// state, which the answer holds even when the server refuses the term.
 type Exchange struct {
 	Service string `json:"service"`
 	Server  string `json:"server"`
 	Term    Term   `json:"term"`
 	Grant   *Grant `json:"grant,omitempty"`
-	// Known is the epoch of the held set that the leader knows. The answer leaves the
-	// ranges out when this is what the server holds.
+	// Known is the epoch whose ranges the leader knows. If the server holds the grant of this
+	// epoch, the answer omits the ranges.
 	Known Epoch `json:"known"`
-	// HomesFence is a number that the server remembers if it is the highest so far, and tells
-	// to later leaders. It says which statements about the homes of the domain may be under way.
+	// HomesFence is above the base of every record, possibly still on its way to the log, by
+	// which the domain gives up homes. The server keeps the highest value and reports it to
+	// later leaders, which may be cut off from the log.
 	HomesFence uint64 `json:"homes-fence,omitempty"`
 }
 
-// Refusal says why a server did not do what an Exchange asked.
+// Refusal is the reason why a server did not apply an Exchange or its grant.
 type Refusal string
 
-// The refusals. RefusalNone is the zero value: the exchange was obeyed.
+// The reasons for a refusal.
 const (
-	RefusalNone        Refusal = ""
-	RefusalFenced      Refusal = "fenced"
+	// RefusalNone means that the exchange was applied.
+	RefusalNone Refusal = ""
+	// RefusalFenced: the term is lower than the fence of the server.
+	RefusalFenced Refusal = "fenced"
+	// RefusalIncarnation: the grant is for another process of the server.
 	RefusalIncarnation Refusal = "other-incarnation"
-	RefusalLapsed      Refusal = "deadline-passed"
-	RefusalTooLong     Refusal = "deadline-too-far"
-	RefusalOldEpoch    Refusal = "old-epoch"
-	RefusalUnknownSet  Refusal = "unknown-set"
-	RefusalOtherName   Refusal = "other-server"
+	// RefusalLapsed: the deadline of the grant has passed.
+	RefusalLapsed Refusal = "deadline-passed"
+	// RefusalTooLong: the deadline of the grant is further ahead than HolderConfig.MaxLease.
+	RefusalTooLong Refusal = "deadline-too-far"
+	// RefusalOldEpoch: the server holds a grant of a higher epoch.
+	RefusalOldEpoch Refusal = "old-epoch"
+	// RefusalUnknownSet: the grant renews an epoch that the server does not hold, or has the
+	// epoch of a grant that has expired. The leader has to grant the ranges anew.
+	RefusalUnknownSet Refusal = "unknown-set"
+	// RefusalOtherName: the exchange is for another server or service.
+	RefusalOtherName Refusal = "other-server"
 )
 
 // Answer is the reply of a server to an Exchange.
 type Answer struct {
 	Refusal Refusal `json:"refusal,omitempty"`
-	// Clock is the server's clock when it handled the exchange.
+	// Clock is the time on the server's clock when it handled the exchange.
 	Clock Instant `json:"clock"`
 	// Serial counts the exchanges that the process has handled. It orders the answers of one
-	// process, which the clock cannot do when it reads the same twice.
+	// process, also those with the same Clock.
 	Serial uint64 `json:"serial"`
 	// Incarnation identifies the server process.
 	Incarnation uint64 `json:"incarnation"`
-	// Fence is the highest term the server has seen, that of the exchange included.
+	// Fence is the highest term that the server has seen, including that of the exchange.
 	Fence Term `json:"fence"`
-	// LedAt is when the server last obeyed an exchange under Fence, or zero.
+	// LedAt is when the server last accepted an exchange with the term Fence, even if it
+	// refused the grant in it. It is zero if there was none.
 	LedAt Instant `json:"led-at,omitempty"`
-	// Voting is false while the server is so young that an earlier process at its place may
-	// have voted for another leader whose grants still run.
+	// Voting is false as long as grants of a leader that an earlier process of this server
+	// voted for may still be valid: see NewHolder. The answer then does not count as a vote.
 	Voting bool `json:"voting"`
-	// Epoch, Deadline and Ranges are the grant held now. Ranges is nil when the exchange
-	// named Epoch as known. Deadline may have passed.
+	// Epoch, Deadline and Ranges are the grant that is held now. Deadline may have passed.
+	// Ranges is nil if Epoch equals Exchange.Known.
 	Epoch    Epoch        `json:"epoch"`
 	Deadline Instant      `json:"deadline"`
 	Ranges   []keys.Range `json:"ranges,omitempty"`
-	// Draining are ranges given up by the newest grant in which requests still run. Another
-	// server must not be granted them yet.
+	// Draining holds the hashes of running requests, as ranges of one hash each, that the held
+	// grant does not cover: it lacks the range, or a grant has expired since the request began.
+	// These hashes must not be granted to another server yet.
 	Draining []keys.Range `json:"draining,omitempty"`
-	// HomesFence is the highest that the server was told.
+	// HomesFence is the highest value that the server has received.
 	HomesFence uint64 `json:"homes-fence,omitempty"`
 }
--- a/pkg/grant/property_test.go
+++ b/pkg/grant/property_test.go
@@ -10,9 +10,9 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Whatever arrives in whatever order, the fence and the epoch never fall, no deadline lies
-// beyond the longest lease, a refusal changes nothing, and only hashes of the held set within
-// its deadline are owned.
+// Checks invariants under random exchanges in random order: the fence and the epoch never
+// decrease, no deadline is further ahead than the longest lease, a refusal leaves the grant as
+// it was, and work begins exactly on hashes of the held ranges before the deadline.
 func TestHolderProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{now: 1000}
@@ -44,17 +44,17 @@
 func checkAnswer(t *rapid.T, before, a Answer) {
 	switch {
 	case a.Fence.Compare(before.Fence) < 0:
-		t.Fatalf("fence fell from %v to %v", before.Fence, a.Fence)
+		t.Fatalf("fence decreased from %v to %v", before.Fence, a.Fence)
 	case a.Epoch.Compare(before.Epoch) < 0:
-		t.Fatalf("epoch fell from %v to %v", before.Epoch, a.Epoch)
+		t.Fatalf("epoch decreased from %v to %v", before.Epoch, a.Epoch)
 	case a.Serial != before.Serial+1:
 		t.Fatalf("serial %d follows %d", a.Serial, before.Serial)
 	case a.Deadline > a.Clock+100:
-		t.Fatalf("deadline %d is beyond the longest lease at %d", a.Deadline, a.Clock)
+		t.Fatalf("deadline %d is further ahead than the longest lease at time %d", a.Deadline, a.Clock)
 	case a.Refusal != RefusalNone && (a.Epoch != before.Epoch || a.Deadline != before.Deadline):
 		t.Fatalf("refusal %q changed the grant", a.Refusal)
 	case a.Epoch == before.Epoch && before.Deadline <= a.Clock && a.Deadline != before.Deadline:
-		t.Fatalf("a lapsed grant came back under its epoch")
+		t.Fatalf("an expired grant became valid again under its epoch")
 	}
 }
 
@@ -63,7 +63,7 @@
 		work, err := h.Begin(hash)
 		owned := a.Deadline > a.Clock && keys.Find(a.Ranges, hash) >= 0
 		if (err == nil) != owned {
-			t.Fatalf("hash %d: begin says %v, held %v until %d at %d", hash, err, a.Ranges, a.Deadline, a.Clock)
+			t.Fatalf("hash %d: Begin returned %v, holds %v until %d at time %d", hash, err, a.Ranges, a.Deadline, a.Clock)
 		}
 		if err == nil {
 			work.End()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Requests begin and end while grants arrive. Run with the race detector.
+// Requests begin and end while grants arrive. Run it with the race detector.
 func TestHolderIsSafeForConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	h := newTestHolder(&clock{now: 1000})
--- a/pkg/grant/lapse.go
+++ b/pkg/grant/valid.go
@@ -1,6 +1,6 @@
 package grant
 
-// Valid reports whether the holder has ranges and its deadline has not passed.
+// Valid reports whether the held grant has any ranges and has not expired.
 func (h *Holder) Valid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/grant/work.go
+++ b/pkg/grant/work.go
@@ -6,13 +6,14 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Errors of work under a grant.
+// Errors returned for work under a grant.
 var (
-	// ErrNotOwner is returned for a hash that the held set does not cover.
+	// ErrNotOwner is returned by Begin for a hash outside the granted ranges.
 	ErrNotOwner = errors.New("grant: not the owner of the key")
-	// ErrLapsed is returned when the deadline of the grant has passed.
-	ErrLapsed = errors.New("grant: lapsed")
-	// ErrEnded is returned by Check for work that has ended.
+	// ErrLapsed is returned by Begin and Check when the deadline of the grant has passed, and
+	// by Check also when it passed since Begin and a newer grant was accepted afterwards.
+	ErrLapsed = errors.New("grant: lease has expired")
+	// ErrEnded is returned by Check after End.
 	ErrEnded = errors.New("grant: work has ended")
 )
 
@@ -20,11 +21,13 @@
 type Work struct {
 	holder *Holder
 	hash   uint64
-	tenure uint64
+	// generation is that of the holder when the work began.
+	generation uint64
 }
 
-// Begin starts work on a hash, or returns ErrNotOwner or ErrLapsed: the request must then be
-// refused as not run. The caller calls End when the request has run.
+// Begin starts work on a hash. It returns ErrNotOwner or ErrLapsed if the server must not run
+// the request; the server then answers that the request did not run. Otherwise the caller
+// must call End when the request is done.
 func (h *Holder) Begin(hash uint64) (*Work, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,17 +37,19 @@
 	if h.config.Clock() >= h.deadline {
 		return nil, ErrLapsed
 	}
-	w := &Work{holder: h, hash: hash, tenure: h.tenure}
+	w := &Work{holder: h, hash: hash, generation: h.generation}
 	h.running[w] = struct{}{}
 	return w, nil
 }
 
-// Check reports whether the work may still take effect. Call it right before each effect: a
-// process that was paused since Begin may find that another server owns the key by now.
+// Check returns nil if the work may still have side effects, and otherwise ErrLapsed or
+// ErrEnded. Call it right before each side effect: while the process was paused after Begin,
+// another server may have become the owner of the key.
 //
-// A grant that lapsed in between, even if the ranges came back since, ends the right of work
-// that began before: another server may have owned them meanwhile. Work in a range that a
-// newer grant gave up keeps its right, since the leader waits until it is reported ended.
+// If the grant expired after Begin, Check fails even if the server owns the range again:
+// another server may have owned it in between. If a newer grant dropped the range before the
+// old one expired, Check passes, because the leader does not grant the range elsewhere until
+// the work is no longer reported in Answer.Draining.
 func (w *Work) Check() error {
 	h := w.holder
 	h.mu.Lock()
@@ -52,13 +57,14 @@
 	if _, running := h.running[w]; !running {
 		return ErrEnded
 	}
-	if w.tenure != h.tenure || h.config.Clock() >= h.deadline {
+	if w.generation != h.generation || h.config.Clock() >= h.deadline {
 		return ErrLapsed
 	}
 	return nil
 }
 
-// End says that the request runs no more. Repeated calls do nothing.
+// End marks the work as done, so that it no longer keeps its key from being granted to another
+// server. Further calls have no effect.
 func (w *Work) End() {
 	w.holder.mu.Lock()
 	defer w.holder.mu.Unlock()
