--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys maps keys to a 64-bit hash space and describes intervals of that space.
+// Package keys maps keys to a 64-bit hash space and computes with ranges of that space.
 package keys
 
 import (
@@ -14,8 +14,8 @@
 // ErrRange is returned for text that does not describe a Range.
 var ErrRange = errors.New("keys: malformed range")
 
-// Hash returns the position of a key of a service in the hash space. The service is part of
-// the hash, so that two services which use the same keys spread them independently.
+// Hash returns the position of a service's key in the hash space. The service name is hashed
+// too, so that services with the same keys distribute them independently of each other.
 func Hash(service, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -27,7 +27,7 @@
 	return d.Sum64()
 }
 
-// Range is an interval of the hash space. Both ends belong to it.
+// Range is an interval of the hash space from First to Last, both inclusive.
 type Range struct {
 	First uint64
 	Last  uint64
@@ -36,22 +36,22 @@
 // Full is the whole hash space.
 var Full = Range{First: 0, Last: ^uint64(0)}
 
-// Contains reports whether a hash lies in the range.
+// Contains reports whether the range contains a hash.
 func (r Range) Contains(hash uint64) bool {
 	return r.First <= hash && hash <= r.Last
 }
 
-// Overlaps reports whether two ranges share a hash.
+// Overlaps reports whether two ranges have a hash in common.
 func (r Range) Overlaps(o Range) bool {
 	return r.First <= o.Last && o.First <= r.Last
 }
 
-// Width returns the number of hashes in the range as a share of the hash space, in (0, 1].
+// Width returns the share of the hash space that the range covers, in (0, 1].
 func (r Range) Width() float64 {
 	return (float64(r.Last-r.First) + 1) / (1 << 63) / 2
 }
 
-// String returns the text form: two 16-digit hexadecimal numbers joined by a hyphen.
+// String returns First and Last as 16-digit hexadecimal numbers joined by a hyphen.
 func (r Range) String() string {
 	return fmt.Sprintf("%016x-%016x", r.First, r.Last)
 }
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// ParseRange parses the text form of a range.
+// ParseRange parses the form that Range.String returns. It returns ErrRange for other text and
+// if Last is below First.
 func ParseRange(text string) (Range, error) {
 	first, last, found := strings.Cut(text, "-")
 	if !found || len(first) != 16 || len(last) != 16 {
--- a/pkg/keys/sets.go
+++ b/pkg/keys/sets.go
@@ -1,7 +1,7 @@
 package keys
 
-// Union returns the sorted, disjoint ranges that cover what a or b cover. Ranges that touch
-// are joined.
+// Union returns the sorted, disjoint ranges of the hashes that a or b covers. Adjacent and
+// overlapping ranges are joined. The arguments may be in any order and overlap.
 func Union(a, b []Range) []Range {
 	all := make([]Range, 0, len(a)+len(b))
 	all = append(all, a...)
@@ -19,13 +19,12 @@
 	return joined
 }
 
-// touches reports whether b, which does not begin before a, overlaps a or follows it without
-// a gap.
+// touches reports whether b overlaps a or is adjacent to it. It expects b not to begin before a.
 func touches(a, b Range) bool {
 	return a.Last == ^uint64(0) || b.First <= a.Last+1
 }
 
-// Intersect returns the sorted, disjoint ranges that both a and b cover.
+// Intersect returns the sorted, disjoint ranges of the hashes that both a and b cover.
 func Intersect(a, b []Range) []Range {
 	a, b = Union(a, nil), Union(b, nil)
 	var common []Range
@@ -43,12 +42,12 @@
 	return common
 }
 
-// Subtract returns the sorted, disjoint ranges that a covers and b does not.
+// Subtract returns the sorted, disjoint ranges of the hashes that a covers and b does not.
 func Subtract(a, b []Range) []Range {
 	return Intersect(a, complement(Union(b, nil)))
 }
 
-// complement returns what sorted, disjoint ranges leave of the hash space.
+// complement returns the gaps that sorted, disjoint ranges leave in the hash space.
 func complement(ranges []Range) []Range {
 	var gaps []Range
 	next := uint64(0)
@@ -64,7 +63,7 @@
 	return append(gaps, Range{First: next, Last: ^uint64(0)})
 }
 
-// Covers reports whether a covers all of b.
+// Covers reports whether a covers every hash that b covers.
 func Covers(a, b []Range) bool {
 	return len(Subtract(b, a)) == 0
 }
--- a/pkg/keys/sets_test.go
+++ b/pkg/keys/sets_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// points are the ends of the ranges that the tests draw, so that ranges often touch.
+// points are the possible ends of random ranges: few, so that ranges are often adjacent.
 var points = []uint64{0, 1, 2, 7, 8, 9, 1 << 40, 1<<40 + 1, ^uint64(0) - 1, ^uint64(0)}
 
 func drawRanges(t *rapid.T, label string) []Range {
@@ -25,7 +25,8 @@
 	return false
 }
 
-func TestSetsAgreeWithMembership(t *testing.T) {
+// Checks the set operations hash by hash against Range.Contains.
+func TestSetOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRanges(t, "a"), drawRanges(t, "b")
 		union, common, rest := Union(a, b), Intersect(a, b), Subtract(a, b)
@@ -43,7 +44,7 @@
 			}
 		}
 		if Covers(a, b) != (len(Subtract(b, a)) == 0) || !Covers(union, a) {
-			t.Fatal("covers disagrees")
+			t.Fatal("Covers and Subtract disagree")
 		}
 	})
 }
--- a/pkg/keys/split.go
+++ b/pkg/keys/split.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Split cuts a range into n ranges of equal width, the remainder going to the first ones.
-// It returns fewer ranges when the range has fewer than n hashes.
+// Split divides a range into n adjacent ranges whose widths differ by at most one hash. It
+// returns fewer if the range has fewer than n hashes, and one if n is below 1.
 func Split(r Range, n int) []Range {
 	if n < 1 {
 		n = 1
@@ -28,7 +28,8 @@
 	return parts
 }
 
-// portion returns (span+1)*k/n-1 without overflow, for 0 < k < n.
+// portion returns floor((span+1)*k/n) - 1. The 128-bit product does not overflow. It expects
+// 0 < k < n <= span+1.
 func portion(span, k, n uint64) uint64 {
 	high, low := bits.Mul64(span, k)
 	low, carry := bits.Add64(low, k, 0)
@@ -36,7 +37,7 @@
 	return quotient - 1
 }
 
-// Sort orders ranges by their first hash.
+// Sort sorts ranges in place by their first hash.
 func Sort(ranges []Range) {
 	slices.SortFunc(ranges, func(a, b Range) int {
 		switch {
@@ -50,14 +51,14 @@
 	})
 }
 
-// Find returns the index of the range that contains a hash in a sorted list of disjoint
-// ranges, or -1.
+// Find returns the index of the range that contains a hash, or -1. The ranges must be sorted
+// and disjoint.
 func Find(ranges []Range, hash uint64) int {
 	return FindBy(ranges, hash, func(r Range) Range { return r })
 }
 
-// FindBy returns the index of the item whose range contains a hash in a list that is sorted
-// by disjoint ranges, or -1.
+// FindBy returns the index of the item whose range contains a hash, or -1. The ranges of the
+// items must be sorted and disjoint.
 func FindBy[T any](items []T, hash uint64, rangeOf func(T) Range) int {
 	i, found := slices.BinarySearchFunc(items, hash, func(item T, h uint64) int {
 		r := rangeOf(item)
@@ -76,7 +77,8 @@
 	return i
 }
 
-// Equal reports whether two lists hold the same ranges in the same order.
+// Equal reports whether two lists hold the same ranges in the same order. Lists that cover the
+// same hashes by other ranges are not equal.
 func Equal(a, b []Range) bool {
 	return slices.Equal(a, b)
 }
