--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,41 +1,43 @@
-// Package caller names the headers and outcomes that mustardring exchanges with callers and
-// backend servers over HTTP.
+// Package caller defines the HTTP headers, outcomes and problem documents that mustardring
+// exchanges with callers and backend servers.
 package caller
 
-// Headers of requests.
+// Headers of requests. Callers set them all but HeaderHops and HeaderEpoch.
 const (
-	// HeaderKey carries the key of a request to a divided service.
+	// HeaderKey is the key of a request. In a divided service the request is sent to the server
+	// that owns the key.
 	HeaderKey = "Mustardring-Key"
-	// HeaderRequestID identifies a request over its resends. Callers choose it.
+	// HeaderRequestID is the id that a caller gives to a request. Retries of a request have the
+	// same id.
 	HeaderRequestID = "Idempotency-Key"
-	// HeaderDeadline is the time by which the caller needs the answer, in Unix milliseconds.
+	// HeaderDeadline is the time by which the caller needs the response, in Unix milliseconds.
 	HeaderDeadline = "Mustardring-Deadline"
-	// HeaderIdempotent says "true" when a request may run more than once. Methods that HTTP
-	// defines as idempotent need not say so.
+	// HeaderIdempotent is "true" if the request may run more than once. Requests with a method
+	// that HTTP defines as idempotent don't need it.
 	HeaderIdempotent = "Mustardring-Idempotent"
-	// HeaderHops counts the entry instances that a request has passed.
+	// HeaderHops is the number of entry instances that a forwarded request has passed.
 	HeaderHops = "Mustardring-Hops"
-	// HeaderEpoch is the epoch of the grant under which a request is sent to a server.
+	// HeaderEpoch is the epoch of the grant under which the request is sent to a server.
 	HeaderEpoch = "Mustardring-Epoch"
 )
 
-// Headers of answers.
+// Headers of responses.
 const (
-	// HeaderOutcome says what became of the request: one of the Outcome values.
+	// HeaderOutcome is the Outcome of the request.
 	HeaderOutcome = "Mustardring-Outcome"
-	// HeaderServer names the backend server that ran the request.
+	// HeaderServer is the name of the backend server that ran the request.
 	HeaderServer = "Mustardring-Server"
 )
 
 // Outcome says whether a request ran.
 type Outcome string
 
-// The outcomes.
+// Values of Outcome.
 const (
-	// Ran says that the server ran the request and this is its answer.
+	// Ran means that a server ran the request and the response is that of the server.
 	Ran Outcome = "ran"
-	// NotRun says that no server ran the request, nor will.
+	// NotRun means that no server has run the request or will run it.
 	NotRun Outcome = "not-run"
-	// Unknown says that the request may have run.
+	// Unknown means that a server may have run the request or may still run it.
 	Unknown Outcome = "unknown"
 )
--- a/pkg/caller/problem.go
+++ b/pkg/caller/problem.go
@@ -3,43 +3,48 @@
 // ContentTypeProblem is the media type of a Problem (RFC 9457).
 const ContentTypeProblem = "application/problem+json"
 
-// ProblemPrefix begins the type of each Problem. A Reason follows it.
+// ProblemPrefix is the start of each Problem.Type. Problem.Reason follows it.
 const ProblemPrefix = "urn:mustardring:problem:"
 
-// Headers between entry instances. They are removed from what callers send.
+// Headers that only entry instances set. Those on requests are removed from the requests of
+// callers.
 const (
-	// HeaderRequest carries the request id of each answer, and between instances of each
-	// request, whether the caller chose it or not.
+	// HeaderRequest is the request id on responses and on requests between instances: that of
+	// the caller, or else a generated one.
 	HeaderRequest = "Mustardring-Request"
-	// HeaderCaller is the caller's identity, between which queues are fair.
+	// HeaderCaller is the identity of the caller. Queues are fair between identities.
 	HeaderCaller = "Mustardring-Caller"
-	// HeaderWitness names the entry instance that remembers the request beside the gate.
+	// HeaderWitness is the name of the entry instance that, besides the gate, keeps a copy of
+	// the idempotency record of the request.
 	HeaderWitness = "Mustardring-Witness"
-	// HeaderSending identifies one sending of a request id.
+	// HeaderSending identifies one attempt at a non-idempotent request.
 	HeaderSending = "Mustardring-Sending"
-	// HeaderUnsent says "true" on an answer if this sending did not run, nor will, whatever
-	// became of earlier sendings of the same id.
+	// HeaderUnsent is "true" on a response if this attempt has not run and will not run. Earlier
+	// attempts with the same request id may have run.
 	HeaderUnsent = "Mustardring-Unsent"
 )
 
-// HeaderReplayed says "true" on the answer to an earlier sending of the same request id.
+// HeaderReplayed is "true" on a response that repeats the one to an earlier attempt with the
+// same request id.
 const HeaderReplayed = "Mustardring-Replayed"
 
-// HeaderAttempt counts the sendings of one request id, from 1. A caller who resends and says
-// so gets "not-run" only where no earlier sending can have run.
+// HeaderAttempt is the number of the attempt with one request id, from 1. If a caller sets it
+// on retries, the outcome is NotRun only if no earlier attempt can have run.
 const HeaderAttempt = "Mustardring-Attempt"
 
-// Problem is the body of an answer that mustardring itself gives instead of a server's.
+// Problem is the body of a response that mustardring gives instead of a server (RFC 9457).
 type Problem struct {
-	// Type is ProblemPrefix and the Reason.
-	Type   string `json:"type"`
-	Title  string `json:"title"`
+	// Type is ProblemPrefix followed by Reason.
+	Type  string `json:"type"`
+	Title string `json:"title"`
+	// Status is the HTTP status code of the response.
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
 	// Reason is the last part of Type.
 	Reason  string  `json:"reason"`
 	Outcome Outcome `json:"outcome"`
-	Request string  `json:"request-id"`
-	Service string  `json:"service,omitempty"`
-	Server  string  `json:"server,omitempty"`
+	// Request is the request id, as in HeaderRequest.
+	Request string `json:"request-id"`
+	Service string `json:"service,omitempty"`
+	Server  string `json:"server,omitempty"`
 }
