--- a/pkg/grant/message.go
+++ b/pkg/grant/message.go
@@ -50,7 +50,7 @@
 // Epoch identifies a grant of one server. Epochs are ordered by Term, then by Sequence.
 type Epoch struct {
 	Term Term `json:"term"`
-	// Sequence counts the grants of the server within the term.
+	// Sequence grows with each new set of ranges within the term. Renewals keep it.
 	Sequence uint64 `json:"sequence"`
 }
 
