--- a/pkg/bundle/check/check.go
+++ b/pkg/bundle/check/check.go
@@ -1,6 +1,6 @@
-// Package check examines a bundle file before it is published: by the JSON Schema of the
-// format, by the rules of package bundle, and by rules that may grow from release to release
-// because only operators' commands apply them.
+// Package check checks a bundle file before it is published: against the JSON Schema of the
+// format, against the rules of package bundle, and against further rules. The further rules may
+// change from release to release, because only the operators' commands apply them.
 package check
 
 import (
@@ -11,36 +11,39 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// ErrProblems is returned by Problems.Err.
+// ErrProblems is returned by Problems.Err for a list that is not empty.
 var ErrProblems = errors.New("check: the bundle has problems")
 
-// Problem is one fault in a bundle file.
+// Problem is a fault in a bundle file.
 type Problem struct {
 	File string `json:"file"`
-	// Pointer is the JSON pointer to the fault.
-	Pointer  string `json:"pointer"`
+	// Pointer is the JSON pointer to the fault. It is empty if the fault concerns the whole
+	// bundle.
+	Pointer string `json:"pointer"`
+	// Found describes the value at Pointer, and Expected what should be there instead.
 	Found    string `json:"found"`
 	Expected string `json:"expected"`
 }
 
-// String returns one line for people.
+// String returns the problem as one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: %s: found %s, expected %s", p.File, p.Pointer, p.Found, p.Expected)
 }
 
-// Problems is a list of faults.
+// Problems is the list of faults in a bundle file.
 type Problems []Problem
 
-// Err returns nil for an empty list, and otherwise ErrProblems with the first of them.
+// Err returns nil for an empty list, and otherwise ErrProblems with the number of problems and the
+// first of them.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %d, the first is %s", ErrProblems, len(p), p[0])
+	return fmt.Errorf("%w: %d in total, the first is %s", ErrProblems, len(p), p[0])
 }
 
-// File parses and examines the bytes of a bundle file. The bundle is nil when they do not
-// parse. A bundle with problems must not be published.
+// File parses and checks the content of a bundle file. The bundle is nil if the content can't be
+// parsed. A bundle with problems must not be published. Name is used in the problems only.
 func File(name string, data []byte) (*bundle.Bundle, Problems) {
 	problems := Schema(name, data)
 	b, err := bundle.Parse(data)
@@ -56,7 +59,7 @@
 	return b, Bundle(name, b)
 }
 
-// Bundle examines a bundle that fits the schema.
+// Bundle checks a bundle that conforms to the schema. Name is used in the problems only.
 func Bundle(name string, b *bundle.Bundle) Problems {
 	c := checker{file: name, bundle: b}
 	c.domains()
@@ -68,24 +71,27 @@
 	return c.problems
 }
 
+// checker collects the problems of a bundle. The parameter at of its methods is the JSON pointer
+// to the value that they check.
 type checker struct {
-	file     string
-	bundle   *bundle.Bundle
-	problems Problems
-	known    map[string]bool
+	file        string
+	bundle      *bundle.Bundle
+	problems    Problems
+	domainNames map[string]bool
 }
 
 func (c *checker) add(pointer, found, expected string) {
 	c.problems = append(c.problems, Problem{File: c.file, Pointer: pointer, Found: found, Expected: expected})
 }
 
+// domains reports repeated names of domains and sets c.domainNames, which the other checks need.
 func (c *checker) domains() {
-	c.known = make(map[string]bool)
+	c.domainNames = make(map[string]bool)
 	for i, d := range c.bundle.Domains {
-		if c.known[d.Name] {
+		if c.domainNames[d.Name] {
 			c.add(fmt.Sprintf("/domains/%d/name", i), quote(d.Name), "a name that no domain before has")
 		}
-		c.known[d.Name] = true
+		c.domainNames[d.Name] = true
 	}
 }
 
@@ -99,7 +105,8 @@
 	}
 }
 
-// unique reports a name that stood before, and where.
+// unique reports a name or address that occurred before. Seen maps each one to the JSON pointer
+// where it occurred first.
 func (c *checker) unique(seen map[string]string, at, name string) {
 	if before, found := seen[name]; found {
 		c.add(at, quote(name), "another name or address than that at "+before)
@@ -108,12 +115,14 @@
 	seen[name] = at
 }
 
+// domain reports a name that is not one of the domains.
 func (c *checker) domain(at, name string) {
-	if !c.known[name] {
+	if !c.domainNames[name] {
 		c.add(at, quote(name), "the name of one of /domains")
 	}
 }
 
+// address reports an address that is not an IP address with a port.
 func (c *checker) address(at, address string) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 {
--- a/pkg/bundle/check/check_test.go
+++ b/pkg/bundle/check/check_test.go
@@ -15,6 +15,7 @@
 	"example.org/mustardring/pkg/keys"
 )
 
+// sample returns a bundle without problems.
 func sample() *bundle.Bundle {
 	signer := func(name string, roles ...bundle.Role) bundle.Signer {
 		seed := []byte(strings.Repeat(name[:1], ed25519.SeedSize))
@@ -50,33 +51,33 @@
 	tests := map[string]struct {
 		change  func(b *bundle.Bundle)
 		pointer string
-		words   string
+		text    string // is part of the first problem
 	}{
-		"good":            {change: func(*bundle.Bundle) {}},
-		"unknown domain":  {change: func(b *bundle.Bundle) { b.Services[0].Servers[1].Domain = "hlev" }, pointer: "/services/0/servers/1/domain", words: `found "hlev"`},
-		"unknown home":    {change: func(b *bundle.Bundle) { b.Services[0].Homes[1].Domain = "hlev" }, pointer: "/services/0/homes/1/domain", words: `"hlev"`},
-		"two services":    {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Name = "pregled-1" }, pointer: "/services/1/servers/0/name", words: "/services/0/servers/0/name"},
-		"address twice":   {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "10.0.0.2:80" }, pointer: "/services/1/servers/0/address", words: "/services/0/servers/1/address"},
-		"name address":    {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "klet.example.org:80" }, pointer: "/services/1/servers/0/address", words: "an IP number"},
-		"no port":         {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "10.0.0.9" }, pointer: "/services/1/servers/0/address", words: "a port"},
-		"no weight":       {change: func(b *bundle.Bundle) { b.Services[0].Weights = bundle.Weights{} }, pointer: "/services/0/weights", words: "all zero"},
-		"weight of churn": {change: func(b *bundle.Bundle) { b.Services[0].Weights.Imbalance = 0 }, pointer: "/services/0/weights/imbalance", words: "above zero"},
-		"no capacity":     {change: func(b *bundle.Bundle) { b.Services[0].Load.RunMillis = 50 }, pointer: "/services/0/load", words: "5.0 slots busy"},
+		"no problems":     {change: func(*bundle.Bundle) {}},
+		"unknown domain":  {change: func(b *bundle.Bundle) { b.Services[0].Servers[1].Domain = "hlev" }, pointer: "/services/0/servers/1/domain", text: `found "hlev"`},
+		"unknown home":    {change: func(b *bundle.Bundle) { b.Services[0].Homes[1].Domain = "hlev" }, pointer: "/services/0/homes/1/domain", text: `"hlev"`},
+		"two services":    {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Name = "pregled-1" }, pointer: "/services/1/servers/0/name", text: "/services/0/servers/0/name"},
+		"address twice":   {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "10.0.0.2:80" }, pointer: "/services/1/servers/0/address", text: "/services/0/servers/1/address"},
+		"name address":    {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "klet.example.org:80" }, pointer: "/services/1/servers/0/address", text: "an IP number"},
+		"no port":         {change: func(b *bundle.Bundle) { b.Services[1].Servers[0].Address = "10.0.0.9" }, pointer: "/services/1/servers/0/address", text: "a port"},
+		"no weight":       {change: func(b *bundle.Bundle) { b.Services[0].Weights = bundle.Weights{} }, pointer: "/services/0/weights", text: "all zero"},
+		"weight of churn": {change: func(b *bundle.Bundle) { b.Services[0].Weights.Imbalance = 0 }, pointer: "/services/0/weights/imbalance", text: "above zero"},
+		"no capacity":     {change: func(b *bundle.Bundle) { b.Services[0].Load.RunMillis = 50 }, pointer: "/services/0/load", text: "5.0 slots busy"},
 		"no capacity in one home": {change: func(b *bundle.Bundle) {
 			b.Services[0].Homes[0].Share = 2
 			b.Services[0].Load.PerSecond = 200
-		}, pointer: "/services/0/load", words: `"klet"`},
-		"home without servers": {change: func(b *bundle.Bundle) { b.Services[0].Servers[0].Leaving = true }, pointer: "/services/0/homes", words: `"klet"`},
-		"homes, not divided":   {change: func(b *bundle.Bundle) { b.Services[1].Homes = b.Services[0].Homes }, pointer: "/services/1/homes", words: "not divided"},
+		}, pointer: "/services/0/load", text: `"klet"`},
+		"home without servers": {change: func(b *bundle.Bundle) { b.Services[0].Servers[0].Leaving = true }, pointer: "/services/0/homes", text: `"klet"`},
+		"homes, not divided":   {change: func(b *bundle.Bundle) { b.Services[1].Homes = b.Services[0].Homes }, pointer: "/services/1/homes", text: "not divided"},
 		"ranges off their shares": {change: func(b *bundle.Bundle) {
 			b.Services[0].Homes[0].Ranges = []keys.Range{{First: 0, Last: 1 << 62}}
 			b.Services[0].Homes[1].Ranges = []keys.Range{{First: 1<<62 + 1, Last: keys.Full.Last}}
-		}, pointer: "/services/0/homes/0/ranges", words: "25.0%"},
+		}, pointer: "/services/0/homes/0/ranges", text: "25.0%"},
 		"instance twice": {change: func(b *bundle.Bundle) {
 			one := bundle.Instance{Name: "klet-1", Domain: "klet", Address: "10.0.1.1:80"}
 			b.Instances = []bundle.Instance{one, one}
-		}, pointer: "/instances/1/name", words: "klet-1"},
-		"nobody to approve": {change: func(b *bundle.Bundle) { b.Signers[1].Revoked = true }, words: "no publisher with another approver"},
+		}, pointer: "/instances/1/name", text: "klet-1"},
+		"no approver": {change: func(b *bundle.Bundle) { b.Signers[1].Revoked = true }, text: "no publisher with another approver"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -86,18 +87,18 @@
 			data, err := json.Marshal(b)
 			is.NoErr(err)
 			_, problems := check.File("bundle.json", data)
-			if tt.words == "" {
+			if tt.text == "" {
 				is.NoErr(problems.Err())
 				return
 			}
 			is.True(len(problems) > 0)
 			is.Equal(problems[0].Pointer, tt.pointer)
-			is.True(strings.Contains(problems[0].String(), tt.words))
+			is.True(strings.Contains(problems[0].String(), tt.text))
 		})
 	}
 }
 
-func TestSchemaNamesPointerFoundAndExpected(t *testing.T) {
+func TestSchemaProblems(t *testing.T) {
 	data, err := json.Marshal(sample())
 	if err != nil {
 		t.Fatal(err)
@@ -130,11 +131,11 @@
 	}
 }
 
-// The bundles of the examples lack only their signers, which differ at each trial.
+// The bundles of the examples have no signers, since keys are generated for each run.
 func TestExampleBundles(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "..", "examples", "*", "bundle.json"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("no examples", err)
+		t.Fatal("no example bundles found", err)
 	}
 	for _, file := range files {
 		t.Run(file, func(t *testing.T) {
--- a/pkg/bundle/check/schema.go
+++ b/pkg/bundle/check/schema.go
@@ -22,11 +22,12 @@
 
 const schemaURL = "https://example.org/mustardring/bundle-1.json"
 
-// maxFound bounds the text of a value in a Problem.
-const maxFound = 60
+// maxFoundBytes is the largest length of the JSON of a value in Problem.Found.
+const maxFoundBytes = 60
 
-// compiled compiles the embedded schema, which a test shows to be correct.
-var compiled = sync.OnceValue(func() *jsonschema.Schema {
+// compiledSchema returns the embedded schema, compiled at the first call. It panics if the schema
+// is malformed, which the tests of this package would show.
+var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(SchemaJSON))
 	if err != nil {
 		panic(err)
@@ -38,13 +39,14 @@
 	return c.MustCompile(schemaURL)
 })
 
-// Schema examines the bytes of a bundle file by the JSON Schema.
+// Schema checks the content of a bundle file against the JSON Schema. Name is used in the problems
+// only.
 func Schema(name string, data []byte) Problems {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return Problems{{File: name, Found: err.Error(), Expected: "one JSON object"}}
 	}
-	err = compiled().Validate(value)
+	err = compiledSchema().Validate(value)
 	if err == nil {
 		return nil
 	}
@@ -57,6 +59,7 @@
 	return r.problems
 }
 
+// reporter converts the errors of the schema validator to problems.
 type reporter struct {
 	file     string
 	value    any
@@ -64,7 +67,7 @@
 	problems Problems
 }
 
-// report adds the innermost causes, which say what is wrong where.
+// report adds a problem for each innermost cause of e. Only these say what is wrong at which place.
 func (r *reporter) report(e *jsonschema.ValidationError) {
 	for _, cause := range e.Causes {
 		r.report(cause)
@@ -80,6 +83,7 @@
 	})
 }
 
+// pointer returns the JSON pointer to a location (RFC 6901).
 func pointer(location []string) string {
 	var b strings.Builder
 	for _, step := range location {
@@ -89,6 +93,7 @@
 	return b.String()
 }
 
+// find returns the part of a JSON value at a location, or nil.
 func find(value any, location []string) any {
 	for _, step := range location {
 		switch v := value.(type) {
@@ -105,6 +110,7 @@
 	return value
 }
 
+// describe returns the size of an object or array, and other values as JSON, cut to maxFoundBytes.
 func describe(value any) string {
 	switch v := value.(type) {
 	case map[string]any:
@@ -116,8 +122,8 @@
 	if err != nil {
 		return fmt.Sprint(value)
 	}
-	if len(text) > maxFound {
-		return string(text[:maxFound]) + "..."
+	if len(text) > maxFoundBytes {
+		return string(text[:maxFoundBytes]) + "..."
 	}
 	return string(text)
 }
--- a/pkg/bundle/check/service.go
+++ b/pkg/bundle/check/service.go
@@ -6,6 +6,8 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
+// services checks the services and their servers. The names and addresses of servers must be
+// unique across all services.
 func (c *checker) services() {
 	names := make(map[string]string)
 	servers, addresses := make(map[string]string), make(map[string]string)
@@ -26,7 +28,8 @@
 	}
 }
 
-// homes reports domains that are unknown, stand twice, or have no server for their keys.
+// homes reports homes of a service that is not divided, homes whose domain is unknown, occurs twice,
+// or has keys but no server to own them, and homes whose shares are all zero.
 func (c *checker) homes(at string, s *bundle.Service) {
 	if !s.Divided && len(s.Homes) > 0 {
 		c.add(at+"/homes", fmt.Sprintf("%d homes", len(s.Homes)), "none, since the service is not divided")
@@ -55,11 +58,12 @@
 	}
 }
 
-// maxDrift is how far the stated ranges of a home may be from its share of the space.
-const maxDrift = 0.001
+// maxShareDeviation is the largest difference between the width of a home's ranges and its share,
+// both as parts of the hash space.
+const maxShareDeviation = 0.001
 
-// statedRanges reports homes whose ranges no longer fit their shares: somebody changed a
-// share, which has no effect while ranges are stated.
+// statedRanges reports homes whose ranges don't match their shares. This happens if a share is
+// changed, which has no effect as long as there are ranges.
 func (c *checker) statedRanges(at string, s *bundle.Service) {
 	total := 0
 	stated := false
@@ -76,13 +80,14 @@
 			width += r.Width()
 		}
 		want := float64(h.Share) / float64(total)
-		if width < want-maxDrift || width > want+maxDrift {
+		if width < want-maxShareDeviation || width > want+maxShareDeviation {
 			c.add(fmt.Sprintf("%s/homes/%d/ranges", at, j), fmt.Sprintf("%.1f%% of the keys", 100*width),
 				fmt.Sprintf("%.1f%% as the share says; `plan --settle` proposes ranges", 100*want))
 		}
 	}
 }
 
+// slotsByDomain returns the slots of the servers of each domain that are not leaving.
 func slotsByDomain(s *bundle.Service) map[string]int {
 	slots := make(map[string]int)
 	for _, v := range s.Servers {
@@ -93,7 +98,8 @@
 	return slots
 }
 
-// weights reports weights by which no placement is better than another.
+// weights reports weights that are all zero, with which all placements cost the same, and a zero
+// weight of imbalance, with which full servers keep their keys.
 func (c *checker) weights(at string, w bundle.Weights) {
 	if w.Imbalance == 0 && w.Churn == 0 && w.Unavailable == 0 {
 		c.add(at+"/weights", "all zero", "at least one above zero")
@@ -104,7 +110,8 @@
 	}
 }
 
-// capacity compares the stated load with the slots of the servers that stay, in each home.
+// capacity reports a stated load that needs more slots than the servers that are not leaving have,
+// in total or, in a divided service, in one domain.
 func (c *checker) capacity(at string, s *bundle.Service) {
 	need := s.Load.Slots()
 	if need == 0 {
