--- a/pkg/bundle/bench_test.go
+++ b/pkg/bundle/bench_test.go
@@ -10,39 +10,43 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// sizes are the numbers of servers: of today, of a large site, and of the target.
-var sizes = []int{50, 1000, 19000}
+// serverCounts are the numbers of servers of a small site, of a large site, and of the largest
+// site that is to be supported.
+var serverCounts = []int{50, 1000, 19000}
 
-// change returns the proofs before and after one server in the middle is marked as leaving.
-func change(b *testing.B, servers int) (before, after bundle.Proof) {
-	before = prove(b, large(1, servers), bundle.Proof{})
-	next := large(2, servers)
+// changeOneServer returns the proofs before and after one server in the middle is marked as
+// leaving.
+func changeOneServer(b *testing.B, servers int) (before, after bundle.Proof) {
+	before = prove(b, largeBundle(1, servers), bundle.Proof{})
+	next := largeBundle(2, servers)
 	s := next.Services[1].Servers
 	s[len(s)/2].Leaving = true
 	return before, prove(b, next, before)
 }
 
+// eachSize runs a benchmark for each number of servers.
 func eachSize(b *testing.B, run func(b *testing.B, before, after bundle.Proof)) {
-	for _, n := range sizes {
+	for _, n := range serverCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			before, after := change(b, n)
+			before, after := changeOneServer(b, n)
 			b.ReportAllocs()
 			run(b, before, after)
 		})
 	}
 }
 
+// sizeOf returns the length of v as JSON.
 func sizeOf(b *testing.B, v any) float64 {
 	data, err := json.Marshal(v)
 	is.New(b).NoErr(err)
 	return float64(len(data))
 }
 
-// BenchmarkProof is the cost of taking over a whole bundle from a peer.
+// BenchmarkProof measures the verification of a whole bundle from a peer.
 func BenchmarkProof(b *testing.B) {
 	eachSize(b, func(b *testing.B, _, after bundle.Proof) {
 		for b.Loop() {
-			if _, err := after.Verify(crew()); err != nil {
+			if _, err := after.Verify(sampleSigners()); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -50,14 +54,14 @@
 	})
 }
 
-// BenchmarkUpdate is the cost of taking over the change of one server.
+// BenchmarkUpdate measures the verification of an update that changes one server.
 func BenchmarkUpdate(b *testing.B) {
 	eachSize(b, func(b *testing.B, before, after bundle.Proof) {
-		held := hold(b, before)
-		u, err := bundle.NewUpdate(held, hold(b, after))
+		held := openHeld(b, before)
+		u, err := bundle.NewUpdate(held, openHeld(b, after))
 		is.New(b).NoErr(err)
 		for b.Loop() {
-			if _, err := u.Apply(held, crew()); err != nil {
+			if _, err := u.Apply(held, sampleSigners()); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -65,10 +69,10 @@
 	})
 }
 
-// BenchmarkNewUpdate is the cost at the instance that reads the log.
+// BenchmarkNewUpdate measures the making of an update, which the instance that reads the log does.
 func BenchmarkNewUpdate(b *testing.B) {
 	eachSize(b, func(b *testing.B, before, after bundle.Proof) {
-		held, next := hold(b, before), hold(b, after)
+		held, next := openHeld(b, before), openHeld(b, after)
 		for b.Loop() {
 			if _, err := bundle.NewUpdate(held, next); err != nil {
 				b.Fatal(err)
@@ -77,18 +81,18 @@
 	})
 }
 
-// BenchmarkVerifyRelease is the cost of the three signatures alone.
+// BenchmarkVerifyRelease measures the verification of the three signatures alone.
 func BenchmarkVerifyRelease(b *testing.B) {
-	_, after := change(b, 50)
+	_, after := changeOneServer(b, 50)
 	for b.Loop() {
-		if err := bundle.VerifyRelease(after.Signed.Statement, after.Approval, after.Roll, crew()); err != nil {
+		if err := bundle.VerifyRelease(after.Signed.Statement, after.Approval, after.Roll, sampleSigners()); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkHash, BenchmarkParse, BenchmarkValidate and BenchmarkCanonical are the parts of
-// the cost that grow with the bundle.
+// BenchmarkHash, BenchmarkParse, BenchmarkValidate and BenchmarkCanonical measure the steps of
+// the verification whose cost grows with the bundle.
 func BenchmarkHash(b *testing.B) {
 	eachSize(b, func(b *testing.B, _, after bundle.Proof) {
 		for b.Loop() {
--- a/pkg/bundle/canonical.go
+++ b/pkg/bundle/canonical.go
@@ -9,21 +9,21 @@
 	"io"
 )
 
-// ErrParse is returned for bytes that are not a bundle of this format.
+// ErrParse is returned for data that is not a bundle in this format.
 var ErrParse = errors.New("bundle: malformed")
 
-// ErrNewerFormat is returned for a bundle of a format that this release does not know. It
-// is not malformed: a newer release may read it.
+// ErrNewerFormat is returned for a bundle in a format that this release does not know. Such a
+// bundle is not malformed: a newer release may accept it.
 var ErrNewerFormat = errors.New("bundle: newer format")
 
-// Canonical returns the canonical form: JSON without white space, members in the order of
-// the fields of Bundle, absent lists as empty ones, optional members that are empty left
-// out, and no escapes beyond those which JSON demands. Equal bundles have equal forms.
+// Canonical returns the canonical form: JSON without white space, with members in the order of
+// the struct fields, nil lists as empty lists, empty optional members omitted, and no HTML
+// escapes. Equal bundles have equal canonical forms.
 func (b *Bundle) Canonical() ([]byte, error) {
-	return encode(b.normal())
+	return encode(b.normalized())
 }
 
-// Hash returns the SHA-256 of a canonical form.
+// Hash returns the SHA-256 of the canonical form of a bundle.
 func Hash(canonical []byte) []byte {
 	sum := sha256.Sum256(canonical)
 	return sum[:]
@@ -31,15 +31,16 @@
 
 // HashSigners returns the SHA-256 of the canonical form of a list of signers.
 func HashSigners(signers []Signer) ([]byte, error) {
-	canonical, err := encode(normalSigners(signers))
+	canonical, err := encode(normalizedSigners(signers))
 	if err != nil {
 		return nil, err
 	}
 	return Hash(canonical), nil
 }
 
-// Parse parses a bundle. Unknown members, repeated documents and other formats are refused.
-// It does not check that the parts agree with each other: see Validate.
+// Parse parses a bundle from JSON. It returns ErrParse for unknown members and for data after
+// the bundle, and ErrNewerFormat for a newer format. It does not validate the content: see
+// Validate.
 func Parse(data []byte) (*Bundle, error) {
 	var b Bundle
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -51,7 +52,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrParse, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("%w: text after the bundle", ErrParse)
+		return nil, fmt.Errorf("%w: data after the bundle", ErrParse)
 	}
 	switch {
 	case b.Format > FormatVersion:
@@ -63,8 +64,8 @@
 	}
 }
 
-// isNewer reports whether bytes that do not parse are JSON of a newer format, whose members
-// this release does not know.
+// isNewer reports whether data that Parse cannot decode is a bundle in a newer format. Such a
+// bundle may have members that this release does not know.
 func isNewer(data []byte) bool {
 	var head struct {
 		Format int `json:"format"`
@@ -72,36 +73,37 @@
 	return json.Unmarshal(data, &head) == nil && head.Format > FormatVersion
 }
 
-// normal returns a copy of b in which absent lists are empty.
-func (b *Bundle) normal() *Bundle {
+// normalized returns a copy of b in which nil lists of required members are empty lists.
+func (b *Bundle) normalized() *Bundle {
 	n := *b
-	n.Signers = normalSigners(b.Signers)
-	n.Domains = present(b.Domains)
+	n.Signers = normalizedSigners(b.Signers)
+	n.Domains = nonNil(b.Domains)
 	n.Services = make([]Service, len(b.Services))
 	for i, s := range b.Services {
-		s.Servers = present(s.Servers)
+		s.Servers = nonNil(s.Servers)
 		n.Services[i] = s
 	}
 	return &n
 }
 
-func normalSigners(signers []Signer) []Signer {
+func normalizedSigners(signers []Signer) []Signer {
 	n := make([]Signer, len(signers))
 	for i, s := range signers {
-		s.PublicKey = present(s.PublicKey)
-		s.Roles = present(s.Roles)
+		s.PublicKey = nonNil(s.PublicKey)
+		s.Roles = nonNil(s.Roles)
 		n[i] = s
 	}
 	return n
 }
 
-func present[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
 	return list
 }
 
+// encode returns v as JSON without HTML escapes and without a final newline.
 func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	e := json.NewEncoder(&buf)
--- a/pkg/bundle/delta.go
+++ b/pkg/bundle/delta.go
@@ -7,52 +7,58 @@
 	"slices"
 )
 
-// Errors of deltas.
+// Errors returned when a delta is applied.
 var (
-	// ErrBase is returned for a delta from another bundle than the one at hand.
+	// ErrBase is returned if the delta was made from another base.
 	ErrBase = errors.New("bundle: delta from another bundle")
-	// ErrDelta is returned for a delta that does not lead to the bundle which it names.
+	// ErrDelta is returned if the edits are out of bounds or the result has another hash than
+	// Delta.Hash.
 	ErrDelta = errors.New("bundle: malformed delta")
 )
 
-// maxServers bounds the servers of one service that a delta may lead to.
+// maxServers is the largest number of servers of one service in the result of a delta.
 const maxServers = 1 << 20
 
-// Delta leads from one bundle to another. Servers, which are many, are edited as parsed
-// values; the rest, which is small, as text. The result is checked by the hash of its whole
-// canonical form, so a wrong delta is noticed, never applied.
+// Delta is the difference between two bundles, the base and the result. Servers, of which there
+// are many, are edited as parsed values. The rest, called the frame, is small and is edited as
+// text. The hash of the whole canonical form of the result is checked, so a wrong delta is never
+// applied.
 type Delta struct {
+	// BaseHash is the hash of the canonical form of the base.
 	BaseHash []byte `json:"base-hash"`
-	Hash     []byte `json:"hash"`
+	// Hash is the hash of the canonical form of the result.
+	Hash []byte `json:"hash"`
 	// Frame edits the canonical form of the bundle without its servers.
 	Frame []TextEdit `json:"frame"`
-	// Servers edits the servers of the services of the frame, in their order. A service that
-	// is left out at the end, or has no edits, keeps its servers.
+	// Servers edits the servers of the services in the resulting frame, in the same order. A
+	// service without an element here keeps its servers.
 	Servers []ServerEdits `json:"servers,omitempty"`
 }
 
-// TextEdit copies Count bytes of the base from From on, and then appends Text.
+// TextEdit copies Count bytes of the base, beginning at the offset From, and then appends Text.
 type TextEdit struct {
 	From  int    `json:"from,omitempty"`
 	Count int    `json:"count,omitempty"`
 	Text  string `json:"text,omitempty"`
 }
 
-// ServerEdits edits the servers of one service. Without edits the service keeps those that
-// the service of the same name has in the base.
+// ServerEdits edits the servers of one service. The base of the edits is the service with the
+// same name, or an empty list if there is none.
 type ServerEdits struct {
+	// Changed is false if the service keeps its servers. Edits are then ignored.
 	Changed bool         `json:"changed,omitempty"`
 	Edits   []ServerEdit `json:"edits,omitempty"`
 }
 
-// ServerEdit copies Count servers of the base from From on, and then appends Servers.
+// ServerEdit copies Count servers of the base, beginning at the index From, and then appends
+// Servers.
 type ServerEdit struct {
 	From    int      `json:"from,omitempty"`
 	Count   int      `json:"count,omitempty"`
 	Servers []Server `json:"servers,omitempty"`
 }
 
-// NewDelta returns the delta between two bundles, given with the hashes of their forms.
+// NewDelta returns the delta from base to next. The hashes are those of their canonical forms.
 func NewDelta(base *Bundle, baseHash []byte, next *Bundle, hash []byte) (Delta, error) {
 	before, err := base.frame().Canonical()
 	if err != nil {
@@ -69,18 +75,18 @@
 	return d, nil
 }
 
-// Apply returns the bundle that the delta leads to and its canonical form. The base must be
-// one whose hash was checked before. It is not changed, but the result shares parts with it.
+// Apply returns the resulting bundle and its canonical form. The caller must have checked that
+// baseHash is the hash of base. Base is not changed, but the result shares memory with it.
 func (d Delta) Apply(base *Bundle, baseHash []byte) (*Bundle, []byte, error) {
 	if !bytes.Equal(d.BaseHash, baseHash) {
-		return nil, nil, fmt.Errorf("%w: from %.4x, at hand is %.4x", ErrBase, d.BaseHash, baseHash)
+		return nil, nil, fmt.Errorf("%w: base hash is %.4x, want %.4x", ErrBase, d.BaseHash, baseHash)
 	}
 	next, err := d.applyFrame(base)
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(d.Servers) > len(next.Services) {
-		return nil, nil, fmt.Errorf("%w: servers of %d services, there are %d", ErrDelta, len(d.Servers), len(next.Services))
+		return nil, nil, fmt.Errorf("%w: server edits for %d services, the bundle has %d", ErrDelta, len(d.Servers), len(next.Services))
 	}
 	for i := range next.Services {
 		s := &next.Services[i]
@@ -97,13 +103,13 @@
 		return nil, nil, err
 	}
 	if !bytes.Equal(Hash(canonical), d.Hash) {
-		return nil, nil, fmt.Errorf("%w: the result has another hash than %.4x", ErrDelta, d.Hash)
+		return nil, nil, fmt.Errorf("%w: hash of the result is not %.4x", ErrDelta, d.Hash)
 	}
 	return next, canonical, nil
 }
 
-// Open returns the bundle that the delta leads to, signed by its publisher's statement, after
-// the checks of Signed.Open.
+// Open applies the delta and returns the resulting bundle, with the publisher's statement and
+// without. It makes the same checks as Signed.Open.
 func (d Delta) Open(base *Bundle, baseHash []byte, published Statement) (Signed, *Bundle, error) {
 	if !bytes.Equal(published.Hash, d.Hash) {
 		return Signed{}, nil, ErrHash
@@ -121,6 +127,7 @@
 	return Signed{Canonical: canonical, Statement: published}, b, nil
 }
 
+// applyFrame returns the resulting bundle without its servers.
 func (d Delta) applyFrame(base *Bundle) (*Bundle, error) {
 	before, err := base.frame().Canonical()
 	if err != nil {
@@ -151,32 +158,34 @@
 	return s.Servers
 }
 
-// serverEdits finds runs of servers that both lists have. A server is found again by name.
+// serverEdits returns the edits from base to next. Runs of unchanged servers, which are found by
+// their names, are copied.
 func serverEdits(base, next []Server) ServerEdits {
 	if slices.Equal(base, next) {
 		return ServerEdits{}
 	}
-	places := make(map[string]int, len(base))
+	positions := make(map[string]int, len(base))
 	for i := range base {
-		places[base[i].Name] = i
+		positions[base[i].Name] = i
 	}
 	var edits []ServerEdit
 	var run ServerEdit
 	for _, v := range next {
-		place, known := places[v.Name]
+		position, known := positions[v.Name]
 		switch {
-		case !known || base[place] != v:
+		case !known || base[position] != v:
 			run.Servers = append(run.Servers, v)
-		case run.Servers == nil && run.Count > 0 && run.From+run.Count == place:
+		case run.Servers == nil && run.Count > 0 && run.From+run.Count == position:
 			run.Count++
 		default:
 			edits = appendServerEdit(edits, run)
-			run = ServerEdit{From: place, Count: 1}
+			run = ServerEdit{From: position, Count: 1}
 		}
 	}
 	return ServerEdits{Changed: true, Edits: appendServerEdit(edits, run)}
 }
 
+// appendServerEdit appends an edit unless it is empty.
 func appendServerEdit(list []ServerEdit, e ServerEdit) []ServerEdit {
 	if e.Count == 0 && len(e.Servers) == 0 {
 		return list
@@ -191,10 +200,10 @@
 	next := make([]Server, 0, len(base))
 	for i, e := range s.Edits {
 		if e.From < 0 || e.Count < 0 || e.From > len(base) || e.Count > len(base)-e.From {
-			return nil, fmt.Errorf("%w: edit %d copies %d servers from %d of %d", ErrDelta, i, e.Count, e.From, len(base))
+			return nil, fmt.Errorf("%w: edit %d copies %d servers from index %d, the base has %d", ErrDelta, i, e.Count, e.From, len(base))
 		}
 		if len(next)+e.Count+len(e.Servers) > maxServers {
-			return nil, fmt.Errorf("%w: more than %d servers", ErrDelta, maxServers)
+			return nil, fmt.Errorf("%w: the result has more than %d servers", ErrDelta, maxServers)
 		}
 		next = append(next, base[e.From:e.From+e.Count]...)
 		next = append(next, e.Servers...)
--- a/pkg/bundle/delta_test.go
+++ b/pkg/bundle/delta_test.go
@@ -14,8 +14,8 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// large returns a bundle with a number of servers over ten domains and three services.
-func large(version uint64, servers int) *bundle.Bundle {
+// largeBundle returns a bundle with servers that are spread over ten domains and three services.
+func largeBundle(version uint64, servers int) *bundle.Bundle {
 	b := sample(version)
 	b.Domains, b.Services = nil, nil
 	for i := range 10 {
@@ -36,7 +36,7 @@
 	return b
 }
 
-// prove returns the proof of a bundle that replaces another.
+// prove publishes, approves and rolls a bundle in place of the held one and returns its proof.
 func prove(t testing.TB, b *bundle.Bundle, held bundle.Proof) bundle.Proof {
 	t.Helper()
 	is := is.New(t)
@@ -46,20 +46,20 @@
 	is.NoErr(err)
 	roll, err := bundle.Roll(signed.Statement, held.Version(), "dora", keyOf("dora"))
 	is.NoErr(err)
-	next, err := held.Next(signed, approval, roll, crew(), crew())
+	next, err := held.Next(signed, approval, roll, sampleSigners(), sampleSigners())
 	is.NoErr(err)
 	return next
 }
 
-// hold returns a version with its bundle.
-func hold(t testing.TB, p bundle.Proof) bundle.Held {
+// openHeld returns a proof together with its bundle.
+func openHeld(t testing.TB, p bundle.Proof) bundle.Held {
 	t.Helper()
 	b, err := p.Signed.Open()
 	is.New(t).NoErr(err)
 	return bundle.Held{Proof: p, Bundle: b}
 }
 
-func TestDeltaLeadsToTheNextBundle(t *testing.T) {
+func TestApplyReturnsTheNextBundle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, next := drawBundle(t, "base"), drawBundle(t, "next")
 		canonical, err := next.Canonical()
@@ -80,13 +80,13 @@
 		}
 		_, got, err := d.Apply(base, []byte("base"))
 		if err != nil || string(got) != string(canonical) {
-			t.Fatalf("got %s, %v, want %s by %s", got, err, canonical, data)
+			t.Fatalf("got %s, error %v, want %s from delta %s", got, err, canonical, data)
 		}
 	})
 }
 
-// drawBundle draws one that need not be valid: services and servers come and go, change and
-// stand in any order.
+// drawBundle draws a bundle, valid or not, with random services and servers in random order. Two
+// drawn bundles often have some of them in common.
 func drawBundle(t *rapid.T, label string) *bundle.Bundle {
 	b := sample(rapid.Uint64Range(1, 3).Draw(t, label+"-version"))
 	b.Services = nil
@@ -100,25 +100,25 @@
 	return b
 }
 
-func TestWrongDeltasAreNoticed(t *testing.T) {
-	one := hold(t, prove(t, large(1, 50), bundle.Proof{}))
-	two := hold(t, prove(t, large(2, 51), one.Proof))
+func TestApplyRefusesWrongDeltas(t *testing.T) {
+	one := openHeld(t, prove(t, largeBundle(1, 50), bundle.Proof{}))
+	two := openHeld(t, prove(t, largeBundle(2, 51), one.Proof))
 	tests := map[string]struct {
 		change func(d *bundle.Delta)
 		want   error
 	}{
-		"right":           {change: func(*bundle.Delta) {}},
-		"other base":      {change: func(d *bundle.Delta) { d.BaseHash = d.Hash }, want: bundle.ErrBase},
-		"other hash":      {change: func(d *bundle.Delta) { d.Hash = d.BaseHash }, want: bundle.ErrDelta},
-		"no server edits": {change: func(d *bundle.Delta) { d.Servers = nil }, want: bundle.ErrDelta},
-		"more services":   {change: func(d *bundle.Delta) { d.Servers = make([]bundle.ServerEdits, 9) }, want: bundle.ErrDelta},
-		"text past end":   {change: func(d *bundle.Delta) { d.Frame[0].Count = 1 << 30 }, want: bundle.ErrDelta},
-		"text before":     {change: func(d *bundle.Delta) { d.Frame[0].From = -1 }, want: bundle.ErrDelta},
-		"text overflow":   {change: func(d *bundle.Delta) { d.Frame[0].From, d.Frame[0].Count = 1, 1<<63-1 }, want: bundle.ErrDelta},
-		"text grows":      {change: func(d *bundle.Delta) { d.Frame = slices.Repeat([]bundle.TextEdit{{Count: 1000}}, 20_000) }, want: bundle.ErrDelta},
-		"servers past":    {change: func(d *bundle.Delta) { d.Servers[2].Edits[0].Count = 1 << 30 }, want: bundle.ErrDelta},
-		"servers before":  {change: func(d *bundle.Delta) { d.Servers[2].Edits[0].From = -1 }, want: bundle.ErrDelta},
-		"servers grow": {change: func(d *bundle.Delta) {
+		"unchanged":            {change: func(*bundle.Delta) {}},
+		"other base":           {change: func(d *bundle.Delta) { d.BaseHash = d.Hash }, want: bundle.ErrBase},
+		"other hash":           {change: func(d *bundle.Delta) { d.Hash = d.BaseHash }, want: bundle.ErrDelta},
+		"no server edits":      {change: func(d *bundle.Delta) { d.Servers = nil }, want: bundle.ErrDelta},
+		"more services":        {change: func(d *bundle.Delta) { d.Servers = make([]bundle.ServerEdits, 9) }, want: bundle.ErrDelta},
+		"text past end":        {change: func(d *bundle.Delta) { d.Frame[0].Count = 1 << 30 }, want: bundle.ErrDelta},
+		"text before start":    {change: func(d *bundle.Delta) { d.Frame[0].From = -1 }, want: bundle.ErrDelta},
+		"text overflow":        {change: func(d *bundle.Delta) { d.Frame[0].From, d.Frame[0].Count = 1, 1<<63-1 }, want: bundle.ErrDelta},
+		"text too long":        {change: func(d *bundle.Delta) { d.Frame = slices.Repeat([]bundle.TextEdit{{Count: 1000}}, 20_000) }, want: bundle.ErrDelta},
+		"servers past end":     {change: func(d *bundle.Delta) { d.Servers[2].Edits[0].Count = 1 << 30 }, want: bundle.ErrDelta},
+		"servers before start": {change: func(d *bundle.Delta) { d.Servers[2].Edits[0].From = -1 }, want: bundle.ErrDelta},
+		"too many servers": {change: func(d *bundle.Delta) {
 			d.Servers[2].Edits = slices.Repeat([]bundle.ServerEdit{{Count: 16}}, 1<<16+1)
 		}, want: bundle.ErrDelta},
 	}
@@ -128,7 +128,7 @@
 			u, err := bundle.NewUpdate(one, two)
 			is.NoErr(err)
 			tt.change(&u.Delta)
-			_, err = u.Apply(one, crew())
+			_, err = u.Apply(one, sampleSigners())
 			is.True(errors.Is(err, tt.want))
 		})
 	}
@@ -136,29 +136,29 @@
 
 func TestUpdate(t *testing.T) {
 	is := is.New(t)
-	one := hold(t, prove(t, large(1, 50), bundle.Proof{}))
-	two := hold(t, prove(t, large(2, 51), one.Proof))
-	three := hold(t, prove(t, large(3, 52), two.Proof))
+	one := openHeld(t, prove(t, largeBundle(1, 50), bundle.Proof{}))
+	two := openHeld(t, prove(t, largeBundle(2, 51), one.Proof))
+	three := openHeld(t, prove(t, largeBundle(3, 52), two.Proof))
 	u, err := bundle.NewUpdate(one, two)
 	is.NoErr(err)
-	got, err := u.Apply(one, crew())
+	got, err := u.Apply(one, sampleSigners())
 	is.NoErr(err)
 	is.Equal(got, two)
-	_, err = u.Apply(two, crew())
+	_, err = u.Apply(two, sampleSigners())
 	is.True(errors.Is(err, bundle.ErrStep))
 	_, err = bundle.NewUpdate(one, three)
 	is.True(errors.Is(err, bundle.ErrStep))
 	u.Roller = u.Approver
-	_, err = u.Apply(one, crew())
+	_, err = u.Apply(one, sampleSigners())
 	is.True(errors.Is(err, bundle.ErrSignature))
 	u.Roller.Signer = "ana"
-	_, err = u.Apply(one, crew())
+	_, err = u.Apply(one, sampleSigners())
 	is.True(errors.Is(err, bundle.ErrSigner))
 }
 
-// All three signers are tricked into a release that goes back, or into one that is not valid.
-// Instances must not follow.
-func TestUpdateRefusesWhatSignersShouldNotHaveSigned(t *testing.T) {
+// All three signers have signed a release with an older version, or one that is not valid.
+// Instances must refuse it nevertheless.
+func TestApplyRefusesWrongReleases(t *testing.T) {
 	tests := map[string]struct {
 		next *bundle.Bundle
 		want error
@@ -169,22 +169,22 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			held := hold(t, prove(t, sample(2), bundle.Proof{}))
-			signed := force(t, tt.next)
+			held := openHeld(t, prove(t, sample(2), bundle.Proof{}))
+			signed := publishUnchecked(t, tt.next)
 			approval, err := bundle.Approve(signed.Statement, "cene", keyOf("cene"))
 			is.NoErr(err)
 			roll, err := bundle.Roll(signed.Statement, 2, "dora", keyOf("dora"))
 			is.NoErr(err)
 			u, err := bundle.NewUpdate(held, bundle.Held{Proof: bundle.Proof{Signed: signed, Approval: approval, Roll: roll}, Bundle: tt.next})
 			is.NoErr(err)
-			_, err = u.Apply(held, crew())
+			_, err = u.Apply(held, sampleSigners())
 			is.True(errors.Is(err, tt.want))
 		})
 	}
 }
 
-// force signs a bundle as its publisher without validating it.
-func force(t *testing.T, b *bundle.Bundle) bundle.Signed {
+// publishUnchecked signs a bundle as its publisher without validating it.
+func publishUnchecked(t *testing.T, b *bundle.Bundle) bundle.Signed {
 	t.Helper()
 	is := is.New(t)
 	canonical, err := b.Canonical()
@@ -199,15 +199,15 @@
 	return bundle.Signed{Canonical: canonical, Statement: st}
 }
 
-// Updates carry no chain of signers; the receiver makes it, also when the signers change.
-func TestUpdateThroughRotations(t *testing.T) {
+// Updates have no chain of signers. The receiver must extend the chain itself if the signers change.
+func TestUpdateAcrossRotations(t *testing.T) {
 	is := is.New(t)
-	proofs := rotate(t, 4)
-	held := hold(t, proofs[1])
+	proofs := rotatedProofs(t, 4)
+	held := openHeld(t, proofs[1])
 	for _, next := range proofs[2:] {
-		u, err := bundle.NewUpdate(held, hold(t, next))
+		u, err := bundle.NewUpdate(held, openHeld(t, next))
 		is.NoErr(err)
-		held, err = u.Apply(held, step(0))
+		held, err = u.Apply(held, signersOf(0))
 		is.NoErr(err)
 		is.Equal(held.Proof, next)
 	}
--- a/pkg/bundle/diff.go
+++ b/pkg/bundle/diff.go
@@ -7,20 +7,23 @@
 	"strings"
 )
 
-// Change is one difference between two versions, in words.
+// Change is one difference between two versions, described for people.
 type Change struct {
 	// Subject is what changes, such as `server "pregled-1"`.
 	Subject string `json:"subject"`
-	Words   string `json:"words"`
+	// Words is how it changes, such as "slots 2 becomes 4".
+	Words string `json:"words"`
 }
 
-// String returns one line for people.
+// String returns the change as one line.
 func (c Change) String() string {
 	return c.Subject + ": " + c.Words
 }
 
-// Diff returns what changes from one version to another, in the order of the later one, with
-// what is removed after what stays. Version numbers are left out.
+// Diff returns the changes from one version to another: those of signers, domains, instances,
+// services, servers and lifted blocks, in this order. Within each kind, they follow the order of
+// the later version, and removals come last. Differences in Format, Version and Follows are left
+// out.
 func Diff(before, after *Bundle) []Change {
 	var d differ
 	diffNamed(&d, "signer", before.Signers, after.Signers, func(s Signer) string { return s.Name }, d.signer)
@@ -32,6 +35,7 @@
 	return d.changes
 }
 
+// differ collects the changes between two versions.
 type differ struct {
 	changes []Change
 }
@@ -40,23 +44,24 @@
 	d.changes = append(d.changes, Change{Subject: subject, Words: fmt.Sprintf(format, args...)})
 }
 
-// value reports a difference between two values of one member.
-func value[T comparable](d *differ, subject, member string, before, after T) {
+// diffValue adds a change if two values of a member differ.
+func diffValue[T comparable](d *differ, subject, member string, before, after T) {
 	if before != after {
 		d.add(subject, "%s %v becomes %v", member, before, after)
 	}
 }
 
-// diffNamed compares two lists of things that have names.
+// diffNamed compares two lists whose elements have unique names. It calls compare for the
+// elements that both lists have.
 func diffNamed[T any](d *differ, kind string, before, after []T, name func(T) string, compare func(subject string, a, b T)) {
 	old := make(map[string]T, len(before))
 	for _, v := range before {
 		old[name(v)] = v
 	}
-	stays := make(map[string]bool, len(after))
+	remains := make(map[string]bool, len(after))
 	for _, v := range after {
 		n := name(v)
-		stays[n] = true
+		remains[n] = true
 		subject := fmt.Sprintf("%s %q", kind, n)
 		if o, known := old[n]; known {
 			compare(subject, o, v)
@@ -65,7 +70,7 @@
 		d.add(subject, "added")
 	}
 	for _, v := range before {
-		if n := name(v); !stays[n] {
+		if n := name(v); !remains[n] {
 			d.add(fmt.Sprintf("%s %q", kind, n), "removed")
 		}
 	}
@@ -75,7 +80,7 @@
 	if !bytes.Equal(a.PublicKey, b.PublicKey) {
 		d.add(subject, "gets another key")
 	}
-	value(d, subject, "roles", roleNames(a.Roles), roleNames(b.Roles))
+	diffValue(d, subject, "roles", roleNames(a.Roles), roleNames(b.Roles))
 	switch {
 	case b.Revoked && !a.Revoked:
 		d.add(subject, "revoked")
@@ -93,31 +98,32 @@
 }
 
 func (d *differ) domain(subject string, a, b Domain) {
-	value(d, subject, "region", fmt.Sprintf("%q", a.Region), fmt.Sprintf("%q", b.Region))
+	diffValue(d, subject, "region", fmt.Sprintf("%q", a.Region), fmt.Sprintf("%q", b.Region))
 }
 
 func (d *differ) instance(subject string, a, b Instance) {
-	value(d, subject, "domain", a.Domain, b.Domain)
-	value(d, subject, "address", a.Address, b.Address)
+	diffValue(d, subject, "domain", a.Domain, b.Domain)
+	diffValue(d, subject, "address", a.Address, b.Address)
 }
 
 func (d *differ) service(subject string, a, b Service) {
-	value(d, subject, "divided", a.Divided, b.Divided)
-	value(d, subject, "isolation", isolation(a), isolation(b))
+	diffValue(d, subject, "divided", a.Divided, b.Divided)
+	diffValue(d, subject, "isolation", isolation(a), isolation(b))
 	d.list(subject+" hot keys", a.HotKeys, b.HotKeys)
 	d.homes(subject, a.Homes, b.Homes)
-	value(d, subject, "weight of imbalance", a.Weights.Imbalance, b.Weights.Imbalance)
-	value(d, subject, "weight of churn", a.Weights.Churn, b.Weights.Churn)
-	value(d, subject, "weight of unavailable time", a.Weights.Unavailable, b.Weights.Unavailable)
-	value(d, subject, "queue", a.Limits.Queue, b.Limits.Queue)
-	value(d, subject, "largest body in bytes", a.Limits.BodyBytes, b.Limits.BodyBytes)
-	value(d, subject, "longest request in ms", a.Limits.RequestMillis, b.Limits.RequestMillis)
-	value(d, subject, "lost servers before a block", a.Limits.CrashServers, b.Limits.CrashServers)
-	value(d, subject, "block in ms", a.Limits.BlockMillis, b.Limits.BlockMillis)
-	value(d, subject, "stated load in slots", a.Load.Slots(), b.Load.Slots())
-	value(d, subject, "share of keys that may move", a.MoveShare, b.MoveShare)
-}
-
+	diffValue(d, subject, "weight of imbalance", a.Weights.Imbalance, b.Weights.Imbalance)
+	diffValue(d, subject, "weight of churn", a.Weights.Churn, b.Weights.Churn)
+	diffValue(d, subject, "weight of unavailable time", a.Weights.Unavailable, b.Weights.Unavailable)
+	diffValue(d, subject, "queue", a.Limits.Queue, b.Limits.Queue)
+	diffValue(d, subject, "largest body in bytes", a.Limits.BodyBytes, b.Limits.BodyBytes)
+	diffValue(d, subject, "longest request in ms", a.Limits.RequestMillis, b.Limits.RequestMillis)
+	diffValue(d, subject, "lost servers before a block", a.Limits.CrashServers, b.Limits.CrashServers)
+	diffValue(d, subject, "block in ms", a.Limits.BlockMillis, b.Limits.BlockMillis)
+	diffValue(d, subject, "stated load in slots", a.Load.Slots(), b.Load.Slots())
+	diffValue(d, subject, "share of keys that may move", a.MoveShare, b.MoveShare)
+}
+
+// isolation returns the isolation rule of a service, the default if it has none.
 func isolation(s Service) Isolation {
 	if s.Isolation == "" {
 		return IsolationHold
@@ -127,20 +133,21 @@
 
 func (d *differ) homes(subject string, before, after []Home) {
 	diffNamed(d, subject+" home", before, after, func(h Home) string { return h.Domain }, func(subject string, a, b Home) {
-		value(d, subject, "share", a.Share, b.Share)
+		diffValue(d, subject, "share", a.Share, b.Share)
 		if !slices.Equal(a.Ranges, b.Ranges) {
 			d.add(subject, "%d stated ranges become %d others", len(a.Ranges), len(b.Ranges))
 		}
 	})
 }
 
-// servers compares the servers of all services at once, so that one which goes from a service
-// to another is told as such.
+// servers compares the servers of all services together, so that a server that moves to another
+// service is reported as a change of its service.
 func (d *differ) servers(before, after *Bundle) {
 	diffNamed(d, "server", placedServers(before), placedServers(after),
 		func(p placedServer) string { return p.server.Name }, d.server)
 }
 
+// placedServer is a server with the name of its service.
 type placedServer struct {
 	service string
 	server  Server
@@ -157,11 +164,11 @@
 }
 
 func (d *differ) server(subject string, a, b placedServer) {
-	value(d, subject, "service", a.service, b.service)
-	value(d, subject, "domain", a.server.Domain, b.server.Domain)
-	value(d, subject, "address", a.server.Address, b.server.Address)
-	value(d, subject, "slots", a.server.Slots, b.server.Slots)
-	value(d, subject, "connections", a.server.Connections, b.server.Connections)
+	diffValue(d, subject, "service", a.service, b.service)
+	diffValue(d, subject, "domain", a.server.Domain, b.server.Domain)
+	diffValue(d, subject, "address", a.server.Address, b.server.Address)
+	diffValue(d, subject, "slots", a.server.Slots, b.server.Slots)
+	diffValue(d, subject, "connections", a.server.Connections, b.server.Connections)
 	switch {
 	case b.server.ChecksGrants && !a.server.ChecksGrants:
 		d.add(subject, "checks its grants from now on")
@@ -176,7 +183,7 @@
 	}
 }
 
-// list compares two sets of words.
+// list compares two sets of strings.
 func (d *differ) list(subject string, before, after []string) {
 	for _, w := range after {
 		if !slices.Contains(before, w) {
--- a/pkg/bundle/example_test.go
+++ b/pkg/bundle/example_test.go
@@ -6,9 +6,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// A bundle comes into force by three statements: of its publisher, of an approver who is
-// somebody else, and of whoever rolls it. Together they are a proof, which an instance checks
-// against its trust anchors alone.
+// A bundle comes into force by three signed statements: of its publisher, of another signer who
+// approves it, and of a signer who rolls it. Together they form a proof, which an instance
+// verifies with nothing but its trust anchors.
 func Example() {
 	b := sample(1)
 	signed, err := bundle.Publish(b, "ana", keyOf("ana"))
@@ -28,7 +28,7 @@
 		fmt.Println(err)
 		return
 	}
-	anchors := crew()
+	anchors := sampleSigners()
 	proof, err := bundle.Proof{}.Next(signed, approval, roll, nil, anchors)
 	if err != nil {
 		fmt.Println(err)
@@ -62,10 +62,11 @@
 	// server "pregled-1": leaves: it gets no new work
 }
 
-// Four domains have equal shares, and the first is to have two. By shares in order the
-// boundaries behind it move as well; stated ranges move only what must move.
+// Four domains have equal shares, and the share of the first one is doubled. If the shares divide
+// the hash space in order, the boundaries behind the first domain move as well. The ranges of
+// SettleHomes move only the keys that have to move.
 func ExampleCompareMoves() {
-	before, after := places(1, 1, 1, 1), places(2, 1, 1, 1)
+	before, after := bundleByShares(1, 1, 1, 1), bundleByShares(2, 1, 1, 1)
 	m := bundle.CompareMoves(before, after)[0]
 	fmt.Printf("%.2f moves, %.2f must\n", m.Between, m.LeastBetween)
 	after.Services[0].Homes = after.SettleHomes(before, "pregled")
@@ -76,8 +77,7 @@
 	// 0.15 moves
 }
 
-// An instance that holds version 1 takes over version 2 by an update, which holds only what
-// changed.
+// An instance that holds version 1 gets to version 2 by an update, which contains only the changes.
 func ExampleUpdate_Apply() {
 	one, two := sample(1), sample(2)
 	two.Services[0].HotKeys = []string{"gauda"}
@@ -87,16 +87,17 @@
 		fmt.Println(err)
 		return
 	}
-	got, err := u.Apply(held, crew())
+	got, err := u.Apply(held, sampleSigners())
 	fmt.Println(got.Bundle.Version, got.Bundle.Services[0].HotKeys, err)
 	// Output:
 	// 2 [gauda] <nil>
 }
 
+// release puts a bundle in force in place of the held one.
 func release(b *bundle.Bundle, held bundle.Held) bundle.Held {
 	signed, _ := bundle.Publish(b, "ana", keyOf("ana"))
 	approval, _ := bundle.Approve(signed.Statement, "cene", keyOf("cene"))
 	roll, _ := bundle.Roll(signed.Statement, held.Proof.Version(), "dora", keyOf("dora"))
-	proof, _ := held.Proof.Next(signed, approval, roll, crew(), crew())
+	proof, _ := held.Proof.Next(signed, approval, roll, sampleSigners(), sampleSigners())
 	return bundle.Held{Proof: proof, Bundle: b}
 }
--- a/pkg/bundle/fixture_test.go
+++ b/pkg/bundle/fixture_test.go
@@ -7,7 +7,7 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// keyOf returns the key of a signer, made from its name.
+// keyOf returns the key of a signer, which is derived from its name.
 func keyOf(name string) ed25519.PrivateKey {
 	seed := sha256.Sum256([]byte(name))
 	return ed25519.NewKeyFromSeed(seed[:])
@@ -17,8 +17,8 @@
 	return bundle.Signer{Name: name, PublicKey: keyOf(name).Public().(ed25519.PublicKey), Roles: roles}
 }
 
-// crew has two publishers and two approvers, who also roll.
-func crew() []bundle.Signer {
+// sampleSigners returns two publishers and two signers who may approve and roll.
+func sampleSigners() []bundle.Signer {
 	return []bundle.Signer{
 		signer("ana", bundle.RolePublish),
 		signer("boris", bundle.RolePublish),
@@ -27,12 +27,13 @@
 	}
 }
 
+// sample returns a valid bundle with one divided service of two servers in two domains.
 func sample(version uint64) *bundle.Bundle {
 	return &bundle.Bundle{
 		Format:  bundle.FormatVersion,
 		Version: version,
 		Follows: version - 1,
-		Signers: crew(),
+		Signers: sampleSigners(),
 		Domains: []bundle.Domain{{Name: "klet"}, {Name: "podstresje"}},
 		Services: []bundle.Service{{
 			Name:    "pregled",
--- a/pkg/bundle/fuzz_test.go
+++ b/pkg/bundle/fuzz_test.go
@@ -10,10 +10,10 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// FuzzParse checks that what parses has one canonical form, and that the rules of the format
-// hold for whatever parses.
+// FuzzParse checks that the canonical form of a parsed bundle can be parsed and does not change
+// then, and that the homes of a valid bundle cover the hash space.
 func FuzzParse(f *testing.F) {
-	for _, b := range []*bundle.Bundle{sample(1), large(2, 20), {}} {
+	for _, b := range []*bundle.Bundle{sample(1), largeBundle(2, 20), {}} {
 		data, err := b.Canonical()
 		if err != nil {
 			f.Fatal(err)
@@ -40,7 +40,7 @@
 		}
 		second, err := again.Canonical()
 		if err != nil || !bytes.Equal(form, second) {
-			t.Fatalf("two forms: %s and %s", form, second)
+			t.Fatalf("two canonical forms: %s and %s", form, second)
 		}
 		if b.Validate() == nil {
 			checkHomes(t, b)
@@ -48,7 +48,7 @@
 	})
 }
 
-// checkHomes checks that the homes of a valid bundle cover the space once.
+// checkHomes checks that the homes of each service cover the hash space exactly once.
 func checkHomes(t *testing.T, b *bundle.Bundle) {
 	for i := range b.Services {
 		next := uint64(0)
@@ -60,12 +60,13 @@
 			next = p.Range.Last + 1
 		}
 		if next != 0 {
-			t.Fatalf("space ends at %016x", next)
+			t.Fatalf("hash space is covered up to %016x only", next)
 		}
 	}
 }
 
-// FuzzStatement checks that no two statements have one signed text.
+// FuzzStatement checks that different statements have different signed texts, and that a statement
+// without a signature does not verify.
 func FuzzStatement(f *testing.F) {
 	signed, err := bundle.Publish(sample(1), "ana", keyOf("ana"))
 	if err != nil {
@@ -84,27 +85,27 @@
 			return
 		}
 		s.Signature, o.Signature = nil, nil
-		same := reflect.DeepEqual(blank(s), blank(o))
+		same := reflect.DeepEqual(withNonNilHashes(s), withNonNilHashes(o))
 		if bytes.Equal(s.Text(), o.Text()) != same {
 			t.Fatalf("%#v and %#v have the texts %q and %q", s, o, s.Text(), o.Text())
 		}
-		if _, err := s.Verify(crew()); err == nil {
-			t.Fatal("a statement without signature verifies")
+		if _, err := s.Verify(sampleSigners()); err == nil {
+			t.Fatal("a statement without a signature was verified")
 		}
 	})
 }
 
-// blank makes empty and absent hashes the same.
-func blank(s bundle.Statement) bundle.Statement {
+// withNonNilHashes replaces nil hashes by empty ones, which have the same text.
+func withNonNilHashes(s bundle.Statement) bundle.Statement {
 	s.Hash = append([]byte{}, s.Hash...)
 	s.Signers = append([]byte{}, s.Signers...)
 	return s
 }
 
-// FuzzUpdate checks that nothing but the update itself leads to another version.
+// FuzzUpdate checks that whatever update can be applied results in the signed bundle.
 func FuzzUpdate(f *testing.F) {
-	one := hold(f, prove(f, sample(1), bundle.Proof{}))
-	two := hold(f, prove(f, sample(2), one.Proof))
+	one := openHeld(f, prove(f, sample(1), bundle.Proof{}))
+	two := openHeld(f, prove(f, sample(2), one.Proof))
 	u, err := bundle.NewUpdate(one, two)
 	if err != nil {
 		f.Fatal(err)
@@ -120,9 +121,9 @@
 		if json.Unmarshal(data, &u) != nil {
 			return
 		}
-		got, err := u.Apply(one, crew())
+		got, err := u.Apply(one, sampleSigners())
 		if err == nil && !bytes.Equal(got.Proof.Signed.Canonical, two.Proof.Signed.Canonical) {
-			t.Fatalf("%s leads to %s", data, got.Proof.Signed.Canonical)
+			t.Fatalf("%s results in %s", data, got.Proof.Signed.Canonical)
 		}
 	})
 }
--- a/pkg/bundle/homes.go
+++ b/pkg/bundle/homes.go
@@ -8,19 +8,23 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// maxShare bounds shares and slots, so that their sums cannot overflow.
+// maxShare is the largest share of a home and the largest number of slots of a server. It keeps
+// their sums from overflowing.
 const maxShare = 1 << 20
 
-// HomeRange is the part of the hash space of a service whose home is one failure domain.
+// HomeRange is a range of the hash space of a service and the failure domain that is its home.
 type HomeRange struct {
 	Domain string
 	Range  keys.Range
 }
 
-// HomeRanges divides the hash space of a service between failure domains: by the ranges that
-// its homes state, or else by their shares in the order in which they stand, or, without homes, by the slots of the servers
-// of each domain that do not leave, in the order of Domains. The parts are sorted, disjoint
-// and cover the space. It returns nil for an unknown service and when all shares are zero.
+// HomeRanges returns how the hash space of a service is divided between failure domains: by the
+// ranges that its homes state, else by the shares of the homes in the order of the list. If the
+// service has no homes, the shares are the slots of the servers that are not leaving, by domain
+// in the order of Domains.
+//
+// The ranges of a valid bundle are sorted, disjoint and cover the space. HomeRanges returns nil
+// for an unknown service and if all shares are zero.
 func (b *Bundle) HomeRanges(service string) []HomeRange {
 	s := b.Service(service)
 	if s == nil {
@@ -56,7 +60,7 @@
 	return next == 0 && len(parts) > 0
 }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with the given name, or nil.
 func (b *Bundle) Service(name string) *Service {
 	for i := range b.Services {
 		if b.Services[i].Name == name {
@@ -66,6 +70,8 @@
 	return nil
 }
 
+// shares returns the homes of a service or, if it has none, homes with the slots of each domain
+// as shares.
 func (b *Bundle) shares(s *Service) []Home {
 	if len(s.Homes) > 0 {
 		return s.Homes
@@ -83,6 +89,7 @@
 	return homes
 }
 
+// divide divides the hash space in the order of the homes, in proportion to their shares.
 func divide(homes []Home) []HomeRange {
 	var total uint64
 	for _, h := range homes {
@@ -102,8 +109,8 @@
 	return parts
 }
 
-// boundary returns sum/total of the hash space, rounded down; zero, which is the end of the
-// space modulo its size, when they are equal.
+// boundary returns the first hash behind sum/total of the hash space, rounded down. At the end
+// of the space that is 2^64, which wraps to 0.
 func boundary(sum, total uint64) uint64 {
 	if sum >= total {
 		return 0
--- a/pkg/bundle/homes_test.go
+++ b/pkg/bundle/homes_test.go
@@ -24,7 +24,7 @@
 	is.Equal(b.HomeRanges("absent"), nil)
 }
 
-func TestHomeRangesCoverTheSpaceByShare(t *testing.T) {
+func TestHomeRangesByShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := sample(1)
 		shares := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 1, 12).Draw(t, "shares")
@@ -38,7 +38,7 @@
 		parts := b.HomeRanges("pregled")
 		if total == 0 {
 			if parts != nil {
-				t.Fatalf("parts %v of no shares", parts)
+				t.Fatalf("got %v for shares that are all zero", parts)
 			}
 			return
 		}
@@ -49,12 +49,12 @@
 			}
 			share := homes[p.Domain[0]-'a'].Share
 			if got, want := p.Range.Width(), float64(share)/float64(total); got < want-1e-9 || got > want+1e-9 {
-				t.Fatalf("width %v of share %d in %d", got, share, total)
+				t.Fatalf("width %v for share %d of %d", got, share, total)
 			}
 			next = p.Range.Last + 1
 		}
 		if next != 0 {
-			t.Fatalf("space ends at %016x", next)
+			t.Fatalf("hash space is covered up to %016x only", next)
 		}
 	})
 }
--- a/pkg/bundle/movebench_test.go
+++ b/pkg/bundle/movebench_test.go
@@ -8,10 +8,10 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// bySlots returns a bundle with n servers of equal slots in each of four domains, without
-// homes, so that the slots divide the space.
-func bySlots(n ...int) *bundle.Bundle {
-	b := places(make([]int, len(n))...)
+// bundleBySlots returns a bundle with n[i] servers of equal slots in domain i. The service has no
+// homes, so the slots divide the hash space.
+func bundleBySlots(n ...int) *bundle.Bundle {
+	b := bundleByShares(make([]int, len(n))...)
 	s := &b.Services[0]
 	s.Homes = nil
 	var servers []bundle.Server
@@ -26,33 +26,33 @@
 	return b
 }
 
-// BenchmarkMoves reports, in percent of the keys, what usual changes move: by the rule, by
-// ranges that are settled, and at least.
+// BenchmarkMoves reports how many percent of the keys common changes move: by shares or slots
+// (%rule), by the ranges of SettleHomes (%settled), and at least (%least).
 func BenchmarkMoves(b *testing.B) {
 	changes := []struct {
 		name          string
 		before, after *bundle.Bundle
 	}{
-		{name: "first-share-doubles", before: places(1, 1, 1, 1), after: places(2, 1, 1, 1)},
-		{name: "last-share-doubles", before: places(1, 1, 1, 1), after: places(1, 1, 1, 2)},
-		{name: "second-domain-goes", before: places(1, 1, 1, 1), after: places(1, 0, 1, 1)},
-		{name: "server-added-by-slots", before: bySlots(4, 4, 4, 3), after: bySlots(5, 4, 4, 3)},
-		{name: "server-gone-by-slots", before: bySlots(4, 4, 4, 3), after: bySlots(3, 4, 4, 3)},
+		{name: "first-share-doubles", before: bundleByShares(1, 1, 1, 1), after: bundleByShares(2, 1, 1, 1)},
+		{name: "last-share-doubles", before: bundleByShares(1, 1, 1, 1), after: bundleByShares(1, 1, 1, 2)},
+		{name: "second-domain-goes", before: bundleByShares(1, 1, 1, 1), after: bundleByShares(1, 0, 1, 1)},
+		{name: "server-added-by-slots", before: bundleBySlots(4, 4, 4, 3), after: bundleBySlots(5, 4, 4, 3)},
+		{name: "server-gone-by-slots", before: bundleBySlots(4, 4, 4, 3), after: bundleBySlots(3, 4, 4, 3)},
 	}
 	for _, c := range changes {
 		b.Run(c.name, func(b *testing.B) {
-			var rule bundle.Moves
+			var byRule bundle.Moves
 			for b.Loop() {
-				rule = bundle.CompareMoves(c.before, c.after)[0]
+				byRule = bundle.CompareMoves(c.before, c.after)[0]
 			}
 			settled := *c.after
 			settled.Services = append([]bundle.Service{}, c.after.Services...)
 			settled.Services[0].Homes = settled.SettleHomes(c.before, "pregled")
 			is.New(b).NoErr(settled.Validate())
-			after := bundle.CompareMoves(c.before, &settled)[0]
-			b.ReportMetric(100*rule.Total(), "%rule")
-			b.ReportMetric(100*after.Total(), "%settled")
-			b.ReportMetric(100*after.Least(), "%least")
+			bySettling := bundle.CompareMoves(c.before, &settled)[0]
+			b.ReportMetric(100*byRule.Total(), "%rule")
+			b.ReportMetric(100*bySettling.Total(), "%settled")
+			b.ReportMetric(100*bySettling.Least(), "%least")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/pkg/bundle/moves.go
+++ b/pkg/bundle/moves.go
@@ -6,41 +6,42 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Moves says how many keys of one divided service change owner between two versions. All
-// numbers are shares of the hash space, from 0 to 1.
+// Moves is the estimate of how many keys of a divided service change owner between two versions.
+// All numbers are shares of the hash space, from 0 to 1.
 type Moves struct {
 	Service string `json:"service"`
-	// Between is the share that changes its home domain, LeastBetween the smallest share that
-	// any division by the same shares would change.
-	Between      float64 `json:"between-domains"`
+	// Between is the share of the keys that move to another domain.
+	Between float64 `json:"between-domains"`
+	// LeastBetween is the smallest share that has to move between domains so that each domain
+	// gets its share of the space.
 	LeastBetween float64 `json:"least-between-domains"`
-	// Within is the least share that changes its server inside a home that it keeps.
+	// Within is the smallest share that has to move to another server in the same domain.
 	Within float64 `json:"within-domains"`
-	// Lost is the part of Between and Within whose present server is removed without having
-	// been marked as leaving before.
+	// Lost is the share of the keys whose server is removed without having been marked as
+	// leaving in the version before. It is contained in Between and Within.
 	Lost float64 `json:"lost-servers"`
-	// Flows are the shares that change domain, by origin and destination.
+	// Flows are the shares that move between domains, in the order of the hash space.
 	Flows []Flow `json:"flows"`
 }
 
-// Flow is a share of the hash space that goes from one domain to another.
+// Flow is the share of the hash space that moves from one domain to another.
 type Flow struct {
 	From  string  `json:"from"`
 	To    string  `json:"to"`
 	Share float64 `json:"share"`
 }
 
-// Total is the share of keys that change owner.
+// Total returns the share of the keys that change owner.
 func (m Moves) Total() float64 {
 	return m.Between + m.Within
 }
 
-// Least is the smallest share that must change owner.
+// Least returns the smallest share of the keys that has to change owner.
 func (m Moves) Least() float64 {
 	return m.LeastBetween + m.Within
 }
 
-// CompareMoves returns the moves of each divided service that both versions have.
+// CompareMoves returns the moves of each service that is divided in both versions.
 func CompareMoves(before, after *Bundle) []Moves {
 	var list []Moves
 	for i := range after.Services {
@@ -61,7 +62,7 @@
 		m.Between += f.Share
 	}
 	m.LeastBetween = leastBetween(widths(a), widths(divide(after.shares(s))))
-	kept := overlaps(a, b)
+	kept := keptWidths(a, b)
 	for domain, width := range widths(b) {
 		m.Within += within(old, s, domain, kept[domain], width)
 	}
@@ -69,6 +70,7 @@
 	return m
 }
 
+// widths returns the total width of the ranges of each domain.
 func widths(parts []HomeRange) map[string]float64 {
 	w := make(map[string]float64)
 	for _, p := range parts {
@@ -77,7 +79,8 @@
 	return w
 }
 
-// leastBetween is what the domains that shrink must give away.
+// leastBetween returns the sum of what the domains that shrink lose. It is zero without a
+// division afterwards.
 func leastBetween(before, after map[string]float64) float64 {
 	if len(after) == 0 {
 		return 0
@@ -89,7 +92,7 @@
 	return least
 }
 
-// flows returns the shares that change domain, in the order of the space.
+// flows returns the shares that change domain from a to b, in the order of the hash space.
 func flows(a, b []HomeRange) []Flow {
 	var list []Flow
 	eachOverlap(a, b, func(from, to string, width float64) {
@@ -106,8 +109,8 @@
 	return list
 }
 
-// overlaps returns the share that each domain keeps.
-func overlaps(a, b []HomeRange) map[string]float64 {
+// keptWidths returns the share of the hash space that each domain has in both a and b.
+func keptWidths(a, b []HomeRange) map[string]float64 {
 	kept := make(map[string]float64)
 	eachOverlap(a, b, func(from, to string, width float64) {
 		if from == to {
@@ -117,7 +120,8 @@
 	return kept
 }
 
-// eachOverlap visits the parts of the space that have one domain in a and one in b.
+// eachOverlap calls visit for each part of the hash space that lies in one range of a and one
+// range of b, with their domains.
 func eachOverlap(a, b []HomeRange, visit func(from, to string, width float64)) {
 	i, j := 0, 0
 	for i < len(a) && j < len(b) {
@@ -133,8 +137,9 @@
 	}
 }
 
-// within is the least share that must change server inside a domain, beyond what comes from
-// other domains. Servers are taken to hold keys in proportion to their slots.
+// within returns the smallest share that has to change its server inside a domain, not counting
+// what comes from other domains. Kept is the share that the domain keeps and width its share
+// afterwards. Servers are assumed to own keys in proportion to their slots.
 func within(old, s *Service, domain string, kept, width float64) float64 {
 	before, after := shareBySlots(old, domain), shareBySlots(s, domain)
 	gains := 0.0
@@ -144,7 +149,8 @@
 	return max(0, gains-(width-kept))
 }
 
-// shareBySlots returns the part of a domain's keys that each server that stays should hold.
+// shareBySlots returns the part of a domain's keys, from 0 to 1, that each of its servers should
+// own. Servers that are leaving own none.
 func shareBySlots(s *Service, domain string) map[string]float64 {
 	total := 0
 	for _, v := range s.Servers {
@@ -161,14 +167,16 @@
 	return shares
 }
 
+// lost returns the share of the keys whose server is in old, not leaving, and not in s. Before
+// holds the width of each domain in old.
 func lost(old, s *Service, before map[string]float64) float64 {
-	stays := make(map[string]bool)
+	remains := make(map[string]bool)
 	for _, v := range s.Servers {
-		stays[v.Name] = true
+		remains[v.Name] = true
 	}
 	share := 0.0
 	for _, v := range old.Servers {
-		if !stays[v.Name] && !v.Leaving {
+		if !remains[v.Name] && !v.Leaving {
 			share += shareBySlots(old, v.Domain)[v.Name] * before[v.Domain]
 		}
 	}
--- a/pkg/bundle/moves_test.go
+++ b/pkg/bundle/moves_test.go
@@ -11,8 +11,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// places returns a bundle with a service of two servers in each of some domains.
-func places(shares ...int) *bundle.Bundle {
+// bundleByShares returns a bundle with one domain for each share and a service with two servers in
+// each domain.
+func bundleByShares(shares ...int) *bundle.Bundle {
 	b := sample(1)
 	b.Domains = nil
 	s := &b.Services[0]
@@ -29,32 +30,32 @@
 	return b
 }
 
-func near(a, b float64) bool {
+func almostEqual(a, b float64) bool {
 	return math.Abs(a-b) < 1e-9
 }
 
 func TestCompareMoves(t *testing.T) {
 	tests := map[string]struct {
-		before, after                 *bundle.Bundle
-		change                        func(b *bundle.Bundle)
-		between, least, within, losts float64
+		before, after                *bundle.Bundle
+		change                       func(b *bundle.Bundle)
+		between, least, within, lost float64
 	}{
-		"nothing":          {before: places(1, 1), after: places(1, 1)},
-		"last share grows": {before: places(1, 1), after: places(1, 3), between: 0.25, least: 0.25},
+		"nothing":          {before: bundleByShares(1, 1), after: bundleByShares(1, 1)},
+		"last share grows": {before: bundleByShares(1, 1), after: bundleByShares(1, 3), between: 0.25, least: 0.25},
 		"first share doubles": {
-			before: places(1, 1, 1, 1), after: places(2, 1, 1, 1),
+			before: bundleByShares(1, 1, 1, 1), after: bundleByShares(2, 1, 1, 1),
 			between: 0.3, least: 0.15, // the boundaries behind it move as well
 		},
 		"server leaves": {
-			before: places(1, 1), after: places(1, 1), within: 0.25,
+			before: bundleByShares(1, 1), after: bundleByShares(1, 1), within: 0.25,
 			change: func(b *bundle.Bundle) { b.Services[0].Servers[0].Leaving = true },
 		},
 		"server lost": {
-			before: places(1, 1), after: places(1, 1), within: 0.25, losts: 0.25,
+			before: bundleByShares(1, 1), after: bundleByShares(1, 1), within: 0.25, lost: 0.25,
 			change: func(b *bundle.Bundle) { b.Services[0].Servers = b.Services[0].Servers[1:] },
 		},
 		"server added": {
-			before: places(1, 1), after: places(1, 1), within: 0.5 / 3,
+			before: bundleByShares(1, 1), after: bundleByShares(1, 1), within: 0.5 / 3,
 			change: func(b *bundle.Bundle) {
 				v := b.Services[0].Servers[0]
 				v.Name = "new"
@@ -69,20 +70,22 @@
 				tt.change(tt.after)
 			}
 			m := bundle.CompareMoves(tt.before, tt.after)[0]
-			is.True(near(m.Between, tt.between))
-			is.True(near(m.LeastBetween, tt.least))
-			is.True(near(m.Within, tt.within))
-			is.True(near(m.Lost, tt.losts))
+			is.True(almostEqual(m.Between, tt.between))
+			is.True(almostEqual(m.LeastBetween, tt.least))
+			is.True(almostEqual(m.Within, tt.within))
+			is.True(almostEqual(m.Lost, tt.lost))
 		})
 	}
 }
 
-func TestSettleMovesTheLeast(t *testing.T) {
+// Checks that SettleHomes gives each domain its share and moves no more keys than needed, over a
+// sequence of changes of the shares.
+func TestSettleHomesMovesTheLeast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.SliceOfN(rapid.IntRange(0, 9), 1, 8)
-		before := places(shares.Draw(t, "before")...)
+		before := bundleByShares(shares.Draw(t, "before")...)
 		for range rapid.IntRange(1, 4).Draw(t, "steps") {
-			after := places(shares.Draw(t, "after")...)
+			after := bundleByShares(shares.Draw(t, "after")...)
 			homes := after.SettleHomes(before, "pregled")
 			if homes == nil {
 				return // no share above zero
@@ -97,13 +100,13 @@
 				got[p.Domain] += p.Range.Width()
 			}
 			for _, p := range wanted {
-				if !near(got[p.Domain], p.Range.Width()) {
-					t.Fatalf("%s has %v, want %v", p.Domain, got[p.Domain], p.Range.Width())
+				if !almostEqual(got[p.Domain], p.Range.Width()) {
+					t.Fatalf("domain %s has width %v, want %v", p.Domain, got[p.Domain], p.Range.Width())
 				}
 			}
 			m := bundle.CompareMoves(before, after)[0]
-			if !near(m.Between, m.LeastBetween) {
-				t.Fatalf("moves %v, least %v", m.Between, m.LeastBetween)
+			if !almostEqual(m.Between, m.LeastBetween) {
+				t.Fatalf("%v moves between domains, want the least %v", m.Between, m.LeastBetween)
 			}
 			before = after
 		}
--- a/pkg/bundle/settle.go
+++ b/pkg/bundle/settle.go
@@ -7,10 +7,10 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Settle returns homes with stated ranges that divide the space by the given shares while
-// moving as few keys as possible from the present division. It returns nil when no share is
-// above zero.
-func Settle(present []HomeRange, shares []Home) []Home {
+// Settle returns the homes in shares with ranges that divide the hash space by the shares and
+// move as few keys as possible from the current division. It returns nil if no share is above
+// zero.
+func Settle(current []HomeRange, shares []Home) []Home {
 	wanted := divide(shares)
 	if len(wanted) == 0 {
 		return nil
@@ -18,36 +18,37 @@
 	if len(wanted) == 1 {
 		return withRanges(shares, wanted)
 	}
-	kept, freed, room := keep(present, wanted)
-	kept = append(kept, fill(freed, wanted, room)...)
+	kept, free, missing := keepCurrent(current, wanted)
+	kept = append(kept, assignFree(free, wanted, missing)...)
 	return withRanges(shares, merge(kept))
 }
 
-// keep lets each domain keep what it has, up to its wanted width. It returns what is kept,
-// what is free, and the widths that are still wanted. No width reaches that of the whole
-// space, since two domains at least want some.
-func keep(present, wanted []HomeRange) (kept []HomeRange, freed []keys.Range, room map[string]uint64) {
-	room = make(map[string]uint64)
+// keepCurrent lets each domain keep what it has, up to its wanted width. It returns the ranges
+// that are kept, the ranges that become free, and the width that each domain still misses.
+// Wanted has at least two domains, so no width is that of the whole space, which would overflow.
+func keepCurrent(current, wanted []HomeRange) (kept []HomeRange, free []keys.Range, missing map[string]uint64) {
+	missing = make(map[string]uint64)
 	for _, w := range wanted {
-		room[w.Domain] = w.Range.Last - w.Range.First + 1
+		missing[w.Domain] = w.Range.Last - w.Range.First + 1
 	}
-	if len(present) == 0 {
-		return nil, []keys.Range{keys.Full}, room
+	if len(current) == 0 {
+		return nil, []keys.Range{keys.Full}, missing
 	}
-	for _, p := range present {
-		head, tail, cut := cutAt(p.Range, room[p.Domain])
-		if room[p.Domain] > 0 {
+	for _, p := range current {
+		head, tail, cut := cutAt(p.Range, missing[p.Domain])
+		if missing[p.Domain] > 0 {
 			kept = append(kept, HomeRange{Domain: p.Domain, Range: head})
-			room[p.Domain] -= head.Last - head.First + 1
+			missing[p.Domain] -= head.Last - head.First + 1
 		}
 		if cut {
-			freed = append(freed, tail)
+			free = append(free, tail)
 		}
 	}
-	return kept, freed, room
+	return kept, free, missing
 }
 
-// cutAt cuts a range after width hashes. Without width the tail is the whole range.
+// cutAt cuts a range after width hashes. If width is zero, the tail is the whole range. Cut
+// reports whether there is a tail.
 func cutAt(r keys.Range, width uint64) (head, tail keys.Range, cut bool) {
 	if width == 0 {
 		return keys.Range{}, r, true
@@ -59,27 +60,27 @@
 	return head, keys.Range{First: head.Last + 1, Last: r.Last}, true
 }
 
-// fill gives the free ranges to the domains that have room, in their order.
-func fill(freed []keys.Range, wanted []HomeRange, room map[string]uint64) []HomeRange {
-	var given []HomeRange
+// assignFree assigns the free ranges to the domains that miss some width, in the order of wanted.
+func assignFree(free []keys.Range, wanted []HomeRange, missing map[string]uint64) []HomeRange {
+	var assigned []HomeRange
 	i := 0
-	for _, r := range freed {
+	for _, r := range free {
 		for left := true; left && i < len(wanted); {
 			domain := wanted[i].Domain
-			if room[domain] == 0 {
+			if missing[domain] == 0 {
 				i++
 				continue
 			}
-			head, tail, cut := cutAt(r, room[domain])
-			given = append(given, HomeRange{Domain: domain, Range: head})
-			room[domain] -= head.Last - head.First + 1
+			head, tail, cut := cutAt(r, missing[domain])
+			assigned = append(assigned, HomeRange{Domain: domain, Range: head})
+			missing[domain] -= head.Last - head.First + 1
 			r, left = tail, cut
 		}
 	}
-	return given
+	return assigned
 }
 
-// merge sorts ranges and joins neighbours of one domain.
+// merge sorts ranges and joins adjacent ones of the same domain.
 func merge(parts []HomeRange) []HomeRange {
 	slices.SortFunc(parts, func(a, b HomeRange) int { return cmp.Compare(a.Range.First, b.Range.First) })
 	var merged []HomeRange
@@ -93,6 +94,7 @@
 	return merged
 }
 
+// withRanges returns the homes in shares with the ranges of their domains.
 func withRanges(shares []Home, parts []HomeRange) []Home {
 	homes := make([]Home, len(shares))
 	for i, h := range shares {
@@ -107,8 +109,9 @@
 	return homes
 }
 
-// SettleHomes returns homes for a service of b which move as few keys as possible from the
-// version before. It returns nil for a service that is not divided or was not there before.
+// SettleHomes returns homes for a service of b that move as few keys as possible from the version
+// before. It returns nil if the service is not divided in both versions or has no share above
+// zero.
 func (b *Bundle) SettleHomes(before *Bundle, service string) []Home {
 	s, old := b.Service(service), before.Service(service)
 	if s == nil || old == nil || !s.Divided || !old.Divided {
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -10,43 +10,47 @@
 	"slices"
 )
 
-// Errors of signing and verifying.
+// Errors returned by signing and verifying.
 var (
 	// ErrSigner is returned for a signer that is unknown, revoked or lacks the role.
-	ErrSigner = errors.New("bundle: signer may not do this")
-	// ErrSignature is returned for a signature that does not fit the statement.
+	ErrSigner = errors.New("bundle: signer is not allowed to sign this")
+	// ErrSignature is returned for a signature that does not match the statement and the key.
 	ErrSignature = errors.New("bundle: signature does not verify")
-	// ErrHash is returned when a statement is not about the bundle that it comes with.
+	// ErrHash is returned if a statement does not match the bundle or the other statements that
+	// it is checked with.
 	ErrHash = errors.New("bundle: statement is about another bundle")
-	// ErrSameSigner is returned when the publisher approves its own bundle.
+	// ErrSameSigner is returned if the publisher approves its own bundle.
 	ErrSameSigner = errors.New("bundle: publisher and approver are the same")
-	// ErrCanonical is returned when the signed form is not the canonical one.
+	// ErrCanonical is returned if the signed bytes are not the canonical form of the bundle.
 	ErrCanonical = errors.New("bundle: not in canonical form")
 )
 
-// statementDomain separates the signed text from whatever else a key may sign.
+// statementDomain begins each signed text, so that a signature cannot be used for anything else
+// that the key signs.
 const statementDomain = "mustardring bundle statement v1"
 
-// Text returns the text that is signed: a line that names the purpose, then one line for
-// each field. Names are quoted, so that no two statements have one text.
+// Text returns the text that is signed: a line with the purpose, then one line for each field.
+// Strings are quoted, so that different statements have different texts.
 func (s Statement) Text() []byte {
 	return fmt.Appendf(nil, "%s\nrole %q\nversion %d\nfollows %d\nhash %x\nsigners %x\nsigner %q\n",
 		statementDomain, s.Role, s.Version, s.Follows, s.Hash, s.Signers, s.Signer)
 }
 
-// ID returns the ID of the append of the record that carries the statement. It is the same
-// each time the same signer makes the same statement, so a repeated append is recognised.
+// ID returns the id under which the record with the statement is appended to the log. It depends
+// only on the signed text, so the log recognises a repeated append of the same statement.
 func (s Statement) ID() string {
 	sum := sha256.Sum256(s.Text())
 	return "bundle-" + string(s.Role) + "-" + hex.EncodeToString(sum[:16])
 }
 
+// sign returns the statement with the signature of the key.
 func (s Statement) sign(key ed25519.PrivateKey) Statement {
 	s.Signature = ed25519.Sign(key, s.Text())
 	return s
 }
 
-// Publish validates a bundle and signs it as its publisher.
+// Publish validates a bundle and signs it as its publisher. Signer is the name of the signer to
+// whom the key belongs; whether it may publish is checked by Verify.
 func Publish(b *Bundle, signer string, key ed25519.PrivateKey) (Signed, error) {
 	if err := checkKey(key); err != nil {
 		return Signed{}, err
@@ -73,8 +77,9 @@
 	return Signed{Canonical: canonical, Statement: statement.sign(key)}, nil
 }
 
-// Approve signs the approval of a published bundle. The approver has another name and
-// another key than the publisher; the name is checked here, the key where signers are known.
+// Approve signs the approval of a published bundle. The approver must have another name and
+// another key than the publisher. Approve checks the name; VerifyRelease, which knows the
+// signers, also checks the key.
 func Approve(published Statement, signer string, key ed25519.PrivateKey) (Statement, error) {
 	if err := checkKey(key); err != nil {
 		return Statement{}, err
@@ -88,8 +93,8 @@
 	return s.sign(key), nil
 }
 
-// Roll signs the roll of a published bundle in place of the version in force, which is zero
-// when there is none.
+// Roll signs the roll that puts a published bundle in force in place of the version inForce, or
+// of none if that is zero.
 func Roll(published Statement, inForce uint64, signer string, key ed25519.PrivateKey) (Statement, error) {
 	if err := checkKey(key); err != nil {
 		return Statement{}, err
@@ -101,15 +106,16 @@
 	return s.sign(key), nil
 }
 
+// checkKey checks the length of a key, since ed25519.Sign panics on other lengths.
 func checkKey(key ed25519.PrivateKey) error {
 	if len(key) != ed25519.PrivateKeySize {
-		return fmt.Errorf("%w: private key of %d bytes", ErrSigner, len(key))
+		return fmt.Errorf("%w: private key has %d bytes", ErrSigner, len(key))
 	}
 	return nil
 }
 
-// Verify checks that a statement was signed, in its role, by one of the signers that is not
-// revoked. It returns that signer.
+// Verify checks that the statement was signed by one of the signers, which must not be revoked
+// and must have the role of the statement. It returns that signer.
 func (s Statement) Verify(signers []Signer) (Signer, error) {
 	i := slices.IndexFunc(signers, func(g Signer) bool { return g.Name == s.Signer })
 	if i < 0 {
@@ -120,24 +126,24 @@
 		return Signer{}, fmt.Errorf("%w: %q is revoked", ErrSigner, s.Signer)
 	}
 	if !slices.Contains(signer.Roles, s.Role) {
-		return Signer{}, fmt.Errorf("%w: %q has no role %q", ErrSigner, s.Signer, s.Role)
+		return Signer{}, fmt.Errorf("%w: %q does not have the role %q", ErrSigner, s.Signer, s.Role)
 	}
 	if len(signer.PublicKey) != ed25519.PublicKeySize {
 		return Signer{}, fmt.Errorf("%w: %q has a public key of %d bytes", ErrSigner, s.Signer, len(signer.PublicKey))
 	}
 	if !ed25519.Verify(signer.PublicKey, s.Text(), s.Signature) {
-		return Signer{}, fmt.Errorf("%w: by %q", ErrSignature, s.Signer)
+		return Signer{}, fmt.Errorf("%w: statement of signer %q", ErrSignature, s.Signer)
 	}
 	return signer, nil
 }
 
 // SameBundle reports whether two statements are about the same bundle. It does not compare
-// what they follow.
+// Follows, which differs between the publication and the roll of a bundle.
 func (s Statement) SameBundle(o Statement) bool {
 	return s.Version == o.Version && bytes.Equal(s.Hash, o.Hash) && bytes.Equal(s.Signers, o.Signers)
 }
 
-// Open parses the bundle and checks that it is valid, in canonical form, and what the
+// Open parses the bundle and checks that it is valid, in canonical form and the one that the
 // publisher's statement is about. It does not verify the signature: see Statement.Verify.
 func (s Signed) Open() (*Bundle, error) {
 	b, err := Parse(s.Canonical)
@@ -163,7 +169,8 @@
 	return b, nil
 }
 
-// checkPublished checks what a publisher's statement says of a bundle, but for the hash.
+// checkPublished checks that a publisher's statement matches a bundle in everything but the
+// hash, which the caller checks.
 func (s Statement) checkPublished(b *Bundle) error {
 	signers, err := HashSigners(b.Signers)
 	if err != nil {
@@ -175,11 +182,11 @@
 	return nil
 }
 
-// VerifyRelease checks the three statements that put a version in force against the signers
-// of the version which it replaces.
+// VerifyRelease checks the three statements that put a version in force. Signers are those of
+// the version that it replaces.
 func VerifyRelease(published, approval, roll Statement, signers []Signer) error {
 	if published.Role != RolePublish || approval.Role != RoleApprove || roll.Role != RoleRoll {
-		return fmt.Errorf("%w: roles %q, %q, %q", ErrSigner, published.Role, approval.Role, roll.Role)
+		return fmt.Errorf("%w: roles are %q, %q and %q", ErrSigner, published.Role, approval.Role, roll.Role)
 	}
 	if !published.SameBundle(approval) || published.Follows != approval.Follows || !published.SameBundle(roll) {
 		return ErrHash
@@ -198,8 +205,8 @@
 	return Distinct(publisher, approver)
 }
 
-// Distinct returns an error if publisher and approver share a name or a key: whoever holds
-// one key must not be able to put a bundle in force alone.
+// Distinct returns ErrSameSigner if the publisher and the approver have the same name or the same
+// key, since nobody must be able to put a bundle in force with a single key.
 func Distinct(publisher, approver Signer) error {
 	if publisher.Name == approver.Name || bytes.Equal(publisher.PublicKey, approver.PublicKey) {
 		return fmt.Errorf("%w: %q and %q", ErrSameSigner, publisher.Name, approver.Name)
--- a/pkg/bundle/sign_test.go
+++ b/pkg/bundle/sign_test.go
@@ -9,7 +9,7 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-func TestStatementIsGoodForNothingElse(t *testing.T) {
+func TestVerifyRefusesChangedStatements(t *testing.T) {
 	signed, err := bundle.Publish(sample(3), "ana", keyOf("ana"))
 	if err != nil {
 		t.Fatal(err)
@@ -38,17 +38,17 @@
 			is := is.New(t)
 			s := approval
 			tt.change(&s)
-			_, err := s.Verify(crew())
+			_, err := s.Verify(sampleSigners())
 			is.True(errors.Is(err, tt.want))
 		})
 	}
 }
 
-func TestRevokedSignerVerifiesNothing(t *testing.T) {
+func TestVerifyRefusesRevokedSigner(t *testing.T) {
 	is := is.New(t)
 	signed, err := bundle.Publish(sample(1), "ana", keyOf("ana"))
 	is.NoErr(err)
-	signers := crew()
+	signers := sampleSigners()
 	_, err = signed.Statement.Verify(signers)
 	is.NoErr(err)
 	signers[0].Revoked = true
@@ -77,14 +77,14 @@
 		signed bundle.Signed
 		want   error
 	}{
-		"as published":       {signed: signed},
-		"other bundle":       {signed: bundle.Signed{Canonical: other.Canonical, Statement: signed.Statement}, want: bundle.ErrHash},
-		"white space":        {signed: bundle.Signed{Canonical: append([]byte(" "), signed.Canonical...), Statement: signed.Statement}, want: bundle.ErrCanonical},
-		"trailing text":      {signed: bundle.Signed{Canonical: append(signed.Canonical[:len(signed.Canonical):len(signed.Canonical)], '1'), Statement: signed.Statement}, want: bundle.ErrParse},
-		"newer format":       {signed: bundle.Signed{Canonical: []byte(`{"format":2}`), Statement: signed.Statement}, want: bundle.ErrNewerFormat},
-		"unknown member":     {signed: bundle.Signed{Canonical: []byte(`{"format":1,"colour":2}`), Statement: signed.Statement}, want: bundle.ErrParse},
-		"nothing in it":      {signed: bundle.Signed{Canonical: []byte(`{"format":1}`), Statement: signed.Statement}, want: bundle.ErrInvalid},
-		"approval, not publ": {signed: bundle.Signed{Canonical: signed.Canonical, Statement: bundle.Statement{Role: bundle.RoleApprove}}, want: bundle.ErrHash},
+		"published":      {signed: signed},
+		"other bundle":   {signed: bundle.Signed{Canonical: other.Canonical, Statement: signed.Statement}, want: bundle.ErrHash},
+		"white space":    {signed: bundle.Signed{Canonical: append([]byte(" "), signed.Canonical...), Statement: signed.Statement}, want: bundle.ErrCanonical},
+		"trailing text":  {signed: bundle.Signed{Canonical: append(signed.Canonical[:len(signed.Canonical):len(signed.Canonical)], '1'), Statement: signed.Statement}, want: bundle.ErrParse},
+		"newer format":   {signed: bundle.Signed{Canonical: []byte(`{"format":2}`), Statement: signed.Statement}, want: bundle.ErrNewerFormat},
+		"unknown member": {signed: bundle.Signed{Canonical: []byte(`{"format":1,"colour":2}`), Statement: signed.Statement}, want: bundle.ErrParse},
+		"empty bundle":   {signed: bundle.Signed{Canonical: []byte(`{"format":1}`), Statement: signed.Statement}, want: bundle.ErrInvalid},
+		"approval":       {signed: bundle.Signed{Canonical: signed.Canonical, Statement: bundle.Statement{Role: bundle.RoleApprove}}, want: bundle.ErrHash},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/bundle/text.go
+++ b/pkg/bundle/text.go
@@ -5,19 +5,21 @@
 	"fmt"
 )
 
-// Bounds of edits of text.
+// Limits of text edits.
 const (
-	// minCopy is the number of bytes below which a copy is not worth its description.
-	minCopy = 32
-	// maxFrame bounds the text that edits may lead to.
-	maxFrame = 16 << 20
+	// minCopyBytes is the length of the shortest piece that begins a copy. Shorter pieces take
+	// less space as text than as a new edit.
+	minCopyBytes = 32
+	// maxFrameBytes is the largest length of the resulting text.
+	maxFrameBytes = 16 << 20
 )
 
-// piece is a part of a canonical form that ends with a closing brace.
+// piece is a part of a canonical form, as offsets from (inclusive) and to (exclusive).
 type piece struct {
 	from, to int
 }
 
+// pieces cuts a canonical form after each closing brace.
 func pieces(canonical []byte) []piece {
 	var list []piece
 	for from := 0; from < len(canonical); {
@@ -31,14 +33,14 @@
 	return list
 }
 
-// textEdits finds runs of pieces that both texts have. It takes the first place where a piece
-// stands in the base, and goes on from there as long as the pieces agree.
+// textEdits returns the edits from base to next. It looks up each piece of next in base and copies
+// from its first occurrence there as long as the following text is the same.
 func textEdits(base, next []byte) []TextEdit {
-	places := make(map[string]piece)
+	positions := make(map[string]piece)
 	for _, p := range pieces(base) {
 		text := string(base[p.from:p.to])
-		if _, known := places[text]; !known {
-			places[text] = p
+		if _, known := positions[text]; !known {
+			positions[text] = p
 		}
 	}
 	var list []TextEdit
@@ -50,9 +52,9 @@
 			run.Count += len(text)
 			continue
 		}
-		if place, known := places[string(text)]; known && len(text) >= minCopy {
+		if position, known := positions[string(text)]; known && len(text) >= minCopyBytes {
 			list = appendTextEdit(list, run)
-			run = TextEdit{From: place.from, Count: len(text)}
+			run = TextEdit{From: position.from, Count: len(text)}
 			continue
 		}
 		run.Text += string(text)
@@ -60,6 +62,7 @@
 	return appendTextEdit(list, run)
 }
 
+// appendTextEdit appends an edit unless it is empty.
 func appendTextEdit(list []TextEdit, e TextEdit) []TextEdit {
 	if e.Count == 0 && e.Text == "" {
 		return list
@@ -67,14 +70,15 @@
 	return append(list, e)
 }
 
+// applyText returns the text that results from the edits.
 func applyText(base []byte, edits []TextEdit) ([]byte, error) {
 	next := make([]byte, 0, len(base))
 	for i, e := range edits {
 		if e.From < 0 || e.Count < 0 || e.From > len(base) || e.Count > len(base)-e.From {
-			return nil, fmt.Errorf("%w: edit %d copies %d bytes from %d of %d", ErrDelta, i, e.Count, e.From, len(base))
+			return nil, fmt.Errorf("%w: edit %d copies %d bytes from offset %d, the base has %d", ErrDelta, i, e.Count, e.From, len(base))
 		}
-		if len(next)+e.Count+len(e.Text) > maxFrame {
-			return nil, fmt.Errorf("%w: more than %d bytes", ErrDelta, maxFrame)
+		if len(next)+e.Count+len(e.Text) > maxFrameBytes {
+			return nil, fmt.Errorf("%w: the result has more than %d bytes", ErrDelta, maxFrameBytes)
 		}
 		next = append(next, base[e.From:e.From+e.Count]...)
 		next = append(next, e.Text...)
--- a/pkg/bundle/update.go
+++ b/pkg/bundle/update.go
@@ -5,14 +5,15 @@
 	"fmt"
 )
 
-// ErrStep is returned for an update that does not start at the version held.
-var ErrStep = errors.New("bundle: update from another version")
+// ErrStep is returned for an update that does not start at the held version or does not lead to
+// a higher one.
+var ErrStep = errors.New("bundle: update does not follow the held version")
 
-// Update is one release as it goes from instance to instance: the delta of the bundle and
-// what the signers add. Everything else follows from the version that the receiver holds. An
-// instance that holds another version asks for the whole Proof.
+// Update is one release as instances send it to each other: the delta of the bundle, and the
+// names and signatures of the signers. The receiver computes everything else from the version
+// that it holds. An instance that holds another version needs the whole Proof.
 type Update struct {
-	// Replaces is the version that must be held.
+	// Replaces is the version that the receiver must hold.
 	Replaces  uint64 `json:"replaces"`
 	Delta     Delta  `json:"delta"`
 	Publisher Mark   `json:"publisher"`
@@ -20,22 +21,23 @@
 	Roller    Mark   `json:"roller"`
 }
 
-// Mark is a signer's name and signature.
+// Mark is the name of a signer and the signature of its statement.
 type Mark struct {
 	Signer    string `json:"signer"`
 	Signature []byte `json:"signature"`
 }
 
-// Held is a version that an instance has in force, with its proof.
+// Held is the version that an instance has in force, with its verified proof.
 type Held struct {
 	Proof  Proof
 	Bundle *Bundle
 }
 
-// NewUpdate returns the update between two versions, the later of which replaced the earlier.
+// NewUpdate returns the update from held to next. It returns ErrStep unless next is the release
+// that replaced held.
 func NewUpdate(held, next Held) (Update, error) {
 	if held.Proof.IsZero() || next.Proof.Roll.Follows != held.Proof.Version() {
-		return Update{}, fmt.Errorf("%w: version %d replaced %d, not %d",
+		return Update{}, fmt.Errorf("%w: version %d replaces version %d, not version %d",
 			ErrStep, next.Proof.Version(), next.Proof.Roll.Follows, held.Proof.Version())
 	}
 	d, err := NewDelta(held.Bundle, held.Proof.Signed.Statement.Hash, next.Bundle, next.Proof.Signed.Statement.Hash)
@@ -55,26 +57,26 @@
 	return Mark{Signer: s.Signer, Signature: s.Signature}
 }
 
-// Apply returns the version that an update leads to, verified against the signers of the
-// version held, which the caller verified before.
+// Apply returns the version that results from the update. It verifies the release against the
+// signers of held, which the caller has verified before. For anchors see Proof.Next.
 func (u Update) Apply(held Held, anchors []Signer) (Held, error) {
 	if held.Proof.IsZero() || u.Replaces != held.Proof.Version() {
-		return Held{}, fmt.Errorf("%w: from %d, %d is held", ErrStep, u.Replaces, held.Proof.Version())
+		return Held{}, fmt.Errorf("%w: update from version %d, held version is %d", ErrStep, u.Replaces, held.Proof.Version())
 	}
 	b, canonical, err := u.Delta.Apply(held.Bundle, held.Proof.Signed.Statement.Hash)
 	if err != nil {
 		return Held{}, err
 	}
 	if b.Version <= held.Proof.Version() {
-		return Held{}, fmt.Errorf("%w: to version %d, %d is held", ErrStep, b.Version, held.Proof.Version())
+		return Held{}, fmt.Errorf("%w: update to version %d, held version is %d", ErrStep, b.Version, held.Proof.Version())
 	}
-	about, err := statementOf(b, u.Delta.Hash)
+	unsigned, err := unsignedStatement(b, u.Delta.Hash)
 	if err != nil {
 		return Held{}, err
 	}
-	signed := Signed{Canonical: canonical, Statement: u.Publisher.on(about, RolePublish, b.Follows)}
-	approval := u.Approver.on(about, RoleApprove, b.Follows)
-	roll := u.Roller.on(about, RoleRoll, u.Replaces)
+	signed := Signed{Canonical: canonical, Statement: u.Publisher.complete(unsigned, RolePublish, b.Follows)}
+	approval := u.Approver.complete(unsigned, RoleApprove, b.Follows)
+	roll := u.Roller.complete(unsigned, RoleRoll, u.Replaces)
 	if err := VerifyRelease(signed.Statement, approval, roll, held.Bundle.Signers); err != nil {
 		return Held{}, err
 	}
@@ -88,7 +90,8 @@
 	return Held{Proof: next, Bundle: b}, nil
 }
 
-func statementOf(b *Bundle, hash []byte) (Statement, error) {
+// unsignedStatement returns what all statements about a bundle have in common.
+func unsignedStatement(b *Bundle, hash []byte) (Statement, error) {
 	signers, err := HashSigners(b.Signers)
 	if err != nil {
 		return Statement{}, err
@@ -96,7 +99,8 @@
 	return Statement{Version: b.Version, Hash: hash, Signers: signers}, nil
 }
 
-func (m Mark) on(s Statement, role Role, follows uint64) Statement {
+// complete returns s as the statement in a role that the signer of the mark signed.
+func (m Mark) complete(s Statement, role Role, follows uint64) Statement {
 	s.Role = role
 	s.Follows = follows
 	s.Signer = m.Signer
--- a/pkg/bundle/validate_test.go
+++ b/pkg/bundle/validate_test.go
@@ -28,9 +28,9 @@
 		"role":          {change: func(b *bundle.Bundle) { b.Signers[0].Roles = []bundle.Role{"rule"} }, want: "/signers/0/roles"},
 		"nobody rolls": {change: func(b *bundle.Bundle) {
 			b.Signers[2].Roles, b.Signers[3].Roles = b.Signers[2].Roles[:1], b.Signers[3].Roles[:1]
-		}, want: "somebody who rolls"},
+		}, want: "a signer who may roll"},
 		"nobody publishes":  {change: func(b *bundle.Bundle) { b.Signers[0].Revoked, b.Signers[1].Revoked = true, true }, want: "no publisher"},
-		"one does it all":   {change: oneDoesItAll, want: "no publisher with another approver"},
+		"only one signer":   {change: keepOneSigner, want: "no publisher with another approver"},
 		"domain twice":      {change: func(b *bundle.Bundle) { b.Domains[1].Name = "klet" }, want: "/domains/1/name"},
 		"instance":          {change: func(b *bundle.Bundle) { b.Instances = []bundle.Instance{{Name: "x", Domain: "hlev"}} }, want: "/instances/0/domain"},
 		"service twice":     {change: func(b *bundle.Bundle) { b.Services = append(b.Services, bundle.Service{Name: "pregled"}) }, want: "/services/1/name"},
@@ -70,8 +70,8 @@
 	}
 }
 
-// oneDoesItAll leaves one signer with all roles, who can approve nothing of its own.
-func oneDoesItAll(b *bundle.Bundle) {
+// keepOneSigner leaves one signer with all roles, who cannot approve its own bundles.
+func keepOneSigner(b *bundle.Bundle) {
 	b.Signers = b.Signers[:1]
 	b.Signers[0].Roles = []bundle.Role{bundle.RolePublish, bundle.RoleApprove, bundle.RoleRoll}
 }
--- a/pkg/bundle/voters.go
+++ b/pkg/bundle/voters.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// EnoughVoters is the number of servers that check grants from which on a failure domain
-// needs no other voters: the least of which one may be lost.
+// EnoughVoters is the number of servers that check grants with which a failure domain needs no
+// other voters. It is the smallest number that keeps a majority when one voter is lost.
 const EnoughVoters = 3
 
-// Voters returns the names of the voters of a domain, sorted: its servers that check grants
-// and, where there are fewer than EnoughVoters, the entry instances that the bundle names.
+// Voters returns the sorted names of the voters of a domain: its servers that check grants and,
+// if there are fewer than EnoughVoters, also its entry instances in the bundle.
 func (b *Bundle) Voters(domain string) []string {
 	var names []string
 	for _, s := range b.Services {
@@ -28,18 +28,19 @@
 	return names
 }
 
-// VoterChange is what a version changes in the voters of one domain.
+// VoterChange is the difference between the voters of one domain in two versions.
 type VoterChange struct {
 	Domain  string
 	Added   []string
 	Removed []string
 }
 
-// CompareVoters returns, for the domains of both versions, the changes of more than one voter.
+// CompareVoters returns the changes of more than one voter in a domain that both versions have.
+// Domains without voters in the version before are left out.
 //
-// Majorities of two sets of voters that differ by one always share a voter, so that no two
-// leaders win by them. Sets that differ by more may not, and an instance that has not seen the
-// later version could lead beside one that has.
+// If two sets of voters differ by one voter, any two majorities of them have a voter in common,
+// so only one leader can win. If they differ by more, an instance that has not seen the later
+// version could lead at the same time as one that has.
 func CompareVoters(before, after *Bundle) []VoterChange {
 	var changes []VoterChange
 	for _, d := range before.Domains {
@@ -55,7 +56,7 @@
 	return changes
 }
 
-// without returns the names of one list that the other does not have.
+// without returns the names that are not in others.
 func without(names, others []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(others, name) })
 }
--- a/pkg/bundle/voters_test.go
+++ b/pkg/bundle/voters_test.go
@@ -6,7 +6,9 @@
 	"github.com/matryer/is"
 )
 
-func voting(names ...string) *Bundle {
+// bundleWithVoters returns a bundle with one domain, an instance in it, and servers of the given
+// names that check grants.
+func bundleWithVoters(names ...string) *Bundle {
 	b := &Bundle{Domains: []Domain{{Name: "klet"}}, Services: []Service{{Name: "pregled"}}}
 	for _, name := range names {
 		b.Services[0].Servers = append(b.Services[0].Servers, Server{Name: name, Domain: "klet", ChecksGrants: true})
@@ -20,18 +22,18 @@
 		before, after *Bundle
 		want          []VoterChange
 	}{
-		"same":     {before: voting("a", "b", "c"), after: voting("a", "b", "c")},
-		"one more": {before: voting("a", "b", "c"), after: voting("a", "b", "c", "d")},
-		"one less": {before: voting("a", "b", "c", "d"), after: voting("a", "b", "c")},
-		"one for another": {
-			before: voting("a", "b", "c"), after: voting("a", "b", "d"),
+		"same":     {before: bundleWithVoters("a", "b", "c"), after: bundleWithVoters("a", "b", "c")},
+		"one more": {before: bundleWithVoters("a", "b", "c"), after: bundleWithVoters("a", "b", "c", "d")},
+		"one less": {before: bundleWithVoters("a", "b", "c", "d"), after: bundleWithVoters("a", "b", "c")},
+		"one replaced": {
+			before: bundleWithVoters("a", "b", "c"), after: bundleWithVoters("a", "b", "d"),
 			want: []VoterChange{{Domain: "klet", Added: []string{"d"}, Removed: []string{"c"}}},
 		},
-		"too few, so instances vote": {
-			before: voting("a", "b", "c"), after: voting("a", "b"),
+		"too few servers, so instances vote": {
+			before: bundleWithVoters("a", "b", "c"), after: bundleWithVoters("a", "b"),
 			want: []VoterChange{{Domain: "klet", Added: []string{"klet-1"}, Removed: []string{"c"}}},
 		},
-		"domain new": {before: &Bundle{}, after: voting("a", "b", "c")},
+		"new domain": {before: &Bundle{}, after: bundleWithVoters("a", "b", "c")},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
