--- a/internal/logcl/reader.go
+++ b/internal/logcl/reader.go
@@ -49,7 +49,7 @@
 // a fold.Refused with offset and reason, and tells the Appender that the ID was Seen.
 type Folded struct {
 	Entry   record.Entry
-	Verdict fold.Verdict
+	Verdict fold.Result
 }
 
 // Current says that the state holds all that stood in the log at AskedAt.
@@ -176,7 +176,7 @@
 		}
 		verdict := r.state.Apply(entry)
 		switch verdict.(type) {
-		case fold.Changed:
+		case fold.LogReplaced:
 			return append(effects, r.restart(e.Batch)...)
 		case fold.Gap:
 			continue
@@ -207,7 +207,7 @@
 		fetch.From = r.scan
 	case r.forgotten:
 		r.forgotten = false
-	case (r.recheck || r.identity == "") && r.state.Next > r.state.Since:
+	case (r.recheck || r.identity == "") && r.state.Next > r.state.StartOffset:
 		fetch.From = r.state.Next - 1
 	}
 	fetch.At = r.pace.reserve(now)
--- a/internal/logcl/reader_test.go
+++ b/internal/logcl/reader_test.go
@@ -99,7 +99,7 @@
 	effects, _ := readAll(log, r, fetch)
 	is.Equal(effects[0], logcl.Gapped{Wanted: 2, Oldest: 7})
 	is.Equal(r.State().Next, uint64(10))
-	is.Equal(r.State().Since, uint64(7))
+	is.Equal(r.State().StartOffset, uint64(7))
 }
 
 // A fresh instance joins when the log has forgotten all but the newest records. It must know
@@ -113,7 +113,7 @@
 	is.NoErr(err)
 	log.add("mark", mark)
 	readAll(log, writer, writer.Start(second))
-	c, err := writer.State().Checkpoint()
+	c, err := writer.State().NewCheckpoint()
 	is.NoErr(err)
 	data, err := record.Encode(c)
 	is.NoErr(err)
@@ -127,7 +127,7 @@
 	is.Equal(r.State().Terms["klet"].Log, uint64(8))
 	is.Equal(r.State().Terms["podstresje"].Log, uint64(2))
 	is.Equal(r.State().Terms["badulla-hall"].Log, uint64(1))
-	is.Equal(r.State().Since, uint64(0))
+	is.Equal(r.State().StartOffset, uint64(0))
 }
 
 // A record that the fold cannot read is reported with its offset and reason, and the records
@@ -139,7 +139,7 @@
 	log.addClaims("klet", 1)
 	r := newReader()
 	effects, _ := readAll(log, r, r.Start(second))
-	refused := effects[0].(logcl.Folded).Verdict.(fold.Refused)
+	refused := effects[0].(logcl.Folded).Verdict.(fold.Rejected)
 	is.Equal(refused.Offset, uint64(0))
 	is.True(refused.Reason != "")
 	is.Equal(r.State().Terms["klet"].Log, uint64(1))
--- a/internal/logcl/schedule_test.go
+++ b/internal/logcl/schedule_test.go
@@ -245,7 +245,7 @@
 		if !ok {
 			continue
 		}
-		c, err := m.reader.State().Checkpoint()
+		c, err := m.reader.State().NewCheckpoint()
 		if err != nil {
 			m.failures = append(m.failures, "checkpoint: "+err.Error())
 			continue
@@ -287,7 +287,7 @@
 				seconds := float64(s.now) / float64(second)
 				is.True(float64(m.writes) <= burst+perSecond*seconds) // bounded rate
 				for server, sequence := range leader.decided {
-					held := m.reader.State().Assigned[domainName][server].Assignment
+					held := m.reader.State().Assignments[domainName][server].Assignment
 					is.True(reflect.DeepEqual(held, assignment(server, sequence))) // newest decision known
 				}
 			}
