--- a/internal/logcl/appender.go
+++ b/internal/logcl/appender.go
@@ -27,14 +27,14 @@
 // append is harmless, because the fold knows it by ID and data.
 type Appender struct {
 	config AppenderConfig
-	pace   *pace
+	pacer   *pacer
 	queue  []*item
-	calls  int
+	callsInFlight  int
 }
 
 // NewAppender returns an Appender with an empty queue.
 func NewAppender(config AppenderConfig) *Appender {
-	return &Appender{config: config, pace: newPace(config.PerSecond, config.Burst, config.Random)}
+	return &Appender{config: config, pacer: newPacer(config.PerSecond, config.Burst, config.Random)}
 }
 
 // Waiting returns the number of records that are not acknowledged.
@@ -49,12 +49,12 @@
 	case Submitted:
 		effects = a.submit(e)
 	case Written:
-		effects = a.written(now, e)
+		effects = a.handleWriteResult(now, e)
 	case Seen:
 		effects = a.acknowledge(e.ID, e.Offset)
 	case LogRestarted:
 		for _, i := range a.queue {
-			i.stale = i.calling
+			i.stale = i.inFlight
 		}
 	case Ticked:
 	}
@@ -62,7 +62,7 @@
 }
 
 func (a *Appender) submit(e Submitted) []AppendEffect {
-	if a.knows(e.ID) {
+	if a.hasSubmission(e.ID) {
 		return nil
 	}
 	if newer, ok := e.Record.(record.AssignmentMade); ok {
@@ -72,15 +72,15 @@
 	}
 	effects := a.replace(e.Record)
 	if len(a.queue) >= a.config.Queue {
-		return append(effects, Dropped{ID: e.ID, Reason: DropFull})
+		return append(effects, Dropped{ID: e.ID, Reason: DropQueueFull})
 	}
 	a.queue = append(a.queue, newItem(e.ID, e.Record))
-	slices.SortStableFunc(a.queue, func(x, y *item) int { return rank(x.record) - rank(y.record) })
+	slices.SortStableFunc(a.queue, func(x, y *item) int { return priority(x.record) - priority(y.record) })
 	return effects
 }
 
-func (a *Appender) knows(id string) bool {
-	return slices.ContainsFunc(a.queue, func(i *item) bool { return slices.Contains(i.submits, id) })
+func (a *Appender) hasSubmission(id string) bool {
+	return slices.ContainsFunc(a.queue, func(i *item) bool { return slices.Contains(i.submissions, id) })
 }
 
 // merge joins into the newest item of the same servers, or into none: a record that went
@@ -98,10 +98,10 @@
 func (a *Appender) replace(newer record.Record) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
-		if i.sent() || !replaces(newer, i.record) {
+		if i.sent() || !supersedes(newer, i.record) {
 			return false
 		}
-		effects = append(effects, drop(i.submits, DropReplaced)...)
+		effects = append(effects, drop(i.submissions, DropReplaced)...)
 		return true
 	})
 	return effects
@@ -115,30 +115,30 @@
 	return effects
 }
 
-func (a *Appender) written(now Time, e Written) []AppendEffect {
-	a.calls--
-	stale := a.answered(e.ID)
+func (a *Appender) handleWriteResult(now Time, e Written) []AppendEffect {
+	a.callsInFlight--
+	stale := a.endCall(e.ID)
 	switch {
-	case errors.Is(e.Err, ErrRefused):
-		return a.remove(e.ID, DropRefused)
+	case errors.Is(e.Err, ErrRejected):
+		return a.remove(e.ID, DropRejected)
 	case e.Err != nil:
-		a.pace.failed(now)
+		a.pacer.failed(now)
 		return nil
 	}
-	a.pace.succeeded()
+	a.pacer.succeeded()
 	if stale {
 		return nil
 	}
 	return a.acknowledge(e.ID, e.Offset)
 }
 
-// answered ends the call of an item and reports whether its answer may come from a log that
+// endCall ends the call of an item and reports whether its answer may come from a log that
 // is no more.
-func (a *Appender) answered(id string) (stale bool) {
+func (a *Appender) endCall(id string) (stale bool) {
 	for _, i := range a.queue {
 		if i.id == id {
 			stale = i.stale
-			i.calling, i.stale = false, false
+			i.inFlight, i.stale = false, false
 		}
 	}
 	return stale
@@ -151,7 +151,7 @@
 		if i.id != id || !i.sent() {
 			return false
 		}
-		for _, submit := range i.submits {
+		for _, submit := range i.submissions {
 			effects = append(effects, Acknowledged{ID: submit, Offset: offset})
 		}
 		return true
@@ -165,7 +165,7 @@
 		if i.id != id {
 			return false
 		}
-		effects = append(effects, drop(i.submits, reason)...)
+		effects = append(effects, drop(i.submissions, reason)...)
 		return true
 	})
 	return effects
@@ -173,29 +173,29 @@
 
 // send starts as many calls as pace and bounds allow.
 func (a *Appender) send(now Time, effects []AppendEffect) []AppendEffect {
-	for a.calls < a.config.Calls {
-		next := a.next()
+	for a.callsInFlight < a.config.Calls {
+		next := a.nextItem()
 		if next == nil {
 			return effects
 		}
-		at, ok := a.pace.take(now)
+		at, ok := a.pacer.take(now)
 		if !ok {
 			return append(effects, WakeAt{At: at})
 		}
 		if err := next.encode(); err != nil {
-			effects = append(effects, a.remove(next.id, DropRefused)...)
+			effects = append(effects, a.remove(next.id, DropRejected)...)
 			continue
 		}
-		next.calling = true
-		a.calls++
+		next.inFlight = true
+		a.callsInFlight++
 		effects = append(effects, Write{ID: next.id, Data: next.data})
 	}
 	return effects
 }
 
-func (a *Appender) next() *item {
+func (a *Appender) nextItem() *item {
 	for _, i := range a.queue {
-		if !i.calling {
+		if !i.inFlight {
 			return i
 		}
 	}
--- a/internal/logcl/appender_test.go
+++ b/internal/logcl/appender_test.go
@@ -83,7 +83,7 @@
 		"unavailable": {err: logcl.ErrUnavailable},
 		"limited":     {err: logcl.ErrLimited},
 		"uncertain":   {err: fmt.Errorf("%w: %w", logcl.ErrUncertain, errors.New("reset"))},
-		"refused":     {err: logcl.ErrRefused, dropped: true},
+		"refused":     {err: logcl.ErrRejected, dropped: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 			first := a.Handle(second, logcl.Submitted{ID: "a", Record: made("s0", 1)})[0].(logcl.Write)
 			effects := a.Handle(second, logcl.Written{ID: "a", Err: test.err})
 			if test.dropped {
-				is.Equal(effects, []logcl.AppendEffect{logcl.Dropped{ID: "a", Reason: logcl.DropRefused}})
+				is.Equal(effects, []logcl.AppendEffect{logcl.Dropped{ID: "a", Reason: logcl.DropRejected}})
 				return
 			}
 			at := effects[0].(logcl.WakeAt).At
@@ -110,6 +110,6 @@
 	a.Handle(second, logcl.Submitted{ID: "a", Record: record.BundleApproved{}})
 	a.Handle(second, logcl.Submitted{ID: "b", Record: record.BundleApproved{}})
 	is.Equal(a.Handle(second, logcl.Submitted{ID: "c", Record: record.BundleApproved{}}),
-		[]logcl.AppendEffect{logcl.Dropped{ID: "c", Reason: logcl.DropFull}})
+		[]logcl.AppendEffect{logcl.Dropped{ID: "c", Reason: logcl.DropQueueFull}})
 	is.Equal(a.Waiting(), 2)
 }
--- a/internal/logcl/checkpoint.go
+++ b/internal/logcl/checkpoint.go
@@ -71,9 +71,9 @@
 // about who that is: each waits by its rank, and one checkpoint too many does no harm.
 type Checkpointer struct {
 	config CheckpointerConfig
-	// last is the offset of the newest checkpoint met.
-	last  uint64
-	known bool
+	// lastOffset is the offset of the newest checkpoint met.
+	lastOffset  uint64
+	hasCheckpoint bool
 	// dueAt is when the next one is due by time. Zero means that no record was met yet.
 	dueAt Time
 	// startAt is when rank zero may start, set once one is due.
@@ -91,14 +91,14 @@
 func (c *Checkpointer) Handle(now Time, event CheckpointEvent) []CheckpointEffect {
 	switch e := event.(type) {
 	case Progressed:
-		return c.progressed(now, e)
+		return c.handleProgress(now, e)
 	case Met:
-		return c.met(now, e)
+		return c.handleRecord(now, e)
 	}
 	return nil
 }
 
-func (c *Checkpointer) progressed(now Time, e Progressed) []CheckpointEffect {
+func (c *Checkpointer) handleProgress(now Time, e Progressed) []CheckpointEffect {
 	if e.Next == 0 {
 		return nil
 	}
@@ -128,17 +128,17 @@
 	switch {
 	case now >= c.dueAt:
 		return true
-	case !c.known:
+	case !c.hasCheckpoint:
 		return e.Next >= c.config.Records || e.Oldest > 0
-	case e.Next-min(e.Next, c.last) >= c.config.Records:
+	case e.Next-min(e.Next, c.lastOffset) >= c.config.Records:
 		return true
 	default:
 		kept := e.Next - e.Oldest
-		return e.Oldest > 0 && c.last <= e.Oldest+kept/4
+		return e.Oldest > 0 && c.lastOffset <= e.Oldest+kept/4
 	}
 }
 
-func (c *Checkpointer) met(now Time, e Met) []CheckpointEffect {
+func (c *Checkpointer) handleRecord(now Time, e Met) []CheckpointEffect {
 	switch e.Record.(type) {
 	case record.CheckpointMarked:
 		if e.ID == c.markID {
@@ -147,7 +147,7 @@
 		}
 		c.startAt = now + Time(c.config.Grace)
 	case record.Checkpoint:
-		c.last, c.known = e.Offset, true
+		c.lastOffset, c.hasCheckpoint = e.Offset, true
 		c.dueAt = now + Time(c.config.Interval)
 		c.startAt = 0
 		c.markID = ""
--- a/internal/logcl/client.go
+++ b/internal/logcl/client.go
@@ -18,10 +18,10 @@
 
 // The bounds of one call.
 const (
-	// pollWait bounds how long the service holds back an empty answer to a read.
-	pollWait = 2 * time.Second
-	// maxAnswer bounds the bytes taken from one answer.
-	maxAnswer = 64 << 20
+	// maxPollWait bounds how long the service holds back an empty answer to a read.
+	maxPollWait = 2 * time.Second
+	// maxResponseBytes bounds the bytes taken from one answer.
+	maxResponseBytes = 64 << 20
 )
 
 // Client is the Log that speaks HTTP and JSON to the service.
@@ -41,24 +41,24 @@
 func (c *Client) Append(ctx context.Context, id string, data []byte) (uint64, error) {
 	body, err := json.Marshal(AppendRequest{ID: id, Data: data})
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+AppendPath, bytes.NewReader(body))
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", sendError(err), err)
+		return 0, fmt.Errorf("%w: %w", classifySendError(err), err)
 	}
 	defer resp.Body.Close()
-	return appendAnswer(resp)
+	return decodeAppendResponse(resp)
 }
 
-// sendError tells a connection that was never made, over which no append can have left,
+// classifySendError tells a connection that was never made, over which no append can have left,
 // from one that broke with the append under way, after which the log may hold the record.
-func sendError(err error) error {
+func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
@@ -66,7 +66,7 @@
 	return ErrUncertain
 }
 
-func appendAnswer(resp *http.Response) (uint64, error) {
+func decodeAppendResponse(resp *http.Response) (uint64, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusTooManyRequests:
@@ -74,14 +74,14 @@
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return 0, fmt.Errorf("%w: %s", ErrUnavailable, resp.Status)
 	case resp.StatusCode < http.StatusInternalServerError:
-		return 0, fmt.Errorf("%w: %s", ErrRefused, resp.Status)
+		return 0, fmt.Errorf("%w: %s", ErrRejected, resp.Status)
 	default:
 		return 0, fmt.Errorf("%w: %s", ErrUncertain, resp.Status)
 	}
 	var answer struct {
 		Offset *uint64 `json:"offset"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&answer); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
 	if answer.Offset == nil {
@@ -99,20 +99,20 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+ReadPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return Batch{}, fmt.Errorf("%w: %w", ErrRefused, err)
+		return Batch{}, fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp)
+	return decodeReadResponse(resp)
 }
 
 // waitUntil leaves an eighth of the time before the deadline of ctx for the answer's way.
 func waitUntil(ctx context.Context) time.Time {
 	now := time.Now()
-	until := now.Add(pollWait)
+	until := now.Add(maxPollWait)
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return until
@@ -123,7 +123,7 @@
 	return until
 }
 
-func readAnswer(resp *http.Response) (Batch, error) {
+func decodeReadResponse(resp *http.Response) (Batch, error) {
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return Batch{}, fmt.Errorf("%w: %s", ErrUnavailable, resp.Status)
 	}
@@ -133,7 +133,7 @@
 		Next     *uint64        `json:"next"`
 		Identity string         `json:"identity"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&answer); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	// Something else than the log may answer at its address, such as an error page of a
@@ -142,7 +142,7 @@
 		return Batch{}, fmt.Errorf("%w: answer without oldest and next", ErrUnavailable)
 	}
 	batch := Batch{Entries: answer.Entries, Oldest: *answer.Oldest, Next: *answer.Next, Identity: answer.Identity}
-	if !batch.isSound() {
+	if !batch.isValid() {
 		return Batch{}, fmt.Errorf("%w: answer with entries out of place", ErrUnavailable)
 	}
 	if resp.StatusCode == http.StatusGone {
@@ -151,8 +151,8 @@
 	return batch, nil
 }
 
-// isSound reports whether the entries follow each other within what the log keeps.
-func (b *Batch) isSound() bool {
+// isValid reports whether the entries follow each other within what the log keeps.
+func (b *Batch) isValid() bool {
 	if b.Oldest > b.Next {
 		return false
 	}
--- a/internal/logcl/events.go
+++ b/internal/logcl/events.go
@@ -76,12 +76,12 @@
 
 // The reasons.
 const (
-	// DropFull says that the queue is full: submit again later.
-	DropFull DropReason = "queue-full"
+	// DropQueueFull says that the queue is full: submit again later.
+	DropQueueFull DropReason = "queue-full"
 	// DropReplaced says that a newer record made it pointless.
 	DropReplaced DropReason = "replaced"
-	// DropRefused says that the log will never take it, or that it cannot be encoded.
-	DropRefused DropReason = "refused"
+	// DropRejected says that the log will never take it, or that it cannot be encoded.
+	DropRejected DropReason = "refused"
 )
 
 // WakeAt asks for a Ticked at a time, when nothing else happens before.
--- a/internal/logcl/item.go
+++ b/internal/logcl/item.go
@@ -13,22 +13,22 @@
 type item struct {
 	// id is the ID in the log: that of the first submission.
 	id string
-	// submits are the submissions that the record answers.
-	submits []string
+	// submissions are the submissions that the record answers.
+	submissions []string
 	record  record.Record
 	// sources has, by server, the submission that an assignment came from.
 	sources map[string]string
 	// data is set once the record has been encoded to be sent. It does not change any more,
 	// because the ID and the data may already stand in the log.
 	data []byte
-	// calling says that a Write is out without an answer.
-	calling bool
+	// inFlight says that a Write is out without an answer.
+	inFlight bool
 	// stale says that the answer to that Write may come from a log that is no more.
 	stale bool
 }
 
 func newItem(id string, r record.Record) *item {
-	i := &item{id: id, submits: []string{id}, record: r}
+	i := &item{id: id, submissions: []string{id}, record: r}
 	if made, ok := r.(record.AssignmentMade); ok {
 		i.sources = make(map[string]string)
 		for _, a := range made.Assignments {
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// rank orders the kinds: what decides who leads and what is in force goes before the many
+// priority orders the kinds: what decides who leads and what is in force goes before the many
 // assignments that may have waited for the log to return, and checkpoints go last.
-func rank(r record.Record) int {
+func priority(r record.Record) int {
 	switch r.(type) {
 	case record.Checkpoint, record.CheckpointMarked:
 		return 2
@@ -97,18 +97,18 @@
 		i.sources[a.Server] = id
 	}
 	i.record = own
-	i.submits = append(i.submits, id)
-	return i.forget(), true
+	i.submissions = append(i.submissions, id)
+	return i.removeUnused(), true
 }
 
-// forget removes the submissions that no assignment comes from any more.
-func (i *item) forget() []string {
+// removeUnused removes the submissions that no assignment comes from any more.
+func (i *item) removeUnused() []string {
 	live := make(map[string]bool, len(i.sources))
 	for _, source := range i.sources {
 		live[source] = true
 	}
 	var gone []string
-	i.submits = slices.DeleteFunc(i.submits, func(id string) bool {
+	i.submissions = slices.DeleteFunc(i.submissions, func(id string) bool {
 		if !live[id] {
 			gone = append(gone, id)
 		}
@@ -117,8 +117,8 @@
 	return gone
 }
 
-// replaces reports whether a newer record makes an unsent older one pointless.
-func replaces(newer, older record.Record) bool {
+// supersedes reports whether a newer record makes an unsent older one pointless.
+func supersedes(newer, older record.Record) bool {
 	switch n := newer.(type) {
 	case record.Checkpoint:
 		_, ok := older.(record.Checkpoint)
--- a/internal/logcl/log.go
+++ b/internal/logcl/log.go
@@ -18,8 +18,8 @@
 	ErrLimited = errors.New("logcl: append rate limit")
 	// ErrUncertain says that an append was sent but no answer came: it may stand in the log.
 	ErrUncertain = errors.New("logcl: append uncertain")
-	// ErrRefused says that the log will never take this call as it stands.
-	ErrRefused = errors.New("logcl: call refused")
+	// ErrRejected says that the log will never take this call as it stands.
+	ErrRejected = errors.New("logcl: call refused")
 	// ErrGap says that the log has forgotten the records that were asked for.
 	ErrGap = errors.New("logcl: records forgotten")
 )
--- a/internal/logcl/reader.go
+++ b/internal/logcl/reader.go
@@ -85,24 +85,24 @@
 // Fetch, and Handle takes the answer of each and gives effects and the next.
 type Reader struct {
 	config   ReaderConfig
-	pace     *pace
+	pacer     *pacer
 	state    *fold.State
 	identity string
 	// scanning says that the reader looks for a checkpoint, at scan, because of a gap.
 	scanning bool
-	scan     uint64
+	scanOffset     uint64
 	// recheck says that the entry before state.Next is to be read once more: after a failure
 	// the log that answers may be another one.
 	recheck bool
-	// forgotten says that this entry is forgotten, so that the next read starts after it.
-	forgotten bool
+	// skipRecheck says that this entry is forgotten, so that the next read starts after it.
+	skipRecheck bool
 }
 
 // NewReader returns a Reader at the start of the log.
 func NewReader(config ReaderConfig) *Reader {
 	return &Reader{
 		config: config,
-		pace:   newPace(config.PerSecond, config.Burst, config.Random),
+		pacer:   newPacer(config.PerSecond, config.Burst, config.Random),
 		state:  fold.New(config.Anchors),
 	}
 }
@@ -114,70 +114,70 @@
 
 // Start returns the first Fetch.
 func (r *Reader) Start(now Time) Fetch {
-	return r.next(now)
+	return r.nextFetch(now)
 }
 
 // Handle takes the answer to a Fetch. The time never goes back.
 func (r *Reader) Handle(now Time, e Fetched) ([]ReadEffect, Fetch) {
 	if e.Err != nil && !errors.Is(e.Err, ErrGap) {
-		r.pace.failed(now)
+		r.pacer.failed(now)
 		r.recheck = true
-		return []ReadEffect{Unread{Err: e.Err}}, r.next(now)
+		return []ReadEffect{Unread{Err: e.Err}}, r.nextFetch(now)
 	}
-	r.pace.succeeded()
+	r.pacer.succeeded()
 	var effects []ReadEffect
 	switch {
-	case r.isAnotherLog(e.Batch):
-		effects = r.restart(e.Batch)
+	case r.isReplaced(e.Batch):
+		effects = r.reset(e.Batch)
 	case errors.Is(e.Err, ErrGap):
-		effects = r.gap(e)
+		effects = r.handleGap(e)
 	default:
-		effects = r.fold(e)
+		effects = r.apply(e)
 	}
-	return effects, r.next(now)
+	return effects, r.nextFetch(now)
 }
 
-// isAnotherLog tells by identity, or by an end before what was read already, that the log
+// isReplaced tells by identity, or by an end before what was read already, that the log
 // was replaced. A new log that has grown past that point shows by the entry before, which is
 // read again after a failure, and each time from a log that names no identity: such a log is
 // polled at the bounded rate in place of waiting at its end.
-func (r *Reader) isAnotherLog(b Batch) bool {
+func (r *Reader) isReplaced(b Batch) bool {
 	return r.identity != "" && b.Identity != r.identity || b.Next < r.state.Next
 }
 
-func (r *Reader) restart(b Batch) []ReadEffect {
+func (r *Reader) reset(b Batch) []ReadEffect {
 	r.identity = b.Identity
 	r.state = fold.New(r.config.Anchors)
 	r.scanning, r.recheck = false, false
 	return []ReadEffect{Restarted{Identity: b.Identity}}
 }
 
-// gap starts the search for a checkpoint. Where the search itself meets a gap, the log has
+// handleGap starts the search for a checkpoint. Where the search itself meets a gap, the log has
 // forgotten more meanwhile, and it goes on from there.
-func (r *Reader) gap(e Fetched) []ReadEffect {
+func (r *Reader) handleGap(e Fetched) []ReadEffect {
 	r.identity = e.Batch.Identity
 	if e.Fetch.From+1 == r.state.Next && e.Batch.Oldest == r.state.Next {
 		// Only the entry to be read once more is forgotten.
-		r.recheck, r.forgotten = false, true
+		r.recheck, r.skipRecheck = false, true
 		return nil
 	}
 	r.scanning, r.recheck = true, false
-	r.scan = e.Batch.Oldest
+	r.scanOffset = e.Batch.Oldest
 	return []ReadEffect{Gapped{Wanted: e.Fetch.From, Oldest: e.Batch.Oldest}}
 }
 
-func (r *Reader) fold(e Fetched) []ReadEffect {
+func (r *Reader) apply(e Fetched) []ReadEffect {
 	r.identity = e.Batch.Identity
 	r.recheck = false
 	var effects []ReadEffect
 	for _, entry := range e.Batch.Entries {
 		if r.scanning {
-			r.scan = entry.Offset + 1
+			r.scanOffset = entry.Offset + 1
 		}
 		verdict := r.state.Apply(entry)
 		switch verdict.(type) {
 		case fold.Changed:
-			return append(effects, r.restart(e.Batch)...)
+			return append(effects, r.reset(e.Batch)...)
 		case fold.Gap:
 			continue
 		}
@@ -188,7 +188,7 @@
 			return effects
 		}
 	}
-	if r.scanning && r.scan >= e.Batch.Next {
+	if r.scanning && r.scanOffset >= e.Batch.Next {
 		// No checkpoint in the whole log: what is left is folded as it is.
 		r.state = fold.NewAt(r.config.Anchors, e.Batch.Oldest)
 		r.scanning = false
@@ -200,16 +200,16 @@
 	return effects
 }
 
-func (r *Reader) next(now Time) Fetch {
+func (r *Reader) nextFetch(now Time) Fetch {
 	fetch := Fetch{From: r.state.Next, Limit: r.config.Limit}
 	switch {
 	case r.scanning:
-		fetch.From = r.scan
-	case r.forgotten:
-		r.forgotten = false
+		fetch.From = r.scanOffset
+	case r.skipRecheck:
+		r.skipRecheck = false
 	case (r.recheck || r.identity == "") && r.state.Next > r.state.Since:
 		fetch.From = r.state.Next - 1
 	}
-	fetch.At = r.pace.reserve(now)
+	fetch.At = r.pacer.reserve(now)
 	return fetch
 }
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -37,20 +37,20 @@
 	config  Config
 	count   uint64
 	leaving bool
-	known   map[string]*known
+	known   map[string]*knownInstance
 	// order is known by name, and told the place in it where the last heartbeat ended.
-	order []*known
-	told  int
-	// turn chooses among silent instances of other domains.
-	turn int
-	// mates is the number of other instances of the domain at the last tick.
-	mates int
+	order []*knownInstance
+	gossipOffset  int
+	// probeTurn chooses among silent instances of other domains.
+	probeTurn int
+	// domainPeers is the number of other instances of the domain at the last tick.
+	domainPeers int
 	// round counts periods.
 	round   int
 	leader  Process
 	term    grant.Term
-	nextAt  Time
-	nextOut Time
+	nextDomainSend  Time
+	nextCrossDomainSend Time
 	view    View
 	// stale says that the view may have changed.
 	stale bool
@@ -60,8 +60,8 @@
 	removed bool
 }
 
-// known is what is known of the instance of one name.
-type known struct {
+// knownInstance is what is known of the instance of one name.
+type knownInstance struct {
 	Instance
 	leaving bool
 	// count is the newest heartbeat counter of the present process.
@@ -69,32 +69,32 @@
 	// liveUntil, heardUntil and hearsUntil are when the process counts as dead, as not heard
 	// directly, and as not hearing this instance, unless there is news before.
 	liveUntil  Time
-	heardUntil Time
-	hearsUntil Time
-	// calledUntil is until when its heartbeats, answered here, stand for own ones to it.
-	calledUntil Time
+	inboundUntil Time
+	outboundUntil Time
+	// replyOnlyUntil is until when its heartbeats, answered here, stand for own ones to it.
+	replyOnlyUntil Time
 	// listed says that the platform's list has shown the present process.
 	listed bool
-	// gone is set for good when the list shows the process no more.
-	gone bool
+	// removed is set for good when the list shows the process no more.
+	removed bool
 	// former are other processes of the name: those that this one replaced, and those that
 	// the platform's list showed beside it.
-	former []former
+	former []formerProcess
 }
 
-// former is another process of a name than the present one.
-type former struct {
+// formerProcess is another process of a name than the present one.
+type formerProcess struct {
 	Process
 	// replaced says that it had the name once. It is not believed again: one that was paused
 	// and returns finds its place taken.
 	replaced bool
 	listed   bool
-	gone     bool
+	removed     bool
 }
 
 // New returns a Core that knows only its own instance.
 func New(config Config) *Core {
-	return &Core{config: config, known: make(map[string]*known), stale: true}
+	return &Core{config: config, known: make(map[string]*knownInstance), stale: true}
 }
 
 // Handle takes one event. The time never goes back.
@@ -105,19 +105,19 @@
 		effects = c.tick(now)
 		c.stale = true
 	case Learned:
-		c.learn(e.Instance)
+		c.addInstance(e.Instance)
 	case Heard:
-		c.hear(now, e)
+		c.handleHeartbeat(now, e)
 	case Listed:
-		effects = c.list(now, e)
+		effects = c.handleList(now, e)
 	case LedBy:
-		c.ledBy(e)
+		c.handleLeaderReport(e)
 	case Stopping:
 		c.leaving, c.stale = true, true
-		c.nextAt = 0
+		c.nextDomainSend = 0
 		effects = c.tick(now)
 	}
-	return c.report(now, effects)
+	return c.reportView(now, effects)
 }
 
 // View returns the view as of the last event.
@@ -125,13 +125,13 @@
 	return c.view
 }
 
-func (c *Core) learn(i Instance) *known {
+func (c *Core) addInstance(i Instance) *knownInstance {
 	if i.Name == "" || i.Name == c.config.Self.Name {
 		return nil
 	}
 	k := c.known[i.Name]
 	if k == nil {
-		k = &known{Instance: i}
+		k = &knownInstance{Instance: i}
 		c.known[i.Name] = k
 	}
 	if k.Incarnation == 0 {
@@ -143,25 +143,25 @@
 	return k
 }
 
-// hear takes a heartbeat, unless its process was replaced or is gone for certain.
-func (c *Core) hear(now Time, e Heard) {
-	k := c.learn(e.Beat.Instance)
-	if k == nil || !c.admit(now, k, e.Beat.Instance) {
+// handleHeartbeat takes a heartbeat, unless its process was replaced or is gone for certain.
+func (c *Core) handleHeartbeat(now Time, e Heard) {
+	k := c.addInstance(e.Beat.Instance)
+	if k == nil || !c.acceptProcess(now, k, e.Beat.Instance) {
 		return
 	}
 	wasLive, link, leaving := now < k.liveUntil, k.link(now), k.leaving
-	silence := c.silence(k)
+	silence := c.timeout(k)
 	isNew := e.Beat.Count > k.count
 	if !e.Answered {
-		k.calledUntil = now + c.period(k) + c.period(k)/2
+		k.replyOnlyUntil = now + c.interval(k) + c.interval(k)/2
 	}
 	if isNew {
 		k.count = e.Beat.Count
 		k.leaving = e.Beat.Leaving
-		k.liveUntil, k.heardUntil = now+silence, now+silence
+		k.liveUntil, k.inboundUntil = now+silence, now+silence
 	}
-	if e.Answered || c.hearsMe(e.Beat) {
-		k.hearsUntil = now + silence
+	if e.Answered || c.listsSelf(e.Beat) {
+		k.outboundUntil = now + silence
 	}
 	if !wasLive || link != k.link(now) || leaving != k.leaving {
 		c.stale = true
@@ -170,79 +170,79 @@
 		return
 	}
 	for _, h := range e.Beat.Hearsay {
-		c.hearsay(now, h)
+		c.handleGossip(now, h)
 	}
-	c.hearLeader(e.Beat)
+	c.handleLeaderClaim(e.Beat)
 }
 
-func (c *Core) hearLeader(b Beat) {
+func (c *Core) handleLeaderClaim(b Beat) {
 	if b.Leader.Name == "" && b.Process == c.leader {
-		c.end()
+		c.clearLeader()
 		return
 	}
-	c.follow(b.Leader, b.Term)
+	c.adoptLeader(b.Leader, b.Term)
 }
 
-// end notes that the leader leads no more. Its term stays, so late news of it is not believed.
-func (c *Core) end() {
+// clearLeader notes that the leader leads no more. Its term stays, so late news of it is not believed.
+func (c *Core) clearLeader() {
 	c.leader, c.stale = Process{}, true
 }
 
-// ledBy takes what the own leader core says.
-func (c *Core) ledBy(e LedBy) {
+// handleLeaderReport takes what the own leader core says.
+func (c *Core) handleLeaderReport(e LedBy) {
 	if e.Leader.Name == "" && c.leader == c.config.Self.Process {
-		c.end()
+		c.clearLeader()
 		return
 	}
-	c.follow(e.Leader, e.Term)
+	c.adoptLeader(e.Leader, e.Term)
 }
 
-// follow believes the claim of the highest term.
-func (c *Core) follow(leader Process, term grant.Term) {
+// adoptLeader believes the claim of the highest term.
+func (c *Core) adoptLeader(leader Process, term grant.Term) {
 	if leader.Name == "" || term.Compare(c.term) <= 0 {
 		return
 	}
 	c.leader, c.term, c.stale = leader, term, true
 }
 
-// admit decides whether a heartbeat comes from the process that has the name now.
+// acceptProcess decides whether a heartbeat comes from the process that has the name now.
 //
 // The failure it guards against is an instance that was replaced at its address, and whose
 // old process was only paused: both then send under one name. It shows as two incarnations.
 // The present one stays until the platform lists the other in its place or, if it was never
 // listed itself or said that it leaves, until it has been silent for its time. One that was replaced stays so unless
 // the list shows it.
-func (c *Core) admit(now Time, k *known, i Instance) bool {
+func (c *Core) acceptProcess(now Time, k *knownInstance, i Instance) bool {
 	switch {
 	case i.Incarnation == k.Incarnation:
 		k.Domain = i.Domain
-		return !k.gone
-	case k.isRefused(i.Process), now < k.liveUntil, k.listed && !k.gone && !k.leaving && !c.isOverdue(now, k):
+		return !k.removed
+	case k.isRejected(i.Process), now < k.liveUntil, k.listed && !k.removed && !k.leaving && !c.isReplaceable(now, k):
 		return false
 	}
 	k.replace(i)
 	return true
 }
 
-// isOverdue reports whether a listed process has been silent for so long that another may take
+// isReplaceable reports whether a listed process has been silent for so long that another may take
 // its name though the list does not say so yet. Without it an instance that is replaced while
 // the list can't be read would stay unknown for as long.
-func (c *Core) isOverdue(now Time, k *known) bool {
+func (c *Core) isReplaceable(now Time, k *knownInstance) bool {
 	return c.config.Patience > 0 && now >= k.liveUntil+Time(c.config.Patience)
 }
 
 // Holds reports whether a process has its name now and is not known to be gone.
 func (c *Core) Holds(p Process) bool {
 	k := c.known[p.Name]
-	return k != nil && k.Process == p && !k.gone
+	return k != nil && k.Process == p && !k.removed
 }
 
-func (k *known) isRefused(p Process) bool {
+func (k *knownInstance) isRejected(p Process) bool {
 	f := k.findFormer(p)
-	return f != nil && (f.replaced || f.gone)
+	return f != nil && (f.replaced || f.removed)
 }
 
-func (k *known) findFormer(p Process) *former {
+func (k *knownInstance) findFormer(p Process) *formerProcess {
 	for n := range k.former {
 		if k.former[n].Process == p {
 			return &k.former[n]
@@ -252,22 +252,22 @@
 }
 
 // replace makes a new process the one that has the name.
-func (k *known) replace(i Instance) {
-	k.addFormer(former{Process: k.Process, replaced: true, listed: k.listed, gone: k.gone})
-	next := known{Instance: i, former: k.former}
+func (k *knownInstance) replace(i Instance) {
+	k.addFormer(formerProcess{Process: k.Process, replaced: true, listed: k.listed, removed: k.removed})
+	next := knownInstance{Instance: i, former: k.former}
 	if f := k.findFormer(i.Process); f != nil {
-		next.listed, next.gone = f.listed, f.gone
-		next.former = slices.DeleteFunc(next.former, func(f former) bool { return f.Process == i.Process })
+		next.listed, next.removed = f.listed, f.removed
+		next.former = slices.DeleteFunc(next.former, func(f formerProcess) bool { return f.Process == i.Process })
 	}
 	*k = next
 }
 
-func (k *known) addFormer(f former) {
+func (k *knownInstance) addFormer(f formerProcess) {
 	k.former = append(k.former, f)
 	k.former = k.former[max(0, len(k.former)-maxFormer):]
 }
 
-func (c *Core) hearsMe(b Beat) bool {
+func (c *Core) listsSelf(b Beat) bool {
 	for _, p := range b.Direct {
 		if p == c.config.Self.Process {
 			return true
@@ -276,30 +276,30 @@
 	return false
 }
 
-// hearsay takes a counter that came over another instance. It shows that the process lives
+// handleGossip takes a counter that came over another instance. It shows that the process lives
 // though the link to it is cut, and passes a large group in steps.
-func (c *Core) hearsay(now Time, h Count) {
+func (c *Core) handleGossip(now Time, h Count) {
 	k := c.known[h.Name]
-	if k == nil || k.gone || k.Incarnation != h.Incarnation || h.Count <= k.count {
+	if k == nil || k.removed || k.Incarnation != h.Incarnation || h.Count <= k.count {
 		return
 	}
 	c.stale = c.stale || now >= k.liveUntil
 	k.count = h.Count
-	k.liveUntil = now + c.silence(k)
+	k.liveUntil = now + c.timeout(k)
 }
 
-func (c *Core) period(k *known) Time {
+func (c *Core) interval(k *knownInstance) Time {
 	switch {
 	case k.Domain != c.config.Self.Domain:
 		return Time(c.config.PeriodOutside)
 	case c.isSparse(k):
-		return sparsePeriods * Time(c.config.Period)
+		return sparseFactor * Time(c.config.Period)
 	default:
 		return Time(c.config.Period)
 	}
 }
 
-func (c *Core) silence(k *known) Time {
+func (c *Core) timeout(k *knownInstance) Time {
 	if k.Domain == c.config.Self.Domain {
 		return Time(c.config.Silence)
 	}
--- a/internal/member/core_test.go
+++ b/internal/member/core_test.go
@@ -87,10 +87,10 @@
 	c.Handle(second, hear(fresh, 1, hearsA))
 	c.Handle(second, member.Listed{Instances: []member.ListedInstance{{Instance: old}}})
 	is.Equal(c.View().Live[1].Process, fresh.Process)
-	is.Equal(len(c.View().Gone), 0)
+	is.Equal(len(c.View().Removed), 0)
 	c.Handle(second, member.Listed{Instances: []member.ListedInstance{{Instance: fresh}}})
 	is.Equal(c.View().Live[1].Process, fresh.Process)
-	is.Equal(c.View().Gone, []member.Process{old.Process})
+	is.Equal(c.View().Removed, []member.Process{old.Process})
 }
 
 // This process was paused for so long that the platform gave its place away. It must learn
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -151,8 +151,8 @@
 type View struct {
 	// Live are the live instances of the domain, this one included, sorted by name.
 	Live []Live
-	// Gone are the processes of the domain that are gone for certain, sorted by name.
-	Gone []Process
+	// Removed are the processes of the domain that are gone for certain, sorted by name.
+	Removed []Process
 	// Leader is the leader of the domain with the highest term, if it lives. Its name is empty
 	// otherwise.
 	Leader Process
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// report adds Changed when the view is another one.
-func (c *Core) report(now Time, effects []Effect) []Effect {
+// reportView adds Changed when the view is another one.
+func (c *Core) reportView(now Time, effects []Effect) []Effect {
 	if !c.stale {
 		return effects
 	}
 	c.stale = false
-	view := c.look(now)
+	view := c.buildView(now)
 	if reflect.DeepEqual(view, c.view) {
 		return effects
 	}
@@ -21,7 +21,7 @@
 	return append(effects, Changed{View: view})
 }
 
-func (c *Core) look(now Time) View {
+func (c *Core) buildView(now Time) View {
 	self := Live{Instance: c.config.Self, Link: LinkBoth, Leaving: c.leaving}
 	v := View{Live: []Live{self}, Term: c.term}
 	domains := make(map[string][]Instance)
@@ -38,12 +38,12 @@
 		}
 		if k.Domain == c.config.Self.Domain {
 			for _, f := range k.former {
-				if f.gone {
-					v.Gone = append(v.Gone, f.Process)
+				if f.removed {
+					v.Removed = append(v.Removed, f.Process)
 				}
 			}
-			if k.gone {
-				v.Gone = append(v.Gone, k.Process)
+			if k.removed {
+				v.Removed = append(v.Removed, k.Process)
 			}
 		}
 	}
@@ -61,8 +61,8 @@
 	return slices.ContainsFunc(v.Live, func(l Live) bool { return l.Process == p })
 }
 
-func (k *known) link(now Time) Link {
-	heard, hears := now < k.heardUntil, now < k.hearsUntil
+func (k *knownInstance) link(now Time) Link {
+	heard, hears := now < k.inboundUntil, now < k.outboundUntil
 	switch {
 	case heard && hears:
 		return LinkBoth
--- a/internal/member/schedule_test.go
+++ b/internal/member/schedule_test.go
@@ -243,7 +243,7 @@
 
 // checkView holds what must be true of each view at each moment.
 func (w *world) checkView(p *process) {
-	for _, gone := range p.view.Gone {
+	for _, gone := range p.view.Removed {
 		p.gone[gone] = true
 		if !w.ended[gone] {
 			w.failures = append(w.failures, fmt.Sprint("gone but runs: ", gone))
--- a/internal/member/send.go
+++ b/internal/member/send.go
@@ -8,20 +8,20 @@
 // tick sends the heartbeats that are due.
 func (c *Core) tick(now Time) []Effect {
 	var targets []string
-	if now >= c.nextAt {
-		c.nextAt = nextAfter(now, c.nextAt, Time(c.config.Period))
+	if now >= c.nextDomainSend {
+		c.nextDomainSend = nextAfter(now, c.nextDomainSend, Time(c.config.Period))
 		c.round++
-		c.mates = c.countMates()
-		targets = c.inside()
+		c.domainPeers = c.countDomainPeers()
+		targets = c.domainContacts()
 	}
-	if now >= c.nextOut {
-		c.nextOut = nextAfter(now, c.nextOut, Time(c.config.PeriodOutside))
-		targets = append(targets, c.outside(now)...)
+	if now >= c.nextCrossDomainSend {
+		c.nextCrossDomainSend = nextAfter(now, c.nextCrossDomainSend, Time(c.config.PeriodOutside))
+		targets = append(targets, c.crossDomainContacts(now)...)
 	}
 	var effects []Effect
 	for _, name := range targets {
 		k := c.known[name]
-		if !c.leaving && (c.isSparse(k) && c.round%sparsePeriods != 0 || now < k.calledUntil && c.isCaller(k)) {
+		if !c.leaving && (c.isSparse(k) && c.round%sparseFactor != 0 || now < k.replyOnlyUntil && c.isSender(k)) {
 			continue
 		}
 		effects = append(effects, Send{To: k.Instance, Beat: c.Beat(now)})
@@ -29,27 +29,27 @@
 	return effects
 }
 
-// sparsePeriods is the number of periods between heartbeats of two followers.
-const sparsePeriods = 2
+// sparseFactor is the number of periods between heartbeats of two followers.
+const sparseFactor = 2
 
 // isSparse reports whether a contact needs fewer heartbeats: one of two followers in a small
 // domain, where no right and no succession rests on their hearing of each other.
-func (c *Core) isSparse(k *known) bool {
-	return k.Domain == c.config.Self.Domain && c.isSmall() &&
+func (c *Core) isSparse(k *knownInstance) bool {
+	return k.Domain == c.config.Self.Domain && c.isFullMesh() &&
 		c.leader.Name != "" && c.leader != c.config.Self.Process && c.leader != k.Process
 }
 
-// isSmall reports whether all instances of the domain are in direct contact, as of the last
+// isFullMesh reports whether all instances of the domain are in direct contact, as of the last
 // tick.
-func (c *Core) isSmall() bool {
-	return c.mates < c.config.All
+func (c *Core) isFullMesh() bool {
+	return c.domainPeers < c.config.All
 }
 
-// countMates returns the number of other instances of the domain.
-func (c *Core) countMates() int {
+// countDomainPeers returns the number of other instances of the domain.
+func (c *Core) countDomainPeers() int {
 	mates := 0
 	for _, k := range c.known {
-		if k.Domain == c.config.Self.Domain && !k.gone {
+		if k.Domain == c.config.Self.Domain && !k.removed {
 			mates++
 		}
 	}
@@ -61,10 +61,10 @@
 	return max(due+period, now+period/2)
 }
 
-// isCaller reports whether a contact is the one of the two that sends, while the other only
+// isSender reports whether a contact is the one of the two that sends, while the other only
 // answers: the follower of a leader, whose rights rest on the leader's answers, otherwise the
 // first by name. Where they disagree both send.
-func (c *Core) isCaller(k *known) bool {
+func (c *Core) isSender(k *knownInstance) bool {
 	switch c.leader {
 	case c.config.Self.Process:
 		return k.Domain == c.config.Self.Domain || k.Name < c.config.Self.Name
@@ -86,28 +86,28 @@
 		Term:     c.term,
 	}
 	for _, k := range c.sorted() {
-		if now < k.heardUntil {
+		if now < k.inboundUntil {
 			b.Direct = append(b.Direct, k.Process)
 		}
 	}
-	if !c.isSmall() {
-		b.Hearsay = c.hearsayFor(now)
+	if !c.isFullMesh() {
+		b.Hearsay = c.nextGossip(now)
 	}
 	return b
 }
 
-// hearsayFor goes on in the circle of names where the heartbeat before ended, so that a
+// nextGossip goes on in the circle of names where the heartbeat before ended, so that a
 // bounded heartbeat passes on everybody's counter in turn.
-func (c *Core) hearsayFor(now Time) []Count {
+func (c *Core) nextGossip(now Time) []Count {
 	order := c.sorted()
 	var counts []Count
 	for n := range order {
-		k := order[(c.told+n)%len(order)]
+		k := order[(c.gossipOffset+n)%len(order)]
 		if k.Domain != c.config.Self.Domain || now >= k.liveUntil {
 			continue
 		}
 		if len(counts) == c.config.Hearsay {
-			c.told = (c.told + n) % len(order)
+			c.gossipOffset = (c.gossipOffset + n) % len(order)
 			break
 		}
 		counts = append(counts, Count{Process: k.Process, Count: k.count})
@@ -116,7 +116,7 @@
 }
 
 // sorted returns what is known in the order of names.
-func (c *Core) sorted() []*known {
+func (c *Core) sorted() []*knownInstance {
 	if len(c.order) != len(c.known) {
 		c.order = c.order[:0]
 		for _, name := range slices.Sorted(maps.Keys(c.known)) {
@@ -126,20 +126,20 @@
 	return c.order
 }
 
-// inside returns the contacts in the own domain, dead ones included: only a heartbeat to
+// domainContacts returns the contacts in the own domain, dead ones included: only a heartbeat to
 // them finds out that they have returned. What is gone for certain is left out. The leader is
 // among them in any case.
-func (c *Core) inside() []string {
-	names := contacts(c.namesOf(c.config.Self.Domain), c.config.Self.Name, c.config.All)
+func (c *Core) domainContacts() []string {
+	names := contacts(c.namesIn(c.config.Self.Domain), c.config.Self.Name, c.config.All)
 	leader := c.known[c.leader.Name]
-	if leader != nil && !leader.gone && !slices.Contains(names, c.leader.Name) {
+	if leader != nil && !leader.removed && !slices.Contains(names, c.leader.Name) {
 		names = append(names, c.leader.Name)
 	}
 	return names
 }
 
-// outside returns contacts in other domains, a few in each.
-func (c *Core) outside(now Time) []string {
+// crossDomainContacts returns contacts in other domains, a few in each.
+func (c *Core) crossDomainContacts(now Time) []string {
 	domains := []string{c.config.Self.Domain}
 	for _, k := range c.known {
 		if !slices.Contains(domains, k.Domain) {
@@ -149,19 +149,19 @@
 	slices.Sort(domains)
 	var targets []string
 	for _, domain := range contacts(domains, c.config.Self.Domain, c.config.All) {
-		targets = append(targets, c.delegatesOf(now, domain)...)
+		targets = append(targets, c.contactsIn(now, domain)...)
 	}
 	return targets
 }
 
-// namesOf returns the sorted names known in a domain, with the own one if it is there.
-func (c *Core) namesOf(domain string) []string {
+// namesIn returns the sorted names known in a domain, with the own one if it is there.
+func (c *Core) namesIn(domain string) []string {
 	var names []string
 	if domain == c.config.Self.Domain {
 		names = append(names, c.config.Self.Name)
 	}
 	for _, k := range c.sorted() {
-		if k.Domain == domain && !k.gone {
+		if k.Domain == domain && !k.removed {
 			names = append(names, k.Name)
 		}
 	}
@@ -169,13 +169,13 @@
 	return names
 }
 
-// delegatesOf returns those to contact in another domain: a few live ones, and one that is
+// contactsIn returns those to contact in another domain: a few live ones, and one that is
 // not known to live, a different one each time, so that a domain whose known instances were
 // all replaced is found again. Instances begin at the place that they have among their own,
 // so that no instance of the other domain answers them all.
-func (c *Core) delegatesOf(now Time, domain string) []string {
+func (c *Core) contactsIn(now Time, domain string) []string {
 	var live, silent []string
-	for _, name := range c.namesOf(domain) {
+	for _, name := range c.namesIn(domain) {
 		if now < c.known[name].liveUntil {
 			live = append(live, name)
 		} else {
@@ -183,13 +183,13 @@
 		}
 	}
 	var chosen []string
-	place := slices.Index(c.namesOf(c.config.Self.Domain), c.config.Self.Name)
+	place := slices.Index(c.namesIn(c.config.Self.Domain), c.config.Self.Name)
 	for n := range min(len(live), c.config.Delegates) {
 		chosen = append(chosen, live[(place+n)%len(live)])
 	}
 	if len(silent) > 0 {
-		c.turn++
-		chosen = append(chosen, silent[c.turn%len(silent)])
+		c.probeTurn++
+		chosen = append(chosen, silent[c.probeTurn%len(silent)])
 	}
 	return chosen
 }
--- a/internal/member/wired_test.go
+++ b/internal/member/wired_test.go
@@ -38,7 +38,7 @@
 			c.Handle(second+test.silent, hear(fresh, 1, nil))
 			is.Equal(c.Holds(fresh.Process), test.taken)
 			is.Equal(c.Holds(old.Process), !test.taken)
-			is.Equal(len(c.View().Gone), 0) // silence proves nothing
+			is.Equal(len(c.View().Removed), 0) // silence proves nothing
 		})
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -41,7 +41,7 @@
 		if ctx.Err() != nil {
 			c.drop(conn)
 		}
-		return result, wrap(method, err)
+		return result, wrapCallError(method, err)
 	}
 	return result, nil
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.conn = jsonrpc2.NewConn(context.Background(), newStream(counted(conn, c.count)), refuseCalls{})
+	c.conn = jsonrpc2.NewConn(context.Background(), newStream(withCount(conn, c.count)), ignoreCalls{})
 	return c.conn, nil
 }
 
@@ -93,8 +93,8 @@
 	<-c.lock
 }
 
-// refuseCalls ignores calls in the reverse direction, which no instance makes.
-type refuseCalls struct{}
+// ignoreCalls ignores calls in the reverse direction, which no instance makes.
+type ignoreCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuseCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (ignoreCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -2,28 +2,28 @@
 
 import "net"
 
-// countedConn tells of the bytes that pass through a connection.
-type countedConn struct {
+// countingConn tells of the bytes that pass through a connection.
+type countingConn struct {
 	net.Conn
 	count func(in, out int)
 }
 
-func counted(conn net.Conn, count func(in, out int)) net.Conn {
+func withCount(conn net.Conn, count func(in, out int)) net.Conn {
 	if count == nil {
 		return conn
 	}
-	return countedConn{Conn: conn, count: count}
+	return countingConn{Conn: conn, count: count}
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count(n, 0)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count(0, n)
 	return n, err
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -63,14 +63,14 @@
 	ErrUnreachable = errors.New("peer: unreachable")
 	// ErrUncertain says that the connection ended before the answer: the call may have run.
 	ErrUncertain = errors.New("peer: no answer")
-	// ErrRefused says that the peer answered with an error.
-	ErrRefused = errors.New("peer: refused")
+	// ErrRejected says that the peer answered with an error.
+	ErrRejected = errors.New("peer: refused")
 )
 
-func wrap(method Method, err error) error {
+func wrapCallError(method Method, err error) error {
 	var answered *jsonrpc2.Error
 	if errors.As(err, &answered) {
-		return fmt.Errorf("%w: %s: %w", ErrRefused, method, err)
+		return fmt.Errorf("%w: %s: %w", ErrRejected, method, err)
 	}
 	return fmt.Errorf("%w: %s: %w", ErrUncertain, method, err)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -57,7 +57,7 @@
 	is.NoErr(err)
 	is.Equal(got, "re x")
 	_, err = Call[string, string](t.Context(), c, "other", "x")
-	is.True(errors.Is(err, ErrRefused))
+	is.True(errors.Is(err, ErrRejected))
 }
 
 // A process that is no instance of the system connects to the peer address and asks for a
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,7 +13,7 @@
 const (
 	maxConnections = 512
 	maxCalls       = 1024
-	handshakeLimit = 5 * time.Second
+	handshakeTimeout = 5 * time.Second
 )
 
 // Server takes calls from other instances.
@@ -21,7 +21,7 @@
 	listener net.Listener
 	mux      *Mux
 	count    func(in, out int)
-	slots    chan struct{}
+	connections    chan struct{}
 	calls    chan struct{}
 }
 
@@ -33,7 +33,7 @@
 		listener: tls.NewListener(listener, config),
 		mux:      mux,
 		count:    count,
-		slots:    make(chan struct{}, maxConnections),
+		connections:    make(chan struct{}, maxConnections),
 		calls:    make(chan struct{}, maxCalls),
 	}
 }
@@ -51,7 +51,7 @@
 			return err
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connections <- struct{}{}:
 			go s.serve(ctx, conn)
 		default:
 			conn.Close()
@@ -63,13 +63,13 @@
 // certificate, ends before a byte of a call is read, so that a process without a key of the
 // authority can do nothing.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	defer func() { <-s.slots }()
+	defer func() { <-s.connections }()
 	defer conn.Close()
 	if err := handshake(ctx, conn.(*tls.Conn)); err != nil {
 		return
 	}
-	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.bounded).SuppressErrClosed())
-	c := jsonrpc2.NewConn(ctx, newStream(counted(conn, s.count)), handler)
+	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.limitCalls).SuppressErrClosed())
+	c := jsonrpc2.NewConn(ctx, newStream(withCount(conn, s.count)), handler)
 	select {
 	case <-c.DisconnectNotify():
 	case <-ctx.Done():
@@ -79,12 +79,12 @@
 
 // handshake bounds the time that a silent stranger can hold a connection slot.
 func handshake(ctx context.Context, conn *tls.Conn) error {
-	bounded, cancel := context.WithTimeout(ctx, handshakeLimit)
+	bounded, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	return conn.HandshakeContext(bounded)
 }
 
-func (s *Server) bounded(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
+func (s *Server) limitCalls(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	select {
 	case s.calls <- struct{}{}:
 	default:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,8 +21,8 @@
 // instances in 6 steps and no instance sends it more than 4 times.
 const DefaultFanOut = 4
 
-// Place is the position of one instance in the tree of its failure domain.
-type Place struct {
+// Position is the position of one instance in the tree of its failure domain.
+type Position struct {
 	// Ancestors are the instances above, the parent first and the root last. It is empty for
 	// the root, which reads the log.
 	Ancestors []string
@@ -31,7 +31,7 @@
 }
 
 // Parent returns the instance to ask, or false for the root.
-func (p Place) Parent() (string, bool) {
+func (p Position) Parent() (string, bool) {
 	if len(p.Ancestors) == 0 {
 		return "", false
 	}
@@ -43,13 +43,13 @@
 type Tree struct {
 	fanOut int
 	order  []string
-	places map[string]int
+	indexes map[string]int
 }
 
 // New returns the tree of a failure domain. Instances are ordered by a hash of domain and
 // name, so that no instance is set aside to be the root. Names that stand twice count once.
 func New(domain string, live []string, fanOut int) *Tree {
-	t := &Tree{fanOut: max(1, fanOut), places: make(map[string]int, len(live))}
+	t := &Tree{fanOut: max(1, fanOut), indexes: make(map[string]int, len(live))}
 	t.order = slices.Clone(live)
 	hashes := make(map[string]uint64, len(live))
 	for _, name := range live {
@@ -60,19 +60,19 @@
 	})
 	t.order = slices.Compact(t.order)
 	for i, name := range t.order {
-		t.places[name] = i
+		t.indexes[name] = i
 	}
 	return t
 }
 
-// Place returns the place of an instance, and false if it is not in the list. An instance
+// Position returns the place of an instance, and false if it is not in the list. An instance
 // that is not listed yet asks the root.
-func (t *Tree) Place(name string) (Place, bool) {
-	i, found := t.places[name]
+func (t *Tree) Position(name string) (Position, bool) {
+	i, found := t.indexes[name]
 	if !found {
-		return Place{Ancestors: t.order[:min(1, len(t.order))]}, false
+		return Position{Ancestors: t.order[:min(1, len(t.order))]}, false
 	}
-	var p Place
+	var p Position
 	for j := i; j > 0; {
 		j = (j - 1) / t.fanOut
 		p.Ancestors = append(p.Ancestors, t.order[j])
@@ -82,14 +82,14 @@
 	return p, true
 }
 
-// Ask returns whom an instance asks for updates: its nearest ancestor that it does not
+// Source returns whom an instance asks for updates: its nearest ancestor that it does not
 // suspect. It is empty when all are suspected, or for the root: the instance then reads the
 // log itself, as the root does.
 //
 // It guards against a parent that is gone while the list, which lags, still names it: the
 // whole branch below would miss each roll. It shows as silence on the connection. Asking
 // the next ancestor holds because each ancestor gets what its descendants need.
-func (p Place) Ask(suspected func(name string) bool) (ancestor string, found bool) {
+func (p Position) Source(suspected func(name string) bool) (ancestor string, found bool) {
 	for _, a := range p.Ancestors {
 		if !suspected(a) {
 			return a, true
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,8 +17,8 @@
 	return list
 }
 
-func place(t *rapid.T, tree *Tree, name string) Place {
-	p, found := tree.Place(name)
+func place(t *rapid.T, tree *Tree, name string) Position {
+	p, found := tree.Position(name)
 	if !found {
 		t.Fatalf("%s has no place", name)
 	}
@@ -78,7 +78,7 @@
 		suspected := func(name string) bool { return silent[name] }
 		for _, name := range live {
 			for steps := 0; ; steps++ {
-				next, found := place(t, tree, name).Ask(suspected)
+				next, found := place(t, tree, name).Source(suspected)
 				if !found {
 					break // reads the log
 				}
@@ -94,10 +94,10 @@
 func TestUnlistedInstanceAsksTheRoot(t *testing.T) {
 	is := is.New(t)
 	tree := New("klet", names(9), 2)
-	p, found := tree.Place("new")
+	p, found := tree.Position("new")
 	is.True(!found)
 	is.Equal(p.Ancestors, tree.order[:1])
-	p, found = New("klet", nil, 2).Place("new")
+	p, found = New("klet", nil, 2).Position("new")
 	is.True(!found)
 	is.Equal(len(p.Ancestors), 0)
 }
@@ -137,8 +137,8 @@
 		after := New("klet", slices.Delete(slices.Clone(live), gone, gone+1), DefaultFanOut)
 		losses++
 		for _, name := range after.order {
-			p, _ := before.Place(name)
-			q, _ := after.Place(name)
+			p, _ := before.Position(name)
+			q, _ := after.Position(name)
 			was, _ := p.Parent()
 			now, _ := q.Parent()
 			if was != now && was != live[gone] {
@@ -158,7 +158,7 @@
 			for b.Loop() {
 				sent, most = 0, 0
 				for _, name := range tree.order {
-					p, _ := tree.Place(name)
+					p, _ := tree.Position(name)
 					sent += len(p.Children)
 					most = max(most, len(p.Children)+min(1, len(p.Ancestors)))
 				}
