--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -9,13 +9,13 @@
 	"example.org/mustardring/internal/member"
 )
 
-// BenchmarkHeartbeat measures what one heartbeat costs the sender and the receiver, by the
-// size of the domain, and states the bytes of the heartbeat and the heartbeats that an
-// instance sends in one period.
+// BenchmarkHeartbeat measures the cost of one heartbeat for sender and receiver together, by
+// the size of the domain. It also reports the size of a heartbeat in bytes and the number of
+// heartbeats that an instance sends per interval.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []int{2, 4, 8, 16, 32, 64, 256, 1024} {
 		b.Run(fmt.Sprint("peers=", size), func(b *testing.B) {
-			cores, sent := group(size)
+			cores, sent := newGroup(size)
 			from, to := cores[0], cores[1]
 			now := 10 * second
 			data, err := json.Marshal(from.NextHeartbeat(now))
@@ -32,15 +32,15 @@
 	}
 }
 
-// hearAll makes a core know everybody, as in a group that has run for a while: the contacts
-// directly, the others by hearsay.
-func hearAll(c *member.Core, all []member.Instance) {
+// introduceAll makes all instances live in a core, as in a group that has run for a while: the
+// contacts directly, the others by gossip.
+func introduceAll(c *member.Core, instances []member.Instance) {
 	var counts []member.HeartbeatCount
-	for _, other := range all {
+	for _, other := range instances {
 		c.Handle(second, member.Discovered{Instance: other})
 		counts = append(counts, member.HeartbeatCount{Process: other.Process, Count: 1})
 	}
-	direct := []member.Instance{all[0]}
+	direct := []member.Instance{instances[0]}
 	for _, effect := range c.Handle(second, member.Ticked{}) {
 		if send, ok := effect.(member.SendHeartbeat); ok {
 			direct = append(direct, send.To)
@@ -51,22 +51,22 @@
 	}
 }
 
-// group returns cores that have all heard of each other, and how many heartbeats the first
-// sends in one period.
-func group(size int) (cores []*member.Core, sent int) {
-	var all []member.Instance
+// newGroup returns the cores of the first two instances of a group, in which all instances are
+// live, and the number of heartbeats that the first one sends per interval.
+func newGroup(size int) (cores []*member.Core, sent int) {
+	var instances []member.Instance
 	for n := range size {
-		all = append(all, member.Instance{
+		instances = append(instances, member.Instance{
 			Process: member.Process{Name: fmt.Sprintf("instance-%04d", n), Incarnation: uint64(n+1) << 40},
 			Domain:  "dvorana-a", Address: fmt.Sprintf("10.0.%d.%d:7100", n/256, n%256),
 		})
 	}
-	for _, self := range all[:2] {
+	for _, self := range instances[:2] {
 		c := member.New(member.Config{
 			Self: self, HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
 			HeartbeatTimeout: time.Hour, CrossDomainTimeout: time.Hour, MaxFullMesh: 16, ContactsPerDomain: 3, MaxGossip: 64,
 		})
-		hearAll(c, all)
+		introduceAll(c, instances)
 		cores = append(cores, c)
 	}
 	for _, effect := range cores[0].Handle(2*second, member.Ticked{}) {
--- a/internal/member/contacts.go
+++ b/internal/member/contacts.go
@@ -5,14 +5,14 @@
 	"sort"
 )
 
-// contacts chooses whom an instance sends heartbeats to, out of sorted names of which its own
-// is one. Up to all names it is everybody. In larger groups it is the instances at distances
-// 1, 2, 4, ... after its own place on the ring of names, so that a heartbeat costs each
-// instance the logarithm of the group, any two are joined by at most as many hops, and those
-// who know the same names agree without talking.
-func contacts(names []string, own string, all int) []string {
+// contacts returns the names to which own sends heartbeats. The names are sorted and include
+// own. In a group of up to maxFullMesh names these are all others. In a larger group they are
+// the names at distances 1, 2, 4, ... after own on the ring of names. The number of heartbeats
+// of an instance and of hops between any two then grows with the logarithm of the group, and
+// all who know the same names compute the same contacts without communication.
+func contacts(names []string, own string, maxFullMesh int) []string {
 	n := len(names)
-	if n <= all {
+	if n <= maxFullMesh {
 		return slices.DeleteFunc(slices.Clone(names), func(s string) bool { return s == own })
 	}
 	at := sort.SearchStrings(names, own)
--- a/internal/member/contacts_test.go
+++ b/internal/member/contacts_test.go
@@ -8,11 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// In a group of any size, news of one instance must reach all others in as many hops as the
-// group has binary digits, and nobody may have more contacts than that beyond the small groups.
-func TestContactsReachEverybody(t *testing.T) {
+// In a group of any size, an update of one instance must reach all others in at most as many
+// hops as the size has binary digits. Beyond the full-mesh size, no instance may have more
+// contacts than that.
+func TestContactsReachAllInstances(t *testing.T) {
 	is := is.New(t)
-	const all = 16
+	const maxFullMesh = 16
 	for size := 1; size <= 300; size++ {
 		var names []string
 		for n := range size {
@@ -20,10 +21,10 @@
 		}
 		hops := map[string]int{names[0]: 0}
 		for queue := names[:1:1]; len(queue) > 0; queue = queue[1:] {
-			chosen := contacts(names, queue[0], all)
-			is.True(len(chosen) <= max(all-1, bits.Len(uint(size-1)))) // bounded
+			chosen := contacts(names, queue[0], maxFullMesh)
+			is.True(len(chosen) <= max(maxFullMesh-1, bits.Len(uint(size-1)))) // bounded
 			for _, next := range chosen {
-				is.True(next != queue[0]) // nobody talks to itself
+				is.True(next != queue[0]) // no instance is its own contact
 				if _, known := hops[next]; !known {
 					hops[next] = hops[queue[0]] + 1
 					queue = append(queue, next)
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -7,86 +7,94 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Config says who this instance is and how often it sends.
+// Config identifies this instance and sets the intervals and limits of a Core.
 type Config struct {
 	Self Instance
-	// HeartbeatInterval is the time between heartbeats within the domain, and PeriodOutside to other
-	// domains.
+	// HeartbeatInterval is the time between heartbeats within the failure domain,
+	// CrossDomainInterval that between heartbeats to other domains.
 	HeartbeatInterval   time.Duration
 	CrossDomainInterval time.Duration
-	// HeartbeatTimeout is the time without a sign of life after which an instance of the domain counts
-	// as dead, and SilenceOutside that for others. Hearsay takes a Period for each hop.
+	// HeartbeatTimeout is the time without a newer heartbeat after which an instance of the
+	// domain is no longer live, CrossDomainTimeout that for instances of other domains. Gossip
+	// takes one HeartbeatInterval per hop.
 	HeartbeatTimeout   time.Duration
 	CrossDomainTimeout time.Duration
-	// MaxFullMesh is the size up to which everybody in a group sends to everybody.
+	// MaxFullMesh is the largest number of names in a group whose members all send heartbeats to
+	// each other. Larger groups send to a few contacts each.
 	MaxFullMesh int
-	// ContactsPerDomain is the number of instances of another domain that are contacted.
+	// ContactsPerDomain is the number of live instances of another domain to which this instance
+	// sends heartbeats.
 	ContactsPerDomain int
-	// ReplaceDelay is for how long after its silence began a process that the platform's list shows
-	// keeps its name against another one. Zero means as long as the list shows it.
+	// ReplaceDelay is how long a process that the platform's list showed keeps its name after
+	// its heartbeats have timed out. After that another process may take the name although the
+	// list does not show it yet. Zero means that only a change of the list frees the name.
 	ReplaceDelay time.Duration
-	// MaxGossip bounds the counters passed on in one heartbeat.
+	// MaxGossip is the largest number of counters passed on in one heartbeat.
 	MaxGossip int
 }
 
-// maxFormer bounds the processes that are remembered as replaced, for each name.
+// maxFormer is the number of former processes remembered per name.
 const maxFormer = 8
 
-// Core is the membership of one instance.
+// Core tracks the membership as seen by one instance. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	count   uint64
 	leaving bool
 	known   map[string]*knownInstance
-	// order is known by name, and told the place in it where the last heartbeat ended.
+	// order holds the values of known sorted by name. gossipOffset is the index in it at which
+	// the gossip of the next heartbeat starts.
 	order        []*knownInstance
 	gossipOffset int
-	// probeTurn chooses among silent instances of other domains.
+	// probeTurn selects the next unreachable instance of another domain to probe.
 	probeTurn int
-	// domainPeers is the number of other instances of the domain at the last tick.
+	// domainPeers is the number of other instances of the domain as of the last heartbeat round.
 	domainPeers int
-	// round counts periods.
+	// round counts the heartbeat rounds within the domain.
 	round               int
 	leader              Process
 	term                grant.Term
 	nextDomainSend      Time
 	nextCrossDomainSend Time
 	view                View
-	// stale says that the view may have changed.
+	// stale reports whether the view may have changed since it was built.
 	stale bool
-	// listed and removed say whether the platform's list ever showed this process, and
-	// afterwards did so no more.
+	// listed reports whether the platform's list ever showed this process, removed whether it
+	// then stopped doing so.
 	listed  bool
 	removed bool
 }
 
-// knownInstance is what is known of the instance of one name.
+// knownInstance is what is known about the instance with one name. The embedded Instance has
+// the process that holds the name at present.
 type knownInstance struct {
 	Instance
 	leaving bool
-	// count is the newest heartbeat counter of the present process.
+	// count is the newest known heartbeat counter of the present process.
 	count uint64
-	// liveUntil, heardUntil and hearsUntil are when the process counts as dead, as not heard
-	// directly, and as not hearing this instance, unless there is news before.
+	// Without newer heartbeats, the process is live until liveUntil, counts as heard directly
+	// until inboundUntil, and counts as receiving heartbeats of this instance until
+	// outboundUntil.
 	liveUntil     Time
 	inboundUntil  Time
 	outboundUntil Time
-	// replyOnlyUntil is until when its heartbeats, answered here, stand for own ones to it.
+	// replyOnlyUntil is until when the replies to its heartbeats replace heartbeats of this
+	// instance.
 	replyOnlyUntil Time
-	// listed says that the platform's list has shown the present process.
+	// listed reports whether the platform's list has shown the present process.
 	listed bool
-	// removed is set for good when the list shows the process no more.
+	// removed is set when the list no longer shows the process, and is never reset.
 	removed bool
-	// former are other processes of the name: those that this one replaced, and those that
-	// the platform's list showed beside it.
+	// former lists other processes with the name: those that held it before, and those that the
+	// platform's list showed while this one held it.
 	former []formerProcess
 }
 
-// formerProcess is another process of a name than the present one.
+// formerProcess is a process that does not hold its name at present.
 type formerProcess struct {
 	Process
-	// replaced says that it had the name once. It is not believed again: one that was paused
-	// and returns finds its place taken.
+	// replaced reports whether it held the name and another process took it. Its heartbeats are
+	// ignored when it returns from a pause.
 	replaced bool
 	listed   bool
 	removed  bool
@@ -97,7 +105,7 @@
 	return &Core{config: config, known: make(map[string]*knownInstance), stale: true}
 }
 
-// Handle takes one event. The time never goes back.
+// Handle processes one event and returns the effects. The time must not go back.
 func (c *Core) Handle(now Time, event Event) []Effect {
 	var effects []Effect
 	switch e := event.(type) {
@@ -125,6 +133,8 @@
 	return c.view
 }
 
+// addInstance returns the entry of an instance, which it adds if it is missing. It returns nil
+// for this instance and for an empty name.
 func (c *Core) addInstance(i Instance) *knownInstance {
 	if i.Name == "" || i.Name == c.config.Self.Name {
 		return nil
@@ -143,14 +153,14 @@
 	return k
 }
 
-// handleHeartbeat takes a heartbeat, unless its process was replaced or is gone for certain.
+// handleHeartbeat processes a heartbeat. It ignores one whose process was replaced or removed.
 func (c *Core) handleHeartbeat(now Time, e HeartbeatReceived) {
 	k := c.addInstance(e.Heartbeat.Instance)
 	if k == nil || !c.acceptProcess(now, k, e.Heartbeat.Instance) {
 		return
 	}
 	wasLive, link, leaving := now < k.liveUntil, k.link(now), k.leaving
-	silence := c.timeout(k)
+	timeout := c.timeout(k)
 	isNew := e.Heartbeat.Count > k.count
 	if !e.IsReply {
 		k.replyOnlyUntil = now + c.interval(k) + c.interval(k)/2
@@ -158,10 +168,10 @@
 	if isNew {
 		k.count = e.Heartbeat.Count
 		k.leaving = e.Heartbeat.Leaving
-		k.liveUntil, k.inboundUntil = now+silence, now+silence
+		k.liveUntil, k.inboundUntil = now+timeout, now+timeout
 	}
 	if e.IsReply || c.listsSelf(e.Heartbeat) {
-		k.outboundUntil = now + silence
+		k.outboundUntil = now + timeout
 	}
 	if !wasLive || link != k.link(now) || leaving != k.leaving {
 		c.stale = true
@@ -169,26 +179,29 @@
 	if k.Domain != c.config.Self.Domain || !isNew {
 		return
 	}
-	for _, h := range e.Heartbeat.Gossip {
-		c.handleGossip(now, h)
+	for _, g := range e.Heartbeat.Gossip {
+		c.handleGossip(now, g)
 	}
 	c.handleLeaderClaim(e.Heartbeat)
 }
 
-func (c *Core) handleLeaderClaim(b Heartbeat) {
-	if b.Leader.Name == "" && b.Process == c.leader {
+// handleLeaderClaim processes what a heartbeat states about the leader. Only the leader itself
+// can state that it has stepped down.
+func (c *Core) handleLeaderClaim(h Heartbeat) {
+	if h.Leader.Name == "" && h.Process == c.leader {
 		c.clearLeader()
 		return
 	}
-	c.adoptLeader(b.Leader, b.Term)
+	c.adoptLeader(h.Leader, h.Term)
 }
 
-// clearLeader notes that the leader leads no more. Its term stays, so late news of it is not believed.
+// clearLeader records that the leader has stepped down. The term stays, so that late heartbeats
+// that name it as leader of that term are ignored.
 func (c *Core) clearLeader() {
 	c.leader, c.stale = Process{}, true
 }
 
-// handleLeaderReport takes what the own leader core says.
+// handleLeaderReport processes a report of the leader core of this instance.
 func (c *Core) handleLeaderReport(e LeaderReported) {
 	if e.Leader.Name == "" && c.leader == c.config.Self.Process {
 		c.clearLeader()
@@ -197,7 +210,7 @@
 	c.adoptLeader(e.Leader, e.Term)
 }
 
-// adoptLeader believes the claim of the highest term.
+// adoptLeader takes over a leader whose term is higher than the known one.
 func (c *Core) adoptLeader(leader Process, term grant.Term) {
 	if leader.Name == "" || term.Compare(c.term) <= 0 {
 		return
@@ -205,13 +218,15 @@
 	c.leader, c.term, c.stale = leader, term, true
 }
 
-// acceptProcess decides whether a heartbeat comes from the process that has the name now.
+// acceptProcess reports whether a heartbeat comes from the process that holds the name, and
+// makes another process the holder if the present one may be replaced.
 //
-// The failure it guards against is an instance that was replaced at its address, and whose
-// old process was only paused: both then send under one name. It shows as two incarnations.
-// The present one stays until the platform lists the other in its place or, if it was never
-// listed itself or said that it leaves, until it has been silent for its time. One that was replaced stays so unless
-// the list shows it.
+// Two processes with different incarnations send under one name if an instance was replaced
+// while its old process was paused. The present one keeps the name until the platform lists
+// the other in its place. It loses the name after the heartbeat timeout if the list never
+// showed it, if it said that it is leaving or if the list no longer shows it, and after the
+// timeout and Config.ReplaceDelay in other cases. A replaced process does not get the name
+// back by its heartbeats unless the list shows it.
 func (c *Core) acceptProcess(now Time, k *knownInstance, i Instance) bool {
 	switch {
 	case i.Incarnation == k.Incarnation:
@@ -224,19 +239,20 @@
 	return true
 }
 
-// isReplaceable reports whether a listed process has been silent for so long that another may take
-// its name though the list does not say so yet. Without it an instance that is replaced while
-// the list can't be read would stay unknown for as long.
+// isReplaceable reports whether a listed process has been unreachable for so long that another
+// one may take its name although the list does not show that yet. Without this rule an instance
+// that is replaced while the list is unavailable would stay unknown until the list returns.
 func (c *Core) isReplaceable(now Time, k *knownInstance) bool {
 	return c.config.ReplaceDelay > 0 && now >= k.liveUntil+Time(c.config.ReplaceDelay)
 }
 
-// IsCurrent reports whether a process has its name now and is not known to be gone.
+// IsCurrent reports whether a process holds its name and is not known to be removed.
 func (c *Core) IsCurrent(p Process) bool {
 	k := c.known[p.Name]
 	return k != nil && k.Process == p && !k.removed
 }
 
+// isRejected reports whether p is a former process that was replaced or removed.
 func (k *knownInstance) isRejected(p Process) bool {
 	f := k.findFormer(p)
 	return f != nil && (f.replaced || f.removed)
@@ -251,7 +267,7 @@
 	return nil
 }
 
-// replace makes a new process the one that has the name.
+// replace makes the process of i the holder of the name, with what is known of it from the list.
 func (k *knownInstance) replace(i Instance) {
 	k.addFormer(formerProcess{Process: k.Process, replaced: true, listed: k.listed, removed: k.removed})
 	next := knownInstance{Instance: i, former: k.former}
@@ -267,8 +283,9 @@
 	k.former = k.former[max(0, len(k.former)-maxFormer):]
 }
 
-func (c *Core) listsSelf(b Heartbeat) bool {
-	for _, p := range b.Direct {
+// listsSelf reports whether the sender of a heartbeat receives those of this process.
+func (c *Core) listsSelf(h Heartbeat) bool {
+	for _, p := range h.Direct {
 		if p == c.config.Self.Process {
 			return true
 		}
@@ -276,18 +293,20 @@
 	return false
 }
 
-// handleGossip takes a counter that came over another instance. It shows that the process lives
-// though the link to it is cut, and passes a large group in steps.
-func (c *Core) handleGossip(now Time, h HeartbeatCount) {
-	k := c.known[h.Name]
-	if k == nil || k.removed || k.Incarnation != h.Incarnation || h.Count <= k.count {
+// handleGossip processes a counter that another instance passed on. A newer counter shows that
+// the process is live although no heartbeats pass directly, because the link is cut or because
+// a large group is not a full mesh.
+func (c *Core) handleGossip(now Time, g HeartbeatCount) {
+	k := c.known[g.Name]
+	if k == nil || k.removed || k.Incarnation != g.Incarnation || g.Count <= k.count {
 		return
 	}
 	c.stale = c.stale || now >= k.liveUntil
-	k.count = h.Count
+	k.count = g.Count
 	k.liveUntil = now + c.timeout(k)
 }
 
+// interval returns the time between heartbeats to and from an instance.
 func (c *Core) interval(k *knownInstance) Time {
 	switch {
 	case k.Domain != c.config.Self.Domain:
@@ -299,6 +318,7 @@
 	}
 }
 
+// timeout returns the time without a newer heartbeat after which an instance is no longer live.
 func (c *Core) timeout(k *knownInstance) Time {
 	if k.Domain == c.config.Self.Domain {
 		return Time(c.config.HeartbeatTimeout)
--- a/internal/member/core_test.go
+++ b/internal/member/core_test.go
@@ -15,14 +15,14 @@
 	return member.Instance{Process: member.Process{Name: name, Incarnation: incarnation}, Domain: "klet"}
 }
 
-func newCore(all int) *member.Core {
+func newCore(maxFullMesh int) *member.Core {
 	return member.New(member.Config{
 		Self: instance("a", 1), HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
-		HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: all, ContactsPerDomain: 2, MaxGossip: 8,
+		HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: maxFullMesh, ContactsPerDomain: 2, MaxGossip: 8,
 	})
 }
 
-func hear(i member.Instance, count uint64, change func(*member.Heartbeat)) member.HeartbeatReceived {
+func received(i member.Instance, count uint64, change func(*member.Heartbeat)) member.HeartbeatReceived {
 	h := member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: i, Count: count}}
 	if change != nil {
 		change(&h.Heartbeat)
@@ -30,23 +30,24 @@
 	return h
 }
 
-func hearsA(b *member.Heartbeat) {
-	b.Direct = []member.Process{{Name: "a", Incarnation: 1}}
+func listsA(h *member.Heartbeat) {
+	h.Direct = []member.Process{{Name: "a", Incarnation: 1}}
 }
 
-// A link is cut one way only. Heartbeats of b arrive, but b does not hear this instance: work
-// sent to b would be lost, so it must show, although b lives.
+// A link is cut in one direction. Heartbeats of b arrive, but b does not receive those of this
+// instance. Work sent to b would be lost, so the view must show the link as one-way although b
+// is live.
 func TestLinkCutOneWay(t *testing.T) {
 	b := instance("b", 7)
 	tests := map[string]struct {
-		heard member.HeartbeatReceived
-		link  member.Link
+		heartbeat member.HeartbeatReceived
+		link      member.Link
 	}{
-		"both ways":        {heard: hear(b, 1, hearsA), link: member.LinkBoth},
-		"it does not hear": {heard: hear(b, 1, nil), link: member.LinkIn},
-		"it answered":      {heard: member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: b, Count: 1}, IsReply: true}, link: member.LinkBoth},
-		"by hearsay": {heard: hear(instance("c", 1), 1, func(beat *member.Heartbeat) {
-			beat.Gossip = []member.HeartbeatCount{{Process: b.Process, Count: 1}}
+		"both ways":    {heartbeat: received(b, 1, listsA), link: member.LinkBoth},
+		"inbound only": {heartbeat: received(b, 1, nil), link: member.LinkIn},
+		"reply":        {heartbeat: member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: b, Count: 1}, IsReply: true}, link: member.LinkBoth},
+		"known by gossip": {heartbeat: received(instance("c", 1), 1, func(h *member.Heartbeat) {
+			h.Gossip = []member.HeartbeatCount{{Process: b.Process, Count: 1}}
 		}), link: member.LinkNone},
 	}
 	for name, test := range tests {
@@ -54,7 +55,7 @@
 			is := is.New(t)
 			c := newCore(8)
 			c.Handle(second, member.Discovered{Instance: b})
-			c.Handle(second, test.heard)
+			c.Handle(second, test.heartbeat)
 			links := make(map[string]member.Link)
 			for _, l := range c.View().Live {
 				links[l.Name] = l.Link
@@ -68,23 +69,25 @@
 	}
 }
 
-// The network repeats a heartbeat long after it was sent. That is no sign of life.
-func TestRepeatedHeartbeatIsNoLife(t *testing.T) {
+// The network delivers a heartbeat a second time, long after it was sent. The copy must not
+// extend the time for which its sender counts as live.
+func TestRepeatedHeartbeatIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCore(8)
-	c.Handle(second, hear(instance("b", 7), 3, nil))
-	c.Handle(second+400*millisecond, hear(instance("b", 7), 3, nil))
+	c.Handle(second, received(instance("b", 7), 3, nil))
+	c.Handle(second+400*millisecond, received(instance("b", 7), 3, nil))
 	c.Handle(second+500*millisecond, member.Ticked{})
 	is.Equal(len(c.View().Live), 1)
 }
 
-// b was replaced and the new process is heard, but the platform's list still shows the old
-// one. The new one must not vanish until the list catches up, and then the old one is gone.
+// b was replaced and the new process sends heartbeats, but the platform's list still shows the
+// old one. The new process must stay live until the list catches up. Then the old one is
+// removed.
 func TestLaggingListDoesNotHideNewProcess(t *testing.T) {
 	is := is.New(t)
 	c := newCore(8)
 	old, fresh := instance("b", 9), instance("b", 7)
-	c.Handle(second, hear(fresh, 1, hearsA))
+	c.Handle(second, received(fresh, 1, listsA))
 	c.Handle(second, member.InstancesListed{Instances: []member.ListedInstance{{Instance: old}}})
 	is.Equal(c.View().Live[1].Process, fresh.Process)
 	is.Equal(len(c.View().Removed), 0)
@@ -93,60 +96,61 @@
 	is.Equal(c.View().Removed, []member.Process{old.Process})
 }
 
-// This process was paused for so long that the platform gave its place away. It must learn
-// so once, though its peers would still talk to it.
-func TestRemovedProcessIsTold(t *testing.T) {
+// This process was paused for so long that the platform replaced it. It must be notified of
+// that once, even if its peers still answer it.
+func TestRemovedProcessIsNotifiedOnce(t *testing.T) {
 	self := member.ListedInstance{Instance: instance("a", 1)}
 	other := member.ListedInstance{Instance: instance("a", 2)}
 	tests := map[string]struct {
-		lists [][]member.ListedInstance
-		told  int
+		lists   [][]member.ListedInstance
+		removed int
 	}{
-		"not listed yet":                    {lists: [][]member.ListedInstance{{}, {}}},
-		"still listed":                      {lists: [][]member.ListedInstance{{self}, {self}}},
-		"no more listed":                    {lists: [][]member.ListedInstance{{self}, {}, {}}, told: 1},
-		"replaced":                          {lists: [][]member.ListedInstance{{self}, {other}}, told: 1},
-		"old list shows the process before": {lists: [][]member.ListedInstance{{other}, {self}}},
+		"not listed yet":                 {lists: [][]member.ListedInstance{{}, {}}},
+		"still listed":                   {lists: [][]member.ListedInstance{{self}, {self}}},
+		"no longer listed":               {lists: [][]member.ListedInstance{{self}, {}, {}}, removed: 1},
+		"replaced":                       {lists: [][]member.ListedInstance{{self}, {other}}, removed: 1},
+		"old list shows the predecessor": {lists: [][]member.ListedInstance{{other}, {self}}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCore(8)
-			told := 0
+			removed := 0
 			for n, list := range test.lists {
 				for _, e := range c.Handle(member.Time(n+1)*second, member.InstancesListed{Instances: list}) {
 					if _, ok := e.(member.Removed); ok {
-						told++
+						removed++
 					}
 				}
 			}
-			is.Equal(told, test.told)
+			is.Equal(removed, test.removed)
 		})
 	}
 }
 
-// The leader b of term 2 steps down, and c, which has not heard of that, still calls it
-// leader. The late news must not bring the leadership back; a higher term does.
+// The leader b of term 2 steps down, and c, which does not know that yet, still names it as
+// leader. The outdated heartbeat of c must not restore the leader. A leader of a higher term is
+// accepted.
 func TestLeaderThatSteppedDownStaysDown(t *testing.T) {
 	is := is.New(t)
 	c := newCore(8)
 	b, d := instance("b", 7), instance("d", 9)
-	lead := func(i member.Instance, term uint64) func(*member.Heartbeat) {
-		return func(beat *member.Heartbeat) { beat.Leader, beat.Term = i.Process, grant.Term{Log: term} }
+	leads := func(i member.Instance, term uint64) func(*member.Heartbeat) {
+		return func(h *member.Heartbeat) { h.Leader, h.Term = i.Process, grant.Term{Log: term} }
 	}
-	c.Handle(second, hear(b, 1, lead(b, 2)))
+	c.Handle(second, received(b, 1, leads(b, 2)))
 	is.Equal(c.View().Leader, b.Process)
-	c.Handle(second, hear(b, 2, lead(member.Instance{}, 2)))
+	c.Handle(second, received(b, 2, leads(member.Instance{}, 2)))
 	is.Equal(c.View().Leader, member.Process{})
-	c.Handle(second, hear(instance("c", 8), 1, lead(b, 2)))
+	c.Handle(second, received(instance("c", 8), 1, leads(b, 2)))
 	is.Equal(c.View().Leader, member.Process{})
-	c.Handle(second, hear(d, 1, lead(d, 3)))
+	c.Handle(second, received(d, 1, leads(d, 3)))
 	is.Equal(c.View().Leader, d.Process)
 	c.Handle(second+600*millisecond, member.Ticked{})
-	is.Equal(c.View().Leader, member.Process{}) // silent
+	is.Equal(c.View().Leader, member.Process{}) // d is not live
 }
 
-// A domain with one instance has nobody to talk to and is whole all the same.
+// The only instance of a domain sends no heartbeats and is live in its own view.
 func TestDomainOfOne(t *testing.T) {
 	is := is.New(t)
 	c := newCore(8)
@@ -156,9 +160,10 @@
 	is.Equal(c.View().Rank("a"), 0)
 }
 
-// A group of 200 sends heartbeats to a few contacts each. All must live in each view, by
-// hearsay, at a cost that grows with the logarithm of the group.
-func TestLargeGroupLivesByHearsay(t *testing.T) {
+// In a group of 200 each instance sends heartbeats to a few contacts. Every instance must be
+// live in every view by gossip, at a cost per instance that grows with the logarithm of the
+// group.
+func TestLargeGroupIsLiveByGossip(t *testing.T) {
 	is := is.New(t)
 	const size = 200
 	cores := make(map[string]*member.Core)
--- a/internal/member/wired_test.go
+++ b/internal/member/heartbeat_test.go
@@ -11,20 +11,21 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// An instance is replaced while the platform's list can't be read. The list showed the old
-// process, so nothing proves that it has ended, and the new one would stay unknown for hours.
-func TestReplacedWithoutTheList(t *testing.T) {
+// An instance is replaced while the platform's list is unavailable. The list showed the old
+// process, so nothing proves that it has ended. Without ReplaceDelay the new process would stay
+// unknown until the list returns, possibly for hours.
+func TestReplacedWhileListUnavailable(t *testing.T) {
 	old, fresh := instance("b", 7), instance("b", 9)
 	tests := map[string]struct {
-		leaving bool
-		silent  member.Time
-		taken   bool
+		leaving  bool
+		silence  member.Time
+		replaced bool
 	}{
-		"still heard":              {silent: 400 * millisecond},
-		"silent":                   {silent: 3400 * millisecond},
-		"silent for long":          {silent: 3500 * millisecond, taken: true},
-		"still heard, leaving":     {silent: 400 * millisecond, leaving: true},
-		"silent after it was left": {silent: 500 * millisecond, leaving: true, taken: true},
+		"live":                      {silence: 400 * millisecond},
+		"unreachable":               {silence: 3400 * millisecond},
+		"unreachable for the delay": {silence: 3500 * millisecond, replaced: true},
+		"live and leaving":          {silence: 400 * millisecond, leaving: true},
+		"unreachable after it left": {silence: 500 * millisecond, leaving: true, replaced: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -34,31 +35,33 @@
 				HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: 8, ReplaceDelay: 3 * time.Second,
 			})
 			c.Handle(second, member.InstancesListed{Instances: []member.ListedInstance{{Instance: old}}})
-			c.Handle(second, hear(old, 1, func(b *member.Heartbeat) { b.Leaving = test.leaving }))
-			c.Handle(second+test.silent, hear(fresh, 1, nil))
-			is.Equal(c.IsCurrent(fresh.Process), test.taken)
-			is.Equal(c.IsCurrent(old.Process), !test.taken)
-			is.Equal(len(c.View().Removed), 0) // silence proves nothing
+			c.Handle(second, received(old, 1, func(b *member.Heartbeat) { b.Leaving = test.leaving }))
+			c.Handle(second+test.silence, received(fresh, 1, nil))
+			is.Equal(c.IsCurrent(fresh.Process), test.replaced)
+			is.Equal(c.IsCurrent(old.Process), !test.replaced)
+			is.Equal(len(c.View().Removed), 0) // only the list proves that a process ended
 		})
 	}
 }
 
-// The heartbeat by which b said that it leads arrives after a newer one by which it leads no
-// more. Followers would ask a leader that is none.
-func TestOvertakenHeartbeatNamesNoLeader(t *testing.T) {
+// A heartbeat in which b states that it leads arrives after a newer one in which it no longer
+// does. If the older one were accepted, followers would send requests to an instance that does
+// not lead.
+func TestDelayedHeartbeatNamesNoLeader(t *testing.T) {
 	is := is.New(t)
 	c := newCore(8)
 	b := instance("b", 7)
-	c.Handle(second, hear(b, 2, nil))
-	c.Handle(second, hear(b, 1, func(beat *member.Heartbeat) {
-		beat.Leader, beat.Term = b.Process, grant.Term{Log: 2}
+	c.Handle(second, received(b, 2, nil))
+	c.Handle(second, received(b, 1, func(h *member.Heartbeat) {
+		h.Leader, h.Term = b.Process, grant.Term{Log: 2}
 	}))
 	is.Equal(c.View().Leader, member.Process{})
 }
 
-// Of two instances one sends and the other answers. A follower sends to its leader in each
-// period, since a gate's right rests on the leader's answers; two followers in every second.
-func TestOneOfTwoSends(t *testing.T) {
+// Of each pair of instances one sends heartbeats and the other replies. A follower sends to its
+// leader in each interval, because the lease of a gate depends on the replies of the leader. A
+// pair of followers exchanges heartbeats in every second interval only.
+func TestOneOfEachPairSends(t *testing.T) {
 	is := is.New(t)
 	cores := make(map[string]*member.Core)
 	names := []string{"a", "b", "c"}
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -1,8 +1,8 @@
 package member
 
-// handleList takes what the platform shows. A process that it showed and shows no more is gone for
-// certain, and so is one in whose place it shows another. The list may lag but must not go
-// back to what it showed before.
+// handleList processes the platform's list. A process that it showed earlier is removed if the
+// list no longer shows it or shows another process under its name. The list may lag, but must
+// not return to an earlier state.
 func (c *Core) handleList(now Time, e InstancesListed) []Effect {
 	c.stale = true
 	shown := make(map[string]Process, len(e.Instances))
@@ -20,9 +20,10 @@
 	return c.checkSelfRemoved(p, isShown)
 }
 
-// applyListing takes what the list says of the name. The list lags: the process that it shows may be
-// the one before the process which is heard now. So it takes the place only of one that the
-// list showed before, or that was never heard; otherwise it may come back by its heartbeats.
+// applyListing processes the list's entry for the name. As the list lags, the process on it may
+// be the predecessor of the one that sends heartbeats now. It therefore replaces the present
+// process only if the list showed that one before, or if no heartbeat of it ever arrived.
+// Otherwise it is kept as a former process that may take the name by its heartbeats.
 func (k *knownInstance) applyListing(i ListedInstance) {
 	switch {
 	case i.Incarnation == 0 || i.Incarnation == k.Incarnation:
@@ -39,8 +40,8 @@
 	}
 }
 
-// markRemoved marks the processes of the name that the list showed and shows no more. The mark
-// stays: others may have acted on it.
+// markRemoved marks the processes of the name that the list showed and no longer shows. The
+// mark is final, because others may have acted on it.
 func (k *knownInstance) markRemoved(now Time, shown Process, isShown bool) {
 	if isShown && shown.Incarnation == 0 {
 		return
@@ -55,8 +56,8 @@
 	}
 }
 
-// checkSelfRemoved tells this process once that the others take it for gone. It happens to one that
-// was paused for long: it returns and finds that its place was given away.
+// checkSelfRemoved returns Removed once if the list no longer shows this process. That happens
+// to a process that was paused for so long that the platform replaced it.
 func (c *Core) checkSelfRemoved(shown Process, isShown bool) []Effect {
 	self := c.config.Self.Process
 	if isShown && (shown.Incarnation == 0 || shown == self) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,11 +1,13 @@
-// Package member is the core of membership: which instances of a failure domain live, which
-// are gone for certain, who leads, and whom to contact, here and in other domains. It has no
-// input or output: Handle takes an event with the time and returns effects.
+// Package member implements membership: which instances of a failure domain are live, which
+// were removed by the platform, who leads the domain, and which instances to send heartbeats
+// to, in this domain and in others. It performs no I/O: Core.Handle takes an event and the
+// time and returns effects.
 //
-// Three kinds of evidence are kept apart. A heartbeat proves that a process ran. Silence
-// proves nothing: the process may be paused or cut off, and return. Only the platform's list
-// proves that a process is gone, when it showed it before and does so no more; the list lags,
-// so what it shows may be dead and what it does not show yet may live.
+// Three kinds of evidence are kept apart. A heartbeat proves that a process ran. Missing
+// heartbeats prove nothing: the process may be paused or partitioned, and may return. Only
+// the platform's list of instances proves that a process has ended, by no longer showing a
+// process that it showed before. The list lags: a process on it may be dead, and a live one
+// may not be on it yet.
 package member
 
 import (
@@ -16,82 +18,87 @@
 // Time is a reading of this instance's monotonic clock in nanoseconds.
 type Time = place.Time
 
-// Process identifies one process that runs as an instance.
+// Process identifies one process of an instance. A replacement has the same name and another
+// incarnation.
 type Process struct {
 	Name string `json:"name"`
-	// Incarnation differs between all processes that ever ran under the name. It has no order.
+	// Incarnation differs between all processes that ever ran under the name. Incarnations
+	// have no order.
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Instance is a process and where it is.
+// Instance is a process with its failure domain and the address that its peers call.
 type Instance struct {
 	Process
 	Domain  string `json:"domain"`
 	Address string `json:"address"`
 }
 
-// HeartbeatCount says how far the heartbeat counter of a process has come.
+// HeartbeatCount is the heartbeat counter of a process.
 type HeartbeatCount struct {
 	Process
 	Count uint64 `json:"count"`
 }
 
-// Heartbeat is a heartbeat: what an instance says of itself, and of others by hearsay.
+// Heartbeat is what an instance states about itself, and what it passes on about others.
 type Heartbeat struct {
 	Instance
-	// Count grows with each heartbeat of the process.
+	// Count increases with each heartbeat of the process.
 	Count   uint64 `json:"count"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Leader is who leads the domain in Term, as far as the sender knows.
+	// Leader is the leader of the domain in Term, as far as the sender knows.
 	Leader Process    `json:"leader"`
 	Term   grant.Term `json:"term"`
-	// Direct are the processes that the sender has heard itself lately.
+	// Direct lists the processes from which the sender itself received a heartbeat within the
+	// timeout.
 	Direct []Process `json:"direct,omitempty"`
-	// Gossip are the newest counters that the sender knows of others in its domain.
+	// Gossip lists the newest counters that the sender knows of live instances of its domain.
 	Gossip []HeartbeatCount `json:"hearsay,omitempty"`
 }
 
-// Event is an input of the core. The set is sealed.
+// Event is an input of the Core. Only types of this package implement it.
 type Event interface {
 	isEvent()
 }
 
-// Ticked says that time has passed. It comes at least every Config.Period.
+// Ticked reports that time has passed. The caller passes it at least once per
+// Config.HeartbeatInterval.
 type Ticked struct{}
 
-// Discovered names an instance that settings, a bundle or another instance knows of. It proves
-// nothing about whether it lives.
+// Discovered names an instance known from settings, a bundle or another instance. It does not
+// prove that the instance is live.
 type Discovered struct {
 	Instance Instance
 }
 
-// HeartbeatReceived is a heartbeat that arrived, either as a call or as the answer to one.
+// HeartbeatReceived is a heartbeat that arrived, either as a call or as the reply to one.
 type HeartbeatReceived struct {
 	Heartbeat Heartbeat
-	// IsReply says that it answers a heartbeat of this process, which thus arrived.
+	// IsReply reports whether it is the reply to a heartbeat of this process, which proves that
+	// the other instance received that one.
 	IsReply bool
 }
 
-// InstancesListed is what the platform's list shows.
+// InstancesListed is the content of the platform's list of instances.
 type InstancesListed struct {
 	Instances []ListedInstance
 }
 
-// ListedInstance is an instance on the platform's list. Incarnation may be zero if the
-// platform does not know it.
+// ListedInstance is an instance on the platform's list. Its Incarnation is zero if the platform
+// does not know it.
 type ListedInstance struct {
 	Instance
 	Leaving bool
 }
 
-// LeaderReported says who leads this instance's domain as its own leader core sees it. An empty name
-// means nobody.
+// LeaderReported names the leader of this instance's domain as its own leader core (package
+// leader) sees it. The name is empty if there is no leader.
 type LeaderReported struct {
 	Leader Process
 	Term   grant.Term
 }
 
-// Stopping says that this instance is leaving.
+// Stopping reports that this instance is leaving.
 type Stopping struct{}
 
 func (Ticked) isEvent()            {}
@@ -101,74 +108,80 @@
 func (LeaderReported) isEvent()    {}
 func (Stopping) isEvent()          {}
 
-// Effect is an output of the core. The set is sealed.
+// Effect is an output of the Core. Only types of this package implement it.
 type Effect interface {
 	isEffect()
 }
 
-// SendHeartbeat asks for a heartbeat to be sent. Its answer, if any, comes back as Heard.
+// SendHeartbeat asks the caller to send a heartbeat. The reply, if any, comes back as
+// HeartbeatReceived.
 type SendHeartbeat struct {
 	To        Instance
 	Heartbeat Heartbeat
 }
 
-// Changed says that the view is another one than before.
+// Changed reports that the view differs from the one before.
 type Changed struct {
 	View View
 }
 
-// Removed says that the platform's list showed this process and does so no more. The others
-// take it for gone for certain, so it must give up all its duties.
+// Removed reports that the platform's list no longer shows this process, after having shown
+// it. The other instances treat the process as ended, so it must give up all its work.
 type Removed struct{}
 
 func (Removed) isEffect()       {}
 func (SendHeartbeat) isEffect() {}
 func (Changed) isEffect()       {}
 
-// Link says in which directions heartbeats between this instance and another pass.
+// Link states in which directions heartbeats pass between this instance and another one.
 type Link string
 
-// The links.
+// Values of Link.
 const (
-	// LinkBoth is needed to send work to the instance.
+	// LinkBoth means that each instance receives heartbeats of the other. An instance of another
+	// domain is reachable only by such a link.
 	LinkBoth Link = "both"
-	// LinkIn says that this instance hears the other, but not the reverse.
+	// LinkIn means that this instance receives heartbeats of the other one, but not the reverse.
+	// Work sent to the other one would be lost.
 	LinkIn Link = "in"
-	// LinkOut says that the other hears this instance, but not the reverse.
+	// LinkOut means that the other instance receives heartbeats of this one, but not the reverse.
 	LinkOut Link = "out"
-	// LinkNone says that the instance is known to live by hearsay only.
+	// LinkNone means that the instance is known to be live by gossip only.
 	LinkNone Link = "none"
 )
 
-// LiveInstance is an instance that gave a sign of life lately.
+// LiveInstance is an instance of which a heartbeat, received directly or known by gossip, is
+// not older than the timeout.
 type LiveInstance struct {
 	Instance
 	Link    Link
 	Leaving bool
 }
 
-// View is what this instance believes.
+// View is the membership as this instance knows it.
 type View struct {
-	// Live are the live instances of the domain, this one included, sorted by name.
+	// Live lists the live instances of the domain, this one included, sorted by name.
 	Live []LiveInstance
-	// Removed are the processes of the domain that are gone for certain, sorted by name.
+	// Removed lists the processes of the domain that the platform's list showed and no longer
+	// shows, which proves that they have ended, sorted by name.
 	Removed []Process
-	// Leader is the leader of the domain with the highest term, if it lives. Its name is empty
-	// otherwise.
+	// Leader is the leader of the domain with the highest known term. Its name is empty if that
+	// leader has stepped down or is not live.
 	Leader Process
 	Term   grant.Term
-	// Domains are the other domains, sorted by name.
+	// Domains lists the other failure domains, sorted by name.
 	Domains []Domain
 }
 
-// Domain is another failure domain as seen from here.
+// Domain is another failure domain as seen from this instance.
 type Domain struct {
 	Name string
-	// Reachable are its instances with which heartbeats pass both ways, sorted by name.
+	// Reachable lists its live instances with a LinkBoth, sorted by name.
 	Reachable []Instance
 }
 
-// Rank returns the number of live instances of the domain whose name comes before one's own.
+// Rank returns the number of live instances of the domain that are not leaving and whose names
+// sort before the given one.
 func (v View) Rank(name string) int {
 	rank := 0
 	for _, l := range v.Live {
--- a/internal/member/send.go
+++ b/internal/member/send.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// tick sends the heartbeats that are due.
+// tick returns the heartbeats that are due. A contact gets none if it sends heartbeats to this
+// instance itself, since the replies to them serve the same purpose.
 func (c *Core) tick(now Time) []Effect {
 	var targets []string
 	if now >= c.nextDomainSend {
@@ -29,23 +30,25 @@
 	return effects
 }
 
-// sparseFactor is the number of periods between heartbeats of two followers.
+// sparseFactor is the number of heartbeat intervals between two heartbeats of a pair of
+// followers.
 const sparseFactor = 2
 
-// isSparse reports whether a contact needs fewer heartbeats: one of two followers in a small
-// domain, where no right and no succession rests on their hearing of each other.
+// isSparse reports whether a contact needs fewer heartbeats. That holds between two followers
+// in a full-mesh domain: no lease and no election of a leader depends on the heartbeats that
+// they exchange.
 func (c *Core) isSparse(k *knownInstance) bool {
 	return k.Domain == c.config.Self.Domain && c.isFullMesh() &&
 		c.leader.Name != "" && c.leader != c.config.Self.Process && c.leader != k.Process
 }
 
-// isFullMesh reports whether all instances of the domain are in direct contact, as of the last
-// tick.
+// isFullMesh reports whether all instances of the domain send heartbeats to each other, as of
+// the last heartbeat round.
 func (c *Core) isFullMesh() bool {
 	return c.domainPeers < c.config.MaxFullMesh
 }
 
-// countDomainPeers returns the number of other instances of the domain.
+// countDomainPeers returns the number of other instances of the domain that are not removed.
 func (c *Core) countDomainPeers() int {
 	mates := 0
 	for _, k := range c.known {
@@ -56,14 +59,16 @@
 	return mates
 }
 
-// nextAfter keeps the pace when ticks come a little late, and does not make up for a pause.
+// nextAfter returns the time of the next round. It keeps the schedule when ticks come a little
+// late, and does not catch up on rounds missed during a pause.
 func nextAfter(now, due, period Time) Time {
 	return max(due+period, now+period/2)
 }
 
-// isSender reports whether a contact is the one of the two that sends, while the other only
-// answers: the follower of a leader, whose rights rest on the leader's answers, otherwise the
-// first by name. Where they disagree both send.
+// isSender reports whether the contact sends the heartbeats between it and this instance, which
+// then only replies. Between a leader and a follower of its domain the follower sends, because
+// the leases that it holds as a gate depend on the replies of the leader. In other pairs the
+// first by name sends. If the two disagree about the leader, both may send.
 func (c *Core) isSender(k *knownInstance) bool {
 	switch c.leader {
 	case c.config.Self.Process:
@@ -75,10 +80,11 @@
 	}
 }
 
-// NextHeartbeat returns the next heartbeat, to be sent or to answer one.
+// NextHeartbeat returns the next heartbeat to send, or to reply with. Each call increases the
+// heartbeat counter.
 func (c *Core) NextHeartbeat(now Time) Heartbeat {
 	c.count++
-	b := Heartbeat{
+	h := Heartbeat{
 		Instance: c.config.Self,
 		Count:    c.count,
 		Leaving:  c.leaving,
@@ -87,17 +93,18 @@
 	}
 	for _, k := range c.sorted() {
 		if now < k.inboundUntil {
-			b.Direct = append(b.Direct, k.Process)
+			h.Direct = append(h.Direct, k.Process)
 		}
 	}
 	if !c.isFullMesh() {
-		b.Gossip = c.nextGossip(now)
+		h.Gossip = c.nextGossip(now)
 	}
-	return b
+	return h
 }
 
-// nextGossip goes on in the circle of names where the heartbeat before ended, so that a
-// bounded heartbeat passes on everybody's counter in turn.
+// nextGossip returns the counters for the next heartbeat. It continues in the order of names
+// where the last heartbeat ended and wraps around, so that the counters of all live instances
+// of the domain are passed on in turn although a heartbeat holds at most Config.MaxGossip.
 func (c *Core) nextGossip(now Time) []HeartbeatCount {
 	order := c.sorted()
 	var counts []HeartbeatCount
@@ -115,7 +122,7 @@
 	return counts
 }
 
-// sorted returns what is known in the order of names.
+// sorted returns the known instances sorted by name.
 func (c *Core) sorted() []*knownInstance {
 	if len(c.order) != len(c.known) {
 		c.order = c.order[:0]
@@ -126,9 +133,9 @@
 	return c.order
 }
 
-// domainContacts returns the contacts in the own domain, dead ones included: only a heartbeat to
-// them finds out that they have returned. What is gone for certain is left out. The leader is
-// among them in any case.
+// domainContacts returns the names to contact in this domain. It includes instances that are not
+// live, because only a heartbeat to them finds out that they have returned, but none that were
+// removed. It always includes the leader.
 func (c *Core) domainContacts() []string {
 	names := contacts(c.namesIn(c.config.Self.Domain), c.config.Self.Name, c.config.MaxFullMesh)
 	leader := c.known[c.leader.Name]
@@ -138,7 +145,7 @@
 	return names
 }
 
-// crossDomainContacts returns contacts in other domains, a few in each.
+// crossDomainContacts returns the names to contact in other domains, a few in each.
 func (c *Core) crossDomainContacts(now Time) []string {
 	domains := []string{c.config.Self.Domain}
 	for _, k := range c.known {
@@ -154,7 +161,8 @@
 	return targets
 }
 
-// namesIn returns the sorted names known in a domain, with the own one if it is there.
+// namesIn returns the sorted names known in a domain, including that of this instance if it
+// belongs to the domain.
 func (c *Core) namesIn(domain string) []string {
 	var names []string
 	if domain == c.config.Self.Domain {
@@ -169,27 +177,28 @@
 	return names
 }
 
-// contactsIn returns those to contact in another domain: a few live ones, and one that is
-// not known to live, a different one each time, so that a domain whose known instances were
-// all replaced is found again. Instances begin at the place that they have among their own,
-// so that no instance of the other domain answers them all.
+// contactsIn returns the names to contact in another domain: up to Config.ContactsPerDomain
+// live ones and a single one that is not live. The latter is a different one each time, so that
+// contact is restored with a domain whose known instances were all replaced. Each instance
+// starts at the index that it has among the names of its own domain, so that not all of them
+// contact the same instances of the other domain.
 func (c *Core) contactsIn(now Time, domain string) []string {
-	var live, silent []string
+	var live, unreachable []string
 	for _, name := range c.namesIn(domain) {
 		if now < c.known[name].liveUntil {
 			live = append(live, name)
 		} else {
-			silent = append(silent, name)
+			unreachable = append(unreachable, name)
 		}
 	}
 	var chosen []string
-	place := slices.Index(c.namesIn(c.config.Self.Domain), c.config.Self.Name)
+	start := slices.Index(c.namesIn(c.config.Self.Domain), c.config.Self.Name)
 	for n := range min(len(live), c.config.ContactsPerDomain) {
-		chosen = append(chosen, live[(place+n)%len(live)])
+		chosen = append(chosen, live[(start+n)%len(live)])
 	}
-	if len(silent) > 0 {
+	if len(unreachable) > 0 {
 		c.probeTurn++
-		chosen = append(chosen, silent[c.probeTurn%len(silent)])
+		chosen = append(chosen, unreachable[c.probeTurn%len(unreachable)])
 	}
 	return chosen
 }
--- a/internal/member/report.go
+++ b/internal/member/view.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// reportView adds Changed when the view is another one.
+// reportView rebuilds the view if it may have changed, and adds Changed to the effects if it
+// did.
 func (c *Core) reportView(now Time, effects []Effect) []Effect {
 	if !c.stale {
 		return effects
@@ -21,6 +22,7 @@
 	return append(effects, Changed{View: view})
 }
 
+// buildView returns the view as of now.
 func (c *Core) buildView(now Time) View {
 	self := LiveInstance{Instance: c.config.Self, Link: LinkBoth, Leaving: c.leaving}
 	v := View{Live: []LiveInstance{self}, Term: c.term}
@@ -61,14 +63,15 @@
 	return slices.ContainsFunc(v.Live, func(l LiveInstance) bool { return l.Process == p })
 }
 
+// link returns the directions in which heartbeats passed within the timeout.
 func (k *knownInstance) link(now Time) Link {
-	heard, hears := now < k.inboundUntil, now < k.outboundUntil
+	inbound, outbound := now < k.inboundUntil, now < k.outboundUntil
 	switch {
-	case heard && hears:
+	case inbound && outbound:
 		return LinkBoth
-	case heard:
+	case inbound:
 		return LinkIn
-	case hears:
+	case outbound:
 		return LinkOut
 	default:
 		return LinkNone
