--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -8,29 +8,29 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Client calls one other instance. It connects when it is first used and again after a
-// connection has ended.
+// Client calls one other instance. It connects on first use, and again after a connection has
+// ended. It is safe for concurrent use.
 type Client struct {
-	address string
-	config  *tls.Config
-	count   func(in, out int)
+	address   string
+	tlsConfig *tls.Config
+	count     func(in, out int)
 
-	// lock guards conn. It is a channel so that a call which waits for another one's dial
-	// gives up when its own context ends.
+	// lock guards conn. It is a channel so that a call that waits for another call to dial
+	// returns when its own context ends.
 	lock chan struct{}
 	conn *jsonrpc2.Conn
 }
 
-// NewClient returns a client of the instance at an IP address and port. Count, if not nil, is
-// told of plain bytes read and written.
+// NewClient returns a client of the instance at an IP address and port. If count is not nil, it
+// is called with the numbers of plaintext bytes read and written.
 func NewClient(address string, config *tls.Config, count func(in, out int)) *Client {
-	return &Client{address: address, config: config, count: count, lock: make(chan struct{}, 1)}
+	return &Client{address: address, tlsConfig: config, count: count, lock: make(chan struct{}, 1)}
 }
 
-// Call runs a method at the peer and waits for the result or the end of the context. A call
-// that ends by its context drops the connection: something between the two ends may have
-// lost track of it, and a connection in that state stays silent for good while a new one
-// works.
+// Call runs a method at the peer and waits for the result or the end of the context. Its errors
+// wrap ErrUnreachable, ErrUncertain or ErrRejected. A call that ends by its context closes the
+// connection: a device between the two ends may have lost the state of the connection, which
+// then stays dead forever while a new connection works.
 func Call[P, R any](ctx context.Context, c *Client, method Method, params P) (R, error) {
 	var result R
 	conn, err := c.connect(ctx)
@@ -46,7 +46,7 @@
 	return result, nil
 }
 
-// Close ends the connection. The client may be used again.
+// Close closes the connection. The next call opens a new one.
 func (c *Client) Close() {
 	c.lock <- struct{}{}
 	defer c.unlock()
@@ -71,7 +71,7 @@
 			return c.conn, nil
 		}
 	}
-	dialer := tls.Dialer{Config: c.config}
+	dialer := tls.Dialer{Config: c.tlsConfig}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address)
 	if err != nil {
 		return nil, err
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -2,12 +2,13 @@
 
 import "net"
 
-// countingConn tells of the bytes that pass through a connection.
+// countingConn reports the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	count func(in, out int)
 }
 
+// withCount returns a connection that reports to count, or conn itself if count is nil.
 func withCount(conn net.Conn, count func(in, out int)) net.Conn {
 	if count == nil {
 		return conn
--- a/internal/peer/mux.go
+++ b/internal/peer/mux.go
@@ -1,4 +1,4 @@
-// Package peer carries typed calls between entry instances: jsonrpc2 over mutual TLS.
+// Package peer implements typed calls between entry instances, as JSON-RPC 2.0 over mutual TLS.
 package peer
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Method names a call.
+// Method is the name of a JSON-RPC method.
 type Method string
 
-// Handler answers the calls of one method.
+// Handler handles the calls of one method.
 type Handler interface {
 	// Handle decodes the parameters, runs the call and returns its result.
 	Handle(ctx context.Context, params json.RawMessage) (any, error)
 }
 
-// HandlerFunc makes a Handler of a function over typed parameters and results.
+// HandlerFunc adapts a function with typed parameters and results to a Handler.
 type HandlerFunc[P, R any] func(ctx context.Context, params P) (R, error)
 
 // Handle implements Handler.
@@ -31,17 +31,18 @@
 	return f(ctx, params)
 }
 
-// Mux finds the handler of a method.
+// Mux dispatches calls to the handlers of their methods.
 type Mux struct {
 	handlers map[Method]Handler
 }
 
-// NewMux returns a mux without handlers.
+// NewMux returns a Mux without handlers.
 func NewMux() *Mux {
 	return &Mux{handlers: make(map[Method]Handler)}
 }
 
-// Register adds the handler of a method. It must not be called once the mux serves.
+// Register sets the handler of a method. It must not be called after a Server has started to use
+// the mux.
 func Register[P, R any](m *Mux, method Method, handle func(ctx context.Context, params P) (R, error)) {
 	m.handlers[method] = HandlerFunc[P, R](handle)
 }
@@ -57,16 +58,17 @@
 	return h.Handle(ctx, *req.Params)
 }
 
-// Errors of calls.
+// Errors that the error of a Call wraps.
 var (
-	// ErrUnreachable says that no connection could be had, so the call did not reach the peer.
-	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrUncertain says that the connection ended before the answer: the call may have run.
-	ErrUncertain = errors.New("peer: no answer")
-	// ErrRejected says that the peer answered with an error.
-	ErrRejected = errors.New("peer: refused")
+	// ErrUnreachable means that no connection could be made, so the call did not reach the peer.
+	ErrUnreachable = errors.New("peer: cannot connect")
+	// ErrUncertain means that the call ended without a response: it may have run.
+	ErrUncertain = errors.New("peer: no response")
+	// ErrRejected means that the peer responded with an error.
+	ErrRejected = errors.New("peer: call rejected")
 )
 
+// wrapCallError wraps the error of a call that was sent in ErrRejected or ErrUncertain.
 func wrapCallError(method Method, err error) error {
 	var answered *jsonrpc2.Error
 	if errors.As(err, &answered) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,24 +60,24 @@
 	is.True(errors.Is(err, ErrRejected))
 }
 
-// A process that is no instance of the system connects to the peer address and asks for a
-// call, hoping to move ranges or to plant a bundle. It has a key pair of its own authority,
-// or none. The server must end the connection before it reads the call.
-func TestStrangerCanCallNothing(t *testing.T) {
+// A process that is not an instance of the system connects to the peer address and makes a call,
+// for example to move ranges or to inject a bundle. Its certificate is from another authority,
+// or it has none. The server must close the connection before it reads the call.
+func TestUnauthenticatedCallIsRejected(t *testing.T) {
 	authority, err := certs.NewAuthority(time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger, err := certs.NewAuthority(time.Now())
+	otherAuthority, err := certs.NewAuthority(time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := newConfig(t, authority)
-	foreign := newConfig(t, stranger)
+	foreign := newConfig(t, otherAuthority)
 	foreign.RootCAs = own.RootCAs
 	tests := map[string]*tls.Config{
-		"key of another authority": foreign,
-		"no key":                   {RootCAs: own.RootCAs, ServerName: certs.InstanceName},
+		"certificate of another authority": foreign,
+		"no certificate":                   {RootCAs: own.RootCAs, ServerName: certs.InstanceName},
 	}
 	address := startServer(t, own)
 	for name, config := range tests {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -9,36 +9,37 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Bounds of what a peer may ask of a server at once.
+// Limits of a server: open connections, running calls, and the time for a TLS handshake.
 const (
-	maxConnections = 512
-	maxCalls       = 1024
+	maxConnections   = 512
+	maxCalls         = 1024
 	handshakeTimeout = 5 * time.Second
 )
 
-// Server takes calls from other instances.
+// Server accepts calls from other instances.
 type Server struct {
-	listener net.Listener
-	mux      *Mux
-	count    func(in, out int)
-	connections    chan struct{}
-	calls    chan struct{}
+	listener    net.Listener
+	mux         *Mux
+	count       func(in, out int)
+	connections chan struct{}
+	calls       chan struct{}
 }
 
 // NewServer returns a server that accepts TLS connections on the listener. The TLS
-// configuration must demand and verify a certificate of the peer. Count, if not nil, is told of
-// plain bytes read and written.
+// configuration must require and verify a client certificate. If count is not nil, it is called
+// with the numbers of plaintext bytes read and written.
 func NewServer(listener net.Listener, config *tls.Config, mux *Mux, count func(in, out int)) *Server {
 	return &Server{
-		listener: tls.NewListener(listener, config),
-		mux:      mux,
-		count:    count,
-		connections:    make(chan struct{}, maxConnections),
-		calls:    make(chan struct{}, maxCalls),
+		listener:    tls.NewListener(listener, config),
+		mux:         mux,
+		count:       count,
+		connections: make(chan struct{}, maxConnections),
+		calls:       make(chan struct{}, maxCalls),
 	}
 }
 
-// Run accepts connections until the context ends.
+// Run accepts connections until the context ends or the listener fails, and returns that error.
+// A connection beyond the limit is closed at once.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -59,9 +60,9 @@
 	}
 }
 
-// serve handles one connection. The TLS handshake, and with it the check of the peer's
-// certificate, ends before a byte of a call is read, so that a process without a key of the
-// authority can do nothing.
+// serve handles one connection. It completes the TLS handshake, which verifies the certificate
+// of the peer, before it reads a byte of a call. A process without a certificate of the
+// authority can thus call nothing.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer func() { <-s.connections }()
 	defer conn.Close()
@@ -77,13 +78,15 @@
 	}
 }
 
-// handshake bounds the time that a silent stranger can hold a connection slot.
+// handshake performs the TLS handshake with a timeout, so that a client that sends nothing
+// cannot occupy a connection slot for long.
 func handshake(ctx context.Context, conn *tls.Conn) error {
 	bounded, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	return conn.HandshakeContext(bounded)
 }
 
+// limitCalls dispatches a call to the mux, or rejects it if maxCalls are already running.
 func (s *Server) limitCalls(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	select {
 	case s.calls <- struct{}{}:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,13 +1,14 @@
-// Package relay computes the tree by which the instances of one failure domain hand releases
-// on: one or a few read the log, each other one hears from its parent. It has no input or
-// output and keeps no state: every instance computes its own place from the list of live
-// instances, so a new list is a new tree and nothing has to be agreed.
+// Package relay computes the tree through which the instances of one failure domain distribute
+// releases. One or a few instances read the log; every other instance gets updates from its
+// parent. The package performs no I/O and keeps no state. Every instance computes its own
+// position from the list of live instances, so a new list yields a new tree without
+// coordination.
 //
-// Two instances may have different lists. One may then have two parents or a parent that does
-// not know it. A child therefore asks: it keeps a connection to its parent and states the
-// version it holds. An update that comes twice changes nothing, one that does not fit makes
-// the child ask for the whole proof, and a child whose parent is silent past a deadline
-// suspects it and computes its place again without it.
+// Two instances may have different lists. An instance may then have two parents, or a parent
+// that does not know it. For this reason the child asks the parent: it keeps a connection to
+// its parent and states the version it holds. A duplicate update changes nothing, an update
+// that does not fit the child's version makes the child ask for the whole proof, and a child
+// whose parent does not answer by a deadline suspects it and computes its position without it.
 package relay
 
 import (
@@ -17,20 +18,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultFanOut is the number of children of an instance. With 4, an update reaches 1,900
+// DefaultFanOut is the number of children per instance. With 4, an update reaches 1,900
 // instances in 6 steps and no instance sends it more than 4 times.
 const DefaultFanOut = 4
 
 // Position is the position of one instance in the tree of its failure domain.
 type Position struct {
-	// Ancestors are the instances above, the parent first and the root last. It is empty for
+	// Ancestors lists the instances above this one, from the parent to the root. It is empty for
 	// the root, which reads the log.
 	Ancestors []string
-	// Children are the instances that expect updates from this one.
+	// Children lists the instances that get updates from this one.
 	Children []string
 }
 
-// Parent returns the instance to ask, or false for the root.
+// Parent returns the parent, or false for the root.
 func (p Position) Parent() (string, bool) {
 	if len(p.Ancestors) == 0 {
 		return "", false
@@ -38,16 +39,16 @@
 	return p.Ancestors[0], true
 }
 
-// Tree is the order of the live instances of one failure domain. The parent of the instance at
-// place i > 0 is at (i-1)/fanOut.
+// Tree holds the live instances of one failure domain in the order of a heap: the parent of the
+// instance at index i > 0 is at (i-1)/fanOut.
 type Tree struct {
-	fanOut int
-	order  []string
+	fanOut  int
+	order   []string
 	indexes map[string]int
 }
 
-// New returns the tree of a failure domain. Instances are ordered by a hash of domain and
-// name, so that no instance is set aside to be the root. Names that stand twice count once.
+// New returns the tree of a failure domain. Instances are ordered by a hash of domain and name,
+// so that no instance has to be dedicated as the root. Duplicate names count once.
 func New(domain string, live []string, fanOut int) *Tree {
 	t := &Tree{fanOut: max(1, fanOut), indexes: make(map[string]int, len(live))}
 	t.order = slices.Clone(live)
@@ -65,8 +66,9 @@
 	return t
 }
 
-// Position returns the place of an instance, and false if it is not in the list. An instance
-// that is not listed yet asks the root.
+// Position returns the position of an instance. For an instance that is not in the list it
+// returns false and a position below the root, so that the instance gets updates from the root
+// until it is listed.
 func (t *Tree) Position(name string) (Position, bool) {
 	i, found := t.indexes[name]
 	if !found {
@@ -82,13 +84,14 @@
 	return p, true
 }
 
-// Source returns whom an instance asks for updates: its nearest ancestor that it does not
-// suspect. It is empty when all are suspected, or for the root: the instance then reads the
-// log itself, as the root does.
+// Source returns the instance to ask for updates: the nearest ancestor that is not suspected.
+// It returns false for the root and if all ancestors are suspected. The instance then reads the
+// log itself.
 //
-// It guards against a parent that is gone while the list, which lags, still names it: the
-// whole branch below would miss each roll. It shows as silence on the connection. Asking
-// the next ancestor holds because each ancestor gets what its descendants need.
+// Skipping suspected ancestors guards against a parent that has ended while the list, which
+// lags, still names it. Without it the whole subtree would miss every release. The sign of such
+// a parent is that it does not answer on the connection. Any ancestor can replace the parent,
+// because each one gets all updates that its descendants need.
 func (p Position) Source(suspected func(name string) bool) (ancestor string, found bool) {
 	for _, a := range p.Ancestors {
 		if !suspected(a) {
@@ -98,7 +101,7 @@
 	return "", false
 }
 
-// Depth returns the number of steps from the root to the last instance.
+// Depth returns the number of steps from the root to the deepest instance.
 func (t *Tree) Depth() int {
 	depth := 0
 	for i := len(t.order) - 1; i > 0; i = (i - 1) / t.fanOut {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,15 +17,15 @@
 	return list
 }
 
-func place(t *rapid.T, tree *Tree, name string) Position {
+func position(t *rapid.T, tree *Tree, name string) Position {
 	p, found := tree.Position(name)
 	if !found {
-		t.Fatalf("%s has no place", name)
+		t.Fatalf("%s has no position", name)
 	}
 	return p
 }
 
-func TestTreeReachesEachInstanceOnce(t *testing.T) {
+func TestEachInstanceHasOneParent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		live := names(rapid.IntRange(1, 300).Draw(t, "n"))
 		fanOut := rapid.IntRange(1, 9).Draw(t, "fan-out")
@@ -37,7 +37,7 @@
 		parents := make(map[string]string)
 		roots := 0
 		for _, name := range live {
-			p := place(t, tree, name)
+			p := position(t, tree, name)
 			if len(p.Children) > fanOut {
 				t.Fatalf("%s has %d children", name, len(p.Children))
 			}
@@ -58,32 +58,32 @@
 			t.Fatalf("%d roots, %d of %d have parents", roots, len(parents), len(live))
 		}
 		for child, want := range parents {
-			if got, _ := place(t, tree, child).Parent(); got != want {
+			if got, _ := position(t, tree, child).Parent(); got != want {
 				t.Fatalf("parent of %s is %s, but %s has it as a child", child, got, want)
 			}
 		}
 	})
 }
 
-// A rack fails: many instances are silent at once while the list still names them. Each that
-// is left must reach the root, or read the log itself, by asking ancestors in turn.
-func TestAskPastSilentAncestors(t *testing.T) {
+// A rack fails: many instances stop answering at once while the list still names them. From
+// every instance, the chain of sources must lead to an instance that reads the log itself.
+func TestSourceSkipsSuspectedAncestors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		live := names(rapid.IntRange(2, 200).Draw(t, "n"))
 		tree := New("klet", live, DefaultFanOut)
-		silent := make(map[string]bool)
+		failed := make(map[string]bool)
 		for _, name := range live {
-			silent[name] = rapid.IntRange(0, 2).Draw(t, "silent") == 0
+			failed[name] = rapid.IntRange(0, 2).Draw(t, "silent") == 0
 		}
-		suspected := func(name string) bool { return silent[name] }
+		suspected := func(name string) bool { return failed[name] }
 		for _, name := range live {
 			for steps := 0; ; steps++ {
-				next, found := place(t, tree, name).Source(suspected)
+				next, found := position(t, tree, name).Source(suspected)
 				if !found {
-					break // reads the log
+					break // name reads the log itself
 				}
-				if silent[next] || steps > tree.Depth() {
-					t.Fatalf("%s asks %s after %d steps", name, next, steps)
+				if failed[next] || steps > tree.Depth() {
+					t.Fatalf("%s has the source %s after %d steps", name, next, steps)
 				}
 				name = next
 			}
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestUnlistedInstanceAsksTheRoot(t *testing.T) {
+func TestUnlistedInstanceUsesRoot(t *testing.T) {
 	is := is.New(t)
 	tree := New("klet", names(9), 2)
 	p, found := tree.Position("new")
@@ -104,12 +104,12 @@
 
 func TestDepth(t *testing.T) {
 	tests := map[string]struct{ n, fanOut, want int }{
-		"one":           {n: 1, fanOut: 4, want: 0},
-		"today":         {n: 11, fanOut: 4, want: 2},
-		"target":        {n: 1900, fanOut: 4, want: 6},
-		"all in one":    {n: 19000, fanOut: 4, want: 7},
-		"wide":          {n: 1900, fanOut: 16, want: 3},
-		"a single line": {n: 5, fanOut: 1, want: 4},
+		"root only":   {n: 1, fanOut: 4, want: 0},
+		"small":       {n: 11, fanOut: 4, want: 2},
+		"design size": {n: 1900, fanOut: 4, want: 6},
+		"one domain":  {n: 19000, fanOut: 4, want: 7},
+		"wide":        {n: 1900, fanOut: 16, want: 3},
+		"chain":       {n: 5, fanOut: 1, want: 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// BenchmarkNew is the cost of a new list at an instance of a domain of the target.
+// BenchmarkNew measures building the tree for a new list of 1900 instances.
 func BenchmarkNew(b *testing.B) {
 	live := names(1900)
 	for b.Loop() {
@@ -127,21 +127,22 @@
 	}
 }
 
-// BenchmarkLoss reports how many instances get another parent when one goes.
-func BenchmarkLoss(b *testing.B) {
+// BenchmarkInstanceLoss reports how many instances get another parent when an instance is lost,
+// apart from the children of that instance.
+func BenchmarkInstanceLoss(b *testing.B) {
 	live := names(1900)
 	before := New("klet", live, DefaultFanOut)
 	moved, losses := 0, 0
 	for b.Loop() {
-		gone := losses * 7919 % len(live)
-		after := New("klet", slices.Delete(slices.Clone(live), gone, gone+1), DefaultFanOut)
+		lost := losses * 7919 % len(live)
+		after := New("klet", slices.Delete(slices.Clone(live), lost, lost+1), DefaultFanOut)
 		losses++
 		for _, name := range after.order {
 			p, _ := before.Position(name)
 			q, _ := after.Position(name)
-			was, _ := p.Parent()
-			now, _ := q.Parent()
-			if was != now && was != live[gone] {
+			oldParent, _ := p.Parent()
+			newParent, _ := q.Parent()
+			if oldParent != newParent && oldParent != live[lost] {
 				moved++
 			}
 		}
@@ -149,22 +150,23 @@
 	b.ReportMetric(float64(moved)/float64(losses), "other-parents/loss")
 }
 
-// BenchmarkChange reports what one change costs the instances of a domain in messages.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkUpdateMessages reports the number of messages that one update costs the instances of
+// a failure domain.
+func BenchmarkUpdateMessages(b *testing.B) {
 	for _, fanOut := range []int{2, 4, 8, 16} {
 		b.Run(fmt.Sprint(fanOut), func(b *testing.B) {
 			tree := New("klet", names(1900), fanOut)
-			sent, most := 0, 0
+			sent, maxMessages := 0, 0
 			for b.Loop() {
-				sent, most = 0, 0
+				sent, maxMessages = 0, 0
 				for _, name := range tree.order {
 					p, _ := tree.Position(name)
 					sent += len(p.Children)
-					most = max(most, len(p.Children)+min(1, len(p.Ancestors)))
+					maxMessages = max(maxMessages, len(p.Children)+min(1, len(p.Ancestors)))
 				}
 			}
 			b.ReportMetric(float64(2*sent)/float64(len(tree.order)), "messages/daemon")
-			b.ReportMetric(float64(most), "most-messages/daemon")
+			b.ReportMetric(float64(maxMessages), "most-messages/daemon")
 			b.ReportMetric(float64(tree.Depth()), "steps")
 		})
 	}
