--- a/internal/logcl/appender.go
+++ b/internal/logcl/appender.go
@@ -8,23 +8,23 @@
 	"example.org/mustardring/internal/record"
 )
 
-// AppenderConfig bounds an Appender.
+// AppenderConfig configures an Appender.
 type AppenderConfig struct {
-	// PerSecond and Burst bound the calls. All instances share the rate of the log.
+	// PerSecond and Burst limit the rate of calls. All instances share the rate of the log.
 	PerSecond float64
 	Burst     int
-	// MaxQueued bounds the records that wait.
+	// MaxQueued is the largest number of records in the queue.
 	MaxQueued int
-	// MaxCalls bounds the calls that are out at once.
+	// MaxCalls is the largest number of calls in flight.
 	MaxCalls int
-	// Random spreads retries.
+	// Random adds jitter to retries.
 	Random *rand.Rand
 }
 
-// Appender appends records at least once. It has no input or output: Handle takes an event
-// with the time and returns effects. A record is sent again, under the same ID and with the
-// same data, until the log acknowledges it or the reader meets it in the log. A repeated
-// append is harmless, because the fold knows it by ID and data.
+// Appender appends records at least once. It performs no I/O: Handle takes an event and the time
+// and returns effects. A record is retried with the same ID and data until the log acknowledges
+// it or the Reader finds it in the log. A duplicate in the log is harmless, because package fold
+// recognizes it by ID and data.
 type Appender struct {
 	config        AppenderConfig
 	pacer         *pacer
@@ -37,12 +37,12 @@
 	return &Appender{config: config, pacer: newPacer(config.PerSecond, config.Burst, config.Random)}
 }
 
-// Pending returns the number of records that are not acknowledged.
+// Pending returns the number of records that are not acknowledged yet.
 func (a *Appender) Pending() int {
 	return len(a.queue)
 }
 
-// Handle takes one event. The time never goes back.
+// Handle processes one event and returns the effects. The time must not go back.
 func (a *Appender) Handle(now Time, event AppendEvent) []AppendEffect {
 	var effects []AppendEffect
 	switch e := event.(type) {
@@ -61,6 +61,8 @@
 	return a.send(now, effects)
 }
 
+// submit queues a record, or merges it into a queued one. It ignores a submission that is in the
+// queue already.
 func (a *Appender) submit(e Submitted) []AppendEffect {
 	if a.hasSubmission(e.ID) {
 		return nil
@@ -79,12 +81,14 @@
 	return effects
 }
 
+// hasSubmission reports whether the queue holds the submission with the ID.
 func (a *Appender) hasSubmission(id string) bool {
 	return slices.ContainsFunc(a.queue, func(i *item) bool { return slices.Contains(i.submissions, id) })
 }
 
-// merge joins into the newest item of the same servers, or into none: a record that went
-// into an older one would overtake the newer.
+// merge merges a record into the newest item of the same service and domain, and reports whether
+// it did. It never merges into an older item, from which the record would be appended before the
+// newest one.
 func (a *Appender) merge(id string, newer record.AssignmentMade) ([]AppendEffect, bool) {
 	for _, i := range slices.Backward(a.queue) {
 		if i.sameServers(newer) {
@@ -95,6 +99,7 @@
 	return nil, false
 }
 
+// replace drops the unsent items that a newer record supersedes.
 func (a *Appender) replace(newer record.Record) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
@@ -132,8 +137,8 @@
 	return a.acknowledge(e.ID, e.Offset)
 }
 
-// endCall ends the call of an item and reports whether its answer may come from a log that
-// is no more.
+// endCall records that the call for an item has ended, and reports whether its result may come
+// from a log that has since been replaced.
 func (a *Appender) endCall(id string) (stale bool) {
 	for _, i := range a.queue {
 		if i.id == id {
@@ -144,7 +149,8 @@
 	return stale
 }
 
-// acknowledge also ends a record whose answers were lost: the reader saw it in the log.
+// acknowledge removes a record that is in the log, as a response or the Reader shows. The latter
+// is how a record is acknowledged of which all responses were lost.
 func (a *Appender) acknowledge(id string, offset uint64) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
@@ -171,7 +177,7 @@
 	return effects
 }
 
-// send starts as many calls as pace and bounds allow.
+// send adds a Write for each call that the rate limit, the backoff and MaxCalls allow.
 func (a *Appender) send(now Time, effects []AppendEffect) []AppendEffect {
 	for a.callsInFlight < a.config.MaxCalls {
 		next := a.nextItem()
@@ -193,6 +199,7 @@
 	return effects
 }
 
+// nextItem returns the first item of the queue that has no call in flight, or nil.
 func (a *Appender) nextItem() *item {
 	for _, i := range a.queue {
 		if !i.inFlight {
--- a/internal/logcl/appender_test.go
+++ b/internal/logcl/appender_test.go
@@ -15,7 +15,7 @@
 	return logcl.NewAppender(logcl.AppenderConfig{PerSecond: 10, Burst: 10, MaxQueued: queue, MaxCalls: 1, Random: seeded(1)})
 }
 
-func made(server string, sequence uint64) record.AssignmentMade {
+func assignmentMade(server string, sequence uint64) record.AssignmentMade {
 	return record.AssignmentMade{Domain: domainName, Service: "oddaja", Assignments: []record.Assignment{assignment(server, sequence)}}
 }
 
@@ -29,18 +29,18 @@
 	return ids
 }
 
-// The log is down for hours while a domain goes on moving ranges of three servers. When it
-// returns, the leader's term goes first and the moves stand in one record: 10,000 decisions
-// cost one append, and the queue never held more than one record of them.
-func TestOutageCoalesces(t *testing.T) {
+// The log is down for hours while a failure domain keeps moving ranges between three servers.
+// When the log is back, the claim of the leader's term is sent first and the moves are in one
+// record: 10,000 assignments cost one append and take one place in the queue.
+func TestOutageMergesAssignments(t *testing.T) {
 	is := is.New(t)
 	a := newAppender(8)
 	now := second
-	is.Equal(writesOf(a.Handle(now, logcl.Submitted{ID: "first", Record: made("s9", 1)})), []string{"first"})
+	is.Equal(writesOf(a.Handle(now, logcl.Submitted{ID: "first", Record: assignmentMade("s9", 1)})), []string{"first"})
 	replaced := 0
 	for n := range 10_000 {
 		id := fmt.Sprint("move-", n)
-		for _, effect := range a.Handle(now, logcl.Submitted{ID: id, Record: made(fmt.Sprint("s", n%3), uint64(n))}) {
+		for _, effect := range a.Handle(now, logcl.Submitted{ID: id, Record: assignmentMade(fmt.Sprint("s", n%3), uint64(n))}) {
 			is.Equal(effect.(logcl.Dropped).Reason, logcl.DropReplaced)
 			replaced++
 		}
@@ -64,18 +64,18 @@
 	})
 }
 
-// Each answer of the log is lost, but it takes the appends. The reader meets the record, and
-// with that the appender stops repeating it.
-func TestSeenRecordIsNotRepeated(t *testing.T) {
+// The log takes an append, but its response is lost. The Reader finds the record in the log, and
+// the Appender must then stop retrying it.
+func TestRecordFoundInLogIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	a := newAppender(8)
-	a.Handle(second, logcl.Submitted{ID: "a", Record: made("s0", 1)})
+	a.Handle(second, logcl.Submitted{ID: "a", Record: assignmentMade("s0", 1)})
 	a.Handle(second, logcl.WriteResult{ID: "a", Err: logcl.ErrUncertain})
 	is.Equal(a.Handle(second, logcl.EntryRead{ID: "a", Offset: 4}), []logcl.AppendEffect{logcl.Acknowledged{ID: "a", Offset: 4}})
 	is.Equal(len(a.Handle(100*second, logcl.Ticked{})), 0)
 }
 
-func TestWrittenErrors(t *testing.T) {
+func TestWriteResultErrors(t *testing.T) {
 	tests := map[string]struct {
 		err     error
 		dropped bool
@@ -89,21 +89,21 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			a := newAppender(8)
-			first := a.Handle(second, logcl.Submitted{ID: "a", Record: made("s0", 1)})[0].(logcl.Write)
+			first := a.Handle(second, logcl.Submitted{ID: "a", Record: assignmentMade("s0", 1)})[0].(logcl.Write)
 			effects := a.Handle(second, logcl.WriteResult{ID: "a", Err: test.err})
 			if test.dropped {
 				is.Equal(effects, []logcl.AppendEffect{logcl.Dropped{ID: "a", Reason: logcl.DropRejected}})
 				return
 			}
 			at := effects[0].(logcl.WakeAt).At
-			is.True(at > second)                                                // waits
-			is.Equal(len(writesOf(a.Handle(at-1, logcl.Ticked{}))), 0)          // not before
+			is.True(at > second)                                                // backs off
+			is.Equal(len(writesOf(a.Handle(at-1, logcl.Ticked{}))), 0)          // no retry before
 			is.Equal(a.Handle(at, logcl.Ticked{}), []logcl.AppendEffect{first}) // same ID and data
 		})
 	}
 }
 
-// Nothing that cannot be joined may fill the memory while the log is down.
+// Records that cannot be merged must not fill the memory while the log is down.
 func TestQueueIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := newAppender(2)
--- a/internal/logcl/bench_test.go
+++ b/internal/logcl/bench_test.go
@@ -8,10 +8,10 @@
 	"example.org/mustardring/internal/record"
 )
 
-// BenchmarkAppend measures one record from its submission to its acknowledgement.
+// BenchmarkAppend measures the Appender for one record, from submission to acknowledgement.
 func BenchmarkAppend(b *testing.B) {
 	a := logcl.NewAppender(logcl.AppenderConfig{PerSecond: 1e12, Burst: 1 << 30, MaxQueued: 8, MaxCalls: 1, Random: seeded(1)})
-	r := made("s0", 1)
+	r := assignmentMade("s0", 1)
 	now, bytes := second, 0
 	for n := 0; b.Loop(); n++ {
 		id := fmt.Sprint("id-", n)
@@ -24,8 +24,8 @@
 	b.ReportMetric(float64(bytes), "bytes/record")
 }
 
-// BenchmarkOutage measures a submission while the log is away and the assignments of a number
-// of servers wait. The slope is the cost per server.
+// BenchmarkOutage measures a submission while the log is down and the assignments of a number of
+// servers are queued. The difference between the sizes shows the cost per server.
 func BenchmarkOutage(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
@@ -34,21 +34,21 @@
 			names := make([]string, servers)
 			for n := range names {
 				names[n] = fmt.Sprint("server-", n)
-				a.Handle(second, logcl.Submitted{ID: names[n], Record: made(names[n], 1)})
+				a.Handle(second, logcl.Submitted{ID: names[n], Record: assignmentMade(names[n], 1)})
 			}
 			for n := 0; b.Loop(); n++ {
-				a.Handle(second, logcl.Submitted{ID: fmt.Sprint(n), Record: made(names[n%servers], uint64(n+2))})
+				a.Handle(second, logcl.Submitted{ID: fmt.Sprint(n), Record: assignmentMade(names[n%servers], uint64(n+2))})
 			}
 		})
 	}
 }
 
-// BenchmarkRead measures reading and folding one record, in batches of 1000.
+// BenchmarkRead measures reading a record and applying it to the state, in batches of 1000.
 func BenchmarkRead(b *testing.B) {
 	const batch = 1000
-	log := &tape{}
+	log := &memoryLog{}
 	for n := range batch {
-		data, err := record.Encode(made(fmt.Sprint("server-", n%100), uint64(n+1)))
+		data, err := record.Encode(assignmentMade(fmt.Sprint("server-", n%100), uint64(n+1)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/logcl/checkpoint.go
+++ b/internal/logcl/checkpoint.go
@@ -7,36 +7,38 @@
 	"example.org/mustardring/internal/record"
 )
 
-// CheckpointerConfig says when a checkpoint is due. Both bounds must be well below what the
-// log retains.
+// CheckpointerConfig sets when a checkpoint is due. MaxRecords and Interval must be well below
+// the number of records and the time for which the log retains records.
 type CheckpointerConfig struct {
-	// Instance and Incarnation make the IDs.
+	// Instance and Incarnation make the record IDs of this process unique.
 	Instance    string
 	Incarnation uint64
-	// MaxRecords is the number of records after a checkpoint that makes the next one due.
+	// MaxRecords is the number of records after a checkpoint at which the next one is due.
 	MaxRecords uint64
-	// Interval is the time after a checkpoint that makes the next one due.
+	// Interval is the time after a checkpoint at which the next one is due.
 	Interval time.Duration
-	// RankDelay is how much longer each instance waits than the one ranked before it.
+	// RankDelay is how much longer an instance waits with a due checkpoint than the one ranked
+	// before it.
 	RankDelay time.Duration
 }
 
-// CheckpointEvent is an input of a Checkpointer. The set is sealed.
+// CheckpointEvent is an input of a Checkpointer. Only types of this package implement it.
 type CheckpointEvent interface {
 	isCheckpointEvent()
 }
 
-// ReadProgress says how far this instance has read.
+// ReadProgress states how far this instance has read the log.
 type ReadProgress struct {
 	Next   uint64
 	Oldest uint64
-	// Rank is the number of live instances before this one in the order of their names.
+	// Rank is the number of live instances whose names sort before that of this one.
 	Rank int
-	// CanWrite says that the state is current and may be written down.
+	// CanWrite reports whether the state is up to date and may be written as a checkpoint.
 	CanWrite bool
 }
 
-// RecordAccepted says that a CheckpointMarked or Checkpoint was accepted by the fold.
+// RecordAccepted reports that a record in the log was accepted. The Checkpointer handles
+// record.CheckpointMarked and record.Checkpoint, and ignores other kinds.
 type RecordAccepted struct {
 	ID     string
 	Offset uint64
@@ -46,12 +48,13 @@
 func (ReadProgress) isCheckpointEvent()   {}
 func (RecordAccepted) isCheckpointEvent() {}
 
-// CheckpointEffect is an output of a Checkpointer. The set is sealed.
+// CheckpointEffect is an output of a Checkpointer. Only types of this package implement it.
 type CheckpointEffect interface {
 	isCheckpointEffect()
 }
 
-// SubmitMark asks for a record.CheckpointMarked to be appended.
+// SubmitMark asks for a record.CheckpointMarked to be appended. Every reader keeps its state as
+// of the mark, to compare the checkpoint with it.
 type SubmitMark struct {
 	ID string
 }
@@ -64,30 +67,33 @@
 func (SubmitMark) isCheckpointEffect()       {}
 func (SubmitCheckpoint) isCheckpointEffect() {}
 
-// Checkpointer decides when this instance writes a checkpoint, so that what the log forgets
-// stands in it again before. It has no input or output.
+// Checkpointer decides when this instance writes a checkpoint. The log must contain a checkpoint
+// before it drops the records that the checkpoint summarizes. Checkpointer performs no I/O.
 //
-// The lowest-ranked live instance that has read everything writes it. Instances may disagree
-// about who that is: each waits by its rank, and one checkpoint too many does no harm.
+// The live instance with the lowest rank that has read the whole log writes the checkpoint.
+// Instances may disagree about which one that is. Therefore each waits for a time that grows
+// with its rank, and an extra checkpoint does no harm.
 type Checkpointer struct {
 	config CheckpointerConfig
-	// lastOffset is the offset of the newest checkpoint met.
+	// lastOffset is the offset of the newest checkpoint in the log, if hasCheckpoint is set.
 	lastOffset    uint64
 	hasCheckpoint bool
-	// dueAt is when the next one is due by time. Zero means that no record was met yet.
+	// dueAt is when Config.Interval makes the next checkpoint due. It is zero until the log has
+	// a record.
 	dueAt Time
-	// startAt is when rank zero may start, set once one is due.
+	// startAt is when an instance of rank 0 may write the checkpoint that is due. It is zero
+	// until a checkpoint is due or another instance announces one.
 	startAt Time
 	markID  string
-	serial  uint64
+	attempt uint64
 }
 
-// NewCheckpointer returns a Checkpointer that has met no checkpoint.
+// NewCheckpointer returns a Checkpointer that knows of no checkpoint.
 func NewCheckpointer(config CheckpointerConfig) *Checkpointer {
 	return &Checkpointer{config: config}
 }
 
-// Handle takes one event. The time never goes back.
+// Handle processes one event and returns the effects. The time must not go back.
 func (c *Checkpointer) Handle(now Time, event CheckpointEvent) []CheckpointEffect {
 	switch e := event.(type) {
 	case ReadProgress:
@@ -98,6 +104,8 @@
 	return nil
 }
 
+// handleProgress announces a checkpoint by a mark if one is due and the delay for the rank of
+// this instance is over.
 func (c *Checkpointer) handleProgress(now Time, e ReadProgress) []CheckpointEffect {
 	if e.Next == 0 {
 		return nil
@@ -114,16 +122,17 @@
 	if !e.CanWrite || now < c.startAt+Time(e.Rank)*Time(c.config.RankDelay) {
 		return nil
 	}
-	// The mark or the checkpoint of this attempt may be lost with its writer: every other
-	// instance then finds the checkpoint still due when its own wait is over.
+	// If this process ends before its mark and checkpoint are in the log, the checkpoint is still
+	// due for the other instances after their own delays.
 	c.startAt = now + Time(c.config.RankDelay)
-	c.serial++
-	c.markID = fmt.Sprintf("mark-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.serial)
+	c.attempt++
+	c.markID = fmt.Sprintf("mark-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.attempt)
 	return []CheckpointEffect{SubmitMark{ID: c.markID}}
 }
 
-// isDue looks at time, at records, and at what the log keeps: the newest checkpoint stands in
-// its oldest quarter, or there are forgotten records and no checkpoint at all.
+// isDue reports whether a checkpoint is due by time, by the number of records, or by what the
+// log retains: the newest checkpoint is in the oldest quarter of the retained records, or
+// records are no longer retained and there is no checkpoint at all.
 func (c *Checkpointer) isDue(now Time, e ReadProgress) bool {
 	switch {
 	case now >= c.dueAt:
@@ -133,17 +142,19 @@
 	case e.Next-min(e.Next, c.lastOffset) >= c.config.MaxRecords:
 		return true
 	default:
-		kept := e.Next - e.Oldest
-		return e.Oldest > 0 && c.lastOffset <= e.Oldest+kept/4
+		retained := e.Next - e.Oldest
+		return e.Oldest > 0 && c.lastOffset <= e.Oldest+retained/4
 	}
 }
 
+// handleRecord submits the checkpoint when the own mark is in the log. A mark of another instance
+// delays an attempt of this one.
 func (c *Checkpointer) handleRecord(now Time, e RecordAccepted) []CheckpointEffect {
 	switch e.Record.(type) {
 	case record.CheckpointMarked:
 		if e.ID == c.markID {
 			c.markID = ""
-			return []CheckpointEffect{SubmitCheckpoint{ID: fmt.Sprintf("checkpoint-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.serial)}}
+			return []CheckpointEffect{SubmitCheckpoint{ID: fmt.Sprintf("checkpoint-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.attempt)}}
 		}
 		c.startAt = now + Time(c.config.RankDelay)
 	case record.Checkpoint:
--- a/internal/logcl/client.go
+++ b/internal/logcl/client.go
@@ -16,15 +16,15 @@
 	"example.org/mustardring/internal/record"
 )
 
-// The bounds of one call.
+// Limits of one call.
 const (
-	// maxPollWait bounds how long the service holds back an empty answer to a read.
+	// maxPollWait is the longest time that the service may delay an empty response to a read.
 	maxPollWait = 2 * time.Second
-	// maxResponseBytes bounds the bytes taken from one answer.
+	// maxResponseBytes is the largest number of bytes read from one response.
 	maxResponseBytes = 64 << 20
 )
 
-// Client is the Log that speaks HTTP and JSON to the service.
+// Client implements Log with HTTP and JSON.
 type Client struct {
 	base string
 	http *http.Client
@@ -32,7 +32,7 @@
 
 var _ Log = (*Client)(nil)
 
-// New returns a Client of the service at a base URL such as "http://127.0.0.1:7000".
+// New returns a Client for the service at a base URL such as "http://127.0.0.1:7000".
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{base: baseURL, http: client}
 }
@@ -56,8 +56,9 @@
 	return decodeAppendResponse(resp)
 }
 
-// classifySendError tells a connection that was never made, over which no append can have left,
-// from one that broke with the append under way, after which the log may hold the record.
+// classifySendError returns ErrUnavailable if no connection was made, so that the append cannot
+// have been sent. For other errors it returns ErrUncertain, because the connection may have
+// failed after the log had received the append.
 func classifySendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -66,6 +67,8 @@
 	return ErrUncertain
 }
 
+// decodeAppendResponse returns the offset that the response to an append states, or an error
+// that wraps one of Log.
 func decodeAppendResponse(resp *http.Response) (uint64, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
@@ -78,16 +81,16 @@
 	default:
 		return 0, fmt.Errorf("%w: %s", ErrUncertain, resp.Status)
 	}
-	var answer struct {
+	var body struct {
 		Offset *uint64 `json:"offset"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUncertain, err)
 	}
-	if answer.Offset == nil {
-		return 0, fmt.Errorf("%w: answer without an offset", ErrUncertain)
+	if body.Offset == nil {
+		return 0, fmt.Errorf("%w: response has no offset", ErrUncertain)
 	}
-	return *answer.Offset, nil
+	return *body.Offset, nil
 }
 
 // Read implements Log.
@@ -109,7 +112,8 @@
 	return decodeReadResponse(resp)
 }
 
-// waitUntil leaves an eighth of the time before the deadline of ctx for the answer's way.
+// waitUntil returns the time at which the service is to send an empty response to a read. It
+// leaves an eighth of the time until the deadline of ctx for the response to arrive.
 func waitUntil(ctx context.Context) time.Time {
 	now := time.Now()
 	until := now.Add(maxPollWait)
@@ -123,27 +127,29 @@
 	return until
 }
 
+// decodeReadResponse returns the batch of the response to a read, or an error that wraps
+// ErrUnavailable or ErrGap.
 func decodeReadResponse(resp *http.Response) (Batch, error) {
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return Batch{}, fmt.Errorf("%w: %s", ErrUnavailable, resp.Status)
 	}
-	var answer struct {
+	var body struct {
 		Entries  []record.Entry `json:"entries"`
 		Oldest   *uint64        `json:"oldest"`
 		Next     *uint64        `json:"next"`
 		Identity string         `json:"identity"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil {
 		return Batch{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	// Something else than the log may answer at its address, such as an error page of a
-	// balancer. Taken for a batch, it would look like an empty log and reset the reader.
-	if answer.Oldest == nil || answer.Next == nil {
-		return Batch{}, fmt.Errorf("%w: answer without oldest and next", ErrUnavailable)
+	// The response may not come from the log, but for example be an error page of a load
+	// balancer. Without this check it would look like an empty log and reset the reader.
+	if body.Oldest == nil || body.Next == nil {
+		return Batch{}, fmt.Errorf("%w: response has no oldest or no next offset", ErrUnavailable)
 	}
-	batch := Batch{Entries: answer.Entries, Oldest: *answer.Oldest, Next: *answer.Next, Identity: answer.Identity}
+	batch := Batch{Entries: body.Entries, Oldest: *body.Oldest, Next: *body.Next, Identity: body.Identity}
 	if !batch.isValid() {
-		return Batch{}, fmt.Errorf("%w: answer with entries out of place", ErrUnavailable)
+		return Batch{}, fmt.Errorf("%w: response has offsets out of order or out of range", ErrUnavailable)
 	}
 	if resp.StatusCode == http.StatusGone {
 		return batch, ErrGap
@@ -151,7 +157,7 @@
 	return batch, nil
 }
 
-// isValid reports whether the entries follow each other within what the log keeps.
+// isValid reports whether the offsets of the entries are consecutive and in [Oldest, Next).
 func (b *Batch) isValid() bool {
 	if b.Oldest > b.Next {
 		return false
--- a/internal/logcl/events.go
+++ b/internal/logcl/events.go
@@ -8,36 +8,36 @@
 // Time is a reading of this instance's monotonic clock in nanoseconds.
 type Time = place.Time
 
-// AppendEvent is an input of an Appender. The set is sealed.
+// AppendEvent is an input of an Appender. Only types of this package implement it.
 type AppendEvent interface {
 	isAppendEvent()
 }
 
-// Submitted asks for a record to be appended. The ID names it in Acknowledged or Dropped.
+// Submitted asks for a record to be appended. The ID identifies it in Acknowledged or Dropped.
 type Submitted struct {
 	ID     string
 	Record record.Record
 }
 
-// WriteResult is the answer of Log.Append to a Write.
+// WriteResult is the result of Log.Append for a Write.
 type WriteResult struct {
 	ID     string
 	Offset uint64
-	// Err is nil, or one that wraps an error of this package.
+	// Err is nil or wraps an error of this package.
 	Err error
 }
 
-// EntryRead says that the reader met an entry with the ID in the log.
+// EntryRead reports that the Reader found an entry with the ID in the log.
 type EntryRead struct {
 	ID     string
 	Offset uint64
 }
 
-// LogReplaced says that the reader met a log that started anew. An answer to a call that was
-// out by then may come from the log before, and acknowledges nothing.
+// LogReplaced reports that the Reader found the log replaced by a new one. The result of a call
+// that was in flight at that time may come from the old log, so it acknowledges nothing.
 type LogReplaced struct{}
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Submitted) isAppendEvent()   {}
@@ -46,45 +46,45 @@
 func (LogReplaced) isAppendEvent() {}
 func (Ticked) isAppendEvent()      {}
 
-// AppendEffect is an output of an Appender. The set is sealed.
+// AppendEffect is an output of an Appender. Only types of this package implement it.
 type AppendEffect interface {
 	isAppendEffect()
 }
 
-// Write asks for one call of Log.Append, whose answer comes back as Written.
+// Write asks for one call of Log.Append, whose result comes back as WriteResult.
 type Write struct {
 	ID   string
 	Data []byte
 }
 
-// Acknowledged says that the record submitted under the ID stands in the log, or that newer
-// assignments of the same servers do, in the entry at Offset.
+// Acknowledged reports that the entry at Offset of the log contains the record submitted under
+// the ID. Some of its assignments may have been replaced by newer ones of the same servers.
 type Acknowledged struct {
 	ID     string
 	Offset uint64
 }
 
-// Dropped says that the record submitted under the ID will not be appended by this Appender.
-// It may stand in the log all the same if an earlier append of it was uncertain.
+// Dropped reports that this Appender will not append the record submitted under the ID. The
+// record may be in the log nevertheless if the result of an earlier append was uncertain.
 type Dropped struct {
 	ID     string
 	Reason DropReason
 }
 
-// DropReason says why a record was dropped.
+// DropReason is the reason why a record was dropped.
 type DropReason string
 
-// The reasons.
+// Values of DropReason.
 const (
-	// DropQueueFull says that the queue is full: submit again later.
+	// DropQueueFull means that the queue is full. The record may be submitted again later.
 	DropQueueFull DropReason = "queue-full"
-	// DropReplaced says that a newer record made it pointless.
+	// DropReplaced means that a newer record makes this one unnecessary.
 	DropReplaced DropReason = "replaced"
-	// DropRejected says that the log will never take it, or that it cannot be encoded.
+	// DropRejected means that the log will never accept the record, or that it cannot be encoded.
 	DropRejected DropReason = "refused"
 )
 
-// WakeAt asks for a Ticked at a time, when nothing else happens before.
+// WakeAt asks for a Ticked at a time, unless there is another event before.
 type WakeAt struct {
 	At Time
 }
--- a/internal/logcl/item.go
+++ b/internal/logcl/item.go
@@ -6,27 +6,31 @@
 	"example.org/mustardring/internal/record"
 )
 
-// maxMerged bounds the assignments that are joined into one record.
+// maxMerged is the largest number of assignments that are merged into one record.
 const maxMerged = 1024
 
-// item is one record to be appended, for one or more submissions.
+// item is a queued record with the submissions that it contains.
 type item struct {
-	// id is the ID in the log: that of the first submission.
+	// id is the ID of the record in the log, which is that of the first submission.
 	id string
-	// submissions are the submissions that the record answers.
+	// submissions lists the IDs that are acknowledged or dropped with the record.
 	submissions []string
-	record  record.Record
-	// sources has, by server, the submission that an assignment came from.
+	record      record.Record
+	// sources maps the server of each assignment to the submission that the assignment is from.
+	// It is nil for other kinds of records.
 	sources map[string]string
-	// data is set once the record has been encoded to be sent. It does not change any more,
-	// because the ID and the data may already stand in the log.
+	// data is the encoded record. It is set when the record is sent first and then never
+	// changes, because a record with this ID and data may already be in the log.
 	data []byte
-	// inFlight says that a Write is out without an answer.
+	// inFlight reports whether a Write has no result yet.
 	inFlight bool
-	// stale says that the answer to that Write may come from a log that is no more.
+	// stale reports whether the result of that Write may come from a log that has since been
+	// replaced.
 	stale bool
 }
 
+// newItem returns an item for one submission. It copies the assignments, because merge changes
+// them.
 func newItem(id string, r record.Record) *item {
 	i := &item{id: id, submissions: []string{id}, record: r}
 	if made, ok := r.(record.AssignmentMade); ok {
@@ -40,6 +44,7 @@
 	return i
 }
 
+// sent reports whether the record may have been sent.
 func (i *item) sent() bool {
 	return i.data != nil
 }
@@ -56,8 +61,9 @@
 	return nil
 }
 
-// priority orders the kinds: what decides who leads and what is in force goes before the many
-// assignments that may have waited for the log to return, and checkpoints go last.
+// priority returns the order in which kinds of records are sent, lowest first. Records that
+// decide which instance leads and which bundle is in force precede the assignments, of which
+// many may have queued up while the log was down. Checkpoints come last.
 func priority(r record.Record) int {
 	switch r.(type) {
 	case record.Checkpoint, record.CheckpointMarked:
@@ -69,16 +75,17 @@
 	}
 }
 
-// sameServers reports whether the item holds assignments of the same service and domain.
+// sameServers reports whether the item holds assignments of the same service and domain as r.
 func (i *item) sameServers(r record.AssignmentMade) bool {
 	own, ok := i.record.(record.AssignmentMade)
 	return ok && own.Domain == r.Domain && own.Service == r.Service
 }
 
-// merge joins a newer record of the same servers into the item, unless the item was sent or
-// would become too large. A higher epoch replaces a lower one of the same server, so that
-// hours of moves wait in the space of one assignment for each server. It returns the
-// submissions of which nothing is left.
+// merge adds the assignments of a newer record for the same service and domain to the item,
+// unless the item was sent or would become too large. An assignment replaces one of the same
+// server with an epoch that is not higher, so that the queue holds one assignment per server
+// even after hours of moves without a log. It returns the submissions of which no assignment
+// is left.
 func (i *item) merge(id string, newer record.AssignmentMade) (replaced []string, merged bool) {
 	own := i.record.(record.AssignmentMade)
 	if i.sent() || own.Provisional != newer.Provisional || len(own.Assignments)+len(newer.Assignments) > maxMerged {
@@ -101,23 +108,23 @@
 	return i.removeUnused(), true
 }
 
-// removeUnused removes the submissions that no assignment comes from any more.
+// removeUnused removes and returns the submissions that no assignment is from any more.
 func (i *item) removeUnused() []string {
 	live := make(map[string]bool, len(i.sources))
 	for _, source := range i.sources {
 		live[source] = true
 	}
-	var gone []string
+	var unused []string
 	i.submissions = slices.DeleteFunc(i.submissions, func(id string) bool {
 		if !live[id] {
-			gone = append(gone, id)
+			unused = append(unused, id)
 		}
 		return !live[id]
 	})
-	return gone
+	return unused
 }
 
-// supersedes reports whether a newer record makes an unsent older one pointless.
+// supersedes reports whether an older record need not be appended if the newer one is.
 func supersedes(newer, older record.Record) bool {
 	switch n := newer.(type) {
 	case record.Checkpoint:
--- a/internal/logcl/log.go
+++ b/internal/logcl/log.go
@@ -1,6 +1,7 @@
-// Package logcl is the client of the platform's append-only log service. Log is its central
-// interface, Client speaks it over HTTP, and the cores Appender and Reader decide without
-// input or output what to send when the service is slow, down, or loses answers.
+// Package logcl is a client of the platform's append-only log service. Log is its central
+// interface, and Client implements it over HTTP. Appender, Reader and Checkpointer perform no
+// I/O: they decide what to append and read, also when the service is slow, down, or loses
+// responses.
 package logcl
 
 import (
@@ -10,39 +11,41 @@
 	"example.org/mustardring/internal/record"
 )
 
-// Errors of Log. Those of an implementation wrap one of them.
+// Errors of Log. The errors of an implementation wrap one of them.
 var (
-	// ErrUnavailable says that the log did not take the call: nothing was written.
+	// ErrUnavailable means that the log did not carry out the call: nothing was written.
 	ErrUnavailable = errors.New("logcl: log unavailable")
-	// ErrRateLimited says that the log refused an append because of its rate limit.
-	ErrRateLimited = errors.New("logcl: append rate limit")
-	// ErrUncertain says that an append was sent but no answer came: it may stand in the log.
-	ErrUncertain = errors.New("logcl: append uncertain")
-	// ErrRejected says that the log will never take this call as it stands.
-	ErrRejected = errors.New("logcl: call refused")
-	// ErrGap says that the log has forgotten the records that were asked for.
-	ErrGap = errors.New("logcl: records forgotten")
+	// ErrRateLimited means that the log rejected an append because of its rate limit.
+	ErrRateLimited = errors.New("logcl: append rate limit exceeded")
+	// ErrUncertain means that an append was sent but no usable response arrived: the record may
+	// be in the log.
+	ErrUncertain = errors.New("logcl: append may have taken effect")
+	// ErrRejected means that the log will never accept the call, so that a retry is pointless.
+	ErrRejected = errors.New("logcl: call rejected")
+	// ErrGap means that the log no longer retains the requested records.
+	ErrGap = errors.New("logcl: records no longer retained")
 )
 
-// Batch is the answer to a Read.
+// Batch is the result of a Read.
 type Batch struct {
 	Entries []record.Entry `json:"entries"`
-	// Oldest is the oldest offset that the log still keeps.
+	// Oldest is the oldest offset that the log still retains.
 	Oldest uint64 `json:"oldest"`
 	// Next is the offset that the next append will get.
 	Next uint64 `json:"next"`
-	// Identity changes when the log starts anew, with offsets from zero.
+	// Identity identifies the log. It changes when the log is replaced by an empty one, whose
+	// offsets start from zero. It is empty if the log does not state an identity.
 	Identity string `json:"identity"`
 }
 
 // Log is the platform's log service.
 type Log interface {
-	// Append writes data under an ID and returns its offset. A log may write a repeated
-	// append twice: readers know it by its ID. The error is ErrUncertain when the append may
-	// have taken effect, and otherwise ErrUnavailable, ErrLimited or ErrRefused.
+	// Append writes data under an ID and returns its offset. A log may write a repeated append
+	// twice; readers recognize the duplicate by its ID. The error wraps ErrUncertain if the
+	// append may have taken effect, and otherwise ErrUnavailable, ErrRateLimited or ErrRejected.
 	Append(ctx context.Context, id string, data []byte) (offset uint64, err error)
-	// Read returns at most limit records from an offset on. Without such records it waits a
-	// while for the first. The error is ErrUnavailable, or ErrGap with the Oldest, Next and
-	// Identity of the batch filled in.
+	// Read returns at most limit records, starting with the offset from. If there are none, it
+	// waits a while for the first. The error wraps ErrUnavailable, ErrRejected, or ErrGap. With
+	// ErrGap, the fields Oldest, Next and Identity of the batch are set.
 	Read(ctx context.Context, from uint64, limit int) (Batch, error)
 }
--- a/internal/logcl/pace.go
+++ b/internal/logcl/pacer.go
@@ -8,19 +8,20 @@
 	"golang.org/x/time/rate"
 )
 
-// The bounds of waiting after failures.
+// Limits of the wait after a failure.
 const (
 	initialBackoff = 50 * time.Millisecond
-	maxBackoff  = 5 * time.Second
+	maxBackoff     = 5 * time.Second
 )
 
-// pacer decides when the next call may leave: within a rate, and after failures later and
-// later, so that a log that is slow or down for hours is not stormed by all instances.
+// pacer decides when the next call may be made. It limits the rate of calls, and backs off
+// exponentially after failures, so that the instances together do not flood a log that is slow,
+// or that is down for hours.
 type pacer struct {
-	limiter *rate.Limiter
-	backoff *backoff.ExponentialBackOff
-	random  *rand.Rand
-	notBefore  Time
+	limiter   *rate.Limiter
+	backoff   *backoff.ExponentialBackOff
+	random    *rand.Rand
+	notBefore Time
 }
 
 func newPacer(perSecond float64, burst int, random *rand.Rand) *pacer {
@@ -31,24 +32,27 @@
 	}
 }
 
+// wallTime converts a reading of the monotonic clock for rate.Limiter, which uses only the
+// differences of times.
 func wallTime(t Time) time.Time {
 	return time.Unix(0, int64(t))
 }
 
-// failed puts the next call off. Half of the wait is random, so that instances which failed
-// at one moment do not all return at one.
+// failed delays the next call. Half of the delay is random, so that instances that failed at the
+// same time do not all retry at the same time.
 func (p *pacer) failed(now Time) {
 	wait := p.backoff.NextBackOff()
 	wait = wait/2 + time.Duration(p.random.Int64N(int64(wait/2)+1))
 	p.notBefore = max(p.notBefore, now+Time(wait))
 }
 
+// succeeded ends the backoff.
 func (p *pacer) succeeded() {
 	p.backoff.Reset()
 	p.notBefore = 0
 }
 
-// take spends one call, or returns when to ask again.
+// take uses up one call if it may be made now, and otherwise returns when to ask again.
 func (p *pacer) take(now Time) (at Time, ok bool) {
 	if now < p.notBefore {
 		return p.notBefore, false
@@ -62,7 +66,7 @@
 	return now + Time(max(delay, time.Millisecond)), false
 }
 
-// reserve spends one call and returns when it may leave.
+// reserve uses up one call and returns when it may be made.
 func (p *pacer) reserve(now Time) Time {
 	delay := p.limiter.ReserveN(wallTime(now), 1).DelayFrom(wallTime(now))
 	return max(now+Time(delay), p.notBefore)
--- a/internal/logcl/reader.go
+++ b/internal/logcl/reader.go
@@ -9,68 +9,71 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// ReaderConfig bounds a Reader.
+// ReaderConfig configures a Reader.
 type ReaderConfig struct {
-	// Anchors are the signers that the fold trusts at first.
+	// Anchors lists the signers that are trusted at the start of the log.
 	Anchors []bundle.Signer
-	// MaxEntries bounds the entries of one read.
+	// MaxEntries is the largest number of entries in one read.
 	MaxEntries int
-	// PerSecond and Burst bound the calls: a log that does not wait with empty answers, or
-	// whose clock is ahead, would be read without pause.
+	// PerSecond and Burst limit the rate of calls. Without a limit, a log that does not delay
+	// empty responses, or whose clock is ahead, would be polled in a busy loop.
 	PerSecond float64
 	Burst     int
-	// Random spreads retries.
+	// Random adds jitter to retries.
 	Random *rand.Rand
 }
 
-// Fetch is the next call of Log.Read, whose answer goes to Handle as Fetched.
+// Fetch is the next call of Log.Read, whose result goes to Handle as FetchResult.
 type Fetch struct {
 	From  uint64
 	Limit int
-	// At is when the call may leave.
+	// At is the earliest time of the call.
 	At Time
 }
 
-// FetchResult is the answer of Log.Read to a Fetch that left at AskedAt.
+// FetchResult is the result of Log.Read for a Fetch that was sent at AskedAt.
 type FetchResult struct {
 	Fetch   Fetch
 	AskedAt Time
 	Batch   Batch
-	// Err is nil, or one that wraps an error of this package.
+	// Err is nil or wraps an error of this package.
 	Err error
 }
 
-// ReadEffect is an output of a Reader. The set is sealed.
+// ReadEffect is an output of a Reader. Only types of this package implement it.
 type ReadEffect interface {
 	isReadEffect()
 }
 
-// EntryApplied is one entry that the reader met, and what the fold made of it. The shell reports
-// a fold.Refused with offset and reason, and tells the Appender that the ID was Seen.
+// EntryApplied reports that an entry was applied to the state, and with what result. The caller
+// logs a rejected entry with its offset and reason, and passes the ID to the Appender as
+// EntryRead.
 type EntryApplied struct {
 	Entry  record.Entry
 	Result fold.Verdict
 }
 
-// CaughtUp says that the state holds all that stood in the log at AskedAt.
+// CaughtUp reports that the state includes all records that were in the log at AskedAt.
 type CaughtUp struct {
 	AskedAt Time
 }
 
-// GapFound says that the log has forgotten records which the reader needs. It goes on at the
-// next checkpoint, and without one from Oldest with what is left.
+// GapFound reports that the log no longer retains records from offset Wanted on, which the
+// reader needs. The reader continues at the next checkpoint. If there is none, it starts with an
+// empty state at Oldest.
 type GapFound struct {
 	Wanted uint64
 	Oldest uint64
 }
 
-// StateReset says that the log started anew. The state is that of an empty log, and what the
-// instance holds must be appended again: the bundle in force, its assignments, its term.
+// StateReset reports that the log was replaced by a new one. The state is that of an empty log.
+// The caller must append again what the instance holds: the bundle in force, its assignments and
+// its term.
 type StateReset struct {
 	Identity string
 }
 
-// ReadFailed says that the log could not be read.
+// ReadFailed reports that the log could not be read.
 type ReadFailed struct {
 	Err error
 }
@@ -81,20 +84,22 @@
 func (StateReset) isReadEffect()   {}
 func (ReadFailed) isReadEffect()   {}
 
-// Reader follows the log and folds it. It has no input or output: Start gives the first
-// Fetch, and Handle takes the answer of each and gives effects and the next.
+// Reader reads the log and applies its records to a state. It performs no I/O: Start returns the
+// first Fetch, and Handle takes the result of a Fetch and returns effects and the next Fetch.
 type Reader struct {
 	config   ReaderConfig
 	pacer    *pacer
 	state    *fold.State
 	identity string
-	// scanning says that the reader looks for a checkpoint, at scan, because of a gap.
+	// scanning reports whether the reader searches for a checkpoint after a gap, and scanOffset
+	// is the offset that it reads next in this search.
 	scanning   bool
 	scanOffset uint64
-	// recheck says that the entry before state.Next is to be read once more: after a failure
-	// the log that answers may be another one.
+	// recheck reports whether the next read starts with the entry before state.Next, to detect
+	// that the log was replaced. It is set after a failure, since another log may respond next.
 	recheck bool
-	// skipRecheck says that this entry is forgotten, so that the next read starts after it.
+	// skipRecheck reports whether the log no longer retains that entry, so that the next read
+	// starts after it.
 	skipRecheck bool
 }
 
@@ -107,7 +112,7 @@
 	}
 }
 
-// State returns the folded state. The next Handle changes it.
+// State returns the state as of the records applied so far. The next call of Handle changes it.
 func (r *Reader) State() *fold.State {
 	return r.state
 }
@@ -117,7 +122,8 @@
 	return r.nextFetch(now)
 }
 
-// Handle takes the answer to a Fetch. The time never goes back.
+// Handle processes the result of a Fetch. It returns effects and the next Fetch. The time must
+// not go back.
 func (r *Reader) Handle(now Time, e FetchResult) ([]ReadEffect, Fetch) {
 	if e.Err != nil && !errors.Is(e.Err, ErrGap) {
 		r.pacer.failed(now)
@@ -137,14 +143,16 @@
 	return effects, r.nextFetch(now)
 }
 
-// isReplaced tells by identity, or by an end before what was read already, that the log
-// was replaced. A new log that has grown past that point shows by the entry before, which is
-// read again after a failure, and each time from a log that names no identity: such a log is
-// polled at the bounded rate in place of waiting at its end.
+// isReplaced reports whether the log was replaced by a new one, which shows by another identity
+// or by an end below the offset read so far. A new log that is already longer and states no
+// identity is detected by fold.State.Apply, because the last entry is read again: after each
+// failure, and in every read of a log without identity. Reads of such a log return at once
+// instead of waiting for a record at its end, so only the rate limit bounds them.
 func (r *Reader) isReplaced(b Batch) bool {
 	return r.identity != "" && b.Identity != r.identity || b.Next < r.state.Next
 }
 
+// reset starts the state anew for a log that replaced the one before.
 func (r *Reader) reset(b Batch) []ReadEffect {
 	r.identity = b.Identity
 	r.state = fold.New(r.config.Anchors)
@@ -152,12 +160,13 @@
 	return []ReadEffect{StateReset{Identity: b.Identity}}
 }
 
-// handleGap starts the search for a checkpoint. Where the search itself meets a gap, the log has
-// forgotten more meanwhile, and it goes on from there.
+// handleGap starts the search for a checkpoint at the oldest retained record. If the search
+// itself meets a gap, because the log has dropped more records meanwhile, it continues from the
+// new oldest record.
 func (r *Reader) handleGap(e FetchResult) []ReadEffect {
 	r.identity = e.Batch.Identity
 	if e.Fetch.From+1 == r.state.Next && e.Batch.Oldest == r.state.Next {
-		// Only the entry to be read once more is forgotten.
+		// Only the entry to be rechecked is no longer retained.
 		r.recheck, r.skipRecheck = false, true
 		return nil
 	}
@@ -166,6 +175,8 @@
 	return []ReadEffect{GapFound{Wanted: e.Fetch.From, Oldest: e.Batch.Oldest}}
 }
 
+// apply applies the entries of a batch to the state. During a search for a checkpoint it skips
+// all entries before the checkpoint.
 func (r *Reader) apply(e FetchResult) []ReadEffect {
 	r.identity = e.Batch.Identity
 	r.recheck = false
@@ -174,22 +185,22 @@
 		if r.scanning {
 			r.scanOffset = entry.Offset + 1
 		}
-		verdict := r.state.Apply(entry)
-		switch verdict.(type) {
+		result := r.state.Apply(entry)
+		switch result.(type) {
 		case fold.Changed:
 			return append(effects, r.reset(e.Batch)...)
 		case fold.Gap:
 			continue
 		}
-		effects = append(effects, EntryApplied{Entry: entry, Result: verdict})
+		effects = append(effects, EntryApplied{Entry: entry, Result: result})
 		r.scanning = false
 		if r.state.Next <= entry.Offset {
-			// A checkpoint was taken over: the records after its mark are read next.
+			// The state was restored from a checkpoint. The records after its mark are read next.
 			return effects
 		}
 	}
 	if r.scanning && r.scanOffset >= e.Batch.Next {
-		// No checkpoint in the whole log: what is left is folded as it is.
+		// The log has no checkpoint, so the state starts empty at the oldest retained record.
 		r.state = fold.NewAt(r.config.Anchors, e.Batch.Oldest)
 		r.scanning = false
 		return effects
@@ -200,6 +211,8 @@
 	return effects
 }
 
+// nextFetch returns the Fetch for the next record, for the next step of the search for a
+// checkpoint, or for the last applied entry if it is to be rechecked.
 func (r *Reader) nextFetch(now Time) Fetch {
 	fetch := Fetch{From: r.state.Next, Limit: r.config.MaxEntries}
 	switch {
--- a/internal/logcl/reader_test.go
+++ b/internal/logcl/reader_test.go
@@ -13,8 +13,8 @@
 	"example.org/mustardring/internal/record"
 )
 
-// readAll reads until the reader has nothing to do, and returns what it said.
-func readAll(t *tape, r *logcl.Reader, fetch logcl.Fetch) ([]logcl.ReadEffect, logcl.Fetch) {
+// readAll reads until the Reader has caught up, and returns all effects and the next Fetch.
+func readAll(t *memoryLog, r *logcl.Reader, fetch logcl.Fetch) ([]logcl.ReadEffect, logcl.Fetch) {
 	var all []logcl.ReadEffect
 	for range 100 {
 		batch, err := t.read(fetch.From, fetch.Limit)
@@ -28,14 +28,14 @@
 			}
 		}
 	}
-	return append(all, logcl.ReadFailed{Err: errors.New("never current")}), fetch
+	return append(all, logcl.ReadFailed{Err: errors.New("not caught up after 100 reads")}), fetch
 }
 
 func newReader() *logcl.Reader {
 	return logcl.NewReader(logcl.ReaderConfig{MaxEntries: 4, PerSecond: 100, Burst: 4, Random: seeded(1)})
 }
 
-func (t *tape) addClaims(domain string, n int) {
+func (t *memoryLog) addClaims(domain string, n int) {
 	for i := range n {
 		data, err := record.Encode(record.TermClaimed{Domain: domain, Instance: "a", Follows: uint64(i)})
 		if err != nil {
@@ -55,43 +55,44 @@
 	return n
 }
 
-// The platform replaces its log by an empty one, and other instances fill it before this one
-// reads again. Whether the new log is shorter or longer, and whether or not it names itself,
-// this instance must not go on as if the records before were its own.
-func TestReplacedLogIsNoticed(t *testing.T) {
+// The platform replaces its log by an empty one, and other instances append to it before this
+// one reads again. Whether the new log is shorter or longer, and whether or not it states an
+// identity, this instance must not continue with the state of the old log.
+func TestReplacedLogIsDetected(t *testing.T) {
 	tests := map[string]struct {
 		anonymous bool
-		grown     int
+		records   int
 	}{
-		"named and empty":       {},
-		"named and longer":      {grown: 9},
-		"anonymous and empty":   {anonymous: true},
-		"anonymous and as long": {anonymous: true, grown: 5},
-		"anonymous and longer":  {anonymous: true, grown: 9},
+		"identity, empty":          {},
+		"identity, longer":         {records: 9},
+		"no identity, empty":       {anonymous: true},
+		"no identity, same length": {anonymous: true, records: 5},
+		"no identity, longer":      {anonymous: true, records: 9},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			log := &tape{anonymous: test.anonymous}
+			log := &memoryLog{anonymous: test.anonymous}
 			log.addClaims("klet", 5)
 			r := newReader()
 			effects, fetch := readAll(log, r, r.Start(second))
 			is.Equal(count[logcl.StateReset](effects), 0)
-			log.startAnew()
-			log.addClaims("dvorana-a", test.grown)
+			log.replace()
+			log.addClaims("dvorana-a", test.records)
 			effects, _ = readAll(log, r, fetch)
 			is.Equal(count[logcl.StateReset](effects), 1)
 			is.Equal(r.State().Terms["klet"], fold.Term{})
-			is.Equal(r.State().Terms["dvorana-a"].Log, uint64(test.grown))
+			is.Equal(r.State().Terms["dvorana-a"].Log, uint64(test.records))
 		})
 	}
 }
 
-// An instance was cut off for longer than the log keeps records. Without a checkpoint it goes
-// on with what is left; it says so, and does not wait for records that never return.
+// An instance was cut off for longer than the log retains records. Without a checkpoint in the
+// log it must report the gap and continue with the retained records instead of waiting for the
+// missing ones forever.
 func TestGapWithoutCheckpoint(t *testing.T) {
 	is := is.New(t)
-	log := &tape{keep: 3}
+	log := &memoryLog{maxRecords: 3}
 	r := newReader()
 	log.addClaims("klet", 2)
 	_, fetch := readAll(log, r, r.Start(second))
@@ -102,12 +103,12 @@
 	is.Equal(r.State().Since, uint64(7))
 }
 
-// A fresh instance joins when the log has forgotten all but the newest records. It must know
-// at once what stood before them, from the checkpoint among what is left.
+// A new instance joins when the log retains only the newest records. It must get the state of
+// the older ones from the checkpoint among them.
 func TestGapStartsAtCheckpoint(t *testing.T) {
 	is := is.New(t)
 	writer := newReader()
-	log := &tape{}
+	log := &memoryLog{}
 	log.addClaims("klet", 8)
 	mark, err := record.Encode(record.CheckpointMarked{Instance: "a"})
 	is.NoErr(err)
@@ -119,7 +120,7 @@
 	is.NoErr(err)
 	log.addClaims("podstresje", 2)
 	log.add("checkpoint", data)
-	log.keep = 4
+	log.maxRecords = 4
 	log.addClaims("badulla-hall", 1)
 	r := newReader()
 	effects, _ := readAll(log, r, r.Start(second))
@@ -130,11 +131,11 @@
 	is.Equal(r.State().Since, uint64(0))
 }
 
-// A record that the fold cannot read is reported with its offset and reason, and the records
-// after it still count.
+// A malformed record must be reported with its offset and a reason, and the records after it must
+// be applied.
 func TestUnreadableRecordIsReported(t *testing.T) {
 	is := is.New(t)
-	log := &tape{}
+	log := &memoryLog{}
 	log.add("bad", []byte("no record"))
 	log.addClaims("klet", 1)
 	r := newReader()
@@ -145,8 +146,8 @@
 	is.Equal(r.State().Terms["klet"].Log, uint64(1))
 }
 
-// The log is down for hours. The reader asks ever less often, up to a bound, and at once
-// again when an answer comes.
+// The log is down for hours. The delay between reads must grow up to a limit, and end with the
+// first response.
 func TestReaderBacksOff(t *testing.T) {
 	is := is.New(t)
 	r := newReader()
@@ -159,29 +160,29 @@
 		now = fetch.At
 		waits++
 	}
-	is.True(waits < 1500) // one call each 2.5 s or more on the log
+	is.True(waits < 1500) // the delay grows to at least 2.5 s
 	_, fetch = r.Handle(now, logcl.FetchResult{Fetch: fetch})
 	is.Equal(fetch.At, now)
 }
 
 func TestCheckpointIsDue(t *testing.T) {
 	config := logcl.CheckpointerConfig{Instance: "a", MaxRecords: 100, Interval: 10 * time.Minute, RankDelay: 5 * time.Second}
-	met := []logcl.CheckpointEvent{logcl.RecordAccepted{Offset: 50, Record: record.Checkpoint{}}}
+	checkpoint := []logcl.CheckpointEvent{logcl.RecordAccepted{Offset: 50, Record: record.Checkpoint{}}}
 	tests := map[string]struct {
 		before []logcl.CheckpointEvent
 		event  logcl.ReadProgress
 		after  logcl.Time
 		due    bool
 	}{
-		"empty log":             {event: logcl.ReadProgress{CanWrite: true}, after: 3600 * second},
-		"young log":             {event: logcl.ReadProgress{Next: 10, CanWrite: true}},
-		"many records":          {event: logcl.ReadProgress{Next: 100, CanWrite: true}, due: true},
-		"forgotten records":     {event: logcl.ReadProgress{Next: 10, Oldest: 1, CanWrite: true}, due: true},
-		"not able":              {event: logcl.ReadProgress{Next: 100}},
-		"second in rank":        {event: logcl.ReadProgress{Next: 100, Rank: 1, CanWrite: true}},
-		"fresh checkpoint":      {before: met, event: logcl.ReadProgress{Next: 100, Oldest: 20, CanWrite: true}},
-		"checkpoint at the end": {before: met, event: logcl.ReadProgress{Next: 100, Oldest: 40, CanWrite: true}, due: true},
-		"old checkpoint":        {before: met, event: logcl.ReadProgress{Next: 60, CanWrite: true}, after: 600 * second, due: true},
+		"empty log":                    {event: logcl.ReadProgress{CanWrite: true}, after: 3600 * second},
+		"few records":                  {event: logcl.ReadProgress{Next: 10, CanWrite: true}},
+		"many records":                 {event: logcl.ReadProgress{Next: 100, CanWrite: true}, due: true},
+		"records not retained":         {event: logcl.ReadProgress{Next: 10, Oldest: 1, CanWrite: true}, due: true},
+		"state cannot be written":      {event: logcl.ReadProgress{Next: 100}},
+		"rank 1 before its delay":      {event: logcl.ReadProgress{Next: 100, Rank: 1, CanWrite: true}},
+		"recent checkpoint":            {before: checkpoint, event: logcl.ReadProgress{Next: 100, Oldest: 20, CanWrite: true}},
+		"checkpoint in oldest quarter": {before: checkpoint, event: logcl.ReadProgress{Next: 100, Oldest: 40, CanWrite: true}, due: true},
+		"interval over":                {before: checkpoint, event: logcl.ReadProgress{Next: 60, CanWrite: true}, after: 600 * second, due: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -195,8 +196,8 @@
 	}
 }
 
-// The instance that announced a checkpoint is lost before it writes it. The next one in rank
-// announces its own after its wait, and nobody does so while the first may still be at it.
+// The instance that announced a checkpoint fails before it writes it. The next one in rank must
+// announce its own checkpoint after its delay, but not while the first may still be writing.
 func TestLostCheckpointWriterIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := logcl.NewCheckpointer(logcl.CheckpointerConfig{Instance: "b", MaxRecords: 10, Interval: time.Hour, RankDelay: 5 * time.Second})
--- a/internal/logcl/schedule_test.go
+++ b/internal/logcl/schedule_test.go
@@ -20,119 +20,121 @@
 	second     = logcl.Time(time.Second)
 	perSecond  = 2
 	burst      = 3
-	scheduled  = 300
+	faultSteps = 300
 	servers    = 40
 	domainName = "klet"
 )
 
-// member is one instance of the schedule: the three cores, the calls that are out, and what
-// its leader has decided.
-type member struct {
-	name     string
-	rank     int
-	appender *logcl.Appender
-	reader   *logcl.Reader
-	writer   *logcl.Checkpointer
-	wakeAt   logcl.Time
-	fetch    logcl.Fetch
-	calls    []call
-	current  bool
-	// begun says that it has read the log once. Nothing is decided before.
-	begun bool
-	// leads is the one that decides. Others only read and write checkpoints.
-	leads    bool
-	decided  map[string]uint64
-	serial   int
-	writes   int
-	restarts int
-	failures []string
+// instance is one instance of the simulation: its Appender, Reader and Checkpointer, its calls
+// in flight, and the newest sequence that it assigned to each server.
+type instance struct {
+	name         string
+	rank         int
+	appender     *logcl.Appender
+	reader       *logcl.Reader
+	checkpointer *logcl.Checkpointer
+	wakeAt       logcl.Time
+	fetch        logcl.Fetch
+	calls        []call
+	caughtUp     bool
+	// hasRead reports whether the instance has read the log. It makes no assignments before.
+	hasRead bool
+	// leads reports whether the instance makes assignments. The others only read the log and
+	// write checkpoints.
+	leads        bool
+	assigned     map[string]uint64
+	submissions  int
+	writes       int
+	replacements int
+	failures     []string
 }
 
-// call is a Log.Append under way.
+// call is a call of Log.Append in flight.
 type call struct {
-	write   logcl.Write
-	arrives logcl.Time
-	answers logcl.Time
-	arrived bool
-	lost    bool
-	offset  uint64
+	write     logcl.Write
+	arrivesAt logcl.Time
+	returnsAt logcl.Time
+	arrived   bool
+	lost      bool
+	offset    uint64
 }
 
-type schedule struct {
-	now     logcl.Time
-	random  *rand.Rand
-	tape    *tape
-	downTo  logcl.Time
-	members []*member
-	faults  bool
+// simulation runs instances on a log that is down at times, loses responses, and is replaced.
+type simulation struct {
+	now       logcl.Time
+	random    *rand.Rand
+	log       *memoryLog
+	downUntil logcl.Time
+	instances []*instance
+	faults    bool
 }
 
-func newSchedule(seed uint64, keep int) *schedule {
-	s := &schedule{random: seeded(seed), tape: &tape{keep: keep}, faults: true, now: second}
+func newSimulation(seed uint64, maxRecords int) *simulation {
+	s := &simulation{random: seeded(seed), log: &memoryLog{maxRecords: maxRecords}, faults: true, now: second}
 	for n := range 3 {
-		s.members = append(s.members, s.newMember(n, 1))
+		s.instances = append(s.instances, s.newInstance(n, 1))
 	}
 	return s
 }
 
-func (s *schedule) newMember(rank int, incarnation uint64) *member {
-	m := &member{name: fmt.Sprintf("i%d-%d", rank, incarnation), rank: rank, leads: rank == 0, decided: make(map[string]uint64)}
-	m.appender = logcl.NewAppender(logcl.AppenderConfig{PerSecond: perSecond, Burst: burst, MaxQueued: 64, MaxCalls: 3, Random: s.random})
-	m.reader = logcl.NewReader(logcl.ReaderConfig{MaxEntries: 8, PerSecond: 50, Burst: 10, Random: s.random})
-	m.writer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
-		Instance: m.name, Incarnation: incarnation, MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
+func (s *simulation) newInstance(rank int, incarnation uint64) *instance {
+	i := &instance{name: fmt.Sprintf("i%d-%d", rank, incarnation), rank: rank, leads: rank == 0, assigned: make(map[string]uint64)}
+	i.appender = logcl.NewAppender(logcl.AppenderConfig{PerSecond: perSecond, Burst: burst, MaxQueued: 64, MaxCalls: 3, Random: s.random})
+	i.reader = logcl.NewReader(logcl.ReaderConfig{MaxEntries: 8, PerSecond: 50, Burst: 10, Random: s.random})
+	i.checkpointer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
+		Instance: i.name, Incarnation: incarnation, MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
 	})
-	m.fetch = m.reader.Start(s.now)
-	return m
+	i.fetch = i.reader.Start(s.now)
+	return i
 }
 
-// step lets a little time pass and then something happen.
-func (s *schedule) step() {
+// step advances the time, injects faults, and runs every instance.
+func (s *simulation) step() {
 	s.now += logcl.Time(s.random.Int64N(int64(200 * time.Millisecond)))
 	if s.faults && s.random.IntN(60) == 0 {
-		s.downTo = s.now + logcl.Time(s.random.IntN(20))*second
+		s.downUntil = s.now + logcl.Time(s.random.IntN(20))*second
 	}
 	if s.faults && s.random.IntN(150) == 0 {
-		s.tape.startAnew()
+		s.log.replace()
 	}
 	if s.faults && s.random.IntN(100) == 0 {
 		n := 1 + s.random.IntN(2)
-		s.members[n] = s.newMember(n, uint64(s.now))
+		s.instances[n] = s.newInstance(n, uint64(s.now))
 	}
-	for _, m := range s.members {
-		s.run(m)
+	for _, i := range s.instances {
+		s.run(i)
 	}
 }
 
-func (s *schedule) run(m *member) {
-	if m.leads && m.begun && s.faults && s.random.IntN(3) == 0 {
-		m.decide(s, fmt.Sprintf("s%d", s.random.IntN(servers)))
+func (s *simulation) run(i *instance) {
+	if i.leads && i.hasRead && s.faults && s.random.IntN(3) == 0 {
+		i.assign(s, fmt.Sprintf("s%d", s.random.IntN(servers)))
 	}
-	s.answer(m)
-	if s.now >= m.fetch.At && s.random.IntN(2) == 0 {
-		s.read(m)
+	s.deliver(i)
+	if s.now >= i.fetch.At && s.random.IntN(2) == 0 {
+		s.read(i)
 	}
-	if s.now >= m.wakeAt {
-		s.take(m, m.appender.Handle(s.now, logcl.Ticked{}))
+	if s.now >= i.wakeAt {
+		s.apply(i, i.appender.Handle(s.now, logcl.Ticked{}))
 	}
-	state := m.reader.State()
-	able := m.current && state.MayLead()
-	for _, e := range m.writer.Handle(s.now, logcl.ReadProgress{Next: state.Next, Oldest: s.tape.oldest, Rank: m.rank, CanWrite: able}) {
+	state := i.reader.State()
+	canWrite := i.caughtUp && state.MayLead()
+	for _, e := range i.checkpointer.Handle(s.now, logcl.ReadProgress{Next: state.Next, Oldest: s.log.oldest, Rank: i.rank, CanWrite: canWrite}) {
 		if mark, ok := e.(logcl.SubmitMark); ok {
-			s.take(m, m.appender.Handle(s.now, logcl.Submitted{ID: mark.ID, Record: record.CheckpointMarked{Instance: m.name}}))
+			s.apply(i, i.appender.Handle(s.now, logcl.Submitted{ID: mark.ID, Record: record.CheckpointMarked{Instance: i.name}}))
 		}
 	}
 }
 
-func (m *member) decide(s *schedule, server string) {
-	m.decided[server]++
-	m.submit(s, server)
+func (i *instance) assign(s *simulation, server string) {
+	i.assigned[server]++
+	i.submit(s, server)
 }
 
-func (m *member) submit(s *schedule, server string) {
-	m.serial++
-	r := record.AssignmentMade{Domain: domainName, Service: "oddaja", Assignments: []record.Assignment{assignment(server, m.decided[server])}}
-	s.take(m, m.appender.Handle(s.now, logcl.Submitted{ID: fmt.Sprintf("%s/%d", server, m.serial), Record: r}))
+func (i *instance) submit(s *simulation, server string) {
+	i.submissions++
+	r := record.AssignmentMade{Domain: domainName, Service: "oddaja", Assignments: []record.Assignment{assignment(server, i.assigned[server])}}
+	s.apply(i, i.appender.Handle(s.now, logcl.Submitted{ID: fmt.Sprintf("%s/%d", server, i.submissions), Record: r}))
 }
 
 func assignment(server string, sequence uint64) record.Assignment {
@@ -143,96 +145,98 @@
 	}
 }
 
-// take carries out effects. A call arrives later, or never while the log is down, and its
-// answer later still, or never.
-func (s *schedule) take(m *member, effects []logcl.AppendEffect) {
+// apply carries out effects. A call arrives at the log after a delay, or never if the log is
+// down, and its response arrives after a further delay, or never.
+func (s *simulation) apply(i *instance, effects []logcl.AppendEffect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case logcl.Write:
-			m.writes++
-			c := call{write: e, arrives: s.now + logcl.Time(s.random.Int64N(int64(second)))}
-			c.answers = c.arrives + logcl.Time(s.random.Int64N(int64(second)))
+			i.writes++
+			c := call{write: e, arrivesAt: s.now + logcl.Time(s.random.Int64N(int64(second)))}
+			c.returnsAt = c.arrivesAt + logcl.Time(s.random.Int64N(int64(second)))
 			c.lost = s.faults && s.random.IntN(4) == 0
-			m.calls = append(m.calls, c)
+			i.calls = append(i.calls, c)
 		case logcl.WakeAt:
-			m.wakeAt = e.At
+			i.wakeAt = e.At
 		case logcl.Acknowledged:
-			if e.Offset >= s.tape.next() && m.restarts == s.tape.started {
-				m.failures = append(m.failures, "acknowledged beyond the end: "+e.ID)
+			if e.Offset >= s.log.next() && i.replacements == s.log.replacements {
+				i.failures = append(i.failures, "acknowledged beyond the end: "+e.ID)
 			}
 		case logcl.Dropped:
 			if e.Reason != logcl.DropReplaced {
-				m.failures = append(m.failures, "dropped: "+e.ID+" "+string(e.Reason))
+				i.failures = append(i.failures, "dropped: "+e.ID+" "+string(e.Reason))
 			}
 		}
 	}
 }
 
-func (s *schedule) answer(m *member) {
-	var left, done []call
-	for _, c := range m.calls {
-		if !c.arrived && s.now >= c.arrives && s.now >= s.downTo {
+// deliver lets calls that are due arrive at the log, and passes results that are due to the
+// Appender.
+func (s *simulation) deliver(i *instance) {
+	var remaining, done []call
+	for _, c := range i.calls {
+		if !c.arrived && s.now >= c.arrivesAt && s.now >= s.downUntil {
 			c.arrived = true
-			c.offset = s.tape.add(c.write.ID, c.write.Data)
+			c.offset = s.log.add(c.write.ID, c.write.Data)
 		}
-		if s.now >= c.answers {
+		if s.now >= c.returnsAt {
 			done = append(done, c)
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	m.calls = left
+	i.calls = remaining
 	for _, c := range done {
-		written := logcl.WriteResult{ID: c.write.ID, Offset: c.offset}
+		result := logcl.WriteResult{ID: c.write.ID, Offset: c.offset}
 		switch {
 		case !c.arrived:
-			written.Err = logcl.ErrUnavailable
+			result.Err = logcl.ErrUnavailable
 		case c.lost:
-			written.Err = logcl.ErrUncertain
+			result.Err = logcl.ErrUncertain
 		}
-		s.take(m, m.appender.Handle(s.now, written))
+		s.apply(i, i.appender.Handle(s.now, result))
 	}
 }
 
-func (s *schedule) read(m *member) {
-	answer := logcl.FetchResult{Fetch: m.fetch, AskedAt: s.now, Err: logcl.ErrUnavailable}
-	if s.now >= s.downTo {
-		answer.Batch, answer.Err = s.tape.read(m.fetch.From, m.fetch.Limit)
+func (s *simulation) read(i *instance) {
+	result := logcl.FetchResult{Fetch: i.fetch, AskedAt: s.now, Err: logcl.ErrUnavailable}
+	if s.now >= s.downUntil {
+		result.Batch, result.Err = s.log.read(i.fetch.From, i.fetch.Limit)
 	}
-	if answer.Err == nil && !m.begun {
-		m.begun, m.restarts = true, s.tape.started
+	if result.Err == nil && !i.hasRead {
+		i.hasRead, i.replacements = true, s.log.replacements
 	}
-	m.current = false
-	effects, fetch := m.reader.Handle(s.now, answer)
-	m.fetch = fetch
+	i.caughtUp = false
+	effects, fetch := i.reader.Handle(s.now, result)
+	i.fetch = fetch
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case logcl.EntryApplied:
-			s.folded(m, e)
+			s.handleApplied(i, e)
 		case logcl.CaughtUp:
-			m.current = true
+			i.caughtUp = true
 		case logcl.StateReset:
-			m.restarts = s.tape.started
-			s.take(m, m.appender.Handle(s.now, logcl.LogReplaced{}))
-			m.writer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
-				Instance: m.name, Incarnation: uint64(s.now), MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
+			i.replacements = s.log.replacements
+			s.apply(i, i.appender.Handle(s.now, logcl.LogReplaced{}))
+			i.checkpointer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
+				Instance: i.name, Incarnation: uint64(s.now), MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
 			})
-			s.repeat(m)
+			s.resubmit(i)
 		}
 	}
 }
 
-// repeat appends all that was decided to a log that started anew.
-func (s *schedule) repeat(m *member) {
+// resubmit appends the newest assignment of each server again, to a log that replaced another.
+func (s *simulation) resubmit(i *instance) {
 	for n := range servers {
-		if server := fmt.Sprintf("s%d", n); m.decided[server] > 0 {
-			m.submit(s, server)
+		if server := fmt.Sprintf("s%d", n); i.assigned[server] > 0 {
+			i.submit(s, server)
 		}
 	}
 }
 
-func (s *schedule) folded(m *member, e logcl.EntryApplied) {
-	s.take(m, m.appender.Handle(s.now, logcl.EntryRead{ID: e.Entry.ID, Offset: e.Entry.Offset}))
+func (s *simulation) handleApplied(i *instance, e logcl.EntryApplied) {
+	s.apply(i, i.appender.Handle(s.now, logcl.EntryRead{ID: e.Entry.ID, Offset: e.Entry.Offset}))
 	if _, accepted := e.Result.(fold.Accepted); !accepted {
 		return
 	}
@@ -240,55 +244,55 @@
 	if err != nil {
 		return
 	}
-	for _, effect := range m.writer.Handle(s.now, logcl.RecordAccepted{ID: e.Entry.ID, Offset: e.Entry.Offset, Record: r}) {
+	for _, effect := range i.checkpointer.Handle(s.now, logcl.RecordAccepted{ID: e.Entry.ID, Offset: e.Entry.Offset, Record: r}) {
 		submit, ok := effect.(logcl.SubmitCheckpoint)
 		if !ok {
 			continue
 		}
-		c, err := m.reader.State().Checkpoint()
+		c, err := i.reader.State().Checkpoint()
 		if err != nil {
-			m.failures = append(m.failures, "checkpoint: "+err.Error())
+			i.failures = append(i.failures, "checkpoint: "+err.Error())
 			continue
 		}
-		s.take(m, m.appender.Handle(s.now, logcl.Submitted{ID: submit.ID, Record: c}))
+		s.apply(i, i.appender.Handle(s.now, logcl.Submitted{ID: submit.ID, Record: c}))
 	}
 }
 
-// settled reports whether nothing waits and everybody has read the whole log.
-func (s *schedule) settled() bool {
-	for _, m := range s.members {
-		if m.appender.Pending() > 0 || len(m.calls) > 0 || m.reader.State().Next != s.tape.next() || m.leads && m.restarts != s.tape.started {
+// settled reports whether no record or call is pending and every instance has read the whole log.
+func (s *simulation) settled() bool {
+	for _, i := range s.instances {
+		if i.appender.Pending() > 0 || len(i.calls) > 0 || i.reader.State().Next != s.log.next() || i.leads && i.replacements != s.log.replacements {
 			return false
 		}
 	}
 	return true
 }
 
-// A leader's decisions go to a log that is down now and then, loses answers after the append
-// took effect, forgets old records, and twice in a schedule is replaced by an empty one,
-// while other instances are replaced too. When the faults end, each instance must know the
-// newest decision for each server, and no instance may have called more often than its rate.
-func TestDecisionsReachEveryReader(t *testing.T) {
+// A leader appends assignments to a log that is down at times, loses responses after an append
+// took effect, drops old records, and is replaced by an empty one twice per run on average.
+// Other instances are replaced too. When the faults end, every instance must know the newest
+// assignment of each server, and no instance may have exceeded its rate of calls.
+func TestAssignmentsReachEveryReader(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			s := newSchedule(seed, 24)
-			for range scheduled {
+			s := newSimulation(seed, 24)
+			for range faultSteps {
 				s.step()
 			}
-			s.faults, s.downTo = false, 0
+			s.faults, s.downUntil = false, 0
 			for steps := 0; !s.settled() && steps < 5000; steps++ {
 				s.step()
 			}
-			is.True(s.settled()) // nothing waits for ever
-			leader := s.members[0]
-			for _, m := range s.members {
-				is.Equal(m.failures, []string(nil))
+			is.True(s.settled()) // nothing is pending forever
+			leader := s.instances[0]
+			for _, i := range s.instances {
+				is.Equal(i.failures, []string(nil))
 				seconds := float64(s.now) / float64(second)
-				is.True(float64(m.writes) <= burst+perSecond*seconds) // bounded rate
-				for server, sequence := range leader.decided {
-					held := m.reader.State().Assigned[domainName][server].Assignment
-					is.True(reflect.DeepEqual(held, assignment(server, sequence))) // newest decision known
+				is.True(float64(i.writes) <= burst+perSecond*seconds) // within the rate limit
+				for server, sequence := range leader.assigned {
+					known := i.reader.State().Assigned[domainName][server].Assignment
+					is.True(reflect.DeepEqual(known, assignment(server, sequence))) // newest assignment is known
 				}
 			}
 		})
--- a/internal/logcl/wire.go
+++ b/internal/logcl/wire.go
@@ -1,6 +1,6 @@
 package logcl
 
-// The paths and query parameters of the log service.
+// Paths and query parameters of the log service.
 const (
 	AppendPath     = "/append"
 	ReadPath       = "/read"
@@ -15,7 +15,7 @@
 	Data []byte `json:"data"`
 }
 
-// AppendResponse is the answer to an AppendRequest. The answer to a read is a Batch.
+// AppendResponse is the response to an AppendRequest. The response to a read is a Batch.
 type AppendResponse struct {
 	Offset   uint64 `json:"offset"`
 	Identity string `json:"identity"`
