--- a/internal/logcl/appender.go
+++ b/internal/logcl/appender.go
@@ -87,11 +87,11 @@
 }
 
 // merge merges a record into the newest item of the same service and domain, and reports whether
-// it did. It never merges into an older item, from which the record would be appended before the
-// newest one.
+// it did. It never merges into an older item, because the record would then be appended before
+// the assignments of the newest one.
 func (a *Appender) merge(id string, newer record.AssignmentMade) ([]AppendEffect, bool) {
 	for _, i := range slices.Backward(a.queue) {
-		if i.sameServers(newer) {
+		if i.sameService(newer) {
 			replaced, merged := i.merge(id, newer)
 			return drop(replaced, DropReplaced), merged
 		}
@@ -149,8 +149,8 @@
 	return stale
 }
 
-// acknowledge removes a record that is in the log, as a response or the Reader shows. The latter
-// is how a record is acknowledged of which all responses were lost.
+// acknowledge removes a record that is in the log according to a response or to the Reader, and
+// acknowledges its submissions. The Reader also finds records whose responses were all lost.
 func (a *Appender) acknowledge(id string, offset uint64) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
--- a/internal/logcl/checkpoint.go
+++ b/internal/logcl/checkpoint.go
@@ -8,7 +8,7 @@
 )
 
 // CheckpointerConfig sets when a checkpoint is due. MaxRecords and Interval must be well below
-// the number of records and the time for which the log retains records.
+// the retention limits of the log by number of records and by time.
 type CheckpointerConfig struct {
 	// Instance and Incarnation make the record IDs of this process unique.
 	Instance    string
@@ -78,8 +78,8 @@
 	// lastOffset is the offset of the newest checkpoint in the log, if hasCheckpoint is set.
 	lastOffset    uint64
 	hasCheckpoint bool
-	// dueAt is when Config.Interval makes the next checkpoint due. It is zero until the log has
-	// a record.
+	// dueAt is when the next checkpoint is due by CheckpointerConfig.Interval. It is zero until
+	// a record has been read.
 	dueAt Time
 	// startAt is when an instance of rank 0 may write the checkpoint that is due. It is zero
 	// until a checkpoint is due or another instance announces one.
@@ -147,8 +147,8 @@
 	}
 }
 
-// handleRecord submits the checkpoint when the own mark is in the log. A mark of another instance
-// delays an attempt of this one.
+// handleRecord submits the checkpoint when the mark of this instance is in the log. A mark of
+// another instance delays the next attempt of this one.
 func (c *Checkpointer) handleRecord(now Time, e RecordAccepted) []CheckpointEffect {
 	switch e.Record.(type) {
 	case record.CheckpointMarked:
--- a/internal/logcl/item.go
+++ b/internal/logcl/item.go
@@ -9,18 +9,18 @@
 // maxMerged is the largest number of assignments that are merged into one record.
 const maxMerged = 1024
 
-// item is a queued record with the submissions that it contains.
+// item is a queued record. It may contain the merged assignments of several submissions.
 type item struct {
 	// id is the ID of the record in the log, which is that of the first submission.
 	id string
 	// submissions lists the IDs that are acknowledged or dropped with the record.
 	submissions []string
 	record      record.Record
-	// sources maps the server of each assignment to the submission that the assignment is from.
-	// It is nil for other kinds of records.
+	// sources maps the server of each assignment to the ID of the submission that contained the
+	// assignment. It is nil for other kinds of records.
 	sources map[string]string
-	// data is the encoded record. It is set when the record is sent first and then never
-	// changes, because a record with this ID and data may already be in the log.
+	// data is the encoded record. It is set when the record is first sent and then never changes,
+	// because a record with this ID and data may already be in the log.
 	data []byte
 	// inFlight reports whether a Write has no result yet.
 	inFlight bool
@@ -75,8 +75,8 @@
 	}
 }
 
-// sameServers reports whether the item holds assignments of the same service and domain as r.
-func (i *item) sameServers(r record.AssignmentMade) bool {
+// sameService reports whether the item holds assignments of the same service and domain as r.
+func (i *item) sameService(r record.AssignmentMade) bool {
 	own, ok := i.record.(record.AssignmentMade)
 	return ok && own.Domain == r.Domain && own.Service == r.Service
 }
@@ -108,7 +108,7 @@
 	return i.removeUnused(), true
 }
 
-// removeUnused removes and returns the submissions that no assignment is from any more.
+// removeUnused removes and returns the submissions of which no assignment is left.
 func (i *item) removeUnused() []string {
 	live := make(map[string]bool, len(i.sources))
 	for _, source := range i.sources {
--- a/internal/logcl/memorylog_test.go
+++ b/internal/logcl/memorylog_test.go
@@ -19,34 +19,34 @@
 	anonymous bool
 }
 
-func (t *memoryLog) next() uint64 {
-	return t.oldest + uint64(len(t.entries))
+func (l *memoryLog) next() uint64 {
+	return l.oldest + uint64(len(l.entries))
 }
 
-func (t *memoryLog) add(id string, data []byte) uint64 {
-	t.entries = append(t.entries, record.Entry{Offset: t.next(), ID: id, Data: data})
-	if over := len(t.entries) - t.maxRecords; t.maxRecords > 0 && over > 0 {
-		t.entries = t.entries[over:]
-		t.oldest += uint64(over)
+func (l *memoryLog) add(id string, data []byte) uint64 {
+	l.entries = append(l.entries, record.Entry{Offset: l.next(), ID: id, Data: data})
+	if over := len(l.entries) - l.maxRecords; l.maxRecords > 0 && over > 0 {
+		l.entries = l.entries[over:]
+		l.oldest += uint64(over)
 	}
-	return t.next() - 1
+	return l.next() - 1
 }
 
 // replace starts an empty log with another identity and offsets from zero.
-func (t *memoryLog) replace() {
-	*t = memoryLog{replacements: t.replacements + 1, maxRecords: t.maxRecords, anonymous: t.anonymous}
+func (l *memoryLog) replace() {
+	*l = memoryLog{replacements: l.replacements + 1, maxRecords: l.maxRecords, anonymous: l.anonymous}
 }
 
-func (t *memoryLog) read(from uint64, limit int) (logcl.Batch, error) {
-	batch := logcl.Batch{Oldest: t.oldest, Next: t.next(), Identity: fmt.Sprint("tape-", t.replacements)}
-	if t.anonymous {
+func (l *memoryLog) read(from uint64, limit int) (logcl.Batch, error) {
+	batch := logcl.Batch{Oldest: l.oldest, Next: l.next(), Identity: fmt.Sprint("tape-", l.replacements)}
+	if l.anonymous {
 		batch.Identity = ""
 	}
-	if from < t.oldest {
+	if from < l.oldest {
 		return batch, logcl.ErrGap
 	}
-	if from < t.next() {
-		part := t.entries[from-t.oldest:]
+	if from < l.next() {
+		part := l.entries[from-l.oldest:]
 		batch.Entries = part[:min(limit, len(part))]
 	}
 	return batch, nil
--- a/internal/logcl/reader_test.go
+++ b/internal/logcl/reader_test.go
@@ -14,10 +14,10 @@
 )
 
 // readAll reads until the Reader has caught up, and returns all effects and the next Fetch.
-func readAll(t *memoryLog, r *logcl.Reader, fetch logcl.Fetch) ([]logcl.ReadEffect, logcl.Fetch) {
+func readAll(log *memoryLog, r *logcl.Reader, fetch logcl.Fetch) ([]logcl.ReadEffect, logcl.Fetch) {
 	var all []logcl.ReadEffect
 	for range 100 {
-		batch, err := t.read(fetch.From, fetch.Limit)
+		batch, err := log.read(fetch.From, fetch.Limit)
 		var effects []logcl.ReadEffect
 		now := fetch.At
 		effects, fetch = r.Handle(now, logcl.FetchResult{Fetch: fetch, AskedAt: now, Batch: batch, Err: err})
@@ -35,13 +35,13 @@
 	return logcl.NewReader(logcl.ReaderConfig{MaxEntries: 4, PerSecond: 100, Burst: 4, Random: seeded(1)})
 }
 
-func (t *memoryLog) addClaims(domain string, n int) {
+func (l *memoryLog) addClaims(domain string, n int) {
 	for i := range n {
 		data, err := record.Encode(record.TermClaimed{Domain: domain, Instance: "a", Follows: uint64(i)})
 		if err != nil {
 			panic(err)
 		}
-		t.add(fmt.Sprint(domain, i), data)
+		l.add(fmt.Sprint(domain, i), data)
 	}
 }
 
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -25,9 +25,10 @@
 	// ContactsPerDomain is the number of live instances of another domain to which this instance
 	// sends heartbeats.
 	ContactsPerDomain int
-	// ReplaceDelay is how long a process that the platform's list showed keeps its name after
-	// its heartbeats have timed out. After that another process may take the name although the
-	// list does not show it yet. Zero means that only a change of the list frees the name.
+	// ReplaceDelay is how long a process that the platform's list showed, and that did not say
+	// that it is leaving, keeps its name after its heartbeats have timed out. After that another
+	// process may take the name although the list does not show it yet. Zero means that only a
+	// change of the list frees the name.
 	ReplaceDelay time.Duration
 	// MaxGossip is the largest number of counters passed on in one heartbeat.
 	MaxGossip int
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -150,7 +150,7 @@
 	LinkNone Link = "none"
 )
 
-// LiveInstance is an instance of which a heartbeat, received directly or known by gossip, is
+// LiveInstance is an instance whose newest heartbeat, received directly or known by gossip, is
 // not older than the timeout.
 type LiveInstance struct {
 	Instance
