--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -36,7 +36,7 @@
 // judged is a record that was read, with its verdict.
 type judged struct {
 	entry   record.Entry
-	verdict fold.Verdict
+	verdict fold.Result
 }
 
 func newBundleLog(log logcl.Log, anchors []bundle.Signer) *bundleLog {
@@ -125,9 +125,9 @@
 // outcome returns the verdict on a statement: the first that let it take effect, or else the
 // last refusal. It is nil if no record with the statement was read. The statement is what
 // counts, not the bytes of the record, which may hold the bundle whole or as a delta.
-func (l *bundleLog) outcome(st bundle.Statement) (fold.Verdict, uint64) {
+func (l *bundleLog) outcome(st bundle.Statement) (fold.Result, uint64) {
 	id := st.ID()
-	var last fold.Verdict
+	var last fold.Result
 	var offset uint64
 	for _, j := range l.judged {
 		if j.entry.ID != id {
@@ -137,7 +137,7 @@
 			continue
 		}
 		last, offset = j.verdict, j.entry.Offset
-		if _, refused := j.verdict.(fold.Refused); !refused {
+		if _, refused := j.verdict.(fold.Rejected); !refused {
 			return last, offset
 		}
 	}
@@ -149,14 +149,14 @@
 //
 // It guards against a lost answer, after which the command is given again or tries again by
 // itself: the ID is the same each time, so the fold lets the record take effect once.
-func (l *bundleLog) submit(ctx context.Context, st bundle.Statement, r record.Record) (fold.Verdict, uint64, error) {
+func (l *bundleLog) submit(ctx context.Context, st bundle.Statement, r record.Record) (fold.Result, uint64, error) {
 	data, err := record.Encode(r)
 	if err != nil {
 		return nil, 0, failed("%w", err)
 	}
 	if v, offset := l.outcome(st); v != nil {
-		if _, refused := v.(fold.Refused); !refused {
-			return fold.Repeated{}, offset, nil
+		if _, refused := v.(fold.Rejected); !refused {
+			return fold.Duplicate{}, offset, nil
 		}
 	}
 	offset, err := retry(ctx, func() (uint64, error) { return l.log.Append(ctx, st.ID(), data) })
--- a/internal/cmds/bundlelog_test.go
+++ b/internal/cmds/bundlelog_test.go
@@ -58,7 +58,7 @@
 			l := newBundleLog(&forgetful{fakeLog: d.log, oldest: 2}, signers)
 			is.NoErr(l.catchUp(t.Context(), 0))
 			is.Equal(l.state.Next, uint64(len(d.log.entries)))
-			is.Equal(l.state.Since, tt.since)
+			is.Equal(l.state.StartOffset, tt.since)
 			version := uint64(0)
 			if l.state.InForce != nil {
 				version = l.state.InForce.Version
@@ -74,8 +74,8 @@
 	is := is.New(d.t)
 	s := fold.New(signers)
 	for _, r := range []func() (record.Record, error){
-		func() (record.Record, error) { return s.Mark("one") },
-		func() (record.Record, error) { return s.Checkpoint() },
+		func() (record.Record, error) { return s.NewMark("one") },
+		func() (record.Record, error) { return s.NewCheckpoint() },
 	} {
 		made, err := r()
 		is.NoErr(err)
--- a/internal/cmds/bundleshow.go
+++ b/internal/cmds/bundleshow.go
@@ -67,7 +67,7 @@
 }
 
 func statusOf(s *fold.State) logStatus {
-	status := logStatus{Next: s.Next, Since: s.Since, Head: s.Head}
+	status := logStatus{Next: s.Next, Since: s.StartOffset, Head: s.Head}
 	if s.InForce != nil {
 		v := versionOf(s.Proof.Signed.Statement, s.Proof.Approval, s.InForceOffset)
 		v.Roller = s.Proof.Roll.Signer
@@ -79,8 +79,8 @@
 	for _, domain := range slices.Sorted(maps.Keys(s.Terms)) {
 		status.Terms = append(status.Terms, termState{Domain: domain, Term: s.Terms[domain]})
 	}
-	if s.Newer != nil {
-		status.Newer = fmt.Sprintf("offset %d: %s", s.Newer.Offset, s.Newer.Reason)
+	if s.NewerRecord != nil {
+		status.Newer = fmt.Sprintf("offset %d: %s", s.NewerRecord.Offset, s.NewerRecord.Reason)
 	}
 	return status
 }
@@ -134,7 +134,7 @@
 	if err := l.catchUp(ctx, 0); err != nil {
 		return err
 	}
-	h := history{Since: l.state.Since}
+	h := history{Since: l.state.StartOffset}
 	for _, j := range l.judged {
 		if e, ok := eventOf(j); ok {
 			h.Events = append(h.Events, e)
@@ -177,9 +177,9 @@
 	hash := fmt.Sprintf("%0*x", minHash, st.Hash)
 	e := event{Offset: j.entry.Offset, Action: action, Version: st.Version, Hash: hash, Signer: st.Signer, Verdict: wordAccepted}
 	switch v := j.verdict.(type) {
-	case fold.Repeated:
+	case fold.Duplicate:
 		e.Verdict = wordRepeated
-	case fold.Refused:
+	case fold.Rejected:
 		e.Verdict, e.Reason = wordRefused, v.Reason
 	}
 	return e, true
--- a/internal/cmds/bundlesign.go
+++ b/internal/cmds/bundlesign.go
@@ -66,9 +66,9 @@
 	}
 	var refusal error
 	switch v := v.(type) {
-	case fold.Repeated:
+	case fold.Duplicate:
 		s.Verdict = wordRepeated
-	case fold.Refused:
+	case fold.Rejected:
 		s.Verdict, s.Reason = wordRefused, v.Reason
 		if !v.Winner.IsZero() {
 			s.Winner = &v.Winner
@@ -137,7 +137,7 @@
 	if err != nil {
 		return whole, nil
 	}
-	base, hash := s.Base(followed.Hash)
+	base, hash := s.BundleByHash(followed.Hash)
 	if base == nil {
 		return whole, nil
 	}
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -80,7 +80,7 @@
 	e.state.setMembers(e.peers.members())
 	if now := e.now(); now >= e.domainsAt {
 		e.domainsAt = now + leader.Time(domainsPeriod)
-		e.tellHomes(ctx, homes.Domains{Heard: e.peers.domains()})
+		e.tellHomes(ctx, homes.ReachableDomains{Names: e.peers.domains()})
 	}
 }
 
--- a/internal/entry/configured.go
+++ b/internal/entry/configured.go
@@ -42,11 +42,11 @@
 			continue
 		}
 		made.Servers = append(made.Servers, leader.Server{
-			Name:    v.Name,
-			Checks:  v.ChecksGrants,
-			Votes:   v.ChecksGrants,
-			Slots:   v.Slots,
-			Leaving: v.Leaving,
+			Name:         v.Name,
+			ChecksGrants: v.ChecksGrants,
+			Votes:        v.ChecksGrants,
+			Slots:        v.Slots,
+			Leaving:      v.Leaving,
 		})
 	}
 	if !s.Divided {
--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -37,7 +37,7 @@
 
 // coreView holds the core's statement about itself. The core duty writes it, others read it.
 type coreView struct {
-	heartbeat atomic.Pointer[leader.PeerHeard]
+	heartbeat atomic.Pointer[leader.Heartbeat]
 }
 
 // runCore is the only duty that touches the cores. It turns events into effects.
@@ -89,16 +89,16 @@
 	term, leads := e.core.LogTerm()
 	b := e.state.bundle()
 	if !leads || b == nil {
-		e.performHomes(e.homes.Handle(e.now(), homes.Follows{}))
+		e.performHomes(e.homes.Handle(e.now(), homes.NotLeading{}))
 		return
 	}
-	held := homes.Held{Log: term, Settled: true, Ranges: make(map[string][]keys.Range)}
-	held.Fence, held.Taught = e.core.HomesFence()
+	held := homes.LeaderState{LogTerm: term, Settled: true, Ranges: make(map[string][]keys.Range)}
+	held.Fence, held.MajorityFence = e.core.HomesFence()
 	for _, s := range b.Services {
 		if !s.Divided {
 			continue
 		}
-		ranges, settled := e.core.MayHold(s.Name)
+		ranges, settled := e.core.HeldRanges(s.Name)
 		held.Ranges[s.Name] = ranges
 		held.Settled = held.Settled && settled
 	}
@@ -107,7 +107,7 @@
 
 // confirmOwnGates extends the right of the leader to be a gate itself.
 func (e *Entry) confirmOwnGates() {
-	if asked, leads := e.core.Authority(); leads {
+	if asked, leads := e.core.QuorumAskedAt(); leads {
 		e.lease.extend(asked + leader.Time(gateLease))
 	}
 }
@@ -119,8 +119,8 @@
 			e.lead(configured(f.Bundle, e.deps.Settings.Domain, f.Ranges))
 		case homes.Append:
 			e.queueAppend(leader.Append{ID: f.ID, Record: f.Record})
-		case homes.Teach:
-			e.core.TeachHomes(f.Fence)
+		case homes.DistributeFence:
+			e.core.RaiseHomesFence(f.Fence)
 		}
 	}
 }
@@ -135,10 +135,10 @@
 		if e.setTable(&f.Table) {
 			e.pushTable(&f.Table)
 		}
-	case leader.Led:
+	case leader.StartedLeading:
 		e.meter.TermsBegun.Add(1)
 		e.deps.Logger.Info("leading", "domain", e.deps.Settings.Domain, "term", f.Term)
-	case leader.Stepped:
+	case leader.SteppedDown:
 		e.meter.TermsEnded.Add(1)
 		e.deps.Logger.Warn("stepped-down", "domain", e.deps.Settings.Domain, "term", f.Term, "reason", f.Reason)
 	}
--- a/internal/entry/enforce.go
+++ b/internal/entry/enforce.go
@@ -14,7 +14,7 @@
 	if err := e.front.Lift(b.Lifted); err != nil {
 		e.deps.Logger.Warn("lifted-block-ignored", "error", err)
 	}
-	e.tellHomes(ctx, homes.InForce{Bundle: b})
+	e.tellHomes(ctx, homes.BundleInForce{Bundle: b})
 }
 
 // rank is the number of live instances before this one in the order of their names.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -89,7 +89,7 @@
 	// folded is the newest folded state of the log, or nil.
 	folded atomic.Pointer[fold.State]
 	// copied are the homes that another instance of the domain has read, or nil.
-	copied atomic.Pointer[[]fold.Taken]
+	copied atomic.Pointer[[]fold.DomainHomes]
 
 	events        chan event
 	sends         chan leader.Send
@@ -147,19 +147,19 @@
 // homesConfig takes the bounds that another domain waits for from the leader that keeps to them.
 func homesConfig(l leader.Config) homes.Config {
 	c := homes.DefaultConfig(l.Domain)
-	c.MoveBound = l.MoveBound
-	c.Pause = l.Pause
+	c.IsolationTimeout = l.IsolationTimeout
+	c.MaxPause = l.MaxPause
 	c.DriftPerMille = l.DriftPerMille
 	return c
 }
 
-// Control returns the counters of this instance's control traffic.
-func (e *Entry) Control() *meter.Control {
+// ControlCounters returns the counters of this instance's control traffic.
+func (e *Entry) ControlCounters() *meter.Control {
 	return e.meter
 }
 
-// Requests returns the counters of the request path.
-func (e *Entry) Requests() expvar.Var {
+// RequestCounters returns the counters of the request path.
+func (e *Entry) RequestCounters() expvar.Var {
 	return e.front.Vars()
 }
 
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -56,14 +56,14 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case s := <-e.sends:
-			at := seat{server: s.Server, via: s.Via}
+			at := seat{server: s.Server, via: s.Gate}
 			if busy[at] || len(busy) >= maxExchanges {
 				continue
 			}
 			busy[at] = true
 			go e.exchange(ctx, client, s, ended)
 		case x := <-ended:
-			delete(busy, seat{server: x.send.Server, via: x.send.Via})
+			delete(busy, seat{server: x.send.Server, via: x.send.Gate})
 			e.exchangeEnded(ctx, x)
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	e.tell(ctx, leader.Answered{
 		Server:  x.send.Server,
-		Via:     x.send.Via,
+		Gate:    x.send.Gate,
 		AskedAt: x.send.AskedAt,
 		Answer:  x.answer,
 	})
@@ -96,7 +96,7 @@
 
 // carry sends an exchange to wherever the server's grant is held.
 func (e *Entry) carry(ctx context.Context, client *http.Client, s leader.Send) (grant.Answer, error) {
-	via := s.Via
+	via := s.Gate
 	if s.Exchange.Service == voterService {
 		via = s.Server
 	}
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -195,7 +195,7 @@
 	}
 	measured := sums.measured(s.hot)
 	for _, m := range measured {
-		s.hot[m.Service] = m.Hot
+		s.hot[m.Service] = m.HotHashes
 	}
 	return measured
 }
--- a/internal/entry/logduty.go
+++ b/internal/entry/logduty.go
@@ -174,7 +174,7 @@
 }
 
 func (d *logDuty) folded(ctx context.Context, f logcl.EntryApplied) {
-	if v, refused := f.Result.(fold.Refused); refused {
+	if v, refused := f.Result.(fold.Rejected); refused {
 		d.entry.meter.RecordsRefused.Add(1)
 		d.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
@@ -193,9 +193,9 @@
 	for _, effect := range d.checkpointer.Handle(d.entry.now(), ev) {
 		switch f := effect.(type) {
 		case logcl.SubmitMark:
-			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().Mark(d.entry.deps.Settings.Name) })
+			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().NewMark(d.entry.deps.Settings.Name) })
 		case logcl.SubmitCheckpoint:
-			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().Checkpoint() })
+			d.submit(ctx, f.ID, func() (record.Record, error) { return d.reader.State().NewCheckpoint() })
 		}
 	}
 }
@@ -222,10 +222,10 @@
 	e.state.takeHomes(view.Homes)
 	domain := e.deps.Settings.Domain
 	e.tellHomes(ctx, homes.LogRead{State: view})
-	e.tell(ctx, leader.Folded{
+	e.tell(ctx, leader.LogRead{
 		ReadAt:   askedAt,
 		Term:     view.Terms[domain],
-		Assigned: view.Assigned[domain],
+		Assigned: view.Assignments[domain],
 	})
 	d.restore(ctx, view)
 }
--- a/internal/entry/logduty_test.go
+++ b/internal/entry/logduty_test.go
@@ -68,7 +68,7 @@
 					switch ev := told.event.(type) {
 					case leader.Appended:
 						acknowledged = ev.ID == "move" && ev.Offset < uint64(service.Appends())
-					case leader.Folded:
+					case leader.LogRead:
 						held = ev.Assigned["pregled-1"].Assignment.Epoch.Sequence == 3
 					}
 				}
--- a/internal/entry/losses.go
+++ b/internal/entry/losses.go
@@ -25,7 +25,7 @@
 
 // MarksCall hands over marks.
 type MarksCall struct {
-	Marks []policy.Mark `json:"marks"`
+	Marks []policy.IdempotencyRecord `json:"marks"`
 }
 
 // Remembering is a process of the domain that may remember requests which matter, living or not.
@@ -68,7 +68,7 @@
 func (l *losses) list(now time.Time) []Remembering {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.ended, func(_ Remembering, at time.Time) bool { return now.After(at.Add(policy.MemoryTime)) })
+	maps.DeleteFunc(l.ended, func(_ Remembering, at time.Time) bool { return now.After(at.Add(policy.RecordRetention)) })
 	return slices.Collect(maps.Keys(l.ended))
 }
 
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -56,7 +56,7 @@
 	TableTerm   grant.Term `json:"table-term"`
 	TableSerial uint64     `json:"table-serial"`
 	// Blocks are requests that may crash servers.
-	Blocks []policy.Block `json:"blocks,omitempty"`
+	Blocks []policy.CrashRecord `json:"blocks,omitempty"`
 }
 
 // TablePush hands over a routing table. A nil table in a result says that there is none.
@@ -75,8 +75,8 @@
 type ProofPush struct {
 	Proof bundle.Proof `json:"proof"`
 	// Update stands in place of Proof if the caller holds the version before.
-	Update *bundle.Update `json:"update,omitempty"`
-	Homes  []fold.Taken   `json:"homes,omitempty"`
+	Update *bundle.Update     `json:"update,omitempty"`
+	Homes  []fold.DomainHomes `json:"homes,omitempty"`
 }
 
 // Done is the result of a call that returns nothing.
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -28,13 +28,13 @@
 		s.BundleVersion = view.Bundle.Version
 	}
 	if state := e.folded.Load(); state != nil {
-		s.LogNext = state.Next
+		s.NextLogOffset = state.Next
 	}
 	if t := view.Table; t != nil {
 		s.TableTerm, s.TableSerial = t.Term, t.Serial
 		s.Ranges = len(t.Owners)
 		s.Provisional = countProvisional(t)
-		s.Owned = ownedShare(view)
+		s.OwnedShare = ownedShare(view)
 	}
 	s.Domains = e.peers.versions(s.BundleVersion)
 	return s
@@ -117,7 +117,7 @@
 		return nil
 	}
 	var all []admin.Assignment
-	for domain, servers := range state.Assigned {
+	for domain, servers := range state.Assignments {
 		for server, a := range servers {
 			all = append(all, admin.Assignment{
 				Domain:      domain,
--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -52,8 +52,8 @@
 	return h
 }
 
-func compareBlocks(a, b policy.Block) int {
-	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Print, b.Print))
+func compareBlocks(a, b policy.CrashRecord) int {
+	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Fingerprint, b.Fingerprint))
 }
 
 func (h Heartbeat) instance() member.Instance {
@@ -105,8 +105,8 @@
 	return b
 }
 
-func peerHeard(h Heartbeat) leader.PeerHeard {
-	return leader.PeerHeard{
+func peerHeard(h Heartbeat) leader.Heartbeat {
+	return leader.Heartbeat{
 		Name:        h.Name,
 		Incarnation: h.Incarnation,
 		Leading:     h.Leading,
--- a/internal/entry/spread.go
+++ b/internal/entry/spread.go
@@ -36,7 +36,7 @@
 
 func (e *Entry) takeTable(ctx context.Context, t *route.Table) {
 	if t != nil && e.setTable(t) {
-		e.tell(ctx, leader.Routed{Table: *t})
+		e.tell(ctx, leader.TableReceived{Table: *t})
 	}
 }
 
@@ -60,7 +60,7 @@
 	switch err := e.state.learn(result); {
 	case err == nil:
 		e.enforced(ctx)
-	case !errors.Is(err, fold.ErrOlder):
+	case !errors.Is(err, fold.ErrNotNewer):
 		e.deps.Logger.Warn("bundle-refused", "from", r.Name, "error", err)
 	}
 	if r.Domain == e.deps.Settings.Domain && len(result.Homes) > 0 {
@@ -68,13 +68,13 @@
 		if e.folded.Load() == nil {
 			e.state.takeHomes(result.Homes)
 		}
-		e.tellHomes(ctx, homes.Copied{Homes: result.Homes})
+		e.tellHomes(ctx, homes.PeerHomes{Homes: result.Homes})
 	}
 }
 
 // knownHomes returns the homes of all domains as this instance has read them, or else as
 // another instance of its domain has.
-func (e *Entry) knownHomes() []fold.Taken {
+func (e *Entry) knownHomes() []fold.DomainHomes {
 	if state := e.folded.Load(); state != nil {
 		return state.Homes
 	}
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -15,22 +15,22 @@
 // state is what the duties of an instance share: the bundle in force, the routing table and
 // the live instances. Each change makes a new view for the directory.
 type state struct {
-	directory *route.Directory
+	directory *route.Router
 
 	mu     sync.Mutex
 	view   route.View
-	newest *fold.Newest
+	newest *fold.BundleTracker
 	// before is the bundle that the newest one replaced at this instance.
 	before bundle.Held
 	// taken is what the domains have by the log, as far as this instance knows.
-	taken    []fold.Taken
+	taken    []fold.DomainHomes
 	stopping bool
 }
 
 func newState(settings config.Run) *state {
 	return &state{
-		directory: route.NewDirectory(),
-		newest:    fold.NewNewest(settings.Roots),
+		directory: route.NewRouter(),
+		newest:    fold.NewBundleTracker(settings.Roots),
 		view:      route.View{Self: settings.Name, Domain: settings.Domain},
 	}
 }
@@ -40,7 +40,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.newest.Held()
-	if !s.newest.Follow(log) {
+	if !s.newest.AdoptFromLog(log) {
 		return false
 	}
 	s.replace(before)
@@ -55,9 +55,9 @@
 	before := s.newest.Held()
 	var err error
 	if push.Update != nil {
-		err = s.newest.Update(*push.Update)
+		err = s.newest.ApplyUpdate(*push.Update)
 	} else {
-		err = s.newest.Learn(push.Proof)
+		err = s.newest.AdoptProof(push.Proof)
 	}
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 func (s *state) missing(log *fold.State) (record.Record, string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newest.Missing(log)
+	return s.newest.MissingRecord(log)
 }
 
 // offer returns what an instance that holds a version needs to have the newest: an update if
@@ -96,10 +96,10 @@
 
 // takeHomes notes which domain has which ranges by the log. Requests go to the domain that has
 // a range, which for a while is not the one that should have it.
-func (s *state) takeHomes(taken []fold.Taken) {
+func (s *state) takeHomes(taken []fold.DomainHomes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.EqualFunc(s.taken, taken, func(a, b fold.Taken) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
+	if slices.EqualFunc(s.taken, taken, func(a, b fold.DomainHomes) bool { return a.Offset == b.Offset && a.Service == b.Service }) {
 		return
 	}
 	s.taken = taken
@@ -109,7 +109,7 @@
 
 // homesOf returns the homes of each divided service, sorted: what the domains have taken, and
 // in the gaps what the bundle says they should.
-func homesOf(b *bundle.Bundle, taken []fold.Taken) map[string][]route.Home {
+func homesOf(b *bundle.Bundle, taken []fold.DomainHomes) map[string][]route.Home {
 	homes := make(map[string][]route.Home)
 	if b == nil {
 		return homes
@@ -122,7 +122,7 @@
 	return homes
 }
 
-func homesOfService(b *bundle.Bundle, service string, taken []fold.Taken) []route.Home {
+func homesOfService(b *bundle.Bundle, service string, taken []fold.DomainHomes) []route.Home {
 	var homes []route.Home
 	var covered []keys.Range
 	for _, t := range taken {
--- a/internal/entry/sums.go
+++ b/internal/entry/sums.go
@@ -82,7 +82,7 @@
 	var all []leader.Measured
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
-		m := leader.Measured{Service: name, Hot: v.hottest(present[name])}
+		m := leader.Measured{Service: name, HotHashes: v.hottest(present[name])}
 		for r, load := range v.ranges {
 			m.Loads = append(m.Loads, leader.RangeLoad{Range: r, Load: load})
 		}
@@ -101,7 +101,7 @@
 		if c.Count < minHotRate {
 			continue
 		}
-		if c.Count-c.Error >= rule.Enter*v.total || was && c.Count >= rule.Leave*v.total {
+		if c.Count-c.Error >= rule.EnterShare*v.total || was && c.Count >= rule.LeaveShare*v.total {
 			hot = append(hot, hash)
 		}
 	}
--- a/internal/entry/witness.go
+++ b/internal/entry/witness.go
@@ -43,7 +43,7 @@
 
 // MarkCall hands a mark to the instance that is to remember it.
 type MarkCall struct {
-	Mark policy.Mark `json:"mark"`
+	Mark policy.IdempotencyRecord `json:"mark"`
 }
 
 // RecallCall asks what an instance remembers of requests in a range of a service.
@@ -57,9 +57,9 @@
 // the table gives to another.
 type RecallResult struct {
 	member.Process
-	Marks       []policy.Mark `json:"marks"`
-	TableTerm   grant.Term    `json:"table-term"`
-	TableSerial uint64        `json:"table-serial"`
+	Marks       []policy.IdempotencyRecord `json:"marks"`
+	TableTerm   grant.Term                 `json:"table-term"`
+	TableSerial uint64                     `json:"table-serial"`
 	// Known are the processes of the domain of which the instance knows that they may remember
 	// requests which matter.
 	Known []Remembering `json:"known"`
@@ -71,7 +71,7 @@
 	gained *gains
 	losses *losses
 	state  *state
-	ended  chan policy.Mark
+	ended  chan policy.IdempotencyRecord
 	logger logger
 }
 
@@ -81,12 +81,12 @@
 }
 
 func newWitness(p *peers, g *gains, lost *losses, s *state, l logger) *witness {
-	return &witness{peers: p, gained: g, losses: lost, state: s, ended: make(chan policy.Mark, markCapacity), logger: l}
+	return &witness{peers: p, gained: g, losses: lost, state: s, ended: make(chan policy.IdempotencyRecord, markCapacity), logger: l}
 }
 
 // Begin implements front.Witness. The instance is chosen by the mark, the next one if it
 // does not answer.
-func (w *witness) Begin(ctx context.Context, m policy.Mark) error {
+func (w *witness) Begin(ctx context.Context, m policy.IdempotencyRecord) error {
 	others := w.peers.liveInDomain()
 	if len(others) == 0 {
 		return nil
@@ -102,20 +102,20 @@
 }
 
 // spread returns where a mark stands among the instances.
-func spread(m policy.Mark) uint64 {
+func spread(m policy.IdempotencyRecord) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, m.Name)
+	_, _ = fmt.Fprint(h, m.RequestID)
 	return h.Sum64()
 }
 
-func tellMark(ctx context.Context, c *peer.Client, m policy.Mark) error {
+func tellMark(ctx context.Context, c *peer.Client, m policy.IdempotencyRecord) error {
 	_, err := call[MarkCall, Done](ctx, c, markLimit, methodMark, MarkCall{Mark: m})
 	return err
 }
 
 // End implements front.Witness. A full ring drops the outcome: the witness then goes on
 // calling the request in doubt, which is safe.
-func (w *witness) End(m policy.Mark) {
+func (w *witness) End(m policy.IdempotencyRecord) {
 	select {
 	case w.ended <- m:
 	default:
@@ -149,7 +149,7 @@
 // Recall implements front.Witness. Until the former gate of a server of the service has said
 // that it knows of its end, or cannot act any more, it returns an error: what the former gate
 // is about to send is not remembered anywhere yet.
-func (w *witness) Recall(ctx context.Context, service string, r keys.Range) ([]policy.Mark, error) {
+func (w *witness) Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
 	clients := w.peers.recentInDomain(time.Now())
 	type answer struct {
 		result RecallResult
@@ -162,7 +162,7 @@
 			answers <- answer{result: result, err: err}
 		}()
 	}
-	var marks []policy.Mark
+	var marks []policy.IdempotencyRecord
 	var told []string
 	known := w.remembering(time.Now())
 	present := []member.Process{w.peers.own}
--- a/internal/fold/apply.go
+++ b/internal/fold/apply.go
@@ -11,20 +11,20 @@
 // Apply folds one entry and says what became of it. Entries come in the order of their
 // offsets; Next says which one is wanted. After a checkpoint was taken over, Next may be
 // lower than the entry's offset, and the reader goes on from there.
-func (s *State) Apply(e record.Entry) Verdict {
+func (s *State) Apply(e record.Entry) Result {
 	d := digestOf(e)
 	switch {
-	case e.Offset+1 == s.Next && s.Next > s.Since && d != s.last:
-		return Changed{Offset: e.Offset}
+	case e.Offset+1 == s.Next && s.Next > s.StartOffset && d != s.last:
+		return LogReplaced{Offset: e.Offset}
 	case e.Offset < s.Next:
-		return Repeated{}
+		return Duplicate{}
 	case e.Offset > s.Next:
 		return s.applyAfterGap(e)
 	}
 	s.Next++
 	s.last = d
 	if s.memory.knows(d) {
-		return Repeated{}
+		return Duplicate{}
 	}
 	r, err := record.Decode(e.Data)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 // applyRecord remembers what it accepted, but for the records of checkpoints: a reader that
 // starts at a checkpoint does not see its mark.
-func (s *State) applyRecord(offset uint64, d digest, r record.Record) Verdict {
+func (s *State) applyRecord(offset uint64, d digest, r record.Record) Result {
 	switch r := r.(type) {
 	case record.CheckpointMarked:
 		return s.mark()
@@ -49,7 +49,7 @@
 	return v
 }
 
-func (s *State) applyKind(offset uint64, r record.Record) Verdict {
+func (s *State) applyKind(offset uint64, r record.Record) Result {
 	switch r := r.(type) {
 	case record.BundlePublished:
 		return s.publish(offset, r)
@@ -75,21 +75,21 @@
 // refuseUnreadable tells a record that a newer release wrote from one that is damaged. The
 // failure it guards against is a mixed fleet: an older instance would pass over what newer
 // ones obey, and reach another state. It shows as a format number above ours.
-func (s *State) refuseUnreadable(offset uint64, err error) Verdict {
+func (s *State) refuseUnreadable(offset uint64, err error) Result {
 	if !errors.Is(err, record.ErrNewer) && !errors.Is(err, bundle.ErrNewerFormat) {
 		return refuse(offset, CauseMalformed, "%v", err)
 	}
-	if s.Newer == nil {
-		s.Newer = &Newer{Offset: offset, Reason: err.Error()}
+	if s.NewerRecord == nil {
+		s.NewerRecord = &NewerRecord{Offset: offset, Reason: err.Error()}
 	}
 	return refuse(offset, CauseNewer, "%v", err)
 }
 
-func refuse(offset uint64, cause Cause, format string, args ...any) Refused {
-	return Refused{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
+func refuse(offset uint64, cause Cause, format string, args ...any) Rejected {
+	return Rejected{Offset: offset, Cause: cause, Reason: fmt.Sprintf(format, args...)}
 }
 
-func refuseFor(offset uint64, cause Cause, w Winner, format string, args ...any) Refused {
+func refuseFor(offset uint64, cause Cause, w Winner, format string, args ...any) Rejected {
 	r := refuse(offset, cause, format, args...)
 	r.Reason = fmt.Sprintf("%s: %s stands", r.Reason, w)
 	r.Winner = w
--- a/internal/fold/bench_test.go
+++ b/internal/fold/bench_test.go
@@ -83,7 +83,7 @@
 		next.Services[0].Servers = append([]bundle.Server{}, v.Services[0].Servers...)
 		next.Services[0].Servers[len(v.Services[0].Servers)/2].Leaving = true
 		next.Version, next.Follows = 2, 1
-		base, hash := s.Base(s.InForceSigned.Statement.Hash)
+		base, hash := s.BundleByHash(s.InForceSigned.Statement.Hash)
 		published := deltaOf(base, &next, hash)
 		size := 0
 		for i, r := range []record.Record{
--- a/internal/fold/checkpoint.go
+++ b/internal/fold/checkpoint.go
@@ -17,7 +17,7 @@
 }
 
 // mark keeps the state for comparison. Apply has moved Next past the mark already.
-func (s *State) mark() Verdict {
+func (s *State) mark() Result {
 	s.marks = append(s.marks, mark{state: s.copyDeep()})
 	if len(s.marks) > maxMarks {
 		s.marks = s.marks[1:]
@@ -26,7 +26,7 @@
 }
 
 // applyAfterGap takes a checkpoint over if it leads past the gap.
-func (s *State) applyAfterGap(e record.Entry) Verdict {
+func (s *State) applyAfterGap(e record.Entry) Result {
 	gap := Gap{Next: s.Next, Offset: e.Offset}
 	r, err := record.Decode(e.Data)
 	if err != nil {
@@ -45,7 +45,7 @@
 
 // adopt goes on from a checkpoint. Next is then that of the checkpoint, which comes before
 // the entry that carried it: the reader reads the records between again.
-func (s *State) adopt(other *State) Verdict {
+func (s *State) adopt(other *State) Result {
 	*s = *other
 	return Accepted{}
 }
@@ -55,22 +55,22 @@
 // It guards against a writer whose state is wrong: a fault, a longer gap, or another release.
 // It shows as other bytes for the same offset. A reader goes over to the other state only if
 // that was folded from an earlier record, or if it met a record that it could not read.
-func (s *State) compareCheckpoint(offset uint64, r record.Checkpoint) Verdict {
+func (s *State) compareCheckpoint(offset uint64, r record.Checkpoint) Result {
 	if r.Next > offset {
 		return refuse(offset, CauseMalformed, "checkpoint of offset %d stands at %d", r.Next, offset)
 	}
 	other, err := Restore(r.State, s.anchors)
 	switch {
 	case errors.Is(err, ErrNewer):
-		if s.Newer == nil {
-			s.Newer = &Newer{Offset: offset, Reason: err.Error()}
+		if s.NewerRecord == nil {
+			s.NewerRecord = &NewerRecord{Offset: offset, Reason: err.Error()}
 		}
 		return refuse(offset, CauseNewer, "%v", err)
 	case err != nil:
 		return refuse(offset, CauseCheckpoint, "%v", err)
 	case other.Next != r.Next:
 		return refuse(offset, CauseMalformed, "checkpoint of offset %d holds the state of %d", r.Next, other.Next)
-	case s.Newer != nil && r.Next > s.Newer.Offset:
+	case s.NewerRecord != nil && r.Next > s.NewerRecord.Offset:
 		return s.adopt(other)
 	}
 	own := s.markAt(r.Next)
@@ -84,7 +84,7 @@
 	switch {
 	case bytes.Equal(data, r.State):
 		return Accepted{}
-	case other.Since < own.Since:
+	case other.StartOffset < own.StartOffset:
 		return s.adopt(other)
 	default:
 		return refuse(offset, CauseCheckpoint, "the checkpoint of offset %d disagrees with the records", r.Next)
--- a/internal/fold/checkpoint_test.go
+++ b/internal/fold/checkpoint_test.go
@@ -28,7 +28,7 @@
 	j.addAll(record.CheckpointMarked{Instance: "one"})
 	writer := New(crew())
 	j.fold(writer)
-	c := must(writer.Checkpoint())
+	c := must(writer.NewCheckpoint())
 	j.addAll(between...)
 	return j.add("checkpoint", c)
 }
@@ -66,7 +66,7 @@
 	writer := New(crew())
 	j.fold(writer)
 	writer.marks[0].state.Terms["klet"] = Term{Log: 9, Instance: "wrong"}
-	j.addAll(must(writer.Checkpoint()))
+	j.addAll(must(writer.NewCheckpoint()))
 	s := New(crew())
 	v := j.fold(s)
 	refusal(t, v[len(v)-1], CauseCheckpoint)
@@ -83,12 +83,12 @@
 	j.fold(short)
 	whole := New(crew())
 	j.fold(whole)
-	is.Equal(short.Since, uint64(0))
+	is.Equal(short.StartOffset, uint64(0))
 	is.True(bytes.Equal(must(short.Encode()), must(whole.Encode())))
 
 	j.addAll(record.CheckpointMarked{Instance: "two"})
 	other := NewAt(crew(), 3)
-	for other.Next < uint64(len(j.entries)) && other.Since == 3 {
+	for other.Next < uint64(len(j.entries)) && other.StartOffset == 3 {
 		e := j.entries[other.Next]
 		if r, err := record.Decode(e.Data); err == nil {
 			if _, ok := r.(record.Checkpoint); ok {
@@ -98,7 +98,7 @@
 		}
 		other.Apply(e)
 	}
-	j.addAll(must(other.Checkpoint()))
+	j.addAll(must(other.NewCheckpoint()))
 	v := j.fold(whole)
 	refusal(t, v[len(v)-1], CauseCheckpoint)
 }
@@ -113,9 +113,9 @@
 	s := New(crew())
 	v := j.fold(s)
 	refusal(t, v[len(v)-1], CauseNewer)
-	is.Equal(s.Newer.Offset, at.Offset)
+	is.Equal(s.NewerRecord.Offset, at.Offset)
 	is.True(!s.MayLead())
-	_, err := s.Checkpoint()
+	_, err := s.NewCheckpoint()
 	is.True(err != nil)
 	_, err = s.Encode()
 	is.True(err != nil)
@@ -141,7 +141,7 @@
 			j.addData("x", []byte(tt.data))
 			s := New(crew())
 			refusal(t, j.fold(s)[0], tt.want)
-			is.Equal(s.Newer != nil, tt.want == CauseNewer)
+			is.Equal(s.NewerRecord != nil, tt.want == CauseNewer)
 			is.Equal(s.Next, uint64(1))
 		})
 	}
@@ -165,9 +165,9 @@
 	s := New(crew())
 	j.fold(s)
 	last := j.entries[s.Next-1]
-	is.Equal(s.Apply(last), Repeated{})
+	is.Equal(s.Apply(last), Duplicate{})
 	last.ID = "another"
-	is.Equal(s.Apply(last), Changed{Offset: last.Offset})
+	is.Equal(s.Apply(last), LogReplaced{Offset: last.Offset})
 }
 
 // The newer release writes a checkpoint that this one can read: it is then as good as any.
@@ -180,11 +180,11 @@
 	is.True(!s.MayLead())
 	newer := New(crew())
 	j.fold(newer)
-	newer.Newer = nil
+	newer.NewerRecord = nil
 	newer.Terms["klet"] = Term{Log: 5, Instance: "one"}
 	j.addAll(record.CheckpointMarked{Instance: "one"})
 	newer.Apply(j.entries[newer.Next])
-	j.addAll(must(newer.Checkpoint()))
+	j.addAll(must(newer.NewCheckpoint()))
 	j.fold(s)
 	is.True(s.MayLead())
 	is.Equal(s.Terms["klet"].Log, uint64(5))
--- a/internal/fold/encoding.go
+++ b/internal/fold/encoding.go
@@ -37,7 +37,7 @@
 	Candidates    []Candidate     `json:"candidates"`
 	Terms         []encodedTerm   `json:"terms"`
 	Assigned      []encodedDomain `json:"assigned"`
-	Homes         []Taken         `json:"homes"`
+	Homes         []DomainHomes   `json:"homes"`
 	Memory        []digest        `json:"memory"`
 }
 
@@ -47,8 +47,8 @@
 }
 
 type encodedDomain struct {
-	Domain  string     `json:"domain"`
-	Servers []Assigned `json:"servers"`
+	Domain  string               `json:"domain"`
+	Servers []RecordedAssignment `json:"servers"`
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -70,20 +70,20 @@
 // Encode returns the form of the state that goes into a checkpoint. States that folded the
 // same records from the same offset have the same form.
 func (s *State) Encode() ([]byte, error) {
-	if s.Newer != nil {
-		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewer, s.Newer.Offset, s.Newer.Reason)
+	if s.NewerRecord != nil {
+		return nil, fmt.Errorf("%w: at offset %d: %s", ErrNewer, s.NewerRecord.Offset, s.NewerRecord.Reason)
 	}
 	e := encoded{
 		Format:        encodingFormat,
 		Next:          s.Next,
-		Since:         s.Since,
+		Since:         s.StartOffset,
 		Last:          s.last,
 		Proof:         s.Proof,
 		InForceOffset: s.InForceOffset,
 		Head:          s.Head,
 		Candidates:    slices.Concat(s.Candidates),
 		Terms:         encodeTerms(s.Terms),
-		Assigned:      encodeAssigned(s.Assigned),
+		Assigned:      encodeAssigned(s.Assignments),
 		Homes:         s.Homes,
 		Memory:        s.memory.list(),
 	}
@@ -98,7 +98,7 @@
 	return list
 }
 
-func encodeAssigned(assigned map[string]map[string]Assigned) []encodedDomain {
+func encodeAssigned(assigned map[string]map[string]RecordedAssignment) []encodedDomain {
 	var list []encodedDomain
 	for _, domain := range slices.Sorted(maps.Keys(assigned)) {
 		d := encodedDomain{Domain: domain}
@@ -135,11 +135,11 @@
 		s.Terms[t.Domain] = t.Term
 	}
 	for _, d := range e.Assigned {
-		inner := make(map[string]Assigned, len(d.Servers))
+		inner := make(map[string]RecordedAssignment, len(d.Servers))
 		for _, a := range d.Servers {
 			inner[a.Assignment.Server] = a
 		}
-		s.Assigned[d.Domain] = inner
+		s.Assignments[d.Domain] = inner
 	}
 	s.Homes = e.Homes
 	for _, d := range e.Memory {
@@ -203,21 +203,21 @@
 	return nil
 }
 
-// Mark returns the record that announces a checkpoint.
-func (s *State) Mark(instance string) (record.Record, error) {
+// NewMark returns the record that announces a checkpoint.
+func (s *State) NewMark(instance string) (record.Record, error) {
 	if !s.MayLead() {
-		return nil, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return nil, fmt.Errorf("%w: at offset %d", ErrNewer, s.NewerRecord.Offset)
 	}
 	return record.CheckpointMarked{Instance: instance}, nil
 }
 
-// Checkpoint returns the checkpoint for the newest mark, once Apply accepted it.
-func (s *State) Checkpoint() (record.Checkpoint, error) {
+// NewCheckpoint returns the checkpoint for the newest mark, once Apply accepted it.
+func (s *State) NewCheckpoint() (record.Checkpoint, error) {
 	if len(s.marks) == 0 {
 		return record.Checkpoint{}, fmt.Errorf("%w: no mark", ErrCheckpoint)
 	}
 	if !s.MayLead() {
-		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewer, s.Newer.Offset)
+		return record.Checkpoint{}, fmt.Errorf("%w: at offset %d", ErrNewer, s.NewerRecord.Offset)
 	}
 	m := s.marks[len(s.marks)-1]
 	data, err := m.state.Encode()
--- a/internal/fold/fixture_test.go
+++ b/internal/fold/fixture_test.go
@@ -98,8 +98,8 @@
 }
 
 // fold applies the entries from the state's Next on.
-func (j *journal) fold(s *State) []Verdict {
-	var verdicts []Verdict
+func (j *journal) fold(s *State) []Result {
+	var verdicts []Result
 	for s.Next < uint64(len(j.entries)) {
 		verdicts = append(verdicts, s.Apply(j.entries[s.Next]))
 	}
@@ -107,9 +107,9 @@
 }
 
 // refusal fails the test unless the verdict is a refusal with the cause.
-func refusal(t *testing.T, v Verdict, cause Cause) Refused {
+func refusal(t *testing.T, v Result, cause Cause) Rejected {
 	t.Helper()
-	r, ok := v.(Refused)
+	r, ok := v.(Rejected)
 	if !ok || r.Cause != cause {
 		t.Fatalf("verdict %#v, want a refusal for %s", v, cause)
 	}
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -9,8 +9,8 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Taken is what one failure domain has taken of one divided service.
-type Taken struct {
+// DomainHomes is what one failure domain has taken of one divided service.
+type DomainHomes struct {
 	Service string       `json:"service"`
 	Domain  string       `json:"domain"`
 	Ranges  []keys.Range `json:"ranges"`
@@ -23,20 +23,20 @@
 	Notice uint64 `json:"notice,omitempty"`
 }
 
-// TakenBy returns what a domain has taken of a service; the zero value but for the names if
+// FindHomes returns what a domain has taken of a service; the zero value but for the names if
 // nothing.
-func TakenBy(homes []Taken, service, domain string) Taken {
+func FindHomes(homes []DomainHomes, service, domain string) DomainHomes {
 	for _, t := range homes {
 		if t.Service == service && t.Domain == domain {
 			return t
 		}
 	}
-	return Taken{Service: service, Domain: domain}
+	return DomainHomes{Service: service, Domain: domain}
 }
 
 // HomesBase returns the offset plus one of the record that last changed what a domain has
 // taken, zero if none did. It is what the next statement of the domain is based on.
-func HomesBase(homes []Taken, domain string) uint64 {
+func HomesBase(homes []DomainHomes, domain string) uint64 {
 	var base uint64
 	for _, t := range homes {
 		if t.Domain == domain {
@@ -52,7 +52,7 @@
 // A statement is void unless it is based on the newest change of its domain. A leader that
 // was succeeded may have left a range out in a statement that arrives late; its successor,
 // which serves the range again, has stated its homes since.
-func (s *State) takeHomes(offset uint64, r record.HomesTaken) Verdict {
+func (s *State) takeHomes(offset uint64, r record.HomesTaken) Result {
 	if r.Domain == "" {
 		return refuse(offset, CauseMalformed, "homes name no domain")
 	}
@@ -67,7 +67,7 @@
 	}
 	for _, v := range r.Services {
 		given := keys.Subtract(v.Ranges, s.takenByOthers(v.Service, r.Domain))
-		s.putHomes(Taken{Service: v.Service, Domain: r.Domain, Ranges: given, Offset: offset})
+		s.putHomes(DomainHomes{Service: v.Service, Domain: r.Domain, Ranges: given, Offset: offset})
 	}
 	return Accepted{}
 }
@@ -85,8 +85,8 @@
 // evictHomes gives notice, or frees what a domain has taken of a service that may move. The
 // domain's leader renews such grants only within a bound of its last read of the log, so
 // whoever takes the ranges waits for that bound after it has read the second record.
-func (s *State) evictHomes(offset uint64, r record.HomesEvicted) Verdict {
-	old := TakenBy(s.Homes, r.Service, r.Domain)
+func (s *State) evictHomes(offset uint64, r record.HomesEvicted) Result {
+	old := FindHomes(s.Homes, r.Service, r.Domain)
 	if len(old.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
 		return refuse(offset, CauseSuperseded, "what %q has taken of %q has changed since", r.Domain, r.Service)
 	}
@@ -101,7 +101,7 @@
 	case r.Notice != old.Notice:
 		return refuse(offset, CauseOrder, "there is another notice for %q of %q", r.Domain, r.Service)
 	default:
-		next = Taken{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
+		next = DomainHomes{Service: r.Service, Domain: r.Domain, Offset: offset, Evicted: true}
 	}
 	s.putHomes(next)
 	return Accepted{}
@@ -116,13 +116,13 @@
 // a domain out, operators state that it is lost for good. A service that is left out keeps its
 // entries: a domain that has not seen the bundle yet still serves it.
 func (s *State) pruneHomes() {
-	s.Homes = slices.DeleteFunc(slices.Clone(s.Homes), func(t Taken) bool {
+	s.Homes = slices.DeleteFunc(slices.Clone(s.Homes), func(t DomainHomes) bool {
 		return !hasDomain(s.InForce, t.Domain)
 	})
 }
 
 // putHomes replaces an entry in a copy, since snapshots share the slice.
-func (s *State) putHomes(t Taken) {
+func (s *State) putHomes(t DomainHomes) {
 	homes := slices.Clone(s.Homes)
 	i, found := slices.BinarySearchFunc(homes, t, compareTaken)
 	if found {
@@ -133,6 +133,6 @@
 	s.Homes = homes
 }
 
-func compareTaken(a, b Taken) int {
+func compareTaken(a, b DomainHomes) int {
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Domain, b.Domain))
 }
--- a/internal/fold/homes_property_test.go
+++ b/internal/fold/homes_property_test.go
@@ -33,7 +33,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "evicts") == 0 {
 				r = record.HomesEvicted{
 					Domain: domain, Service: "pregled", By: rapid.SampledFrom(domains).Draw(t, "by"),
-					Base: HomesBase(s.Homes, domain), Notice: TakenBy(s.Homes, "pregled", domain).Notice,
+					Base: HomesBase(s.Homes, domain), Notice: FindHomes(s.Homes, "pregled", domain).Notice,
 				}
 			}
 			old = append(old, r)
@@ -59,7 +59,7 @@
 	return list
 }
 
-func checkDisjoint(t *rapid.T, homes []Taken) {
+func checkDisjoint(t *rapid.T, homes []DomainHomes) {
 	for i, a := range homes {
 		for _, b := range homes[:i] {
 			for _, r := range a.Ranges {
--- a/internal/fold/homes_test.go
+++ b/internal/fold/homes_test.go
@@ -29,12 +29,12 @@
 func TestHomesPassOnlyWhenLeftOut(t *testing.T) {
 	is := is.New(t)
 	s := New(nil)
-	is.Equal(s.takeHomes(0, taken("klet", 0, lower, upper)), Verdict(Accepted{}))
-	is.Equal(s.takeHomes(1, taken("podstresje", 0, upper)), Verdict(Accepted{}))
-	is.Equal(len(TakenBy(s.Homes, "pregled", "podstresje").Ranges), 0)
-	is.Equal(s.takeHomes(2, taken("klet", 1, lower)), Verdict(Accepted{}))
-	is.Equal(s.takeHomes(3, taken("podstresje", 2, upper)), Verdict(Accepted{}))
-	is.Equal(TakenBy(s.Homes, "pregled", "podstresje").Ranges, []keys.Range{upper})
+	is.Equal(s.takeHomes(0, taken("klet", 0, lower, upper)), Result(Accepted{}))
+	is.Equal(s.takeHomes(1, taken("podstresje", 0, upper)), Result(Accepted{}))
+	is.Equal(len(FindHomes(s.Homes, "pregled", "podstresje").Ranges), 0)
+	is.Equal(s.takeHomes(2, taken("klet", 1, lower)), Result(Accepted{}))
+	is.Equal(s.takeHomes(3, taken("podstresje", 2, upper)), Result(Accepted{}))
+	is.Equal(FindHomes(s.Homes, "pregled", "podstresje").Ranges, []keys.Range{upper})
 }
 
 // A leader that was succeeded leaves a range out in a statement that arrives late, by an old
@@ -52,13 +52,13 @@
 			s.Terms["klet"] = Term{Log: 5}
 			first, second := taken("klet", 0, lower), taken("klet", 1, lower)
 			first.Log, second.Log = 5, 5
-			is.Equal(s.takeHomes(0, first), Verdict(Accepted{}))
-			is.Equal(s.takeHomes(2, second), Verdict(Accepted{}))
+			is.Equal(s.takeHomes(0, first), Result(Accepted{}))
+			is.Equal(s.takeHomes(2, second), Result(Accepted{}))
 			r.Services = []record.ServiceHomes{{Service: "pregled"}}
-			refused, ok := s.takeHomes(5, r).(Refused)
+			refused, ok := s.takeHomes(5, r).(Rejected)
 			is.True(ok)
 			is.Equal(refused.Cause, CauseSuperseded)
-			is.Equal(TakenBy(s.Homes, "pregled", "klet").Ranges, []keys.Range{lower})
+			is.Equal(FindHomes(s.Homes, "pregled", "klet").Ranges, []keys.Range{lower})
 		})
 	}
 }
@@ -66,7 +66,7 @@
 func TestHomesSurviveCheckpoint(t *testing.T) {
 	is := is.New(t)
 	s := New(nil)
-	is.Equal(s.takeHomes(0, taken("klet", 0, lower)), Verdict(Accepted{}))
+	is.Equal(s.takeHomes(0, taken("klet", 0, lower)), Result(Accepted{}))
 	data, err := s.Encode()
 	is.NoErr(err)
 	restored, err := Restore(data, nil)
--- a/internal/fold/naive_test.go
+++ b/internal/fold/naive_test.go
@@ -38,13 +38,13 @@
 	return outcome{kind: "lost", winner: offset}
 }
 
-func outcomeOf(v Verdict) outcome {
+func outcomeOf(v Result) outcome {
 	switch v := v.(type) {
 	case Accepted:
 		return isAccepted
-	case Repeated:
+	case Duplicate:
 		return isRepeated
-	case Refused:
+	case Rejected:
 		if v.Cause == CauseLost {
 			return lostTo(v.Winner.Offset)
 		}
--- a/internal/fold/newest_property_test.go
+++ b/internal/fold/newest_property_test.go
@@ -22,7 +22,7 @@
 // reading is one instance.
 type reading struct {
 	state  *State
-	newest *Newest
+	newest *BundleTracker
 	// seen is the highest version that the instance served.
 	seen uint64
 }
@@ -30,7 +30,7 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{t: t}
 	for range 3 {
-		f.instances = append(f.instances, &reading{state: New(crew()), newest: NewNewest(crew())})
+		f.instances = append(f.instances, &reading{state: New(crew()), newest: NewBundleTracker(crew())})
 	}
 	return f
 }
@@ -49,13 +49,13 @@
 		last = 0
 	}
 	for i := last; i < length && n > 0; i++ {
-		if _, changed := r.state.Apply(f.log.entries[i]).(Changed); changed {
+		if _, changed := r.state.Apply(f.log.entries[i]).(LogReplaced); changed {
 			r.state = New(crew())
 			return
 		}
 		n--
 	}
-	r.newest.Follow(r.state)
+	r.newest.AdoptFromLog(r.state)
 	f.check(r)
 }
 
@@ -79,12 +79,12 @@
 func (f *fleet) learn() {
 	from, to := f.pick(), f.pick()
 	u, err := bundle.NewUpdate(to.newest.Held(), from.newest.Held())
-	if err == nil && to.newest.Update(u) == nil {
+	if err == nil && to.newest.ApplyUpdate(u) == nil {
 		f.check(to)
 		return
 	}
-	err = to.newest.Learn(from.newest.Proof())
-	if err != nil && !errors.Is(err, ErrOlder) && !errors.Is(err, bundle.ErrFork) {
+	err = to.newest.AdoptProof(from.newest.Proof())
+	if err != nil && !errors.Is(err, ErrNotNewer) && !errors.Is(err, bundle.ErrFork) {
 		f.t.Fatal(err)
 	}
 	f.check(to)
@@ -96,14 +96,14 @@
 	if r.state.Next != uint64(len(f.log.entries)) {
 		return
 	}
-	if missing, id, found := r.newest.Missing(r.state); found {
+	if missing, id, found := r.newest.MissingRecord(r.state); found {
 		f.log.add(id, missing)
 	}
 }
 
 func (f *fleet) replace() {
 	i := rapid.IntRange(0, len(f.instances)-1).Draw(f.t, "replaced")
-	f.instances[i] = &reading{state: New(crew()), newest: NewNewest(crew())}
+	f.instances[i] = &reading{state: New(crew()), newest: NewBundleTracker(crew())}
 }
 
 // The log is lost and starts anew, instances are replaced, peers hand bundles on, and
--- a/internal/fold/newest_test.go
+++ b/internal/fold/newest_test.go
@@ -26,17 +26,17 @@
 // back.
 func TestNewestNeverGoesBack(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
-	is.NoErr(n.Learn(stateOf(3, "a").Proof))
+	n := NewBundleTracker(crew())
+	is.NoErr(n.AdoptProof(stateOf(3, "a").Proof))
 	is.Equal(n.Bundle().Version, uint64(3))
-	is.Equal(n.Follow(stateOf(2, "a")), false)
-	is.True(errors.Is(n.Learn(stateOf(2, "a").Proof), ErrOlder))
+	is.Equal(n.AdoptFromLog(stateOf(2, "a")), false)
+	is.True(errors.Is(n.AdoptProof(stateOf(2, "a").Proof), ErrNotNewer))
 	is.Equal(n.Bundle().Version, uint64(3))
-	is.Equal(n.Follow(stateOf(3, "a")), false)
+	is.Equal(n.AdoptFromLog(stateOf(3, "a")), false)
 	origin, offset := n.Origin()
 	is.Equal(origin, OriginLog)
 	is.Equal(offset, uint64(8))
-	is.True(n.Follow(stateOf(4, "a")))
+	is.True(n.AdoptFromLog(stateOf(4, "a")))
 	is.Equal(n.Bundle().Version, uint64(4))
 }
 
@@ -44,10 +44,10 @@
 // first that reads the empty log brings the version back, and operators go on from there.
 func TestLogThatStartsAnewGetsTheBundleBack(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
-	n.Follow(stateOf(3, "a"))
+	n := NewBundleTracker(crew())
+	n.AdoptFromLog(stateOf(3, "a"))
 	s := New(crew())
-	r, id, missing := n.Missing(s)
+	r, id, missing := n.MissingRecord(s)
 	is.True(missing)
 	var j journal
 	j.add(id, r)
@@ -57,13 +57,13 @@
 	j.addAll(release(sample(4, "b"), 3)...)
 	v := j.fold(s)
 	is.Equal(v[0], Accepted{})
-	is.Equal(v[1], Repeated{})
-	is.Equal(v[2], Repeated{})
+	is.Equal(v[1], Duplicate{})
+	is.Equal(v[2], Duplicate{})
 	is.Equal(refusal(t, v[3], CauseLost).Winner.Version, uint64(3))
 	is.Equal(v[6], Accepted{})
-	_, _, missing = n.Missing(s)
+	_, _, missing = n.MissingRecord(s)
 	is.True(!missing)
-	is.True(n.Follow(s))
+	is.True(n.AdoptFromLog(s))
 	is.Equal(n.Bundle().Version, uint64(4))
 }
 
@@ -71,12 +71,12 @@
 // brought the old version 3 back. All instances must settle on one of the two.
 func TestLogSettlesTwoBundlesOfOneVersion(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
-	n.Follow(stateOf(3, "a"))
+	n := NewBundleTracker(crew())
+	n.AdoptFromLog(stateOf(3, "a"))
 	s := stateOf(3, "b")
-	is.True(n.Follow(s))
+	is.True(n.AdoptFromLog(s))
 	is.Equal(n.Bundle().Services[0].HotKeys, []string{"b"})
-	is.Equal(n.Follow(s), false)
+	is.Equal(n.AdoptFromLog(s), false)
 }
 
 // Signers that were revoked still hold their keys. Together they sign a version that replaces
@@ -90,8 +90,8 @@
 	j.addAll(release(clean, 1)...)
 	s := New(crew())
 	j.fold(s)
-	n := NewNewest(crew())
-	n.Follow(s)
+	n := NewBundleTracker(crew())
+	n.AdoptFromLog(s)
 
 	var fork journal
 	fork.addAll(release(sample(1, "a"), 0)...)
@@ -101,12 +101,12 @@
 	f := New(crew())
 	fork.fold(f)
 	is.Equal(f.InForce.Version, uint64(3))
-	is.True(errors.Is(n.Learn(f.Proof), bundle.ErrFork))
+	is.True(errors.Is(n.AdoptProof(f.Proof), bundle.ErrFork))
 	refusal(t, s.prove(99, f.Proof), CauseLost)
 	is.Equal(n.Bundle().Version, uint64(2))
-	other := NewNewest(crew())
-	is.NoErr(other.Learn(f.Proof))
-	_, _, missing := other.Missing(s)
+	other := NewBundleTracker(crew())
+	is.NoErr(other.AdoptProof(f.Proof))
+	_, _, missing := other.MissingRecord(s)
 	is.True(!missing)
 }
 
@@ -115,8 +115,8 @@
 // have signed that roll and won.
 func TestRollPastTheHeldVersionIsAFork(t *testing.T) {
 	is := is.New(t)
-	n := NewNewest(crew())
-	n.Follow(stateOf(2, "a"))
+	n := NewBundleTracker(crew())
+	n.AdoptFromLog(stateOf(2, "a"))
 	var j journal
 	j.addAll(release(sample(1, "a"), 0)...)
 	two, three := publish(sample(2, "f"), "ana"), publish(sample(3, "f"), "ana")
@@ -124,7 +124,7 @@
 		record.BundleApproved{Approval: approve(three, "cene")}, record.BundleRolled{Roll: roll(three, 1, "dora")})
 	s := New(crew())
 	j.fold(s)
-	is.True(errors.Is(n.Learn(s.Proof), bundle.ErrFork))
+	is.True(errors.Is(n.AdoptProof(s.Proof), bundle.ErrFork))
 }
 
 // A release reaches an instance as an update. Another one is lost on its way, so that the
@@ -136,12 +136,12 @@
 		s := stateOf(v, "a")
 		held[v] = bundle.Held{Proof: s.Proof, Bundle: s.InForce}
 	}
-	n := NewNewest(crew())
-	is.True(errors.Is(n.Update(must(bundle.NewUpdate(held[1], held[2]))), bundle.ErrStep))
-	is.NoErr(n.Learn(held[1].Proof))
-	is.NoErr(n.Update(must(bundle.NewUpdate(held[1], held[2]))))
-	is.True(errors.Is(n.Update(must(bundle.NewUpdate(held[3], held[4]))), bundle.ErrStep))
+	n := NewBundleTracker(crew())
+	is.True(errors.Is(n.ApplyUpdate(must(bundle.NewUpdate(held[1], held[2]))), bundle.ErrStep))
+	is.NoErr(n.AdoptProof(held[1].Proof))
+	is.NoErr(n.ApplyUpdate(must(bundle.NewUpdate(held[1], held[2]))))
+	is.True(errors.Is(n.ApplyUpdate(must(bundle.NewUpdate(held[3], held[4]))), bundle.ErrStep))
 	is.Equal(n.Bundle().Version, uint64(2))
-	is.NoErr(n.Learn(held[4].Proof))
+	is.NoErr(n.AdoptProof(held[4].Proof))
 	is.Equal(n.Held(), held[4])
 }
--- a/internal/fold/ownership.go
+++ b/internal/fold/ownership.go
@@ -14,7 +14,7 @@
 // so that no claim uses up the terms.
 const maxFloorStep = math.MaxUint32
 
-func (s *State) claim(offset uint64, r record.TermClaimed) Verdict {
+func (s *State) claim(offset uint64, r record.TermClaimed) Result {
 	if r.Domain == "" || r.Instance == "" {
 		return refuse(offset, CauseMalformed, "a claim names a domain and an instance")
 	}
@@ -37,12 +37,12 @@
 	return Accepted{}
 }
 
-func refuseClaim(offset uint64, r record.TermClaimed, t Term) Verdict {
+func refuseClaim(offset uint64, r record.TermClaimed, t Term) Result {
 	if r.Follows > t.Log {
 		return refuse(offset, CauseOrder, "the claim of domain %q follows term %d, but the newest is %d", r.Domain, r.Follows, t.Log)
 	}
 	if t.Instance == r.Instance && t.Incarnation == r.Incarnation && t.Log == max(r.Follows, r.Floor)+1 {
-		return Repeated{}
+		return Duplicate{}
 	}
 	w := Winner{Term: t.Log, Instance: t.Instance, Offset: t.Offset}
 	return refuseFor(offset, CauseLost, w, "the claim of domain %q follows term %d", r.Domain, r.Follows)
@@ -54,7 +54,7 @@
 
 // assign keeps, for each server of the batch, the assignment of the higher epoch. The batch
 // is accepted if any part of it took effect.
-func (s *State) assign(offset uint64, r record.AssignmentMade) Verdict {
+func (s *State) assign(offset uint64, r record.AssignmentMade) Result {
 	if refusal := s.checkAssignments(offset, r); refusal != nil {
 		return refusal
 	}
@@ -62,7 +62,7 @@
 	for _, a := range r.Assignments {
 		switch s.compareAssignment(r, a) {
 		case 1:
-			made := Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
+			made := RecordedAssignment{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
 			s.ownAssigned(r.Domain)[a.Server] = made
 			applied++
 		case 0:
@@ -73,13 +73,13 @@
 	case applied > 0:
 		return Accepted{}
 	case repeated == len(r.Assignments):
-		return Repeated{}
+		return Duplicate{}
 	default:
 		return refuse(offset, CauseSuperseded, "the servers have assignments of higher epochs, or are in no bundle")
 	}
 }
 
-func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Verdict {
+func (s *State) checkAssignments(offset uint64, r record.AssignmentMade) Result {
 	if r.Domain == "" || r.Service == "" || len(r.Assignments) == 0 {
 		return refuse(offset, CauseMalformed, "an assignment names a domain, a service and servers")
 	}
@@ -98,7 +98,7 @@
 // it and -1 when it is superseded. One for a server that nobody knows is superseded by the
 // bundle: its record was dropped with the server, and a late one must not bring it back.
 func (s *State) compareAssignment(r record.AssignmentMade, a record.Assignment) int {
-	old, known := s.Assigned[r.Domain][a.Server]
+	old, known := s.Assignments[r.Domain][a.Server]
 	if !known {
 		if s.InForce != nil && !s.servers[a.Server] {
 			return -1
@@ -128,14 +128,14 @@
 	if replaced == nil {
 		return
 	}
-	for _, domain := range slices.Sorted(maps.Keys(s.Assigned)) {
-		for server := range s.Assigned[domain] {
+	for _, domain := range slices.Sorted(maps.Keys(s.Assignments)) {
+		for server := range s.Assignments[domain] {
 			if !replaced[server] && !s.servers[server] {
 				delete(s.ownAssigned(domain), server)
 			}
 		}
-		if len(s.Assigned[domain]) == 0 {
-			delete(s.Assigned, domain)
+		if len(s.Assignments[domain]) == 0 {
+			delete(s.Assignments, domain)
 		}
 	}
 }
--- a/internal/fold/ownership_test.go
+++ b/internal/fold/ownership_test.go
@@ -24,7 +24,7 @@
 	v := j.fold(s)
 	is.Equal(v[0], Accepted{})
 	is.Equal(refusal(t, v[1], CauseLost).Winner, Winner{Term: 1, Instance: "one", Offset: 0})
-	is.Equal(v[2], Repeated{})
+	is.Equal(v[2], Duplicate{})
 	is.Equal(v[3], Accepted{})
 	refusal(t, v[4], CauseOrder)
 	is.Equal(s.Terms["klet"], Term{Log: 2, Instance: "two", Incarnation: 1, Offset: 3})
@@ -73,12 +73,12 @@
 	v := j.fold(s)
 	is.Equal(v[0], Accepted{})
 	refusal(t, v[1], CauseSuperseded)
-	is.Equal(v[2], Repeated{})
+	is.Equal(v[2], Duplicate{})
 	refusal(t, v[3], CauseSuperseded)
 	is.Equal(v[4], Accepted{})
 	is.Equal(v[5], Accepted{})
-	is.Equal(s.Assigned["klet"]["a"].Offset, uint64(5))
-	is.Equal(s.Assigned["klet"]["b"].Offset, uint64(4))
+	is.Equal(s.Assignments["klet"]["a"].Offset, uint64(5))
+	is.Equal(s.Assignments["klet"]["b"].Offset, uint64(4))
 }
 
 func TestSnapshotDoesNotChange(t *testing.T) {
@@ -94,11 +94,11 @@
 	view := s.Snapshot()
 	j.addAll(made("a", 2), made("b", 1), claimOf(0, "one"))
 	j.fold(s)
-	is.Equal(view.Assigned["klet"]["a"].Offset, uint64(0))
-	is.Equal(len(view.Assigned["klet"]), 1)
+	is.Equal(view.Assignments["klet"]["a"].Offset, uint64(0))
+	is.Equal(len(view.Assignments["klet"]), 1)
 	is.Equal(len(view.Terms), 0)
-	is.Equal(s.Assigned["klet"]["a"].Offset, uint64(1))
-	is.Equal(len(s.Assigned["klet"]), 2)
+	is.Equal(s.Assignments["klet"]["a"].Offset, uint64(1))
+	is.Equal(len(s.Assignments["klet"]), 2)
 }
 
 // Servers come and go all day. What the log says about one that is gone must not stay for
@@ -119,12 +119,12 @@
 	s := New(crew())
 	j.fold(s)
 	for version := uint64(2); version <= 3; version++ {
-		is.Equal(len(s.Assigned["klet"]), 1)
+		is.Equal(len(s.Assignments["klet"]), 1)
 		r := without(version).(record.BundlePublished)
 		j.addAll(r, record.BundleApproved{Approval: approve(r.Signed, "cene")},
 			record.BundleRolled{Roll: roll(r.Signed, version-1, "dora")})
 		j.fold(s)
 	}
 	is.Equal(s.version(), uint64(3))
-	is.Equal(len(s.Assigned["klet"]), 0)
+	is.Equal(len(s.Assignments["klet"]), 0)
 }
--- a/internal/fold/property_test.go
+++ b/internal/fold/property_test.go
@@ -196,7 +196,7 @@
 		p := newPlay(t)
 		p.run()
 		s := New(crew())
-		newest := NewNewest(crew())
+		newest := NewBundleTracker(crew())
 		accepted, won := make(map[uint64]bool), make(map[string]bool)
 		for _, e := range p.j.entries {
 			before := s.version()
@@ -208,7 +208,7 @@
 					t.Fatalf("offset %d: a second winner for %s", e.Offset, place)
 				}
 				won[place] = true
-			case Refused:
+			case Rejected:
 				if v.Cause == CauseLost && (v.Winner.IsZero() || !accepted[v.Winner.Offset]) {
 					t.Fatalf("offset %d: no winner in %+v", e.Offset, v)
 				}
@@ -236,11 +236,11 @@
 }
 
 // checkProof checks that a peer that followed the history accepts each bundle in force.
-func checkProof(t *rapid.T, s *State, newest *Newest) {
+func checkProof(t *rapid.T, s *State, newest *BundleTracker) {
 	if s.InForce == nil || s.version() == newest.Proof().Version() {
 		return
 	}
-	if err := newest.Learn(s.Proof); err != nil {
+	if err := newest.AdoptProof(s.Proof); err != nil {
 		t.Fatalf("version %d: %v", s.version(), err)
 	}
 	if s.Proof.Signed.Statement.Signer == s.Proof.Approval.Signer {
--- a/internal/fold/release.go
+++ b/internal/fold/release.go
@@ -42,7 +42,7 @@
 }
 
 // publish judges the signature first: only a publisher makes the instances parse anything.
-func (s *State) publish(offset uint64, r record.BundlePublished) Verdict {
+func (s *State) publish(offset uint64, r record.BundlePublished) Result {
 	st := r.Signed.Statement
 	if _, err := st.Verify(s.signers()); err != nil {
 		return refuse(offset, CauseSignature, "%v", err)
@@ -75,15 +75,15 @@
 	if len(r.Signed.Canonical) > 0 {
 		return bundle.Signed{}, nil, bundle.ErrDelta
 	}
-	base, hash := s.Base(r.Delta.BaseHash)
+	base, hash := s.BundleByHash(r.Delta.BaseHash)
 	if base == nil {
 		return bundle.Signed{}, nil, bundle.ErrBase
 	}
 	return r.Delta.Open(base, hash, r.Signed.Statement)
 }
 
-// Base returns the bundle in force or waiting that has a hash, and the hash; nil if none has.
-func (s *State) Base(hash []byte) (*bundle.Bundle, []byte) {
+// BundleByHash returns the bundle in force or waiting that has a hash, and the hash; nil if none has.
+func (s *State) BundleByHash(hash []byte) (*bundle.Bundle, []byte) {
 	if s.InForce != nil && bytes.Equal(s.InForceSigned.Statement.Hash, hash) {
 		return s.InForce, hash
 	}
@@ -95,15 +95,15 @@
 	return nil, nil
 }
 
-func (s *State) refusePublished(offset uint64, st bundle.Statement) Verdict {
+func (s *State) refusePublished(offset uint64, st bundle.Statement) Result {
 	if c := s.candidate(st.Version); c != nil {
 		if c.Signed.Statement.SameBundle(st) && c.Signed.Statement.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return refuseFor(offset, CauseLost, winnerOf(c.Signed.Statement, c.Offset), "version %d was published first by another", st.Version)
 	}
 	if st.SameBundle(s.Proof.Signed.Statement) && st.Signer == s.Proof.Signed.Statement.Signer {
-		return Repeated{}
+		return Duplicate{}
 	}
 	if s.version() >= st.Version {
 		return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
@@ -119,7 +119,7 @@
 	s.Candidates = slices.Delete(s.Candidates, max(i, 0), max(i, 0)+1)
 }
 
-func (s *State) approve(offset uint64, st bundle.Statement) Verdict {
+func (s *State) approve(offset uint64, st bundle.Statement) Result {
 	c, refusal := s.findCandidate(offset, st)
 	if refusal != nil {
 		return refusal
@@ -141,7 +141,7 @@
 	}
 	if c.Approved() {
 		if c.Approval.Signer == st.Signer {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return refuseFor(offset, CauseLost, winnerOf(c.Approval, c.ApprovalOffset), "version %d was approved first by another", st.Version)
 	}
@@ -153,7 +153,7 @@
 }
 
 // findCandidate returns the candidate that a statement is about, or the refusal.
-func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Verdict) {
+func (s *State) findCandidate(offset uint64, st bundle.Statement) (*Candidate, Result) {
 	if st.Version <= s.version() {
 		return nil, s.refuseInForce(offset, st)
 	}
@@ -170,16 +170,16 @@
 
 // refuseInForce judges a statement about a version that is not newer than the one in force.
 // A statement that put it there is a repeat.
-func (s *State) refuseInForce(offset uint64, st bundle.Statement) Verdict {
+func (s *State) refuseInForce(offset uint64, st bundle.Statement) Result {
 	for _, done := range []bundle.Statement{s.Proof.Signed.Statement, s.Proof.Approval, s.Proof.Roll} {
 		if bytes.Equal(done.Text(), st.Text()) && bytes.Equal(done.Signature, st.Signature) {
-			return Repeated{}
+			return Duplicate{}
 		}
 	}
 	return refuseFor(offset, CauseLost, s.inForceWinner(), "version %d is not newer than the one in force", st.Version)
 }
 
-func (s *State) roll(offset uint64, st bundle.Statement) Verdict {
+func (s *State) roll(offset uint64, st bundle.Statement) Result {
 	c, refusal := s.findCandidate(offset, st)
 	if refusal != nil {
 		return refusal
@@ -202,16 +202,16 @@
 }
 
 // prove takes over a bundle that is in force elsewhere, when the log lost its records.
-func (s *State) prove(offset uint64, p bundle.Proof) Verdict {
+func (s *State) prove(offset uint64, p bundle.Proof) Result {
 	if !s.Proof.IsZero() && p.Version() <= s.version() {
 		if p.Signed.Statement.SameBundle(s.Proof.Signed.Statement) {
-			return Repeated{}
+			return Duplicate{}
 		}
 		return refuseFor(offset, CauseLost, s.inForceWinner(), "proven version %d is not newer than the one in force", p.Version())
 	}
 	b, err := p.Verify(s.anchors)
 	if err != nil {
-		if v, ok := s.refuseUnreadable(offset, err).(Refused); ok && v.Cause == CauseNewer {
+		if v, ok := s.refuseUnreadable(offset, err).(Rejected); ok && v.Cause == CauseNewer {
 			return v
 		}
 		return refuse(offset, CauseSignature, "%v", err)
--- a/internal/fold/release_test.go
+++ b/internal/fold/release_test.go
@@ -127,7 +127,7 @@
 	}
 	v := j.fold(New(crew()))
 	for i := range 9 {
-		want := Verdict(Repeated{})
+		want := Result(Duplicate{})
 		if i < 3 {
 			want = Accepted{}
 		}
@@ -251,7 +251,7 @@
 			last := s.Candidates[len(s.Candidates)-1]
 			is.Equal(last.Signed, publish(sample(uint64(len(tt.records))+1, []string{"b", "c"}[len(tt.records)-1]), "ana"))
 			restored := must(Restore(must(s.Encode()), crew()))
-			base, _ := restored.Base(last.Signed.Statement.Hash)
+			base, _ := restored.BundleByHash(last.Signed.Statement.Hash)
 			is.True(base != nil)
 		})
 	}
--- a/internal/fold/state.go
+++ b/internal/fold/state.go
@@ -15,9 +15,9 @@
 type State struct {
 	// Next is the offset of the next record to apply.
 	Next uint64
-	// Since is the offset from which on no record is missing: zero for a state folded from
+	// StartOffset is the offset from which on no record is missing: zero for a state folded from
 	// the start of the log.
-	Since uint64
+	StartOffset uint64
 	// InForce is the bundle in force, or nil.
 	InForce *bundle.Bundle
 	// InForceSigned is the signed form of InForce, to be handed to peers.
@@ -32,14 +32,14 @@
 	Candidates []Candidate
 	// Terms has the newest log term of each failure domain.
 	Terms map[string]Term
-	// Assigned has, by failure domain and server, the newest recorded assignment.
-	Assigned map[string]map[string]Assigned
+	// Assignments has, by failure domain and server, the newest recorded assignment.
+	Assignments map[string]map[string]RecordedAssignment
 	// Homes has what each failure domain has taken of each divided service, sorted by service
 	// and domain. The ranges of one service are disjoint. The slice is never changed in place.
-	Homes []Taken
-	// Newer is the first record that only a newer release can read, or nil. The state may
+	Homes []DomainHomes
+	// NewerRecord is the first record that only a newer release can read, or nil. The state may
 	// then be wrong: the instance writes no checkpoint and claims no term.
-	Newer *Newer
+	NewerRecord *NewerRecord
 
 	anchors []bundle.Signer
 	// servers names the servers of InForce.
@@ -76,16 +76,16 @@
 	Offset      uint64 `json:"offset"`
 }
 
-// Assigned is a recorded assignment with the offset that acknowledges it.
-type Assigned struct {
+// RecordedAssignment is a recorded assignment with the offset that acknowledges it.
+type RecordedAssignment struct {
 	Service     string            `json:"service"`
 	Assignment  record.Assignment `json:"assignment"`
 	Offset      uint64            `json:"offset"`
 	Provisional bool              `json:"provisional,omitempty"`
 }
 
-// Newer says where a record stands that only a newer release can read.
-type Newer struct {
+// NewerRecord says where a record stands that only a newer release can read.
+type NewerRecord struct {
 	Offset uint64
 	Reason string
 }
@@ -101,19 +101,19 @@
 // checkpoint. It holds until a reader with a longer history writes one.
 func NewAt(anchors []bundle.Signer, since uint64) *State {
 	return &State{
-		Next:     since,
-		Since:    since,
-		Terms:    make(map[string]Term),
-		Assigned: make(map[string]map[string]Assigned),
-		anchors:  anchors,
-		lent:     make(map[string]bool),
+		Next:        since,
+		StartOffset: since,
+		Terms:       make(map[string]Term),
+		Assignments: make(map[string]map[string]RecordedAssignment),
+		anchors:     anchors,
+		lent:        make(map[string]bool),
 	}
 }
 
 // MayLead reports whether the instance may claim a term or write a checkpoint from this
 // state. A record of a newer release may have changed what a term means.
 func (s *State) MayLead() bool {
-	return s.Newer == nil
+	return s.NewerRecord == nil
 }
 
 // Snapshot returns a view that later calls of Apply do not change. Its cost grows with the
@@ -121,12 +121,12 @@
 func (s *State) Snapshot() *State {
 	view := *s
 	view.Terms = maps.Clone(s.Terms)
-	view.Assigned = maps.Clone(s.Assigned)
+	view.Assignments = maps.Clone(s.Assignments)
 	view.Candidates = s.Candidates[:len(s.Candidates):len(s.Candidates)]
 	view.memory = memory{}
 	view.marks = nil
 	view.lent = nil
-	for domain := range s.Assigned {
+	for domain := range s.Assignments {
 		s.lent[domain] = true
 	}
 	return &view
@@ -137,22 +137,22 @@
 	c := s.Snapshot()
 	c.memory = s.memory.clone()
 	c.lent = make(map[string]bool)
-	for domain := range c.Assigned {
+	for domain := range c.Assignments {
 		c.lent[domain] = true
 	}
 	return c
 }
 
 // ownAssigned returns the inner map of a domain for writing.
-func (s *State) ownAssigned(domain string) map[string]Assigned {
-	inner := s.Assigned[domain]
+func (s *State) ownAssigned(domain string) map[string]RecordedAssignment {
+	inner := s.Assignments[domain]
 	switch {
 	case inner == nil:
-		inner = make(map[string]Assigned)
+		inner = make(map[string]RecordedAssignment)
 	case s.lent[domain]:
 		inner = maps.Clone(inner)
 	}
-	s.Assigned[domain] = inner
+	s.Assignments[domain] = inner
 	s.lent[domain] = false
 	return inner
 }
--- a/internal/fold/verdict.go
+++ b/internal/fold/verdict.go
@@ -6,20 +6,20 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Verdict is what became of a record: Accepted, Repeated, Refused, Gap or Changed. The set is
+// Result is what became of a record: Accepted, Repeated, Refused, Gap or Changed. The set is
 // sealed.
-type Verdict interface {
+type Result interface {
 	isVerdict()
 }
 
 // Accepted says that the record took effect.
 type Accepted struct{}
 
-// Repeated says that the same record, or one that says the same, was applied before.
-type Repeated struct{}
+// Duplicate says that the same record, or one that says the same, was applied before.
+type Duplicate struct{}
 
-// Refused says that the record has no effect, and why.
-type Refused struct {
+// Rejected says that the record has no effect, and why.
+type Rejected struct {
 	Offset uint64
 	Cause  Cause
 	// Reason is a sentence for people. It names the winner if there is one.
@@ -35,9 +35,9 @@
 	Offset uint64
 }
 
-// Changed says that the entry before Next is another one than was applied: the log started
+// LogReplaced says that the entry before Next is another one than was applied: the log started
 // anew. The state is unchanged. The reader calls New and reads from the start.
-type Changed struct {
+type LogReplaced struct {
 	Offset uint64
 }
 
@@ -92,8 +92,8 @@
 	return Winner{Version: s.Version, Hash: s.Hash, Signer: s.Signer, Offset: offset}
 }
 
-func (Accepted) isVerdict() {}
-func (Repeated) isVerdict() {}
-func (Refused) isVerdict()  {}
-func (Gap) isVerdict()      {}
-func (Changed) isVerdict()  {}
+func (Accepted) isVerdict()    {}
+func (Duplicate) isVerdict()   {}
+func (Rejected) isVerdict()    {}
+func (Gap) isVerdict()         {}
+func (LogReplaced) isVerdict() {}
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -90,19 +90,19 @@
 		j.tellEnd(outcome, 0)
 		return
 	}
-	var kept *policy.Kept
-	if j.policy.Remembered() && whole != nil && len(whole) <= maxKept {
-		kept = &policy.Kept{Status: r.StatusCode, Header: make(http.Header, len(r.Header)), Body: append([]byte(nil), whole...)}
+	var kept *policy.StoredResponse
+	if j.policy.HasRecord() && whole != nil && len(whole) <= maxKept {
+		kept = &policy.StoredResponse{Status: r.StatusCode, Header: make(http.Header, len(r.Header)), Body: append([]byte(nil), whole...)}
 		copyHeader(kept.Header, r.Header)
 	}
-	if j.policy.Remembered() || j.policy.Print != 0 {
+	if j.policy.HasRecord() || j.policy.Fingerprint != 0 {
 		j.service.answered(j.policy, r.StatusCode, kept)
 	}
 	j.tellEnd(caller.Ran, r.StatusCode)
 }
 
 // replay gives a resend the answer to the first sending.
-func (j *job) replay(w http.ResponseWriter, k *policy.Kept) {
+func (j *job) replay(w http.ResponseWriter, k *policy.StoredResponse) {
 	j.front.meters.replayed.Add(1)
 	copyHeader(w.Header(), k.Header)
 	outcomeHeader(w.Header(), j.id, caller.Ran)
@@ -119,7 +119,7 @@
 func (j *job) cut(t route.Target, slot policy.Slot, err error) {
 	j.front.meters.cut.Add(1)
 	j.front.deps.Log.Warn("answer-cut", "request", j.id, "service", j.request.service, "server", slot.Server, "error", err)
-	if !errors.Is(err, errCaller) && faultOf(err) == policy.Lost {
+	if !errors.Is(err, errCaller) && faultOf(err) == policy.ConnectionLost {
 		j.blame(t, slot)
 	}
 	j.service.doubt(j.policy)
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -68,7 +68,7 @@
 }
 
 // wide returns the destination of a server with many slots.
-func wide(address string) route.Here {
+func wide(address string) route.Local {
 	d := here(testService(), address)
 	d.Servers[0].Server.Slots, d.Servers[0].Server.Connections = 64, 400
 	return d
--- a/internal/front/broken_test.go
+++ b/internal/front/broken_test.go
@@ -78,10 +78,10 @@
 			broken.before.Store(tt.before)
 			broken.after.Store(tt.after)
 			if tt.absent {
-				broken.broke = func() { entry.finder.set(route.Absent{Reason: route.AbsentOwner}) }
+				broken.broke = func() { entry.finder.set(route.Unavailable{Reason: route.ReasonNoOwner}) }
 			}
 			if tt.gone {
-				gate.finder.set(route.Absent{Reason: route.AbsentOwner})
+				gate.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 			}
 			got := do(t, post(is, entry.callers.URL+"/oddaja/x", "text", tt.headers...))
 			is.Equal(got.outcome(), tt.want)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -71,7 +71,7 @@
 	is.Equal(do(t, post(is, two.callers.URL+"/oddaja/x", "bread")).outcome(), caller.Ran)
 	is.Equal(deaths(), int32(2))
 
-	is.NoErr(two.front.Lift([]string{two.front.Blocks()[0].Print.String()}))
+	is.NoErr(two.front.Lift([]string{two.front.Blocks()[0].Fingerprint.String()}))
 	do(t, post(is, two.callers.URL+"/oddaja/x", "poison"))
 	is.Equal(deaths(), int32(3))
 	is.True(two.front.Lift([]string{"no print"}) != nil)
--- a/internal/front/fault.go
+++ b/internal/front/fault.go
@@ -28,7 +28,7 @@
 		}, false
 	}
 	fault := faultOf(err)
-	if fault == policy.Lost {
+	if fault == policy.ConnectionLost {
 		j.blame(t, slot)
 	}
 	if j.Context().Err() != nil {
@@ -53,7 +53,7 @@
 	}
 	if final.Blocked {
 		no.reason = policy.ReasonBlocked
-		no.detail = "block " + j.policy.Print.String()
+		no.detail = "block " + j.policy.Fingerprint.String()
 		no.retry = 0
 	}
 	no.server = slot.Server
@@ -66,7 +66,7 @@
 	case errors.Is(err, upstr.ErrNotSent):
 		return policy.NotSent
 	case errors.Is(err, upstr.ErrLost):
-		return policy.Lost
+		return policy.ConnectionLost
 	default:
 		return policy.InDoubt
 	}
@@ -76,11 +76,11 @@
 // that may be tried again waits for that, so that it does not walk through the servers; the
 // caller of any other has its answer at once.
 func (j *job) blame(t route.Target, slot policy.Slot) {
-	if j.policy.Print == 0 {
+	if j.policy.Fingerprint == 0 {
 		j.print()
 	}
 	lostAt := time.Now()
-	print, server := j.policy.Print, j.service.connections(t.Server)
+	print, server := j.policy.Fingerprint, j.service.connections(t.Server)
 	heldAt := j.service.hold(print, slot.Server)
 	settle := func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
@@ -136,66 +136,66 @@
 func (s *service) earn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Earn()
+	s.core.EarnRetry()
 }
 
 func (s *service) spend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Spend()
+	return s.core.SpendRetry()
 }
 
 func (s *service) suspicious() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Suspicious()
+	return s.core.HasSuspects()
 }
 
 func (s *service) forget(r *policy.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Withdraw(r)
+	s.core.Cancel(r)
 }
 
 func (s *service) held(r *policy.Request, server string) policy.Slot {
-	return s.core.Held(r, server)
+	return s.core.SlotOf(r, server)
 }
 
-func (s *service) failed(r *policy.Request, slot policy.Slot, fault policy.Fault) policy.Decision {
+func (s *service) failed(r *policy.Request, slot policy.Slot, fault policy.Fault) policy.RetryDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Failed(s.front.now(), r, slot, fault)
+	return s.core.HandleFault(s.front.now(), r, slot, fault)
 }
 
 func (s *service) busy(slot policy.Slot, until policy.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Busy(s.front.now(), slot, until)
+	s.core.EjectBusy(s.front.now(), slot, until)
 }
 
 // hold returns the time for settle.
-func (s *service) hold(p policy.Print, server string) policy.Time {
+func (s *service) hold(p policy.Fingerprint, server string) policy.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.front.now()
-	s.core.Hold(now, p, server)
+	s.core.AddPendingLoss(now, p, server)
 	return now
 }
 
-func (s *service) settle(heldAt policy.Time, p policy.Print, server string, died bool) {
+func (s *service) settle(heldAt policy.Time, p policy.Fingerprint, server string, died bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Settle(s.front.now(), heldAt, p, server, died)
+	s.core.ResolvePendingLoss(s.front.now(), heldAt, p, server, died)
 }
 
-func (s *service) answered(r *policy.Request, status int, k *policy.Kept) {
+func (s *service) answered(r *policy.Request, status int, k *policy.StoredResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Answered(s.front.now(), r, status, k)
+	s.core.Complete(s.front.now(), r, status, k)
 }
 
 func (s *service) doubt(r *policy.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Doubt(r)
+	s.core.RecordUnknown(r)
 }
--- a/internal/front/fault_test.go
+++ b/internal/front/fault_test.go
@@ -22,7 +22,7 @@
 )
 
 // undivided returns the destination of a service of two servers that any request may use.
-func undivided(addresses ...string) route.Here {
+func undivided(addresses ...string) route.Local {
 	s := testService()
 	s.Divided = false
 	d := here(s, addresses...)
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -47,8 +47,8 @@
 }
 
 // here returns the destination of a gate for servers that check grants.
-func here(s *bundle.Service, addresses ...string) route.Here {
-	d := route.Here{Service: s}
+func here(s *bundle.Service, addresses ...string) route.Local {
+	d := route.Local{Service: s}
 	for i, address := range addresses {
 		d.Servers = append(d.Servers, route.Target{
 			Server: &bundle.Server{
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -29,7 +29,7 @@
 	front *Front
 	dest  route.Forward
 	// mark is the memory that this instance keeps of the request, nil if none is needed.
-	mark *policy.Mark
+	mark *policy.IdempotencyRecord
 	// timer cancels the request at the deadline of the answer's head.
 	timer *time.Timer
 }
@@ -41,7 +41,7 @@
 		return moving(q)
 	}
 	if len(d.Addresses) == 0 {
-		return absent(q, route.Absent{Reason: route.AbsentDomain})
+		return absent(q, route.Unavailable{Reason: route.ReasonDomainUnreachable})
 	}
 	ctx, cancel := context.WithCancelCause(q.Context())
 	defer cancel(nil)
@@ -71,9 +71,9 @@
 	if r.dest.Service.Divided {
 		scope = r.key
 	}
-	m := policy.Mark{
-		Service: r.service, Name: policy.NameOf(r.service, scope, r.id), Hash: r.hash, Sending: r.sending,
-		UntilMillis: r.front.at(r.deadline.Add(policy.MemoryTime)).UnixMilli(), Outcome: caller.Unknown,
+	m := policy.IdempotencyRecord{
+		Service: r.service, RequestID: policy.HashRequestID(r.service, scope, r.id), Hash: r.hash, SubmissionID: r.sending,
+		UntilMillis: r.front.at(r.deadline.Add(policy.RecordRetention)).UnixMilli(), Outcome: caller.Unknown,
 	}
 	if r.front.service(r.service).adopt(m) {
 		r.mark = &m
@@ -134,7 +134,7 @@
 		return failed(r.request, caller.Unknown, context.Cause(ctx))
 	}
 	r.front.meters.retried.Add(1)
-	r.sending = policy.Name(uuid.New())
+	r.sending = policy.ID(uuid.New())
 	r.doubt = true
 	// What the caller stated is true of the first sending only.
 	r.attempt = max(r.attempt, 1) + 1
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -54,13 +54,13 @@
 type Witness interface {
 	// Begin returns nil when one other instance remembers the mark, or when the domain has no
 	// other instance. It is called before the first byte is written to a server.
-	Begin(ctx context.Context, m policy.Mark) error
+	Begin(ctx context.Context, m policy.IdempotencyRecord) error
 	// End tells the outcome to the instance that remembers the mark. It does not wait.
-	End(m policy.Mark)
+	End(m policy.IdempotencyRecord)
 	// Recall returns the marks that the other instances of the domain hold for a range of a
 	// service. Each mark is held by two instances, so one instance may fail to answer; an
 	// error says that more did.
-	Recall(ctx context.Context, service string, r keys.Range) ([]policy.Mark, error)
+	Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
 }
 
 // Deps is what a Front depends on. Instance, Domain, Finder and Forward are required.
@@ -92,7 +92,7 @@
 	Tracer trace.Tracer
 	Log    *log.Logger
 	// Bounds bound the memory of request ids of one service; zero means the default.
-	Bounds policy.Bounds
+	Bounds policy.TableLimits
 	// Patience is the least time for which a connection to a server may be silent before it
 	// is doubted; zero means the default.
 	Patience time.Duration
@@ -110,7 +110,7 @@
 
 	mu       sync.RWMutex
 	services map[string]*service
-	lifted   []policy.Print
+	lifted   []policy.Fingerprint
 
 	draining atomic.Bool
 	inFlight *inFlight
@@ -128,8 +128,8 @@
 	if d.ForwardScheme == "" {
 		d.ForwardScheme = "https"
 	}
-	if d.Bounds == (policy.Bounds{}) {
-		d.Bounds = policy.DefaultBounds
+	if d.Bounds == (policy.TableLimits{}) {
+		d.Bounds = policy.DefaultTableLimits
 	}
 	f := &Front{deps: d, origin: time.Now(), services: make(map[string]*service), inFlight: newInFlight()}
 	var err error
@@ -189,39 +189,39 @@
 
 // Marks returns what this instance remembers of requests in a range of a service, for
 // another instance's Recall.
-func (f *Front) Marks(service string, r keys.Range) []policy.Mark {
+func (f *Front) Marks(service string, r keys.Range) []policy.IdempotencyRecord {
 	s := f.known(service)
 	if s == nil {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Marks(f.now(), r)
+	return s.core.Records(f.now(), r)
 }
 
 // Witnessed takes in a mark for which another instance's Begin or End asks. It reports false
 // when there is no room for it.
-func (f *Front) Witnessed(m policy.Mark) bool {
+func (f *Front) Witnessed(m policy.IdempotencyRecord) bool {
 	return f.service(m.Service).adopt(m)
 }
 
 // Blocks returns what is known of requests that may crash servers, for the other instances.
-func (f *Front) Blocks() []policy.Block {
-	var blocks []policy.Block
+func (f *Front) Blocks() []policy.CrashRecord {
+	var blocks []policy.CrashRecord
 	for _, s := range f.all() {
 		s.mu.Lock()
-		blocks = append(blocks, s.core.Blocks(f.now())...)
+		blocks = append(blocks, s.core.CrashRecords(f.now())...)
 		s.mu.Unlock()
 	}
 	return blocks
 }
 
 // Merge takes in the Blocks of another instance.
-func (f *Front) Merge(blocks []policy.Block) {
+func (f *Front) Merge(blocks []policy.CrashRecord) {
 	for _, b := range blocks {
 		s := f.service(b.Service)
 		s.mu.Lock()
-		s.core.Merge([]policy.Block{b})
+		s.core.MergeCrashRecords([]policy.CrashRecord{b})
 		s.mu.Unlock()
 	}
 }
@@ -230,9 +230,9 @@
 // bundle in force. Text that is no print is ignored and reported.
 func (f *Front) Lift(texts []string) error {
 	var faults []error
-	prints := make([]policy.Print, 0, len(texts))
+	prints := make([]policy.Fingerprint, 0, len(texts))
 	for _, text := range texts {
-		var p policy.Print
+		var p policy.Fingerprint
 		if err := p.UnmarshalText([]byte(text)); err != nil {
 			faults = append(faults, err)
 			continue
@@ -244,7 +244,7 @@
 	f.mu.Unlock()
 	for _, s := range f.all() {
 		s.mu.Lock()
-		s.core.Lift(prints)
+		s.core.SetLiftedBlocks(prints)
 		s.mu.Unlock()
 	}
 	return errors.Join(faults...)
@@ -277,7 +277,7 @@
 	s := f.services[name]
 	if s == nil {
 		s = newService(f, name)
-		s.core.Lift(f.lifted)
+		s.core.SetLiftedBlocks(f.lifted)
 		f.services[name] = s
 	}
 	return s
--- a/internal/front/meters.go
+++ b/internal/front/meters.go
@@ -45,9 +45,9 @@
 	// Waiting is the number of requests that wait for a slot.
 	Waiting int `json:"waiting"`
 	// Remembered is the number of request ids in memory.
-	Remembered int            `json:"remembered"`
-	Servers    []ServerStatus `json:"servers"`
-	Blocks     []policy.Block `json:"blocks"`
+	Remembered int                  `json:"remembered"`
+	Servers    []ServerStatus       `json:"servers"`
+	Blocks     []policy.CrashRecord `json:"blocks"`
 }
 
 // ServerStatus is the state of one server as its gate sees it.
@@ -72,11 +72,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status := ServiceStatus{
-		Service: s.name, Waiting: s.core.Waiting(), Remembered: s.core.Remembers(), Blocks: s.core.Blocks(s.front.now()),
+		Service: s.name, Waiting: s.core.Waiting(), Remembered: s.core.NumRecords(), Blocks: s.core.CrashRecords(s.front.now()),
 	}
-	s.core.Each(func(p policy.Capacity, busy int) {
-		server := ServerStatus{Server: p.Server, Slots: p.Slots, Busy: busy}
-		if known := s.servers[p.Server]; known != nil {
+	s.core.EachServer(func(p policy.Server, busy int) {
+		server := ServerStatus{Server: p.Name, Slots: p.Slots, Busy: busy}
+		if known := s.servers[p.Name]; known != nil {
 			server.Connections = known.OpenConns()
 		}
 		status.Servers = append(status.Servers, server)
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -21,38 +21,38 @@
 type domain struct {
 	mu        sync.Mutex
 	instances map[string]*instance
-	told      map[policy.Name]*instance
+	told      map[policy.ID]*instance
 	self      string
 }
 
 // join returns the Witness of one instance of the domain.
 func (d *domain) join(name string) *domain {
-	return &domain{instances: d.instances, told: map[policy.Name]*instance{}, self: name}
+	return &domain{instances: d.instances, told: map[policy.ID]*instance{}, self: name}
 }
 
-func (d *domain) Begin(_ context.Context, m policy.Mark) error {
+func (d *domain) Begin(_ context.Context, m policy.IdempotencyRecord) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, i := range d.instances {
 		if name != d.self && i.front.Witnessed(m) {
-			d.told[m.Name] = i
+			d.told[m.RequestID] = i
 			return nil
 		}
 	}
 	return errors.New("no other instance")
 }
 
-func (d *domain) End(m policy.Mark) {
+func (d *domain) End(m policy.IdempotencyRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if i := d.told[m.Name]; i != nil {
+	if i := d.told[m.RequestID]; i != nil {
 		i.front.Witnessed(m)
-		delete(d.told, m.Name)
+		delete(d.told, m.RequestID)
 	}
 }
 
-func (d *domain) Recall(_ context.Context, service string, r keys.Range) ([]policy.Mark, error) {
-	var marks []policy.Mark
+func (d *domain) Recall(_ context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
+	var marks []policy.IdempotencyRecord
 	for name, i := range d.instances {
 		if name != d.self {
 			marks = append(marks, i.front.Marks(service, r)...)
@@ -71,7 +71,7 @@
 }
 
 // makeGate makes one instance the gate and has the others forward to it.
-func makeGate(instances map[string]*instance, gate string, d route.Here) {
+func makeGate(instances map[string]*instance, gate string, d route.Local) {
 	for name, i := range instances {
 		if name == gate {
 			i.finder.set(d)
@@ -201,7 +201,7 @@
 			is := is.New(t)
 			i := start(t, "one", nil)
 			for _, d := range []route.Destination{
-				route.Absent{Reason: route.AbsentGate},
+				route.Unavailable{Reason: route.ReasonNoGate},
 				route.Forward{Service: testService(), Addresses: []string{"127.0.0.1:1"}},
 			} {
 				i.finder.set(d)
@@ -281,7 +281,7 @@
 	klet, dvorana := start(t, "one", nil), start(t, "two", nil)
 	home := func(self string, other *instance) func(string, uint64) route.Destination {
 		return func(_ string, hash uint64) route.Destination {
-			if policy.Home([]string{"klet", "dvorana-a"}, hash) == self {
+			if policy.HomeDomain([]string{"klet", "dvorana-a"}, hash) == self {
 				return a
 			}
 			return route.Forward{Service: service, Addresses: []string{address(other.forwards)}}
@@ -305,9 +305,9 @@
 // refuser is a Witness that knows nobody.
 type refuser struct{ begin, recall error }
 
-func (r refuser) Begin(context.Context, policy.Mark) error { return r.begin }
-func (r refuser) End(policy.Mark)                          {}
-func (r refuser) Recall(context.Context, string, keys.Range) ([]policy.Mark, error) {
+func (r refuser) Begin(context.Context, policy.IdempotencyRecord) error { return r.begin }
+func (r refuser) End(policy.IdempotencyRecord)                          {}
+func (r refuser) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, r.recall
 }
 
--- a/internal/front/recall.go
+++ b/internal/front/recall.go
@@ -86,11 +86,11 @@
 }
 
 // remember takes in recalled marks.
-func (s *service) remember(k shard, epoch grant.Epoch, marks []policy.Mark) error {
+func (s *service) remember(k shard, epoch grant.Epoch, marks []policy.IdempotencyRecord) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range marks {
-		if !s.core.Adopt(s.front.now(), m) {
+		if !s.core.AddRecord(s.front.now(), m) {
 			return fmt.Errorf("front: no room for the marks of %s", s.name)
 		}
 	}
--- a/internal/front/refuse.go
+++ b/internal/front/refuse.go
@@ -57,24 +57,24 @@
 
 // titles are the titles of problems where the reason says less than it could.
 var titles = map[policy.Reason]string{
-	ReasonNoKey:                 "The service is divided by key and the request names none",
-	policy.ReasonQueueFull:      "Too many requests wait for the server",
-	policy.ReasonTooLate:        "The request would wait beyond its deadline",
-	policy.ReasonExpired:        "The deadline of the request passed before it ran",
-	policy.ReasonOutOfShare:     "The caller has more requests waiting than others",
-	policy.ReasonBlocked:        "The request is suspected to crash servers",
-	policy.ReasonInProgress:     "An earlier sending of the request runs or may have run",
-	policy.ReasonAlreadyRan:     "An earlier sending of the request ran",
-	policy.ReasonIDReused:       "The request id was used for another request",
-	policy.ReasonMemoryFull:     "Too many request ids to remember",
-	ReasonNoMemory:              "It cannot be found out whether the request ran before",
-	ReasonServerLost:            "The server was lost while the request may have run",
-	ReasonAnswerCut:             "The server's answer ended early",
-	ReasonTimeout:               "The server did not answer by the deadline",
-	reasonOf(route.AbsentOwner): "Nobody owns the key at this moment",
+	ReasonNoKey:                   "The service is divided by key and the request names none",
+	policy.ReasonQueueFull:        "Too many requests wait for the server",
+	policy.ReasonDeadlineTooNear:  "The request would wait beyond its deadline",
+	policy.ReasonDeadlinePassed:   "The deadline of the request passed before it ran",
+	policy.ReasonCallerOverShare:  "The caller has more requests waiting than others",
+	policy.ReasonBlocked:          "The request is suspected to crash servers",
+	policy.ReasonInProgress:       "An earlier sending of the request runs or may have run",
+	policy.ReasonAlreadyRan:       "An earlier sending of the request ran",
+	policy.ReasonIDReused:         "The request id was used for another request",
+	policy.ReasonMemoryFull:       "Too many request ids to remember",
+	ReasonNoMemory:                "It cannot be found out whether the request ran before",
+	ReasonServerLost:              "The server was lost while the request may have run",
+	ReasonAnswerCut:               "The server's answer ended early",
+	ReasonTimeout:                 "The server did not answer by the deadline",
+	reasonOf(route.ReasonNoOwner): "Nobody owns the key at this moment",
 }
 
-func reasonOf(a route.Absence) policy.Reason { return policy.Reason(a) }
+func reasonOf(a route.Reason) policy.Reason { return policy.Reason(a) }
 
 // refuse writes a refusal as a problem (RFC 9457).
 func refuse(w http.ResponseWriter, id string, r *refusal) {
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -48,7 +48,7 @@
 	named      bool
 	idempotent bool
 	// sending identifies this sending of a named request, over all hops.
-	sending policy.Name
+	sending policy.ID
 	// attempt is which sending of the request the caller says this is, zero if it does not.
 	attempt int
 	caller  string
@@ -92,7 +92,7 @@
 	} else {
 		q.caller = f.identify(r)
 		if q.once() {
-			q.sending = policy.Name(uuid.New())
+			q.sending = policy.ID(uuid.New())
 		}
 	}
 	stated := r.Header.Get(caller.HeaderDeadline)
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -22,7 +22,7 @@
 	*request
 	front   *Front
 	service *service
-	dest    route.Here
+	dest    route.Local
 	policy  *policy.Request
 	// told says that another instance remembers the request on behalf of this gate.
 	told bool
@@ -31,7 +31,7 @@
 }
 
 // run is the way of a request through the gate.
-func (f *Front) run(w http.ResponseWriter, q *request, d route.Here) *refusal {
+func (f *Front) run(w http.ResponseWriter, q *request, d route.Local) *refusal {
 	j := &job{request: q, front: f, service: f.service(d.Service.Name), dest: d}
 	if err := j.body.hold(w, q.ContentLength, f.at(q.deadline)); err != nil {
 		return unsent(failed(q, unreached(q), err))
@@ -62,8 +62,8 @@
 	if j.dest.Service.Divided {
 		scope = j.key
 	}
-	j.policy.Name = policy.NameOf(j.request.service, scope, j.id)
-	j.policy.Sending = j.sending
+	j.policy.RequestID = policy.HashRequestID(j.request.service, scope, j.id)
+	j.policy.SubmissionID = j.sending
 	j.print()
 	server, epoch := j.owner()
 	if err := j.service.recall(j.Context(), j.hash, server, epoch); err != nil && j.attempt != 1 {
@@ -101,8 +101,8 @@
 	return j.policy.Pool, j.dest.Servers[0].Epoch
 }
 
-func (j *job) mark(o caller.Outcome, status int) policy.Mark {
-	m := j.service.core.MarkOf(j.policy, o)
+func (j *job) mark(o caller.Outcome, status int) policy.IdempotencyRecord {
+	m := j.service.core.RecordOf(j.policy, o)
 	m.Status = status
 	return m
 }
@@ -116,29 +116,29 @@
 
 // print computes what the request asks, as suspects are known by it.
 func (j *job) print() {
-	j.policy.Print = policy.PrintOf(policy.Content{
+	j.policy.Fingerprint = policy.FingerprintOf(policy.Content{
 		Service: j.request.service, Method: j.Method, Path: j.URL.RequestURI(), Key: j.key,
 		Body: j.body.prefix, Length: j.ContentLength,
 	})
 }
 
 // answerKnown answers a resend from memory.
-func (j *job) answerKnown(w http.ResponseWriter, known policy.Recollection) *refusal {
+func (j *job) answerKnown(w http.ResponseWriter, known policy.CheckResult) *refusal {
 	no := &refusal{
 		status: http.StatusConflict, outcome: caller.Unknown, unsent: true, reason: policy.ReasonInProgress, retry: retrySoon,
 	}
 	switch k := known.(type) {
-	case policy.Finished:
-		if k.Kept != nil {
-			j.replay(w, k.Kept)
+	case policy.AlreadyRan:
+		if k.Response != nil {
+			j.replay(w, k.Response)
 			return nil
 		}
 		no.reason, no.outcome, no.retry = policy.ReasonAlreadyRan, caller.Ran, 0
-	case policy.Reused:
+	case policy.IDReused:
 		no.status, no.reason, no.outcome, no.retry = http.StatusUnprocessableEntity, policy.ReasonIDReused, caller.NotRun, 0
-	case policy.Full:
+	case policy.TableFull:
 		no.status, no.reason, no.outcome = http.StatusServiceUnavailable, policy.ReasonMemoryFull, caller.NotRun
-	case policy.Doubtful, policy.Fresh:
+	case policy.MayHaveRun, policy.Fresh:
 	}
 	j.front.meters.resent.Add(1)
 	return no
@@ -151,7 +151,7 @@
 		if err != nil {
 			return failed(j.request, caller.NotRun, err)
 		}
-		start, started := verdict.(policy.Start)
+		start, started := verdict.(policy.Admitted)
 		if !started {
 			return j.shed(w, verdict)
 		}
@@ -178,7 +178,7 @@
 // stillHere looks up once more where the request belongs: while it waited the key may have
 // got another owner, or the server another gate.
 func (j *job) stillHere(server string) bool {
-	d, here := j.front.find(j.request).(route.Here)
+	d, here := j.front.find(j.request).(route.Local)
 	if !here || poolOf(d) != j.policy.Pool {
 		return false
 	}
@@ -198,22 +198,22 @@
 }
 
 // shed returns the refusal for a request that did not get a slot.
-func (j *job) shed(w http.ResponseWriter, verdict policy.Verdict) *refusal {
+func (j *job) shed(w http.ResponseWriter, verdict policy.Decision) *refusal {
 	switch v := verdict.(type) {
-	case policy.Shed:
+	case policy.Rejected:
 		no := &refusal{
 			status: http.StatusServiceUnavailable, reason: v.Reason, outcome: caller.NotRun,
 			retry: v.RetryAt.Until(j.front.now()),
 		}
-		if v.Reason == policy.ReasonOutOfShare {
+		if v.Reason == policy.ReasonCallerOverShare {
 			no.status = http.StatusTooManyRequests
 		}
 		if v.Reason == policy.ReasonBlocked {
-			no.detail = "block " + j.policy.Print.String()
+			no.detail = "block " + j.policy.Fingerprint.String()
 		}
 		return no
-	case policy.Known:
-		return j.answerKnown(w, v.Recollection)
+	case policy.CheckFailed:
+		return j.answerKnown(w, v.Result)
 	case policy.Moved:
 		return j.front.route(w, j.request)
 	default:
--- a/internal/front/serve.go
+++ b/internal/front/serve.go
@@ -46,7 +46,7 @@
 // route sends a request to where it goes next. A refusal is returned if nothing was written.
 func (f *Front) route(w http.ResponseWriter, q *request) *refusal {
 	switch d := f.find(q).(type) {
-	case route.Here:
+	case route.Local:
 		if no := f.admit(q, d.Service); no != nil {
 			return no
 		}
@@ -56,7 +56,7 @@
 			return no
 		}
 		return f.forward(w, q, d)
-	case route.Absent:
+	case route.Unavailable:
 		return absent(q, d)
 	default:
 		return &refusal{status: http.StatusInternalServerError, reason: ReasonNoRoute, outcome: unreached(q), unsent: true}
@@ -80,7 +80,7 @@
 // divided reports whether a destination is in a divided service, or none at all.
 func divided(d route.Destination) bool {
 	switch d := d.(type) {
-	case route.Here:
+	case route.Local:
 		return d.Service.Divided
 	case route.Forward:
 		return d.Service.Divided
@@ -129,8 +129,8 @@
 }
 
 // absent returns the refusal for a request without a destination.
-func absent(q *request, a route.Absent) *refusal {
-	if a.Reason == route.AbsentService {
+func absent(q *request, a route.Unavailable) *refusal {
+	if a.Reason == route.ReasonUnknownService {
 		return &refusal{status: http.StatusNotFound, reason: reasonOf(a.Reason), outcome: caller.NotRun}
 	}
 	return &refusal{
@@ -154,7 +154,7 @@
 		no.status, no.reason = http.StatusServiceUnavailable, ReasonUnreachable
 	}
 	if no.reason == ReasonTimeout && outcome == caller.NotRun {
-		no.status, no.reason = http.StatusServiceUnavailable, policy.ReasonExpired
+		no.status, no.reason = http.StatusServiceUnavailable, policy.ReasonDeadlinePassed
 	}
 	return no
 }
--- a/internal/front/serve_test.go
+++ b/internal/front/serve_test.go
@@ -77,8 +77,8 @@
 				r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("b", 2<<20))), 2<<20
 			},
 		},
-		"unknown service": {dest: route.Absent{Reason: route.AbsentService}, status: 404, reason: "unknown-service"},
-		"no owner":        {dest: route.Absent{Reason: route.AbsentOwner}, status: 503, reason: "no-owner", retry: true},
+		"unknown service": {dest: route.Unavailable{Reason: route.ReasonUnknownService}, status: 404, reason: "unknown-service"},
+		"no owner":        {dest: route.Unavailable{Reason: route.ReasonNoOwner}, status: 503, reason: "no-owner", retry: true},
 		"unreachable":     {dest: here(testService(), "127.0.0.1:1"), status: 503, reason: "unreachable", retry: true},
 		"no server":       {dest: here(testService()), status: 503, reason: "no-server", retry: true},
 		"unreachable instance": {
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -24,7 +24,7 @@
 	recalls  singleflight.Group
 	mu       sync.Mutex
 	core     *policy.Core
-	waiters  map[policy.Ticket]chan policy.Verdict
+	waiters  map[policy.Ticket]chan policy.Decision
 	servers  map[string]*upstr.Client
 	recalled map[shard]recallState
 	// epochs holds the header forms of the newest epochs of servers.
@@ -32,21 +32,21 @@
 	// ticking says that a tick is set.
 	ticking bool
 	// capacity is reused by configure.
-	capacity []policy.Capacity
+	capacity []policy.Server
 }
 
 func newService(f *Front, name string) *service {
 	return &service{
 		front: f, name: name,
 		core:     policy.NewCore(name, f.deps.Bounds, f.origin.UnixMilli()),
-		waiters:  make(map[policy.Ticket]chan policy.Verdict),
+		waiters:  make(map[policy.Ticket]chan policy.Decision),
 		servers:  make(map[string]*upstr.Client),
 		recalled: make(map[shard]recallState),
 	}
 }
 
 // poolOf names the servers that share a queue.
-func poolOf(d route.Here) string {
+func poolOf(d route.Local) string {
 	if d.Service.Divided && len(d.Servers) == 1 {
 		return d.Servers[0].Server.Name
 	}
@@ -54,25 +54,25 @@
 }
 
 // recollect asks the memory about a request.
-func (s *service) recollect(r *policy.Request) policy.Recollection {
+func (s *service) recollect(r *policy.Request) policy.CheckResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Recollect(s.front.now(), r)
+	return s.core.CheckIdempotency(s.front.now(), r)
 }
 
 // acquire waits for a slot. The verdict is not Wait, and the second result says whether the
 // request waited. An error is the context's, or errDeadline; the request then did not run.
-func (s *service) acquire(ctx context.Context, r *policy.Request, d route.Here) (policy.Verdict, bool, error) {
+func (s *service) acquire(ctx context.Context, r *policy.Request, d route.Local) (policy.Decision, bool, error) {
 	s.mu.Lock()
 	s.configure(r.Pool, d)
-	verdicts := s.core.Arrive(s.front.now(), r)
+	verdicts := s.core.Admit(s.front.now(), r)
 	first := verdicts[0]
-	if _, waits := first.(policy.Wait); !waits {
+	if _, waits := first.(policy.Queued); !waits {
 		s.tell(verdicts[1:])
 		s.mu.Unlock()
 		return first, false, nil
 	}
-	mine := make(chan policy.Verdict, 1)
+	mine := make(chan policy.Decision, 1)
 	s.waiters[r.Ticket] = mine
 	s.tell(verdicts[1:])
 	s.setTick()
@@ -81,7 +81,7 @@
 	return v, true, err
 }
 
-func (s *service) await(ctx context.Context, r *policy.Request, mine chan policy.Verdict) (policy.Verdict, error) {
+func (s *service) await(ctx context.Context, r *policy.Request, mine chan policy.Decision) (policy.Decision, error) {
 	expired := time.NewTimer(r.Deadline.Until(s.front.now()))
 	defer expired.Stop()
 	var err error
@@ -94,13 +94,13 @@
 		err = errDeadline
 	}
 	s.mu.Lock()
-	left := s.core.Leave(r)
+	left := s.core.Dequeue(r)
 	delete(s.waiters, r.Ticket)
 	s.mu.Unlock()
 	if left {
 		return nil, err
 	}
-	if v, started := (<-mine).(policy.Start); started {
+	if v, started := (<-mine).(policy.Admitted); started {
 		s.withdraw(r, v.Server)
 	}
 	return nil, err
@@ -110,29 +110,29 @@
 func (s *service) withdraw(r *policy.Request, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Withdraw(r)
-	s.tell(s.core.Freed(s.front.now(), s.core.Held(r, server), 0))
+	s.core.Cancel(r)
+	s.tell(s.core.Release(s.front.now(), s.core.SlotOf(r, server), 0))
 }
 
 // freed gives a slot back.
 func (s *service) freed(slot policy.Slot, ran time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(s.core.Freed(s.front.now(), slot, ran))
+	s.tell(s.core.Release(s.front.now(), slot, ran))
 }
 
 // tell passes verdicts to the waiting requests. The caller holds mu.
-func (s *service) tell(verdicts []policy.Verdict) {
+func (s *service) tell(verdicts []policy.Decision) {
 	for _, v := range verdicts {
 		var t policy.Ticket
 		switch v := v.(type) {
-		case policy.Start:
+		case policy.Admitted:
 			t = v.Ticket
-		case policy.Shed:
+		case policy.Rejected:
 			t = v.Ticket
 		case policy.Moved:
 			t = v.Ticket
-		case policy.Wait, policy.Known:
+		case policy.Queued, policy.CheckFailed:
 			continue
 		}
 		if waiter := s.waiters[t]; waiter != nil {
@@ -160,15 +160,15 @@
 }
 
 // configure follows the bundle. The caller holds mu.
-func (s *service) configure(pool string, d route.Here) {
+func (s *service) configure(pool string, d route.Local) {
 	s.capacity = s.capacity[:0]
 	for _, t := range d.Servers {
 		if t.Server.Leaving {
 			continue
 		}
-		c := policy.Capacity{Server: t.Server.Name, Slots: max(t.Server.Slots, 1)}
+		c := policy.Server{Name: t.Server.Name, Slots: max(t.Server.Slots, 1)}
 		if s.front.deps.Hint != nil && len(d.Servers) > 1 {
-			c.Hint = s.front.deps.Hint(s.name, t.Server.Name)
+			c.LoadHint = s.front.deps.Hint(s.name, t.Server.Name)
 		}
 		s.capacity = append(s.capacity, c)
 	}
@@ -233,7 +233,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if server != "" {
-		s.tell(s.core.Move(server))
+		s.tell(s.core.DequeuePool(server))
 	}
 }
 
@@ -259,8 +259,8 @@
 }
 
 // adopt takes in a mark. It reports false when there is no room.
-func (s *service) adopt(m policy.Mark) bool {
+func (s *service) adopt(m policy.IdempotencyRecord) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Adopt(s.front.now(), m)
+	return s.core.AddRecord(s.front.now(), m)
 }
--- a/internal/front/span_test.go
+++ b/internal/front/span_test.go
@@ -61,7 +61,7 @@
 	i.finder.set(here(testService(), backend(t, echo)))
 	do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
 	do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
-	i.finder.set(route.Absent{Reason: route.AbsentOwner})
+	i.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	do(t, post(is, i.callers.URL+"/oddaja/x", "text"))
 	i.settled()
 	var vars struct {
--- a/internal/front/witness_test.go
+++ b/internal/front/witness_test.go
@@ -17,14 +17,14 @@
 // counter is a Witness that counts what it is asked to remember.
 type counter struct{ begun atomic.Int32 }
 
-func (c *counter) Begin(context.Context, policy.Mark) error {
+func (c *counter) Begin(context.Context, policy.IdempotencyRecord) error {
 	c.begun.Add(1)
 	return nil
 }
 
-func (*counter) End(policy.Mark) {}
+func (*counter) End(policy.IdempotencyRecord) {}
 
-func (*counter) Recall(context.Context, string, keys.Range) ([]policy.Mark, error) {
+func (*counter) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, nil
 }
 
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	gate := start(t, "gate", func(d *Deps) { d.Witness = &counter{} })
 	target := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {}))
-	gate.finder.set(route.Absent{Reason: route.AbsentOwner})
+	gate.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	edge := start(t, "edge", nil)
 	edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
 	send := func() answer {
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -18,10 +18,10 @@
 
 	bundle *bundle.Bundle
 	state  *fold.State
-	homes  []fold.Taken
+	homes  []fold.DomainHomes
 	// known says that homes were read or copied; before, nothing may be served.
 	known bool
-	held  *Held
+	held  *LeaderState
 	// fence is the highest value of the homes fence that this instance knows of.
 	fence uint64
 	// heardAt is when each other domain was last heard; the first call counts as hearing all.
@@ -59,18 +59,18 @@
 	c.now = max(c.now, now)
 	c.effects = nil
 	switch ev := ev.(type) {
-	case InForce:
+	case BundleInForce:
 		c.inForce(ev)
 	case LogRead:
 		c.state, c.homes, c.known = ev.State, ev.State.Homes, true
 		c.noteHomes()
-	case Copied:
+	case PeerHomes:
 		c.copied(ev)
-	case Domains:
+	case ReachableDomains:
 		c.hear(ev)
-	case Follows:
+	case NotLeading:
 		c.held = nil
-	case Held:
+	case LeaderState:
 		c.held = &ev
 		c.fence = max(c.fence, ev.Fence)
 		c.declare()
@@ -79,7 +79,7 @@
 	return c.effects
 }
 
-func (c *Core) inForce(ev InForce) {
+func (c *Core) inForce(ev BundleInForce) {
 	c.bundle = ev.Bundle
 	for _, d := range ev.Bundle.Domains {
 		if _, known := c.heardAt[d.Name]; !known {
@@ -88,14 +88,14 @@
 	}
 }
 
-func (c *Core) copied(ev Copied) {
+func (c *Core) copied(ev PeerHomes) {
 	if c.state == nil && len(ev.Homes) > 0 {
 		c.homes, c.known = ev.Homes, true
 	}
 }
 
-func (c *Core) hear(ev Domains) {
-	for _, d := range ev.Heard {
+func (c *Core) hear(ev ReachableDomains) {
+	for _, d := range ev.Names {
 		c.heardAt[d] = c.now
 	}
 }
@@ -118,8 +118,8 @@
 	}
 }
 
-func (c *Core) takenBy(service, domain string) fold.Taken {
-	return fold.TakenBy(c.homes, service, domain)
+func (c *Core) takenBy(service, domain string) fold.DomainHomes {
+	return fold.FindHomes(c.homes, service, domain)
 }
 
 // base is what the next statement of this domain is based on.
@@ -196,7 +196,7 @@
 		return nil
 	}
 	var all []keys.Range
-	for _, a := range c.state.Assigned[c.config.Domain] {
+	for _, a := range c.state.Assignments[c.config.Domain] {
 		if a.Service == service {
 			all = append(all, a.Assignment.Ranges...)
 		}
@@ -217,11 +217,11 @@
 }
 
 func (c *Core) moveWait(s *bundle.Service) Time {
-	bound := Time(c.config.MoveBound)
+	bound := Time(c.config.IsolationTimeout)
 	bound += bound * Time(c.config.DriftPerMille) / 1000
 	for _, v := range s.Servers {
 		if !v.ChecksGrants {
-			return bound + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.Pause)
+			return bound + Time(s.Limits.RequestMillis)*1e6 + Time(c.config.MaxPause)
 		}
 	}
 	return bound
--- a/internal/homes/declare.go
+++ b/internal/homes/declare.go
@@ -51,16 +51,16 @@
 		return
 	}
 	base := c.base()
-	if leaves && c.held.Taught <= base {
+	if leaves && c.held.MajorityFence <= base {
 		fence := base + 1
 		c.fence = max(c.fence, fence)
-		c.effects = append(c.effects, Teach{Fence: fence})
+		c.effects = append(c.effects, DistributeFence{Fence: fence})
 		return
 	}
 	c.append("homes", base, record.HomesTaken{
 		Domain:   c.config.Domain,
 		Version:  c.bundle.Version,
-		Log:      c.held.Log,
+		Log:      c.held.LogTerm,
 		Base:     base,
 		Services: services,
 	})
@@ -128,7 +128,7 @@
 func (c *Core) append(kind string, base uint64, r record.Record) {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%v", r))
 	id := fmt.Sprintf("%s/%s/%d/%s", kind, c.config.Domain, base, hex.EncodeToString(sum[:8]))
-	if at, sent := c.sentAt[id]; sent && c.now < at+Time(c.config.AppendEvery) {
+	if at, sent := c.sentAt[id]; sent && c.now < at+Time(c.config.AppendInterval) {
 		return
 	}
 	c.sentAt[id] = c.now
@@ -144,7 +144,7 @@
 		return
 	}
 	for id, at := range c.sentAt {
-		if c.now >= at+Time(c.config.AppendEvery) {
+		if c.now >= at+Time(c.config.AppendInterval) {
 			delete(c.sentAt, id)
 		}
 	}
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -21,8 +21,8 @@
 	isEvent()
 }
 
-// InForce says which bundle is in force.
-type InForce struct {
+// BundleInForce says which bundle is in force.
+type BundleInForce struct {
 	Bundle *bundle.Bundle
 }
 
@@ -31,21 +31,21 @@
 	State *fold.State
 }
 
-// Copied is what another instance of the domain has read. It counts only until this one has
+// PeerHomes is what another instance of the domain has read. It counts only until this one has
 // read the log itself.
-type Copied struct {
-	Homes []fold.Taken
+type PeerHomes struct {
+	Homes []fold.DomainHomes
 }
 
-// Domains says which other failure domains answered a heartbeat lately.
-type Domains struct {
-	Heard []string
+// ReachableDomains says which other failure domains answered a heartbeat lately.
+type ReachableDomains struct {
+	Names []string
 }
 
-// Held says what the leader of this domain, which runs at this instance, may have granted.
-type Held struct {
-	// Log is the log term under which it leads.
-	Log uint64
+// LeaderState says what the leader of this domain, which runs at this instance, may have granted.
+type LeaderState struct {
+	// LogTerm is the log term under which it leads.
+	LogTerm uint64
 	// Settled says that nothing granted by former leaders is left that this one has not heard
 	// of.
 	Settled bool
@@ -54,19 +54,19 @@
 	Ranges map[string][]keys.Range
 	// Fence is the highest value that the voters who follow the leader have seen, and Taught
 	// the highest that a majority of them has.
-	Fence  uint64
-	Taught uint64
+	Fence         uint64
+	MajorityFence uint64
 }
 
-// Follows says that this instance does not lead its domain.
-type Follows struct{}
+// NotLeading says that this instance does not lead its domain.
+type NotLeading struct{}
 
-func (Follows) isEvent() {}
-func (InForce) isEvent() {}
-func (LogRead) isEvent() {}
-func (Copied) isEvent()  {}
-func (Domains) isEvent() {}
-func (Held) isEvent()    {}
+func (NotLeading) isEvent()       {}
+func (BundleInForce) isEvent()    {}
+func (LogRead) isEvent()          {}
+func (PeerHomes) isEvent()        {}
+func (ReachableDomains) isEvent() {}
+func (LeaderState) isEvent()      {}
 
 // Effect is an output of the core. The set is sealed.
 type Effect interface {
@@ -87,28 +87,28 @@
 	Record record.Record
 }
 
-// Teach asks the leader to tell its voters a value of the homes fence.
-type Teach struct {
+// DistributeFence asks the leader to tell its voters a value of the homes fence.
+type DistributeFence struct {
 	Fence uint64
 }
 
-func (Allow) isEffect()  {}
-func (Append) isEffect() {}
-func (Teach) isEffect()  {}
+func (Allow) isEffect()           {}
+func (Append) isEffect()          {}
+func (DistributeFence) isEffect() {}
 
 // Config names the domain and sets the bounds of the core.
 type Config struct {
 	Domain string
-	// MoveBound is for how long after its last read of the log a domain may renew the grants
+	// IsolationTimeout is for how long after its last read of the log a domain may renew the grants
 	// of a service that may move. It must not be less than that of package leader.
-	MoveBound time.Duration
+	IsolationTimeout time.Duration
 	// EvictAfter is for how long a domain must not have been heard before its ranges of a
 	// service that may move are freed.
 	EvictAfter time.Duration
-	// AppendEvery bounds how often the same statement is appended again.
-	AppendEvery time.Duration
-	// Pause bounds how long an instance may be paused between checking its right and writing.
-	Pause time.Duration
+	// AppendInterval bounds how often the same statement is appended again.
+	AppendInterval time.Duration
+	// MaxPause bounds how long an instance may be paused between checking its right and writing.
+	MaxPause time.Duration
 	// DriftPerMille bounds by how much any two clocks diverge, in thousandths.
 	DriftPerMille int64
 }
@@ -116,11 +116,11 @@
 // DefaultConfig returns bounds that fit those of package leader.
 func DefaultConfig(domain string) Config {
 	return Config{
-		Domain:        domain,
-		MoveBound:     30 * time.Second,
-		EvictAfter:    10 * time.Second,
-		AppendEvery:   time.Second,
-		Pause:         2 * time.Second,
-		DriftPerMille: 10,
+		Domain:           domain,
+		IsolationTimeout: 30 * time.Second,
+		EvictAfter:       10 * time.Second,
+		AppendInterval:   time.Second,
+		MaxPause:         2 * time.Second,
+		DriftPerMille:    10,
 	}
 }
--- a/internal/homes/world_test.go
+++ b/internal/homes/world_test.go
@@ -82,15 +82,15 @@
 // stepDomain lets a domain learn, decide and write. What it reads takes effect on what may be
 // served before the read itself extends the leases.
 func (w *world) stepDomain(d *domainWorld) {
-	heard := Domains{}
+	heard := ReachableDomains{}
 	for _, o := range w.domains {
 		if o != d && !o.silent && !d.silent {
-			heard.Heard = append(heard.Heard, o.name)
+			heard.Names = append(heard.Names, o.name)
 		}
 	}
 	w.perform(d, d.core.Handle(w.now, heard))
 	if !d.cutLog || !d.silent {
-		w.perform(d, d.core.Handle(w.now, InForce{Bundle: w.state.InForce}))
+		w.perform(d, d.core.Handle(w.now, BundleInForce{Bundle: w.state.InForce}))
 	}
 	if !d.cutLog {
 		view := w.state.Snapshot()
@@ -103,11 +103,11 @@
 
 // lead tells the core of a domain what its leader holds and its voters remember.
 func (w *world) lead(d *domainWorld) {
-	w.perform(d, d.core.Handle(w.now, Held{
-		Settled: true,
-		Ranges:  map[string][]keys.Range{worldService: w.held(d)},
-		Fence:   d.fence,
-		Taught:  d.fence,
+	w.perform(d, d.core.Handle(w.now, LeaderState{
+		Settled:       true,
+		Ranges:        map[string][]keys.Range{worldService: w.held(d)},
+		Fence:         d.fence,
+		MajorityFence: d.fence,
 	}))
 	if d.fresh {
 		d.fresh = false
@@ -118,7 +118,7 @@
 // held returns what the servers of a domain may act on now.
 func (w *world) held(d *domainWorld) []keys.Range {
 	all := d.serves
-	if w.now > d.readAt+Time(d.core.config.MoveBound) {
+	if w.now > d.readAt+Time(d.core.config.IsolationTimeout) {
 		all = nil
 	}
 	for r, until := range d.lost {
@@ -138,10 +138,10 @@
 			}
 			next := e.Ranges[worldService]
 			for _, r := range keys.Subtract(w.held(d), next) {
-				d.lost[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.MoveBound))
+				d.lost[r] = min(w.now+worldLease, d.readAt+Time(d.core.config.IsolationTimeout))
 			}
 			d.serves = next
-		case Teach:
+		case DistributeFence:
 			d.fence = max(d.fence, e.Fence)
 		case Append:
 			if !slices.ContainsFunc(d.queue, func(a Append) bool { return a.ID == e.ID }) {
@@ -177,7 +177,7 @@
 	if old.bundle == nil || old.state == nil {
 		return
 	}
-	w.perform(d, d.core.Handle(w.now, InForce{Bundle: old.bundle}))
+	w.perform(d, d.core.Handle(w.now, BundleInForce{Bundle: old.bundle}))
 	w.perform(d, d.core.Handle(w.now, LogRead{State: old.state}))
 }
 
--- a/internal/leader/answer.go
+++ b/internal/leader/answer.go
@@ -20,7 +20,7 @@
 	}
 	c.count(ev)
 	c.win()
-	h := l.holdings[seat{server: ev.Server, via: ev.Via}]
+	h := l.holdings[seat{server: ev.Server, via: ev.Gate}]
 	if h == nil || !c.follows(h, ev) {
 		return
 	}
@@ -35,7 +35,7 @@
 	l.wonAt = max(c.now, 1)
 	l.exchangeAt = c.now
 	l.dirty, l.tableDirty = true, true
-	c.emit(Led{Term: l.term})
+	c.emit(StartedLeading{Term: l.term})
 }
 
 // follows reports whether an answer is newer than what is known of its holder. Answers may
--- a/internal/leader/claims.go
+++ b/internal/leader/claims.go
@@ -2,9 +2,9 @@
 
 import "example.org/mustardring/pkg/keys"
 
-// MayHold returns the ranges of a service that some server of the domain may act on, as far
+// HeldRanges returns the ranges of a service that some server of the domain may act on, as far
 // as this leader has heard, sorted and disjoint. Settled says that there are no others.
-func (c *Core) MayHold(service string) (held []keys.Range, settled bool) {
+func (c *Core) HeldRanges(service string) (held []keys.Range, settled bool) {
 	s := c.serviceOf(service)
 	if s == nil || c.lead == nil {
 		return nil, false
@@ -30,9 +30,9 @@
 	return c.lead.term.Log, true
 }
 
-// Authority returns the newest moment at which a majority of the voters was asked and
+// QuorumAskedAt returns the newest moment at which a majority of the voters was asked and
 // followed this leader; false when this instance does not lead.
-func (c *Core) Authority() (Time, bool) {
+func (c *Core) QuorumAskedAt() (Time, bool) {
 	if c.lead == nil || !c.lead.won() {
 		return 0, false
 	}
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -50,7 +50,7 @@
 	read     bool
 	away     bool
 	term     fold.Term
-	assigned map[string]fold.Assigned
+	assigned map[string]fold.RecordedAssignment
 }
 
 // peer is another instance of the domain.
@@ -87,15 +87,15 @@
 		c.configure(ev)
 	case Answered:
 		c.answered(ev)
-	case Folded:
+	case LogRead:
 		c.folded(ev)
 	case LogFailed:
 		c.log.away = true
 	case Appended:
 		c.appended(ev)
-	case PeerHeard:
+	case Heartbeat:
 		c.peerHeard(ev)
-	case Routed:
+	case TableReceived:
 		c.routed(ev)
 	case Listed:
 		c.list(ev)
@@ -117,8 +117,8 @@
 }
 
 // Heartbeat returns what this instance tells its peers about itself.
-func (c *Core) Heartbeat() PeerHeard {
-	return PeerHeard{
+func (c *Core) Heartbeat() Heartbeat {
+	return Heartbeat{
 		Name:        c.config.Name,
 		Incarnation: c.config.Incarnation,
 		Leading:     c.lead != nil && c.lead.won(),
@@ -171,7 +171,7 @@
 	return costPerRange * Time(len(l.published.Owners))
 }
 
-func (c *Core) routed(ev Routed) {
+func (c *Core) routed(ev TableReceived) {
 	if c.hint.Term.Compare(ev.Table.Term) <= 0 {
 		c.hint = ev.Table
 	}
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -46,7 +46,7 @@
 		c.beginWithoutLog()
 		return
 	}
-	c.claim = &claim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimWait)}
+	c.claim = &claim{follows: c.log.term.Log, deadline: c.now + Time(c.config.ClaimTimeout)}
 	c.emit(Append{
 		ID: fmt.Sprintf("term/%s/%d/%s/%x", c.config.Domain, c.claim.follows, c.config.Name, c.config.Incarnation),
 		Record: record.TermClaimed{
@@ -63,7 +63,7 @@
 	c.begin(grant.Term{Log: c.known.Log, Sub: c.known.Sub + 1, Incarnation: c.config.Incarnation})
 }
 
-func (c *Core) folded(ev Folded) {
+func (c *Core) folded(ev LogRead) {
 	changed := ev.Term != c.log.term
 	c.log.readAt = max(c.log.readAt, ev.ReadAt)
 	c.log.read = true
@@ -94,7 +94,7 @@
 	}
 }
 
-func (c *Core) peerHeard(ev PeerHeard) {
+func (c *Core) peerHeard(ev Heartbeat) {
 	c.know(ev.Term)
 	if ev.Name == c.config.Name {
 		return
@@ -145,5 +145,5 @@
 }
 
 func (c *Core) heartbeat() Time {
-	return Time(c.config.Heartbeat)
+	return Time(c.config.HeartbeatInterval)
 }
--- a/internal/leader/exchange.go
+++ b/internal/leader/exchange.go
@@ -35,7 +35,7 @@
 }
 
 func (c *Core) exchangeAll() {
-	c.lead.exchangeAt = c.now + Time(c.config.Exchange)
+	c.lead.exchangeAt = c.now + Time(c.config.ExchangeInterval)
 	for _, h := range c.lead.ordered() {
 		h.prompt = false
 		c.exchange(h)
@@ -61,10 +61,10 @@
 	}
 	c.emit(Send{
 		Server:     h.server,
-		Via:        h.via,
+		Gate:       h.via,
 		Exchange:   x,
 		AskedAt:    c.now,
-		SendBefore: c.now + Time(c.config.Lease),
+		SendBefore: c.now + Time(c.config.LeaseDuration),
 	})
 }
 
@@ -102,7 +102,7 @@
 	if c.config.without(mutBound) {
 		end = c.now
 	}
-	end = min(end, h.heardAt) + Time(c.config.Lease)
+	end = min(end, h.heardAt) + Time(c.config.LeaseDuration)
 	s := c.serviceOf(h.service)
 	if s != nil && s.Isolation == bundle.IsolationMove {
 		end = min(end, c.moveEnd())
@@ -116,5 +116,5 @@
 	if !c.log.read {
 		return never
 	}
-	return c.log.readAt + Time(c.config.MoveBound)
+	return c.log.readAt + Time(c.config.IsolationTimeout)
 }
--- a/internal/leader/fence.go
+++ b/internal/leader/fence.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// TeachHomes makes the leader tell its voters a value of the homes fence from now on. The
+// RaiseHomesFence makes the leader tell its voters a value of the homes fence from now on. The
 // voters remember the highest and tell it to any later leader.
-func (c *Core) TeachHomes(fence uint64) {
+func (c *Core) RaiseHomesFence(fence uint64) {
 	c.homesFence = max(c.homesFence, fence)
 }
 
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -167,7 +167,7 @@
 			is := is.New(t)
 			l := quiet(2, 3, 0)
 			l.isolation = tt.isolation
-			l.config = func(c *Config) { c.MoveBound = 5_000_000_000 }
+			l.config = func(c *Config) { c.IsolationTimeout = 5_000_000_000 }
 			w := newWorld(1, l, "")
 			w.startAll()
 			w.advance(6000 * ms)
@@ -234,7 +234,7 @@
 func TestSeenRangesMoveBeforeRequestsEnd(t *testing.T) {
 	is := is.New(t)
 	l := quiet(3, 3, 1)
-	l.config = func(c *Config) { c.Pause = 20_000_000_000 }
+	l.config = func(c *Config) { c.MaxPause = 20_000_000_000 }
 	w := newWorld(1, l, "")
 	w.startAll()
 	w.advance(30_000 * ms)
--- a/internal/leader/holding.go
+++ b/internal/leader/holding.go
@@ -126,14 +126,14 @@
 // knows reports whether the server of a holding is still configured.
 func (c *Core) knows(h *holding) bool {
 	s := c.serviceOf(h.service)
-	return s != nil && slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Name == h.server && b.Checks == h.checks })
+	return s != nil && slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Name == h.server && b.ChecksGrants == h.checks })
 }
 
 // seatsOf returns where the grant of a server is or may be held. After taking over, the
 // gates that the former leader chose are unknown, so every instance is asked.
 func (c *Core) seatsOf(s *service, b Server) []seat {
 	switch {
-	case b.Slots == 0 || b.Checks:
+	case b.Slots == 0 || b.ChecksGrants:
 		if !b.Votes && !s.Divided {
 			return nil
 		}
@@ -162,10 +162,10 @@
 	if h.service != s.Name {
 		return
 	}
-	h.checks = b.Checks || b.Slots == 0
+	h.checks = b.ChecksGrants || b.Slots == 0
 	h.owns = b.Slots > 0 && s.Divided
 	if !h.checks {
-		h.lingers = Time(s.RequestMillis)*1e6 + Time(c.config.Pause)
+		h.lingers = Time(s.RequestMillis)*1e6 + Time(c.config.MaxPause)
 	}
 }
 
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -42,7 +42,7 @@
 	n.life++
 	n.stopped = false
 	config := DefaultConfig("d", n.name, n.incarnation)
-	config.Pause = 600e6
+	config.MaxPause = 600e6
 	config.DriftPerMille = max(config.DriftPerMille, 5*int64(n.w.layout.drift)/2)
 	if n.w.layout.config != nil {
 		n.w.layout.config(&config)
@@ -54,7 +54,7 @@
 	n.event(Configured{Version: 1, Services: n.services()})
 	life := n.life
 	n.every(life, tickPeriod, func() { n.event(Ticked{}) })
-	n.every(life, Time(config.Heartbeat), n.heartbeat)
+	n.every(life, Time(config.HeartbeatInterval), n.heartbeat)
 	n.every(life, readPeriod, n.read)
 	n.every(life, listPeriod, n.list)
 }
@@ -127,10 +127,10 @@
 		case Append:
 			n.pending[e.ID] = e.Record
 			n.append(life, e.ID)
-		case Led:
+		case StartedLeading:
 			n.w.led()
 			n.w.tracef("%s leads %v", n.name, e.Term)
-		case Stepped:
+		case SteppedDown:
 			n.w.tracef("%s steps down from %v: %s", n.name, e.Term, e.Reason)
 		case Publish:
 			n.published(e.Table)
@@ -144,8 +144,8 @@
 	}
 	life := n.life
 	to := e.Server
-	if e.Via != "" {
-		to = e.Via
+	if e.Gate != "" {
+		to = e.Gate
 	}
 	n.w.messages += 2
 	n.w.lastExchange = e.Exchange
@@ -153,7 +153,7 @@
 		m := n.w.machines[to]
 		answer := n.w.holder(m, e.Server).exchange(e.Exchange)
 		if g := e.Exchange.Grant; g != nil {
-			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Via,
+			n.w.tracef("%s -> %s/%s grant %v renewal=%v inc=%x ranges=%v: %q until %d ms, term %v", n.name, e.Server, e.Gate,
 				g.Epoch, g.Renewal, g.Incarnation, g.Ranges, answer.Refusal, Time(answer.Deadline-answer.Clock)/ms, e.Exchange.Term)
 		}
 		if n.w.count {
@@ -165,7 +165,7 @@
 		}
 		n.w.send(to, n.name, func() {
 			if n.life == life {
-				n.event(Answered{Server: e.Server, Via: e.Via, AskedAt: e.AskedAt, Answer: answer})
+				n.event(Answered{Server: e.Server, Gate: e.Gate, AskedAt: e.AskedAt, Answer: answer})
 			}
 		})
 	})
@@ -203,7 +203,7 @@
 			n.w.send(n.name, o.name, func() {
 				if o.core != nil {
 					o.takes(t)
-					o.event(Routed{Table: t})
+					o.event(TableReceived{Table: t})
 				}
 			})
 		}
@@ -229,7 +229,7 @@
 		n.w.send("log", n.name, func() {
 			if n.life == life && !answered {
 				answered = true
-				n.event(Folded{ReadAt: begun, Term: term, Assigned: assigned})
+				n.event(LogRead{ReadAt: begun, Term: term, Assigned: assigned})
 			}
 		})
 	})
@@ -291,9 +291,9 @@
 	return uint64(len(l.entries))
 }
 
-func (l *simLog) fold() (fold.Term, map[string]fold.Assigned) {
+func (l *simLog) fold() (fold.Term, map[string]fold.RecordedAssignment) {
 	var term fold.Term
-	assigned := make(map[string]fold.Assigned)
+	assigned := make(map[string]fold.RecordedAssignment)
 	for i, e := range l.entries {
 		offset := uint64(i) + 1
 		switch r := e.r.(type) {
@@ -304,7 +304,7 @@
 		case record.AssignmentMade:
 			for _, a := range r.Assignments {
 				if old, found := assigned[a.Server]; !found || old.Assignment.Epoch.Compare(a.Epoch) < 0 {
-					assigned[a.Server] = fold.Assigned{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
+					assigned[a.Server] = fold.RecordedAssignment{Service: r.Service, Assignment: a, Offset: offset, Provisional: r.Provisional}
 				}
 			}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -48,9 +48,9 @@
 // Server is a backend server of the domain, or an entry instance that only votes.
 type Server struct {
 	Name string
-	// Checks says that the server itself obeys grants. The gate of a server that does not
+	// ChecksGrants says that the server itself obeys grants. The gate of a server that does not
 	// check holds the server's grant in its place.
-	Checks bool
+	ChecksGrants bool
 	// Votes says that the server is one of the voters whose majority makes a leader.
 	Votes bool
 	// Slots is zero for an entry instance that only votes. It owns no ranges.
@@ -61,18 +61,18 @@
 // Answered is a server's answer to an exchange that was sent at AskedAt.
 type Answered struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check, and
+	// Gate is the entry instance that holds the grant of a server that does not check, and
 	// empty for one that does.
-	Via     string
+	Gate    string
 	AskedAt Time
 	Answer  grant.Answer
 }
 
-// Folded is the state of the log as of a read that began at ReadAt.
-type Folded struct {
+// LogRead is the state of the log as of a read that began at ReadAt.
+type LogRead struct {
 	ReadAt   Time
 	Term     fold.Term
-	Assigned map[string]fold.Assigned
+	Assigned map[string]fold.RecordedAssignment
 }
 
 // LogFailed says that the log could not be read or written just now.
@@ -84,8 +84,8 @@
 	Offset uint64
 }
 
-// PeerHeard is a heartbeat of another instance of the domain, or of this one.
-type PeerHeard struct {
+// Heartbeat is a heartbeat of another instance of the domain, or of this one.
+type Heartbeat struct {
 	Name        string
 	Incarnation uint64
 	// Leading says that the peer believes it leads, in Term.
@@ -96,10 +96,10 @@
 	Leaving bool
 }
 
-// Routed is the newest routing table that another leader of the domain published. A new
+// TableReceived is the newest routing table that another leader of the domain published. A new
 // leader takes it as a hint, so that gates and owners stay where they are; it trusts none
 // of it.
-type Routed struct {
+type TableReceived struct {
 	Table route.Table
 }
 
@@ -114,8 +114,8 @@
 type Measured struct {
 	Service string
 	Loads   []RangeLoad
-	// Hot are the hashes of keys that are hot by measurement, sorted.
-	Hot []uint64
+	// HotHashes are the hashes of keys that are hot by measurement, sorted.
+	HotHashes []uint64
 }
 
 // RangeLoad is the load of one range in requests per second.
@@ -127,17 +127,17 @@
 // Stopping says that this instance is leaving; it must hand its leadership on.
 type Stopping struct{}
 
-func (Ticked) isEvent()     {}
-func (Configured) isEvent() {}
-func (Answered) isEvent()   {}
-func (Folded) isEvent()     {}
-func (LogFailed) isEvent()  {}
-func (Appended) isEvent()   {}
-func (PeerHeard) isEvent()  {}
-func (Routed) isEvent()     {}
-func (Listed) isEvent()     {}
-func (Measured) isEvent()   {}
-func (Stopping) isEvent()   {}
+func (Ticked) isEvent()        {}
+func (Configured) isEvent()    {}
+func (Answered) isEvent()      {}
+func (LogRead) isEvent()       {}
+func (LogFailed) isEvent()     {}
+func (Appended) isEvent()      {}
+func (Heartbeat) isEvent()     {}
+func (TableReceived) isEvent() {}
+func (Listed) isEvent()        {}
+func (Measured) isEvent()      {}
+func (Stopping) isEvent()      {}
 
 // Effect is an output of the core. The set is sealed.
 type Effect interface {
@@ -148,9 +148,9 @@
 // shell drops the exchange if the present time is past SendBefore when it is about to write.
 type Send struct {
 	Server string
-	// Via is the entry instance that holds the grant of a server that does not check, and
+	// Gate is the entry instance that holds the grant of a server that does not check, and
 	// empty for one that does.
-	Via        string
+	Gate       string
 	Exchange   grant.Exchange
 	AskedAt    Time
 	SendBefore Time
@@ -167,19 +167,19 @@
 	Table route.Table
 }
 
-// Led says that this instance began to lead, for the log of events.
-type Led struct {
+// StartedLeading says that this instance began to lead, for the log of events.
+type StartedLeading struct {
 	Term grant.Term
 }
 
-// Stepped says that this instance ceased to lead, and why.
-type Stepped struct {
+// SteppedDown says that this instance ceased to lead, and why.
+type SteppedDown struct {
 	Term   grant.Term
 	Reason string
 }
 
-func (Send) isEffect()    {}
-func (Append) isEffect()  {}
-func (Publish) isEffect() {}
-func (Led) isEffect()     {}
-func (Stepped) isEffect() {}
+func (Send) isEffect()           {}
+func (Append) isEffect()         {}
+func (Publish) isEffect()        {}
+func (StartedLeading) isEffect() {}
+func (SteppedDown) isEffect()    {}
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -12,7 +12,7 @@
 // servers have answered, or two periods, so that its first table takes nothing away.
 func (c *Core) publish() {
 	l := c.lead
-	if l.published == nil && c.now < l.wonAt+2*Time(c.config.Exchange) && !c.allHeard() {
+	if l.published == nil && c.now < l.wonAt+2*Time(c.config.ExchangeInterval) && !c.allHeard() {
 		return
 	}
 	l.tableDirty = false
@@ -84,7 +84,7 @@
 	for _, s := range c.services {
 		for _, b := range s.Servers {
 			if gate := c.gates[b.Name]; gate != "" && b.Slots > 0 {
-				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, Checks: b.Checks})
+				gates = append(gates, route.Gate{Service: s.Name, Server: b.Name, Instance: gate, ChecksGrants: b.ChecksGrants})
 			}
 		}
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -83,7 +83,7 @@
 // adjust proposes a new set to a holder if it should change. Only one set at a time is under
 // way to a holder, so that its claims are the old and the new set.
 func (c *Core) adjust(s *service, h *holding, wanted []keys.Range, all *claims) {
-	if h.pending != nil || !h.heard || c.now > h.heardAt+Time(c.config.Lease) {
+	if h.pending != nil || !h.heard || c.now > h.heardAt+Time(c.config.LeaseDuration) {
 		return
 	}
 	held := h.current()
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -76,7 +76,7 @@
 
 // outrank makes an instance begin its next term above those that others may begin.
 func (n *simInstance) outrank() {
-	n.event(PeerHeard{Name: n.name, Term: grant.Term{Sub: 50}})
+	n.event(Heartbeat{Name: n.name, Term: grant.Term{Sub: 50}})
 }
 
 func (w *world) instance(name string) *simInstance {
--- a/internal/leader/service.go
+++ b/internal/leader/service.go
@@ -54,7 +54,7 @@
 			made.loads, made.moves, made.hot = o.loads, o.moves, o.hot
 		}
 	}
-	made.unchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.Checks })
+	made.unchecked = slices.ContainsFunc(s.Servers, func(b Server) bool { return b.Slots > 0 && !b.ChecksGrants })
 	return made
 }
 
@@ -101,7 +101,7 @@
 	if s == nil {
 		return
 	}
-	s.hot = ev.Hot
+	s.hot = ev.HotHashes
 	clear(s.loads)
 	for _, l := range ev.Loads {
 		s.loads[l.Range] = load{value: l.Load, at: c.now}
--- a/internal/leader/settle.go
+++ b/internal/leader/settle.go
@@ -14,7 +14,7 @@
 	if c.config.without(mutWait) {
 		return l.wonAt
 	}
-	return l.wonAt + c.config.stretch(Time(c.config.Lease))
+	return l.wonAt + c.config.stretch(Time(c.config.LeaseDuration))
 }
 
 // settledAt returns until when requests may run under a former leader's grants that nobody
@@ -63,7 +63,7 @@
 
 // lingering returns how long requests at an unchecked server may run after their gate's lease.
 func lingering(s *service, config *Config) Time {
-	return Time(s.RequestMillis)*1e6 + Time(config.Pause)
+	return Time(s.RequestMillis)*1e6 + Time(config.MaxPause)
 }
 
 // settledNow reports whether ranges became movable or a service settled since the last call.
--- a/internal/leader/survey.go
+++ b/internal/leader/survey.go
@@ -48,12 +48,12 @@
 // surveyed counts a voter that misses its leader, and claims a term when they are a majority.
 func (c *Core) surveyed(ev Answered) {
 	s := c.survey
-	if s == nil || ev.Via != "" || ev.AskedAt < s.askedAt {
+	if s == nil || ev.Gate != "" || ev.AskedAt < s.askedAt {
 		return
 	}
 	a := ev.Answer
 	c.know(a.Fence)
-	if a.LedAt != 0 && a.Clock-a.LedAt < grant.Instant(quietPeriods*c.config.Exchange) {
+	if a.LedAt != 0 && a.Clock-a.LedAt < grant.Instant(quietPeriods*c.config.ExchangeInterval) {
 		return
 	}
 	s.quiet[ev.Server] = true
--- a/internal/leader/targets.go
+++ b/internal/leader/targets.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.placedAt = c.now
-	l.placeAt = c.now + Time(c.config.Placing)
+	l.placeAt = c.now + Time(c.config.PlacementInterval)
 	for _, s := range c.services {
 		if !s.Divided || c.now <= c.movesAt() {
 			continue
@@ -79,12 +79,12 @@
 // accepts reports whether a server answers and does not leave.
 func (c *Core) accepts(b Server) bool {
 	h := c.lead.holdings[c.current(b)]
-	return h != nil && h.heard && !b.Leaving && c.now <= h.heardAt+Time(c.config.Lease)
+	return h != nil && h.heard && !b.Leaving && c.now <= h.heardAt+Time(c.config.LeaseDuration)
 }
 
 // current returns the seat at which the grant of a server should be held.
 func (c *Core) current(b Server) seat {
-	if b.Checks {
+	if b.ChecksGrants {
 		return seat{server: b.Name}
 	}
 	return seat{server: b.Name, via: c.gates[b.Name]}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if c.lead.won() || reason != reasonMajority {
-		c.emit(Stepped{Term: c.lead.term, Reason: reason})
+		c.emit(SteppedDown{Term: c.lead.term, Reason: reason})
 	}
 	c.lead = nil
 	c.leaderAt = c.now
@@ -114,12 +114,12 @@
 		return
 	}
 	if !l.won() {
-		if c.now > l.startedAt+Time(c.config.Lease) {
+		if c.now > l.startedAt+Time(c.config.LeaseDuration) {
 			c.stepDown(reasonMajority)
 		}
 		return
 	}
-	if c.now > c.authority()+Time(c.config.Lease) && !c.config.without(mutAuthority) {
+	if c.now > c.authority()+Time(c.config.LeaseDuration) && !c.config.without(mutAuthority) {
 		c.stepDown(reasonAuthority)
 	}
 }
@@ -131,7 +131,7 @@
 // that had its vote has by then either had a newer majority, or stepped down for want of
 // one, as checkAuthority makes it; so the voter may be counted again.
 func (c *Core) count(ev Answered) {
-	if ev.Via != "" || !c.votes(ev.Server) {
+	if ev.Gate != "" || !c.votes(ev.Server) {
 		return
 	}
 	l := c.lead
--- a/internal/leader/world_test.go
+++ b/internal/leader/world_test.go
@@ -286,12 +286,12 @@
 	for i, m := range w.servers {
 		checks := i < w.layout.checking
 		s.Servers = append(s.Servers, Server{
-			Name: m.name, Checks: checks, Votes: w.votes(m.name, checks), Slots: 2, Leaving: m.name == w.layout.leaving,
+			Name: m.name, ChecksGrants: checks, Votes: w.votes(m.name, checks), Slots: 2, Leaving: m.name == w.layout.leaving,
 		})
 	}
 	if w.layout.checking == 0 {
 		for _, n := range w.instances {
-			s.Servers = append(s.Servers, Server{Name: n.name, Checks: true, Votes: true})
+			s.Servers = append(s.Servers, Server{Name: n.name, ChecksGrants: true, Votes: true})
 		}
 	}
 	return []Service{s}
--- a/internal/logcl/reader.go
+++ b/internal/logcl/reader.go
@@ -50,7 +50,7 @@
 // EntryRead.
 type EntryApplied struct {
 	Entry  record.Entry
-	Result fold.Verdict
+	Result fold.Result
 }
 
 // CaughtUp reports that the state includes all records that were in the log at AskedAt.
@@ -187,7 +187,7 @@
 		}
 		result := r.state.Apply(entry)
 		switch result.(type) {
-		case fold.Changed:
+		case fold.LogReplaced:
 			return append(effects, r.reset(e.Batch)...)
 		case fold.Gap:
 			continue
@@ -220,7 +220,7 @@
 		fetch.From = r.scanOffset
 	case r.skipRecheck:
 		r.skipRecheck = false
-	case (r.recheck || r.identity == "") && r.state.Next > r.state.Since:
+	case (r.recheck || r.identity == "") && r.state.Next > r.state.StartOffset:
 		fetch.From = r.state.Next - 1
 	}
 	fetch.At = r.pacer.reserve(now)
--- a/internal/logcl/reader_test.go
+++ b/internal/logcl/reader_test.go
@@ -100,7 +100,7 @@
 	effects, _ := readAll(log, r, fetch)
 	is.Equal(effects[0], logcl.GapFound{Wanted: 2, Oldest: 7})
 	is.Equal(r.State().Next, uint64(10))
-	is.Equal(r.State().Since, uint64(7))
+	is.Equal(r.State().StartOffset, uint64(7))
 }
 
 // A new instance joins when the log retains only the newest records. It must get the state of
@@ -114,7 +114,7 @@
 	is.NoErr(err)
 	log.add("mark", mark)
 	readAll(log, writer, writer.Start(second))
-	c, err := writer.State().Checkpoint()
+	c, err := writer.State().NewCheckpoint()
 	is.NoErr(err)
 	data, err := record.Encode(c)
 	is.NoErr(err)
@@ -128,7 +128,7 @@
 	is.Equal(r.State().Terms["klet"].Log, uint64(8))
 	is.Equal(r.State().Terms["podstresje"].Log, uint64(2))
 	is.Equal(r.State().Terms["badulla-hall"].Log, uint64(1))
-	is.Equal(r.State().Since, uint64(0))
+	is.Equal(r.State().StartOffset, uint64(0))
 }
 
 // A malformed record must be reported with its offset and a reason, and the records after it must
@@ -140,7 +140,7 @@
 	log.addClaims("klet", 1)
 	r := newReader()
 	effects, _ := readAll(log, r, r.Start(second))
-	refused := effects[0].(logcl.EntryApplied).Result.(fold.Refused)
+	refused := effects[0].(logcl.EntryApplied).Result.(fold.Rejected)
 	is.Equal(refused.Offset, uint64(0))
 	is.True(refused.Reason != "")
 	is.Equal(r.State().Terms["klet"].Log, uint64(1))
--- a/internal/logcl/schedule_test.go
+++ b/internal/logcl/schedule_test.go
@@ -249,7 +249,7 @@
 		if !ok {
 			continue
 		}
-		c, err := i.reader.State().Checkpoint()
+		c, err := i.reader.State().NewCheckpoint()
 		if err != nil {
 			i.failures = append(i.failures, "checkpoint: "+err.Error())
 			continue
@@ -291,7 +291,7 @@
 				seconds := float64(s.now) / float64(second)
 				is.True(float64(i.writes) <= burst+perSecond*seconds) // within the rate limit
 				for server, sequence := range leader.assigned {
-					known := i.reader.State().Assigned[domainName][server].Assignment
+					known := i.reader.State().Assignments[domainName][server].Assignment
 					is.True(reflect.DeepEqual(known, assignment(server, sequence))) // newest assignment is known
 				}
 			}
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -39,7 +39,7 @@
 		for i := range uneven.Owned {
 			uneven.Owned[i].Load = 50 + 100*random.Float64()
 		}
-		b.Run(fmt.Sprintf("uneven/servers=%d", n), func(b *testing.B) { benchmark(b, uneven, WithPatience(0), WithBudget(1)) })
+		b.Run(fmt.Sprintf("uneven/servers=%d", n), func(b *testing.B) { benchmark(b, uneven, WithOverloadDelay(0), WithMoveBudget(1)) })
 	}
 }
 
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -204,7 +204,7 @@
 		for i := range v.Owned {
 			v.Owned[i].LoadAt = v.Owned[0].LoadAt
 		}
-		p := New(WithPatience(time.Duration(rapid.IntRange(0, 1).Draw(t, "patience"))))
+		p := New(WithOverloadDelay(time.Duration(rapid.IntRange(0, 1).Draw(t, "patience"))))
 		first := p.Place(v)
 		if second := p.Place(after(v, first)); !slices.Equal(first, second) {
 			t.Fatalf("first %v\nthen %v", first, second)
--- a/internal/place/planner.go
+++ b/internal/place/planner.go
@@ -11,23 +11,23 @@
 	// DefaultRangesPerServer bounds the ranges of a service: this many for each accepting
 	// server, and one for each home. Each hot key adds two at most.
 	DefaultRangesPerServer = 8
-	// DefaultMaxHot bounds the hot keys that get a range of their own.
-	DefaultMaxHot = 240
+	// DefaultMaxHotKeys bounds the hot keys that get a range of their own.
+	DefaultMaxHotKeys = 240
 	// DefaultColdShare is the part of its slots for which a cold server counts.
 	DefaultColdShare = 0.25
-	// DefaultBudget is the share of the hash space that may change owner for the sake of
+	// DefaultMoveBudget is the share of the hash space that may change owner for the sake of
 	// balance within one settling time.
-	DefaultBudget = 0.30
+	DefaultMoveBudget = 0.30
 )
 
 // Spans of time that a Planner compares ages with.
 const (
-	// DefaultSettle is how long after any move no range moves for the sake of balance.
-	DefaultSettle = Time(10 * time.Second)
-	// DefaultDwell is how long a moved range stays, unless its server is far overloaded.
-	DefaultDwell = Time(2 * time.Minute)
-	// DefaultPatience is for how long a server must be overloaded before ranges move for it.
-	DefaultPatience = Time(time.Minute)
+	// DefaultSettleTime is how long after any move no range moves for the sake of balance.
+	DefaultSettleTime = Time(10 * time.Second)
+	// DefaultDwellTime is how long a moved range stays, unless its server is far overloaded.
+	DefaultDwellTime = Time(2 * time.Minute)
+	// DefaultOverloadDelay is for how long a server must be overloaded before ranges move for it.
+	DefaultOverloadDelay = Time(time.Minute)
 	// DefaultHalfLife is the age at which a load counts half.
 	DefaultHalfLife = Time(30 * time.Second)
 )
@@ -57,19 +57,19 @@
 	return func(p *Planner) { p.rangesPerServer = max(n, 1) }
 }
 
-// WithMaxHot sets how many hot keys get a range of their own.
-func WithMaxHot(n int) Option {
+// WithMaxHotKeys sets how many hot keys get a range of their own.
+func WithMaxHotKeys(n int) Option {
 	return func(p *Planner) { p.maxHot = max(n, 0) }
 }
 
-// WithPatience sets for how long a server must be overloaded before ranges move for it.
-func WithPatience(d time.Duration) Option {
+// WithOverloadDelay sets for how long a server must be overloaded before ranges move for it.
+func WithOverloadDelay(d time.Duration) Option {
 	return func(p *Planner) { p.patience = Time(d) }
 }
 
-// WithBudget sets the share of the hash space that may move within one settling time for
+// WithMoveBudget sets the share of the hash space that may move within one settling time for
 // the sake of balance.
-func WithBudget(share float64) Option {
+func WithMoveBudget(share float64) Option {
 	return func(p *Planner) { p.budget = share }
 }
 
@@ -77,13 +77,13 @@
 func New(options ...Option) *Planner {
 	p := &Planner{
 		rangesPerServer: DefaultRangesPerServer,
-		maxHot:          DefaultMaxHot,
+		maxHot:          DefaultMaxHotKeys,
 		coldShare:       DefaultColdShare,
-		budget:          DefaultBudget,
-		settle:          DefaultSettle,
-		dwell:           DefaultDwell,
+		budget:          DefaultMoveBudget,
+		settle:          DefaultSettleTime,
+		dwell:           DefaultDwellTime,
 		halfLife:        DefaultHalfLife,
-		patience:        DefaultPatience,
+		patience:        DefaultOverloadDelay,
 		highSince:       make(map[string]Time),
 	}
 	for _, o := range options {
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -16,18 +16,18 @@
 	for n := 0; b.Loop(); n++ {
 		now += 1000
 		r := &Request{Ticket: Ticket(n), Caller: "x", Deadline: now + 1000*ms, Idempotent: true, Replayable: true}
-		start := c.Arrive(now, r)[0].(Start)
-		c.Freed(now, c.Held(r, start.Server), time.Microsecond)
+		start := c.Admit(now, r)[0].(Admitted)
+		c.Release(now, c.SlotOf(r, start.Server), time.Microsecond)
 	}
 }
 
 // BenchmarkCoreRemembered is the same for one that must not run twice.
 func BenchmarkCoreRemembered(b *testing.B) {
-	c := NewCore("oddaja", Bounds{Entries: 1 << 30}, 0)
-	c.Configure(0, "", testLimits, []Capacity{{Server: "a", Slots: 2}})
-	names := make([]Name, 1<<16)
+	c := NewCore("oddaja", TableLimits{Entries: 1 << 30}, 0)
+	c.Configure(0, "", testLimits, []Server{{Name: "a", Slots: 2}})
+	names := make([]ID, 1<<16)
 	for i := range names {
-		names[i] = NameOf("oddaja", "", fmt.Sprint(i))
+		names[i] = HashRequestID("oddaja", "", fmt.Sprint(i))
 	}
 	b.ReportAllocs()
 	now := Time(0)
@@ -35,10 +35,10 @@
 		// A full turn of names takes longer than the memory's time.
 		now += 10 * ms
 		name := names[n%len(names)]
-		r := &Request{Ticket: Ticket(n), Name: name, Sending: name, Print: 1, Caller: "x", Deadline: now + 1000*ms}
-		start := c.Arrive(now, r)[0].(Start)
-		c.Answered(now, r, 201, nil)
-		c.Freed(now, c.Held(r, start.Server), time.Microsecond)
+		r := &Request{Ticket: Ticket(n), RequestID: name, SubmissionID: name, Fingerprint: 1, Caller: "x", Deadline: now + 1000*ms}
+		start := c.Admit(now, r)[0].(Admitted)
+		c.Complete(now, r, 201, nil)
+		c.Release(now, c.SlotOf(r, start.Server), time.Microsecond)
 	}
 }
 
@@ -47,9 +47,9 @@
 	const entries = 200_000
 	for b.Loop() {
 		before := heapBytes()
-		m := NewMemory(Bounds{Entries: entries})
+		m := NewMemory(TableLimits{Entries: entries})
 		for i := range entries {
-			s := Sent{Name: NameOf("oddaja", "", fmt.Sprint(i)), Print: 1, Until: Time(i)}
+			s := Sent{Name: HashRequestID("oddaja", "", fmt.Sprint(i)), Print: 1, Until: Time(i)}
 			m.Begin(-1, s)
 			m.Ran(s, 201, nil)
 		}
--- a/internal/policy/core.go
+++ b/internal/policy/core.go
@@ -9,9 +9,9 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// MemoryTime is for how long a request is remembered after its deadline. A caller's resend
+// RecordRetention is for how long a request is remembered after its deadline. A caller's resend
 // within it is recognised.
-const MemoryTime = 10 * time.Minute
+const RecordRetention = 10 * time.Minute
 
 // The limits of a service that states none.
 const (
@@ -25,15 +25,15 @@
 	Ticket Ticket
 	// Pool names the servers that may run the request: the owner in a divided service.
 	Pool string
-	// Name is zero for a request without an id. Together with Sending it is used only if the
+	// RequestID is zero for a request without an id. Together with Sending it is used only if the
 	// request is not idempotent.
-	Name       Name
-	Sending    Name
-	Hash       uint64
-	Print      Print
-	Caller     string
-	Deadline   Time
-	Idempotent bool
+	RequestID    ID
+	SubmissionID ID
+	Hash         uint64
+	Fingerprint  Fingerprint
+	Caller       string
+	Deadline     Time
+	Idempotent   bool
 	// Replayable says that the whole body can be sent once more.
 	Replayable bool
 
@@ -44,11 +44,11 @@
 
 // sent returns the request as the memory knows it.
 func (r *Request) sent() Sent {
-	return Sent{Name: r.Name, Hash: r.Hash, Sending: r.Sending, Print: r.Print, Until: r.Deadline.Add(MemoryTime)}
+	return Sent{Name: r.RequestID, Hash: r.Hash, Sending: r.SubmissionID, Print: r.Fingerprint, Until: r.Deadline.Add(RecordRetention)}
 }
 
-// Remembered reports whether the memory holds the request on behalf of this sending.
-func (r *Request) Remembered() bool { return r.remembered }
+// HasRecord reports whether the memory holds the request on behalf of this sending.
+func (r *Request) HasRecord() bool { return r.remembered }
 
 // Slot is a slot that a request holds.
 type Slot struct {
@@ -73,7 +73,7 @@
 
 // NewCore returns the policy of a service. The last parameter is the Unix time in
 // milliseconds at Time zero.
-func NewCore(service string, b Bounds, originMillis int64) *Core {
+func NewCore(service string, b TableLimits, originMillis int64) *Core {
 	return &Core{
 		service: service, memory: NewMemory(b), suspects: NewSuspects(service),
 		queues: make(map[string]*Queue), waiting: make(map[Ticket]*Request), originMillis: originMillis,
@@ -82,7 +82,7 @@
 
 // Configure sets the limits of the service and the servers of one pool. The verdicts are on
 // waiting requests, and valid until the next call.
-func (c *Core) Configure(now Time, pool string, limits bundle.Limits, servers []Capacity) []Verdict {
+func (c *Core) Configure(now Time, pool string, limits bundle.Limits, servers []Server) []Decision {
 	c.limits = limits
 	q := c.queues[pool]
 	if q == nil {
@@ -99,11 +99,11 @@
 	return c.settle(q.Configure(now, limit, servers))
 }
 
-// Recollect asks the memory about a request. If it returns Fresh, the memory holds this
+// CheckIdempotency asks the memory about a request. If it returns Fresh, the memory holds this
 // sending from now on, until Answered, Failed with a Final, Leave or Withdraw, or a verdict that
 // sheds it. A request without a name, or one that is idempotent, is always Fresh.
-func (c *Core) Recollect(now Time, r *Request) Recollection {
-	if r.Idempotent || r.Name.IsZero() || r.remembered {
+func (c *Core) CheckIdempotency(now Time, r *Request) CheckResult {
+	if r.Idempotent || r.RequestID.IsZero() || r.remembered {
 		return Fresh{}
 	}
 	known := c.memory.Begin(now, r.sent())
@@ -111,21 +111,21 @@
 	return known
 }
 
-// Arrive takes a request in, asking the memory if Recollect was not called before. The first
+// Admit takes a request in, asking the memory if Recollect was not called before. The first
 // verdict is on the request itself, any others are on requests that wait. They are valid
 // until the next call.
-func (c *Core) Arrive(now Time, r *Request) []Verdict {
-	known := c.Recollect(now, r)
+func (c *Core) Admit(now Time, r *Request) []Decision {
+	known := c.CheckIdempotency(now, r)
 	if _, fresh := known.(Fresh); !fresh {
-		return []Verdict{Known{Ticket: r.Ticket, Recollection: known}}
+		return []Decision{CheckFailed{Ticket: r.Ticket, Result: known}}
 	}
 	if r.tries == 0 {
 		c.budget.Earn()
 	}
-	switch c.degree(now, r.Print) {
+	switch c.degree(now, r.Fingerprint) {
 	case Blocked:
 		c.forget(r)
-		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonBlocked, RetryAt: c.blockedUntil(now, r.Print)}}
+		return []Decision{Rejected{Ticket: r.Ticket, Reason: ReasonBlocked, RetryAt: c.blockedUntil(now, r.Fingerprint)}}
 	case Suspect:
 		r.suspect = true
 	case Unsuspected:
@@ -135,33 +135,33 @@
 
 // blockedUntil returns when a blocked request may be sent again: soon, while it is still
 // being found out whether the server was lost.
-func (c *Core) blockedUntil(now Time, p Print) Time {
+func (c *Core) blockedUntil(now Time, p Fingerprint) Time {
 	return max(c.time(c.suspects.Until(p)), now.Add(retryFloor))
 }
 
-func (c *Core) ask(now Time, r *Request) []Verdict {
+func (c *Core) ask(now Time, r *Request) []Decision {
 	q := c.queues[r.Pool]
 	if q == nil {
 		c.forget(r)
-		return []Verdict{Shed{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(retryFloor)}}
+		return []Decision{Rejected{Ticket: r.Ticket, Reason: ReasonNoServer, RetryAt: now.Add(retryFloor)}}
 	}
 	verdicts := q.Ask(now, Ask{Ticket: r.Ticket, Caller: r.Caller, Deadline: r.Deadline, Suspect: r.suspect})
 	switch verdicts[0].(type) {
-	case Wait:
+	case Queued:
 		c.waiting[r.Ticket] = r
-	case Start:
+	case Admitted:
 		r.tries++
-	case Shed:
+	case Rejected:
 		c.forget(r)
-	case Known, Moved:
+	case CheckFailed, Moved:
 	}
 	c.settle(verdicts[1:])
 	return verdicts
 }
 
-// Leave takes out a waiting request whose caller is gone or whose deadline passed. It
+// Dequeue takes out a waiting request whose caller is gone or whose deadline passed. It
 // reports false when the request does not wait.
-func (c *Core) Leave(r *Request) bool {
+func (c *Core) Dequeue(r *Request) bool {
 	if c.waiting[r.Ticket] == nil {
 		return false
 	}
@@ -170,45 +170,45 @@
 	return c.queues[r.Pool].Leave(r.Ticket)
 }
 
-// Move takes out the waiting requests of a pool whose gate is elsewhere now.
-func (c *Core) Move(pool string) []Verdict {
-	var verdicts []Verdict
+// DequeuePool takes out the waiting requests of a pool whose gate is elsewhere now.
+func (c *Core) DequeuePool(pool string) []Decision {
+	var verdicts []Decision
 	for t, r := range c.waiting {
-		if r.Pool == pool && c.Leave(r) {
+		if r.Pool == pool && c.Dequeue(r) {
 			verdicts = append(verdicts, Moved{Ticket: t})
 		}
 	}
-	slices.SortFunc(verdicts, func(a, b Verdict) int {
+	slices.SortFunc(verdicts, func(a, b Decision) int {
 		return cmp.Compare(a.(Moved).Ticket, b.(Moved).Ticket)
 	})
 	return verdicts
 }
 
-// Withdraw says that a request will not run here: it goes on to another gate, or is refused
+// Cancel says that a request will not run here: it goes on to another gate, or is refused
 // before a byte was written.
-func (c *Core) Withdraw(r *Request) {
+func (c *Core) Cancel(r *Request) {
 	c.forget(r)
 }
 
-// Doubt says that a request may have run, and that its answer did not come whole.
-func (c *Core) Doubt(r *Request) {
+// RecordUnknown says that a request may have run, and that its answer did not come whole.
+func (c *Core) RecordUnknown(r *Request) {
 	c.doubt(r)
 }
 
-// Held returns the slot of a request that was started at a server.
-func (c *Core) Held(r *Request, server string) Slot {
+// SlotOf returns the slot of a request that was started at a server.
+func (c *Core) SlotOf(r *Request, server string) Slot {
 	return Slot{Pool: r.Pool, Server: server, Suspect: r.suspect}
 }
 
-// Freed returns a slot after a request that ran for the given time, zero if it did not run.
+// Release returns a slot after a request that ran for the given time, zero if it did not run.
 // The verdicts are on waiting requests, and valid until the next call.
-func (c *Core) Freed(now Time, s Slot, ran time.Duration) []Verdict {
+func (c *Core) Release(now Time, s Slot, ran time.Duration) []Decision {
 	return c.settle(c.queues[s.Pool].Release(now, s.Server, ran, s.Suspect))
 }
 
 // Advance starts or sheds waiting requests of all pools after time has passed.
-func (c *Core) Advance(now Time) []Verdict {
-	var verdicts []Verdict
+func (c *Core) Advance(now Time) []Decision {
+	var verdicts []Decision
 	for _, q := range c.queues {
 		if q.Waiting() > 0 {
 			verdicts = append(verdicts, c.settle(q.Advance(now))...)
@@ -217,29 +217,29 @@
 	return verdicts
 }
 
-// Answered says that the request had its whole answer. Kept may be nil.
-func (c *Core) Answered(now Time, r *Request, status int, k *Kept) {
+// Complete says that the request had its whole answer. Kept may be nil.
+func (c *Core) Complete(now Time, r *Request, status int, k *StoredResponse) {
 	if r.remembered {
 		c.memory.Ran(r.sent(), status, k)
 		r.remembered = false
 	}
-	if r.Print != 0 {
-		c.suspects.Clear(r.Print, c.nanos(now))
+	if r.Fingerprint != 0 {
+		c.suspects.Clear(r.Fingerprint, c.nanos(now))
 	}
 }
 
-// Busy suspends a server that said it has too much work.
-func (c *Core) Busy(now Time, s Slot, until Time) {
+// EjectBusy suspends a server that said it has too much work.
+func (c *Core) EjectBusy(now Time, s Slot, until Time) {
 	c.queues[s.Pool].Suspend(s.Server, min(until, now.Add(downMost)))
 }
 
-// Failed decides what becomes of a request after a fault.
-func (c *Core) Failed(now Time, r *Request, s Slot, f Fault) Decision {
+// HandleFault decides what becomes of a request after a fault.
+func (c *Core) HandleFault(now Time, r *Request, s Slot, f Fault) RetryDecision {
 	if f == NotSent {
 		c.queues[s.Pool].Down(now, s.Server)
 	}
-	ran := f == InDoubt || f == Lost
-	if ran && f == Lost && c.degree(now, r.Print) == Blocked {
+	ran := f == InDoubt || f == ConnectionLost
+	if ran && f == ConnectionLost && c.degree(now, r.Fingerprint) == Blocked {
 		c.doubt(r)
 		return Final{Outcome: caller.Unknown, Blocked: true}
 	}
@@ -256,20 +256,20 @@
 }
 
 // settle keeps account of verdicts on waiting requests.
-func (c *Core) settle(verdicts []Verdict) []Verdict {
+func (c *Core) settle(verdicts []Decision) []Decision {
 	for _, v := range verdicts {
 		switch v := v.(type) {
-		case Start:
+		case Admitted:
 			if r := c.waiting[v.Ticket]; r != nil {
 				r.tries++
 				delete(c.waiting, v.Ticket)
 			}
-		case Shed:
+		case Rejected:
 			if r := c.waiting[v.Ticket]; r != nil {
 				c.forget(r)
 				delete(c.waiting, v.Ticket)
 			}
-		case Wait, Known, Moved:
+		case Queued, CheckFailed, Moved:
 		}
 	}
 	return verdicts
@@ -291,7 +291,7 @@
 	}
 }
 
-func (c *Core) degree(now Time, p Print) Suspicion {
+func (c *Core) degree(now Time, p Fingerprint) Suspicion {
 	if p == 0 || !c.suspects.Any() {
 		return Unsuspected
 	}
--- a/internal/policy/core_test.go
+++ b/internal/policy/core_test.go
@@ -14,8 +14,8 @@
 
 // newCore returns a core with two servers in one pool.
 func newCore() *Core {
-	c := NewCore("oddaja", Bounds{Entries: 100, KeptBytes: 1 << 10}, 0)
-	c.Configure(0, "", testLimits, []Capacity{{Server: "a", Slots: 2}, {Server: "b", Slots: 2}})
+	c := NewCore("oddaja", TableLimits{Entries: 100, KeptBytes: 1 << 10}, 0)
+	c.Configure(0, "", testLimits, []Server{{Name: "a", Slots: 2}, {Name: "b", Slots: 2}})
 	c.budget.saved = retryMost
 	return c
 }
@@ -23,8 +23,8 @@
 // submission returns a sending of non-idempotent work.
 func submission(t Ticket, id string) *Request {
 	return &Request{
-		Ticket: t, Name: NameOf("oddaja", "", id), Sending: NameOf("", "", string(rune('a'+t))), Caller: "x",
-		Deadline: 60_000 * ms, Replayable: true, Print: 9,
+		Ticket: t, RequestID: HashRequestID("oddaja", "", id), SubmissionID: HashRequestID("", "", string(rune('a'+t))), Caller: "x",
+		Deadline: 60_000 * ms, Replayable: true, Fingerprint: 9,
 	}
 }
 
@@ -33,17 +33,17 @@
 		fault      Fault
 		idempotent bool
 		late       bool
-		want       Decision
-		again      Recollection
+		want       RetryDecision
+		again      CheckResult
 	}{
-		"not sent":            {fault: NotSent, want: Retry{}, again: Doubtful{}},
-		"refused":             {fault: Refused, want: Retry{}, again: Doubtful{}},
-		"moved":               {fault: NotOwner, want: Retry{}, again: Doubtful{}},
-		"in doubt":            {fault: InDoubt, want: Final{Outcome: caller.Unknown}, again: Doubtful{}},
-		"lost":                {fault: Lost, want: Final{Outcome: caller.Unknown}, again: Doubtful{}},
+		"not sent":            {fault: NotSent, want: Retry{}, again: MayHaveRun{}},
+		"refused":             {fault: Refused, want: Retry{}, again: MayHaveRun{}},
+		"moved":               {fault: NotOwner, want: Retry{}, again: MayHaveRun{}},
+		"in doubt":            {fault: InDoubt, want: Final{Outcome: caller.Unknown}, again: MayHaveRun{}},
+		"lost":                {fault: ConnectionLost, want: Final{Outcome: caller.Unknown}, again: MayHaveRun{}},
 		"not sent and late":   {fault: NotSent, late: true, want: Final{Outcome: caller.NotRun}, again: Fresh{}},
 		"idempotent in doubt": {fault: InDoubt, idempotent: true, want: Retry{}, again: Fresh{}},
-		"idempotent lost":     {fault: Lost, idempotent: true, want: Retry{}, again: Fresh{}},
+		"idempotent lost":     {fault: ConnectionLost, idempotent: true, want: Retry{}, again: Fresh{}},
 		"idempotent and late": {fault: InDoubt, idempotent: true, late: true, want: Final{Outcome: caller.Unknown}, again: Fresh{}},
 	}
 	for name, tt := range tests {
@@ -52,14 +52,14 @@
 			c := newCore()
 			r := submission(1, "x")
 			r.Idempotent = tt.idempotent
-			start, ok := c.Arrive(0, r)[0].(Start)
+			start, ok := c.Admit(0, r)[0].(Admitted)
 			is.True(ok)
 			now := ms
 			if tt.late {
 				now = r.Deadline
 			}
-			is.Equal(c.Failed(now, r, c.Held(r, start.Server), tt.fault), tt.want)
-			is.Equal(c.Look(now, r.Name), tt.again)
+			is.Equal(c.HandleFault(now, r, c.SlotOf(r, start.Server), tt.fault), tt.want)
+			is.Equal(c.Lookup(now, r.RequestID), tt.again)
 		})
 	}
 }
@@ -72,13 +72,13 @@
 	retries := 0
 	for i := range 100 {
 		r := submission(Ticket(i), "")
-		r.Name, r.Idempotent = Name{}, true
-		start := c.Arrive(0, r)[0].(Start)
-		slot := c.Held(r, start.Server)
-		if _, again := c.Failed(0, r, slot, Refused).(Retry); again {
+		r.RequestID, r.Idempotent = ID{}, true
+		start := c.Admit(0, r)[0].(Admitted)
+		slot := c.SlotOf(r, start.Server)
+		if _, again := c.HandleFault(0, r, slot, Refused).(Retry); again {
 			retries++
 		}
-		c.Freed(0, slot, 0)
+		c.Release(0, slot, 0)
 	}
 	is.Equal(retries, 9)
 }
@@ -88,19 +88,19 @@
 	is := is.New(t)
 	c := newCore()
 	for i := range 2 {
-		c.Arrive(0, submission(Ticket(i), string(rune('a'+i))))
+		c.Admit(0, submission(Ticket(i), string(rune('a'+i))))
 	}
 	late := submission(7, "late")
 	late.Deadline = 21 * ms
-	_, shed := c.Arrive(0, late)[0].(Shed)
+	_, shed := c.Admit(0, late)[0].(Rejected)
 	is.True(shed)
-	is.Equal(c.Look(0, late.Name), Fresh{})
+	is.Equal(c.Lookup(0, late.RequestID), Fresh{})
 	waiting := submission(8, "waiting")
-	is.Equal(c.Arrive(0, waiting)[0], Wait{Ticket: 8})
-	is.Equal(c.Look(0, waiting.Name), Doubtful{})
-	is.True(c.Leave(waiting))
-	is.True(!c.Leave(waiting))
-	is.Equal(c.Look(0, waiting.Name), Fresh{})
+	is.Equal(c.Admit(0, waiting)[0], Queued{Ticket: 8})
+	is.Equal(c.Lookup(0, waiting.RequestID), MayHaveRun{})
+	is.True(c.Dequeue(waiting))
+	is.True(!c.Dequeue(waiting))
+	is.Equal(c.Lookup(0, waiting.RequestID), Fresh{})
 }
 
 // The second loss of a server blocks the request for good, though it is idempotent and could
@@ -109,23 +109,23 @@
 	is := is.New(t)
 	c := newCore()
 	r := submission(1, "")
-	r.Name, r.Idempotent = Name{}, true
-	for i, want := range []Decision{Retry{}, Final{Outcome: caller.Unknown, Blocked: true}} {
-		start := c.Arrive(Time(i)*1000*ms, r)[0].(Start)
-		slot := c.Held(r, start.Server)
+	r.RequestID, r.Idempotent = ID{}, true
+	for i, want := range []RetryDecision{Retry{}, Final{Outcome: caller.Unknown, Blocked: true}} {
+		start := c.Admit(Time(i)*1000*ms, r)[0].(Admitted)
+		slot := c.SlotOf(r, start.Server)
 		is.Equal(slot.Suspect, i > 0)
 		lost := Time(i+1) * 1000 * ms
-		c.Hold(lost, r.Print, start.Server)
-		c.Settle(lost, lost, r.Print, start.Server, true)
-		is.Equal(c.Failed(lost, r, slot, Lost), want)
-		c.Freed(lost, slot, time.Millisecond)
+		c.AddPendingLoss(lost, r.Fingerprint, start.Server)
+		c.ResolvePendingLoss(lost, lost, r.Fingerprint, start.Server, true)
+		is.Equal(c.HandleFault(lost, r, slot, ConnectionLost), want)
+		c.Release(lost, slot, time.Millisecond)
 	}
 	again := submission(2, "other id")
-	shed := c.Arrive(2000*ms, again)[0].(Shed)
+	shed := c.Admit(2000*ms, again)[0].(Rejected)
 	is.Equal(shed.Reason, ReasonBlocked)
 	is.Equal(shed.RetryAt, 62_000*ms)
-	is.Equal(c.Look(2000*ms, again.Name), Fresh{})
-	c.Lift([]Print{r.Print})
-	_, started := c.Arrive(2000*ms, submission(3, "lifted"))[0].(Start)
+	is.Equal(c.Lookup(2000*ms, again.RequestID), Fresh{})
+	c.SetLiftedBlocks([]Fingerprint{r.Fingerprint})
+	_, started := c.Admit(2000*ms, submission(3, "lifted"))[0].(Admitted)
 	is.True(started)
 }
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -15,12 +15,12 @@
 	NotOwner
 	// InDoubt says that bytes were written and no whole answer came in time.
 	InDoubt
-	// Lost says that bytes were written and the server's end of the connection was lost.
-	Lost
+	// ConnectionLost says that bytes were written and the server's end of the connection was lost.
+	ConnectionLost
 )
 
-// Decision is what becomes of a request after a Fault: Retry or Final. The set is sealed.
-type Decision interface {
+// RetryDecision is what becomes of a request after a Fault: Retry or Final. The set is sealed.
+type RetryDecision interface {
 	isDecision()
 }
 
--- a/internal/policy/differ_test.go
+++ b/internal/policy/differ_test.go
@@ -83,8 +83,8 @@
 	w.tickets++
 	s := &sending{work: work, entry: w.live(w.random.IntN(len(w.cores))), gate: -1}
 	s.request = &Request{
-		Ticket: w.tickets, Name: NameOf("oddaja", "", work), Sending: NameOf("", "", fmt.Sprint(w.tickets)),
-		Caller: fmt.Sprint(w.random.IntN(3)), Deadline: w.now + Time(50+w.random.IntN(500))*ms, Print: 1, Replayable: true,
+		Ticket: w.tickets, RequestID: HashRequestID("oddaja", "", work), SubmissionID: HashRequestID("", "", fmt.Sprint(w.tickets)),
+		Caller: fmt.Sprint(w.random.IntN(3)), Deadline: w.now + Time(50+w.random.IntN(500))*ms, Fingerprint: 1, Replayable: true,
 	}
 	w.sendings[w.tickets] = s
 	w.naive[work]++
@@ -112,7 +112,7 @@
 	if hops == 0 {
 		w.tell(s, w.live(instance+1))
 	}
-	w.take(instance, w.cores[instance].Arrive(w.now, s.request))
+	w.take(instance, w.cores[instance].Admit(w.now, s.request))
 }
 
 // pass sends a sending on to the gate.
@@ -125,29 +125,29 @@
 // tell makes an instance remember a sending.
 func (w *world) tell(s *sending, instance int) {
 	s.path = append(s.path, instance)
-	w.cores[instance].Adopt(w.now, w.cores[instance].MarkOf(s.request, caller.Unknown))
+	w.cores[instance].AddRecord(w.now, w.cores[instance].RecordOf(s.request, caller.Unknown))
 }
 
 // take acts on the verdicts of a gate.
-func (w *world) take(gate int, verdicts []Verdict) {
-	for _, v := range append([]Verdict{}, verdicts...) {
+func (w *world) take(gate int, verdicts []Decision) {
+	for _, v := range append([]Decision{}, verdicts...) {
 		switch v := v.(type) {
-		case Start:
+		case Admitted:
 			s := w.sendings[v.Ticket]
-			slot := w.cores[gate].Held(s.request, v.Server)
+			slot := w.cores[gate].SlotOf(s.request, v.Server)
 			w.after(0, func() { w.send(s, gate, slot) })
-		case Shed:
+		case Rejected:
 			w.end(w.sendings[v.Ticket], caller.NotRun)
-		case Known:
-			switch v.Recollection.(type) {
-			case Finished:
+		case CheckFailed:
+			switch v.Result.(type) {
+			case AlreadyRan:
 				w.end(w.sendings[v.Ticket], caller.Ran)
 			default:
 				w.end(w.sendings[v.Ticket], caller.Unknown)
 			}
 		case Moved:
 			w.pass(w.sendings[v.Ticket], gate, 1)
-		case Wait:
+		case Queued:
 			s := w.sendings[v.Ticket]
 			w.after(int(s.request.Deadline-w.now)/int(ms)+1, func() { w.expire(s, gate) })
 			w.after(100, func() { w.advance(gate) })
@@ -157,7 +157,7 @@
 
 // expire gives up on a sending that waited until its deadline.
 func (w *world) expire(s *sending, gate int) {
-	if core := w.cores[gate]; core != nil && core.Leave(s.request) {
+	if core := w.cores[gate]; core != nil && core.Dequeue(s.request) {
 		w.end(s, caller.NotRun)
 	}
 }
@@ -176,13 +176,13 @@
 		return
 	}
 	if gate != w.gate {
-		core.Withdraw(s.request)
-		w.take(gate, core.Freed(w.now, slot, 0))
+		core.Cancel(s.request)
+		w.take(gate, core.Release(w.now, slot, 0))
 		w.pass(s, gate, 1)
 		return
 	}
 	fault := Fault(w.random.IntN(8))
-	ran := fault > Lost || (fault == InDoubt || fault == Lost) && w.random.IntN(2) == 0
+	ran := fault > ConnectionLost || (fault == InDoubt || fault == ConnectionLost) && w.random.IntN(2) == 0
 	if ran {
 		w.runs[s.work]++
 		s.ran = true
@@ -196,24 +196,24 @@
 	if core == nil {
 		return
 	}
-	if fault > Lost {
-		core.Answered(w.now, s.request, 201, nil)
+	if fault > ConnectionLost {
+		core.Complete(w.now, s.request, 201, nil)
 		w.end(s, caller.Ran)
-		w.take(gate, core.Freed(w.now, slot, 10*1e6))
+		w.take(gate, core.Release(w.now, slot, 10*1e6))
 		return
 	}
-	switch d := core.Failed(w.now, s.request, slot, fault).(type) {
+	switch d := core.HandleFault(w.now, s.request, slot, fault).(type) {
 	case Final:
 		w.end(s, d.Outcome)
-		w.take(gate, core.Freed(w.now, slot, 0))
+		w.take(gate, core.Release(w.now, slot, 0))
 	case Retry:
-		w.take(gate, core.Freed(w.now, slot, 0))
+		w.take(gate, core.Release(w.now, slot, 0))
 		if gate != w.gate {
-			core.Withdraw(s.request)
+			core.Cancel(s.request)
 			w.arrive(s, gate, 1)
 			return
 		}
-		w.take(gate, core.Arrive(w.now, s.request))
+		w.take(gate, core.Admit(w.now, s.request))
 	}
 }
 
@@ -225,7 +225,7 @@
 	s.outcome = o
 	for _, instance := range s.path {
 		if core := w.cores[instance]; core != nil {
-			core.Adopt(w.now, core.MarkOf(s.request, o))
+			core.AddRecord(w.now, core.RecordOf(s.request, o))
 		}
 	}
 }
@@ -241,14 +241,14 @@
 	if lose {
 		w.lose(old)
 	} else if w.random.IntN(2) == 0 {
-		w.take(old, w.cores[old].Move(""))
+		w.take(old, w.cores[old].DequeuePool(""))
 	}
 	for _, core := range w.cores {
 		if core == nil || core == w.cores[w.gate] {
 			continue
 		}
-		for _, m := range core.Marks(w.now, keys.Full) {
-			if !w.cores[w.gate].Adopt(w.now, m) {
+		for _, m := range core.Records(w.now, keys.Full) {
+			if !w.cores[w.gate].AddRecord(w.now, m) {
 				w.t.Fatal("no room for a mark")
 			}
 		}
@@ -294,8 +294,8 @@
 			runs: map[string]int{}, naive: map[string]int{},
 		}
 		for range 4 {
-			c := NewCore("oddaja", Bounds{Entries: 1000}, 0)
-			c.Configure(0, "", testLimits, []Capacity{{Server: "a", Slots: 2}, {Server: "b", Slots: 2}})
+			c := NewCore("oddaja", TableLimits{Entries: 1000}, 0)
+			c.Configure(0, "", testLimits, []Server{{Name: "a", Slots: 2}, {Name: "b", Slots: 2}})
 			w.cores = append(w.cores, c)
 		}
 		w.run()
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -2,7 +2,7 @@
 
 // expiry is when to look at a remembered request again.
 type expiry struct {
-	name Name
+	name ID
 	at   Time
 }
 
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -12,7 +12,7 @@
 	f.Add([]byte(`{"name":"zz"}`))
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var m, again Mark
+		var m, again IdempotencyRecord
 		if json.Unmarshal(text, &m) != nil {
 			return
 		}
@@ -31,7 +31,7 @@
 	f.Add([]byte(`[{"service":"pregled","print":"00000000000000ff","losses":[{"server":"a","at-ns":3}],"until-ms":9}]`))
 	f.Add([]byte(`[{"service":"pregled","print":"0000000000000000","cleared-ns":-1}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var blocks []Block
+		var blocks []CrashRecord
 		if json.Unmarshal(text, &blocks) != nil {
 			return
 		}
@@ -41,7 +41,7 @@
 			if len(b.Losses) > maxLosses {
 				t.Fatalf("%d losses", len(b.Losses))
 			}
-			if s.Degree(b.Print, 1, 0) != Blocked && len(b.Losses) > 0 {
+			if s.Degree(b.Fingerprint, 1, 0) != Blocked && len(b.Losses) > 0 {
 				t.Fatalf("%+v is not blocked", b)
 			}
 		}
--- a/internal/policy/home.go
+++ b/internal/policy/home.go
@@ -6,11 +6,11 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Home returns the domain that remembers a named request of a service that is not divided:
+// HomeDomain returns the domain that remembers a named request of a service that is not divided:
 // the first by rendezvous hashing, so that instances of all domains agree without asking, and
 // a domain that comes or goes changes the home of its own share only. It returns "" for no
 // domains.
-func Home(domains []string, hash uint64) string {
+func HomeDomain(domains []string, hash uint64) string {
 	best, bestWeight := "", uint64(0)
 	for _, d := range domains {
 		weight := mix(keys.Hash(d, "") ^ hash)
--- a/internal/policy/mark.go
+++ b/internal/policy/mark.go
@@ -2,18 +2,18 @@
 
 import "example.org/mustardring/pkg/caller"
 
-// Mark is the memory that a non-idempotent request was sent, as instances tell it to each
+// IdempotencyRecord is the memory that a non-idempotent request was sent, as instances tell it to each
 // other.
-type Mark struct {
-	Service string `json:"service"`
-	Name    Name   `json:"name"`
+type IdempotencyRecord struct {
+	Service   string `json:"service"`
+	RequestID ID     `json:"name"`
 	// Hash is the request's place in the hash space.
 	Hash uint64 `json:"hash"`
-	// Sending identifies one sending of the request. A request that is passed on to another
+	// SubmissionID identifies one sending of the request. A request that is passed on to another
 	// gate before it ran keeps it; a caller's resend has another one.
-	Sending Name `json:"sending"`
-	// Print is that of the first sending.
-	Print Print `json:"print"`
+	SubmissionID ID `json:"sending"`
+	// Fingerprint is that of the first sending.
+	Fingerprint Fingerprint `json:"print"`
 	// UntilMillis is when the mark may be forgotten, in Unix milliseconds.
 	UntilMillis int64 `json:"until-ms"`
 	// Outcome is Unknown until the gate has told what became of the request. NotRun takes
--- a/internal/policy/memory.go
+++ b/internal/policy/memory.go
@@ -7,65 +7,65 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// Kept is a whole answer that is kept for a resend.
-type Kept struct {
+// StoredResponse is a whole answer that is kept for a resend.
+type StoredResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
 // size estimates the memory that a kept answer takes.
-func (k *Kept) size() int {
+func (k *StoredResponse) size() int {
 	const perHeader = 64
 	return len(k.Body) + perHeader*(len(k.Header)+1)
 }
 
-// Bounds bound a Memory.
-type Bounds struct {
+// TableLimits bound a Memory.
+type TableLimits struct {
 	// Entries is the number of requests that are remembered at once.
 	Entries int
 	// KeptBytes is the memory for kept answers.
 	KeptBytes int
 }
 
-// DefaultBounds suit an instance of today's sizes.
-var DefaultBounds = Bounds{Entries: 1 << 18, KeptBytes: 32 << 20}
+// DefaultTableLimits suit an instance of today's sizes.
+var DefaultTableLimits = TableLimits{Entries: 1 << 18, KeptBytes: 32 << 20}
 
-// Recollection is what a Memory knows of a request: Fresh, Doubtful, Finished, Reused or
+// CheckResult is what a Memory knows of a request: Fresh, Doubtful, Finished, Reused or
 // Full. The set is sealed.
-type Recollection interface {
+type CheckResult interface {
 	isRecollection()
 }
 
 // Fresh says that no sending of the request ran. The memory now holds this one.
 type Fresh struct{}
 
-// Doubtful says that an earlier sending runs, or may have run.
-type Doubtful struct{}
+// MayHaveRun says that an earlier sending runs, or may have run.
+type MayHaveRun struct{}
 
-// Finished says that an earlier sending ran. Kept is nil if its answer is not held.
-type Finished struct {
-	Status int
-	Kept   *Kept
+// AlreadyRan says that an earlier sending ran. Kept is nil if its answer is not held.
+type AlreadyRan struct {
+	Status   int
+	Response *StoredResponse
 }
 
-// Reused says that the id was used for a request with another content.
-type Reused struct{}
+// IDReused says that the id was used for a request with another content.
+type IDReused struct{}
 
-// Full says that the memory has no room: nothing may be forgotten yet.
-type Full struct{}
+// TableFull says that the memory has no room: nothing may be forgotten yet.
+type TableFull struct{}
 
-func (Fresh) isRecollection()    {}
-func (Doubtful) isRecollection() {}
-func (Finished) isRecollection() {}
-func (Reused) isRecollection()   {}
-func (Full) isRecollection()     {}
+func (Fresh) isRecollection()      {}
+func (MayHaveRun) isRecollection() {}
+func (AlreadyRan) isRecollection() {}
+func (IDReused) isRecollection()   {}
+func (TableFull) isRecollection()  {}
 
 // Memory remembers named non-idempotent requests of one service, so that none runs twice.
 // It never forgets one before its time: it refuses new ones when it is full.
 type Memory struct {
-	bounds  Bounds
-	entries map[Name]entry
+	bounds  TableLimits
+	entries map[ID]entry
 	// queue holds the names in about the order in which they expire.
 	queue expiries
 	kept  int
@@ -74,10 +74,10 @@
 // entry is one remembered request.
 type entry struct {
 	hash    uint64
-	sending Name
-	print   Print
+	sending ID
+	print   Fingerprint
 	until   Time
-	kept    *Kept
+	kept    *StoredResponse
 	status  int16
 	outcome outcome
 	hands   hands
@@ -105,22 +105,22 @@
 )
 
 // NewMemory returns an empty memory.
-func NewMemory(b Bounds) *Memory {
-	return &Memory{bounds: b, entries: make(map[Name]entry)}
+func NewMemory(b TableLimits) *Memory {
+	return &Memory{bounds: b, entries: make(map[ID]entry)}
 }
 
 // Sent is one sending of a request, as a Memory takes it in.
 type Sent struct {
-	Name    Name
+	Name    ID
 	Hash    uint64
-	Sending Name
-	Print   Print
+	Sending ID
+	Print   Fingerprint
 	// Until is when it may be forgotten.
 	Until Time
 }
 
 // Begin asks what is known of a request, and takes it in if nothing is.
-func (m *Memory) Begin(now Time, s Sent) Recollection {
+func (m *Memory) Begin(now Time, s Sent) CheckResult {
 	m.expire(now)
 	e, found := m.entries[s.Name]
 	passedOn := found && e.sending == s.Sending && e.hands == handsOther && e.outcome == outcomeUnknown
@@ -128,24 +128,24 @@
 		return e.recollect(s.Print)
 	}
 	if !found && len(m.entries) >= m.bounds.Entries {
-		return Full{}
+		return TableFull{}
 	}
 	m.put(s.Name, entry{hash: s.Hash, sending: s.Sending, print: s.Print, until: s.Until, hands: handsOurs}, !found)
 	return Fresh{}
 }
 
-func (e entry) recollect(p Print) Recollection {
+func (e entry) recollect(p Fingerprint) CheckResult {
 	if e.print != p && e.print != 0 && p != 0 {
-		return Reused{}
+		return IDReused{}
 	}
 	if e.outcome == outcomeRan {
-		return Finished{Status: int(e.status), Kept: e.kept}
+		return AlreadyRan{Status: int(e.status), Response: e.kept}
 	}
-	return Doubtful{}
+	return MayHaveRun{}
 }
 
 // Look returns what is known of a request without taking it in.
-func (m *Memory) Look(now Time, n Name) Recollection {
+func (m *Memory) Look(now Time, n ID) CheckResult {
 	m.expire(now)
 	e, found := m.entries[n]
 	if !found {
@@ -155,7 +155,7 @@
 }
 
 // Ran says that a request ran. The answer may be nil.
-func (m *Memory) Ran(s Sent, status int, k *Kept) {
+func (m *Memory) Ran(s Sent, status int, k *StoredResponse) {
 	e, found := m.entries[s.Name]
 	if !found || e.sending != s.Sending {
 		return
@@ -233,7 +233,7 @@
 // Len returns the number of remembered requests.
 func (m *Memory) Len() int { return len(m.entries) }
 
-func (m *Memory) put(n Name, e entry, fresh bool) {
+func (m *Memory) put(n ID, e entry, fresh bool) {
 	m.entries[n] = e
 	if fresh {
 		m.queue.push(expiry{name: n, at: e.until})
--- a/internal/policy/name.go
+++ b/internal/policy/name.go
@@ -13,31 +13,31 @@
 // ErrText is returned for text that is no Name or Print.
 var ErrText = errors.New("policy: malformed hexadecimal text")
 
-// Name stands for a request id within a service and key. All sendings of one piece of work
+// ID stands for a request id within a service and key. All sendings of one piece of work
 // have one Name. It is a hash that callers cannot make collide.
-type Name [16]byte
+type ID [16]byte
 
-// NameOf returns the Name of a request id. The key is empty in a service that is not divided.
-func NameOf(service, key, id string) Name {
+// HashRequestID returns the Name of a request id. The key is empty in a service that is not divided.
+func HashRequestID(service, key, id string) ID {
 	buffer := make([]byte, 0, 256)
 	for _, part := range [...]string{service, key, id} {
 		buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(part)))
 		buffer = append(buffer, part...)
 	}
 	sum := sha256.Sum256(buffer)
-	return Name(sum[:16])
+	return ID(sum[:16])
 }
 
 // IsZero reports whether the request has no name.
-func (n Name) IsZero() bool { return n == Name{} }
+func (n ID) IsZero() bool { return n == ID{} }
 
 // MarshalText implements encoding.TextMarshaler.
-func (n Name) MarshalText() ([]byte, error) {
+func (n ID) MarshalText() ([]byte, error) {
 	return hex.AppendEncode(nil, n[:]), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (n *Name) UnmarshalText(text []byte) error {
+func (n *ID) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(n)) {
 		return fmt.Errorf("%w: %q", ErrText, text)
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// Print stands for what a request asks: two requests with the same service, method, path, key
+// Fingerprint stands for what a request asks: two requests with the same service, method, path, key
 // and body have the same Print, whatever their ids. Zero means that it was not computed.
-type Print uint64
+type Fingerprint uint64
 
 // Content is what a Print is made of.
 type Content struct {
@@ -64,8 +64,8 @@
 	Length int64
 }
 
-// PrintOf returns the Print of a request.
-func PrintOf(c Content) Print {
+// FingerprintOf returns the Print of a request.
+func FingerprintOf(c Content) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	var number [8]byte
@@ -77,21 +77,21 @@
 	binary.LittleEndian.PutUint64(number[:], uint64(c.Length))
 	_, _ = d.Write(number[:])
 	_, _ = d.Write(c.Body)
-	return Print(max(d.Sum64(), 1))
+	return Fingerprint(max(d.Sum64(), 1))
 }
 
 // String returns the text form: 16 hexadecimal digits.
-func (p Print) String() string {
+func (p Fingerprint) String() string {
 	return fmt.Sprintf("%016x", uint64(p))
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (p Print) MarshalText() ([]byte, error) {
+func (p Fingerprint) MarshalText() ([]byte, error) {
 	return []byte(p.String()), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	var raw [8]byte
 	if len(text) != hex.EncodedLen(len(raw)) {
 		return fmt.Errorf("%w: %q", ErrText, text)
@@ -99,6 +99,6 @@
 	if _, err := hex.Decode(raw[:], text); err != nil {
 		return fmt.Errorf("%w: %q", ErrText, text)
 	}
-	*p = Print(binary.BigEndian.Uint64(raw[:]))
+	*p = Fingerprint(binary.BigEndian.Uint64(raw[:]))
 	return nil
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -26,11 +26,11 @@
 
 // The reasons for which a Queue refuses.
 const (
-	ReasonQueueFull  Reason = "queue-full"
-	ReasonTooLate    Reason = "deadline-too-near"
-	ReasonExpired    Reason = "deadline-passed"
-	ReasonNoServer   Reason = "no-server"
-	ReasonOutOfShare Reason = "caller-over-share"
+	ReasonQueueFull       Reason = "queue-full"
+	ReasonDeadlineTooNear Reason = "deadline-too-near"
+	ReasonDeadlinePassed  Reason = "deadline-passed"
+	ReasonNoServer        Reason = "no-server"
+	ReasonCallerOverShare Reason = "caller-over-share"
 )
 
 // The reasons for which a Core refuses.
@@ -42,36 +42,36 @@
 	ReasonMemoryFull Reason = "memory-full"
 )
 
-// Verdict is what a Queue says of a request: Start, Wait or Shed. A Core says Known and Moved as
+// Decision is what a Queue says of a request: Start, Wait or Shed. A Core says Known and Moved as
 // well. The set is sealed.
-type Verdict interface {
+type Decision interface {
 	isVerdict()
 }
 
-// Start says that the request holds a slot of Server from now on.
-type Start struct {
+// Admitted says that the request holds a slot of Server from now on.
+type Admitted struct {
 	Ticket Ticket
 	Server string
 }
 
-// Wait says that the request is queued. A later Start or Shed names its ticket.
-type Wait struct {
+// Queued says that the request is queued. A later Start or Shed names its ticket.
+type Queued struct {
 	Ticket Ticket
 }
 
-// Shed says that the request was refused before it ran. RetryAt is when a resend is likely
+// Rejected says that the request was refused before it ran. RetryAt is when a resend is likely
 // to be accepted.
-type Shed struct {
+type Rejected struct {
 	Ticket  Ticket
 	Reason  Reason
 	RetryAt Time
 }
 
-// Known says that an earlier sending of the request ran or may have run. The Recollection is
+// CheckFailed says that an earlier sending of the request ran or may have run. The Recollection is
 // not Fresh.
-type Known struct {
-	Ticket       Ticket
-	Recollection Recollection
+type CheckFailed struct {
+	Ticket Ticket
+	Result CheckResult
 }
 
 // Moved says that the request no longer belongs at this gate. It did not run.
@@ -79,8 +79,8 @@
 	Ticket Ticket
 }
 
-func (Known) isVerdict() {}
-func (Moved) isVerdict() {}
-func (Start) isVerdict() {}
-func (Wait) isVerdict()  {}
-func (Shed) isVerdict()  {}
+func (CheckFailed) isVerdict() {}
+func (Moved) isVerdict()       {}
+func (Admitted) isVerdict()    {}
+func (Queued) isVerdict()      {}
+func (Rejected) isVerdict()    {}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -45,12 +45,12 @@
 	Suspect bool
 }
 
-// Capacity is one backend server behind a Queue.
-type Capacity struct {
-	Server string
-	Slots  int
-	// Hint breaks ties between servers that are equally busy: the lower goes first.
-	Hint float64
+// Server is one backend server behind a Queue.
+type Server struct {
+	Name  string
+	Slots int
+	// LoadHint breaks ties between servers that are equally busy: the lower goes first.
+	LoadHint float64
 }
 
 // Queue hands out the slots of the servers behind one gate. Requests without a slot wait,
@@ -64,12 +64,12 @@
 	waiting int
 	meanRun time.Duration
 	// verdicts is returned by the methods, and reused by the next call.
-	verdicts []Verdict
+	verdicts []Decision
 }
 
 // place is a server with the number of its slots in use.
 type place struct {
-	Capacity
+	Server
 	busy int
 	// suspect says that a suspect runs there.
 	suspect bool
@@ -107,18 +107,18 @@
 // Configure replaces the servers and the limit. Slots that are in use at a server that is no
 // longer named stay counted until they are released. The result, valid until the next call,
 // names the requests that may start because of the change.
-func (q *Queue) Configure(now Time, limit int, servers []Capacity) []Verdict {
+func (q *Queue) Configure(now Time, limit int, servers []Server) []Decision {
 	q.verdicts = q.verdicts[:0]
 	q.limit = limit
 	for i := range q.servers {
 		q.servers[i].gone = true
 	}
 	for _, c := range servers {
-		if p := q.find(c.Server); p != nil {
-			p.Capacity, p.gone = c, false
+		if p := q.find(c.Name); p != nil {
+			p.Server, p.gone = c, false
 			continue
 		}
-		q.servers = append(q.servers, place{Capacity: c})
+		q.servers = append(q.servers, place{Server: c})
 	}
 	q.forget()
 	q.advance(now)
@@ -126,11 +126,11 @@
 }
 
 // Same reports whether the queue is configured as given.
-func (q *Queue) Same(limit int, servers []Capacity) bool {
+func (q *Queue) Same(limit int, servers []Server) bool {
 	if q.limit != limit {
 		return false
 	}
-	if slices.EqualFunc(q.servers, servers, func(p place, c Capacity) bool { return !p.gone && p.Capacity == c }) {
+	if slices.EqualFunc(q.servers, servers, func(p place, c Server) bool { return !p.gone && p.Server == c }) {
 		return true
 	}
 	present := 0
@@ -143,7 +143,7 @@
 		return false
 	}
 	for _, c := range servers {
-		if p := q.find(c.Server); p == nil || p.gone || p.Capacity != c {
+		if p := q.find(c.Name); p == nil || p.gone || p.Server != c {
 			return false
 		}
 	}
@@ -152,7 +152,7 @@
 
 // Ask takes a request in. The first verdict is on the request itself, any others on requests
 // that wait. The result is valid until the next call.
-func (q *Queue) Ask(now Time, a Ask) []Verdict {
+func (q *Queue) Ask(now Time, a Ask) []Decision {
 	q.verdicts = q.verdicts[:0]
 	q.judge(now, a)
 	q.advance(now)
@@ -163,14 +163,14 @@
 func (q *Queue) judge(now Time, a Ask) {
 	switch {
 	case a.Deadline <= now:
-		q.shed(now, a.Ticket, ReasonExpired)
+		q.shed(now, a.Ticket, ReasonDeadlinePassed)
 	case !q.reachable(now):
 		q.shed(now, a.Ticket, ReasonNoServer)
 	case q.startNow(now, a):
 	case now.Add(q.expected(now, a.Caller)+q.meanRun) > a.Deadline:
-		q.shed(now, a.Ticket, ReasonTooLate)
+		q.shed(now, a.Ticket, ReasonDeadlineTooNear)
 	case q.waiting < q.limit:
-		q.verdicts = append(q.verdicts, Wait{Ticket: a.Ticket})
+		q.verdicts = append(q.verdicts, Queued{Ticket: a.Ticket})
 		q.enqueue(a)
 	default:
 		q.displace(now, a)
@@ -214,15 +214,15 @@
 	}
 	last := longest.asks[len(longest.asks)-1]
 	q.remove(last.Ticket)
-	q.verdicts = append(q.verdicts, Wait{Ticket: a.Ticket})
-	q.shed(now, last.Ticket, ReasonOutOfShare)
+	q.verdicts = append(q.verdicts, Queued{Ticket: a.Ticket})
+	q.shed(now, last.Ticket, ReasonCallerOverShare)
 	q.enqueue(a)
 }
 
 // Release returns a slot of a server after a request that ran for the given time, zero if it
 // did not run. The result, valid until the next call, names the requests that start or are
 // shed in consequence.
-func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Verdict {
+func (q *Queue) Release(now Time, server string, ran time.Duration, suspect bool) []Decision {
 	q.verdicts = q.verdicts[:0]
 	p := q.find(server)
 	if p == nil || p.busy == 0 {
@@ -261,7 +261,7 @@
 
 // Advance starts or sheds waiting requests after time has passed. The result is valid until
 // the next call.
-func (q *Queue) Advance(now Time) []Verdict {
+func (q *Queue) Advance(now Time) []Decision {
 	q.verdicts = q.verdicts[:0]
 	q.advance(now)
 	return q.verdicts
@@ -284,9 +284,9 @@
 }
 
 // Each calls visit for each server with its slots in use.
-func (q *Queue) Each(visit func(c Capacity, busy int)) {
+func (q *Queue) Each(visit func(c Server, busy int)) {
 	for i := range q.servers {
-		visit(q.servers[i].Capacity, q.servers[i].busy)
+		visit(q.servers[i].Server, q.servers[i].busy)
 	}
 }
 
@@ -298,7 +298,7 @@
 			return
 		}
 		if a.Deadline <= now {
-			q.shed(now, a.Ticket, ReasonExpired)
+			q.shed(now, a.Ticket, ReasonDeadlinePassed)
 			continue
 		}
 		q.start(now, p, a)
@@ -312,12 +312,12 @@
 		p.warmAt = now.Add(warmTime)
 	}
 	p.suspect = p.suspect || a.Suspect
-	q.verdicts = append(q.verdicts, Start{Ticket: a.Ticket, Server: p.Server})
+	q.verdicts = append(q.verdicts, Admitted{Ticket: a.Ticket, Server: p.Name})
 }
 
 func (q *Queue) shed(now Time, t Ticket, reason Reason) {
 	wait := min(max(q.expected(now, ""), retryFloor), retryCeiling)
-	q.verdicts = append(q.verdicts, Shed{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
+	q.verdicts = append(q.verdicts, Rejected{Ticket: t, Reason: reason, RetryAt: now.Add(wait)})
 }
 
 // free returns the server with the smallest share of its slots in use, nil if none is free.
@@ -339,7 +339,7 @@
 	if c := cmp.Compare(a.busy*b.Slots, b.busy*a.Slots); c != 0 {
 		return c < 0
 	}
-	if c := cmp.Compare(a.Hint, b.Hint); c != 0 {
+	if c := cmp.Compare(a.LoadHint, b.LoadHint); c != 0 {
 		return c < 0
 	}
 	// Ties that always went to the first server would give it more than its share.
@@ -358,7 +358,7 @@
 
 func (q *Queue) find(server string) *place {
 	for i := range q.servers {
-		if q.servers[i].Server == server {
+		if q.servers[i].Name == server {
 			return &q.servers[i]
 		}
 	}
--- a/internal/policy/suspect.go
+++ b/internal/policy/suspect.go
@@ -27,12 +27,12 @@
 	AtNanos int64 `json:"at-ns"`
 }
 
-// Block is what is known of a request that is suspected to crash servers. Two Blocks of one
+// CrashRecord is what is known of a request that is suspected to crash servers. Two Blocks of one
 // request merge into one that holds the losses of both.
-type Block struct {
-	Service string `json:"service"`
-	Print   Print  `json:"print"`
-	Losses  []Loss `json:"losses,omitempty"`
+type CrashRecord struct {
+	Service     string      `json:"service"`
+	Fingerprint Fingerprint `json:"print"`
+	Losses      []Loss      `json:"losses,omitempty"`
 	// ClearedNanos is when the request last had a whole answer. Losses up to then do not
 	// count: a request that crashes servers has no answers.
 	ClearedNanos int64 `json:"cleared-ns,omitempty"`
@@ -41,7 +41,7 @@
 }
 
 // merge takes in the losses of another block.
-func (b *Block) merge(o Block) {
+func (b *CrashRecord) merge(o CrashRecord) {
 	b.ClearedNanos = max(b.ClearedNanos, o.ClearedNanos)
 	b.UntilMillis = max(b.UntilMillis, o.UntilMillis)
 	for _, l := range o.Losses {
@@ -74,16 +74,16 @@
 // cause is cleared by its next answer.
 type Suspects struct {
 	service string
-	blocks  map[Print]*Block
-	lifted  map[Print]struct{}
+	blocks  map[Fingerprint]*CrashRecord
+	lifted  map[Fingerprint]struct{}
 	// held holds the ends of connections that are being found out about.
-	held map[Print][]Loss
+	held map[Fingerprint][]Loss
 }
 
 // NewSuspects returns the suspects of a service.
 func NewSuspects(service string) *Suspects {
 	return &Suspects{
-		service: service, blocks: make(map[Print]*Block), lifted: make(map[Print]struct{}), held: make(map[Print][]Loss),
+		service: service, blocks: make(map[Fingerprint]*CrashRecord), lifted: make(map[Fingerprint]struct{}), held: make(map[Fingerprint][]Loss),
 	}
 }
 
@@ -91,18 +91,18 @@
 func (s *Suspects) Any() bool { return len(s.blocks)+len(s.held) > 0 }
 
 // Lost says that a server was lost while the request ran there.
-func (s *Suspects) Lost(p Print, l Loss, untilMillis int64) {
-	s.take(Block{Service: s.service, Print: p, Losses: []Loss{l}, UntilMillis: untilMillis})
+func (s *Suspects) Lost(p Fingerprint, l Loss, untilMillis int64) {
+	s.take(CrashRecord{Service: s.service, Fingerprint: p, Losses: []Loss{l}, UntilMillis: untilMillis})
 }
 
 // Hold says that a connection to a server was lost while the request ran, and that it is being
 // found out whether the server was. Until Settle it counts as a loss of the server.
-func (s *Suspects) Hold(p Print, l Loss) {
+func (s *Suspects) Hold(p Fingerprint, l Loss) {
 	s.held[p] = append(s.held[p], l)
 }
 
 // Settle ends a Hold. Died says that the server was lost, not only a connection.
-func (s *Suspects) Settle(p Print, l Loss, died bool, untilMillis int64) {
+func (s *Suspects) Settle(p Fingerprint, l Loss, died bool, untilMillis int64) {
 	if i := slices.Index(s.held[p], l); i >= 0 {
 		s.held[p] = slices.Delete(s.held[p], i, i+1)
 	}
@@ -115,16 +115,16 @@
 }
 
 // Clear says that the request had a whole answer.
-func (s *Suspects) Clear(p Print, nowNanos int64) {
+func (s *Suspects) Clear(p Fingerprint, nowNanos int64) {
 	b := s.blocks[p]
 	if b == nil || len(b.Losses) == 0 {
 		return
 	}
-	b.merge(Block{ClearedNanos: nowNanos})
+	b.merge(CrashRecord{ClearedNanos: nowNanos})
 }
 
 // Degree returns how far a request is suspected, blocked being from a number of losses on.
-func (s *Suspects) Degree(p Print, losses int, nowMillis int64) Suspicion {
+func (s *Suspects) Degree(p Fingerprint, losses int, nowMillis int64) Suspicion {
 	if _, lifted := s.lifted[p]; lifted {
 		return Unsuspected
 	}
@@ -159,7 +159,7 @@
 }
 
 // Lift replaces the set of requests that operators let pass.
-func (s *Suspects) Lift(prints []Print) {
+func (s *Suspects) Lift(prints []Fingerprint) {
 	clear(s.lifted)
 	for _, p := range prints {
 		s.lifted[p] = struct{}{}
@@ -167,7 +167,7 @@
 }
 
 // Until returns when a block ends, in Unix milliseconds.
-func (s *Suspects) Until(p Print) int64 {
+func (s *Suspects) Until(p Fingerprint) int64 {
 	if b := s.blocks[p]; b != nil {
 		return b.UntilMillis
 	}
@@ -175,7 +175,7 @@
 }
 
 // Merge takes in what another instance knows.
-func (s *Suspects) Merge(blocks []Block) {
+func (s *Suspects) Merge(blocks []CrashRecord) {
 	for _, b := range blocks {
 		if b.Service == s.service {
 			s.take(b)
@@ -184,8 +184,8 @@
 }
 
 // Blocks returns copies of what is known, in the order of prints.
-func (s *Suspects) Blocks(nowMillis int64) []Block {
-	blocks := make([]Block, 0, len(s.blocks))
+func (s *Suspects) Blocks(nowMillis int64) []CrashRecord {
+	blocks := make([]CrashRecord, 0, len(s.blocks))
 	for p, b := range s.blocks {
 		if b.UntilMillis <= nowMillis {
 			delete(s.blocks, p)
@@ -195,16 +195,16 @@
 		known.Losses = slices.Clone(b.Losses)
 		blocks = append(blocks, known)
 	}
-	slices.SortFunc(blocks, func(a, b Block) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(blocks, func(a, b CrashRecord) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return blocks
 }
 
-func (s *Suspects) take(o Block) {
-	b := s.blocks[o.Print]
+func (s *Suspects) take(o CrashRecord) {
+	b := s.blocks[o.Fingerprint]
 	if b == nil {
 		s.makeRoom()
-		b = &Block{Service: s.service, Print: o.Print}
-		s.blocks[o.Print] = b
+		b = &CrashRecord{Service: s.service, Fingerprint: o.Fingerprint}
+		s.blocks[o.Fingerprint] = b
 	}
 	b.merge(o)
 }
@@ -213,11 +213,11 @@
 	if len(s.blocks) < maxSuspects {
 		return
 	}
-	var oldest *Block
+	var oldest *CrashRecord
 	for _, b := range s.blocks {
 		if oldest == nil || b.UntilMillis < oldest.UntilMillis {
 			oldest = b
 		}
 	}
-	delete(s.blocks, oldest.Print)
+	delete(s.blocks, oldest.Fingerprint)
 }
