--- a/internal/policy/suspect_test.go
+++ b/internal/policy/suspect_test.go
@@ -15,8 +15,8 @@
 func TestSuspectsFindTheCause(t *testing.T) {
 	is := is.New(t)
 	s := NewSuspects("pregled")
-	const cause, bystander Print = 1, 2
-	for _, p := range []Print{cause, bystander} {
+	const cause, bystander Fingerprint = 1, 2
+	for _, p := range []Fingerprint{cause, bystander} {
 		s.Lost(p, Loss{Server: "a", AtNanos: 10}, blockEnd)
 		is.Equal(s.Degree(p, 2, 10), Suspect)
 	}
@@ -32,7 +32,7 @@
 	is.Equal(other.Degree(cause, 2, 30), Blocked)
 	is.Equal(other.Degree(bystander, 2, 30), Suspect)
 
-	other.Lift([]Print{cause})
+	other.Lift([]Fingerprint{cause})
 	is.Equal(other.Degree(cause, 2, 30), Unsuspected)
 	is.Equal(s.Degree(cause, 2, blockEnd), Unsuspected)
 	is.Equal(len(s.Blocks(blockEnd)), 0)
@@ -44,7 +44,7 @@
 func TestOneCrashCountsOnce(t *testing.T) {
 	is := is.New(t)
 	const second = int64(1_000_000_000)
-	const bystander Print = 1
+	const bystander Fingerprint = 1
 	s := NewSuspects("pregled")
 	first, beside := Loss{Server: "a", AtNanos: second}, Loss{Server: "a", AtNanos: second + 3_000_000}
 	s.Hold(bystander, first)
@@ -78,9 +78,9 @@
 
 // Gossip arrives in any order and more than once. All instances must end with the same.
 func TestBlocksMergeInAnyOrder(t *testing.T) {
-	block := rapid.Custom(func(t *rapid.T) Block {
-		return Block{
-			Service: "pregled", Print: 1,
+	block := rapid.Custom(func(t *rapid.T) CrashRecord {
+		return CrashRecord{
+			Service: "pregled", Fingerprint: 1,
 			Losses: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Loss {
 				return Loss{Server: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"), AtNanos: rapid.Int64Range(1, 9).Draw(t, "at")}
 			}), 0, 3).Draw(t, "losses"),
@@ -94,7 +94,7 @@
 		one, two := NewSuspects("pregled"), NewSuspects("pregled")
 		one.Merge(blocks)
 		for _, b := range again {
-			two.Merge([]Block{b})
+			two.Merge([]CrashRecord{b})
 		}
 		x, y := one.Blocks(0), two.Blocks(0)
 		if len(x) != 1 || len(y) != 1 {
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	s := NewSuspects("pregled")
 	for i := range maxSuspects + 10 {
-		s.Lost(Print(i+1), Loss{Server: "a", AtNanos: 1}, int64(100+i))
+		s.Lost(Fingerprint(i+1), Loss{Server: "a", AtNanos: 1}, int64(100+i))
 	}
 	is.Equal(len(s.Blocks(0)), maxSuspects)
 	is.Equal(s.Degree(1, 1, 0), Unsuspected)
--- a/internal/policy/ties_test.go
+++ b/internal/policy/ties_test.go
@@ -12,12 +12,12 @@
 func TestIdleServersTakeTurns(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(8)
-	q.Configure(0, 8, []Capacity{{Server: "a", Slots: 2}, {Server: "b", Slots: 2}, {Server: "c", Slots: 2}})
+	q.Configure(0, 8, []Server{{Name: "a", Slots: 2}, {Name: "b", Slots: 2}, {Name: "c", Slots: 2}})
 	ran := make(map[string]int)
 	for i := range 90 {
 		now := Time(i+1) * ms
 		for _, v := range q.Ask(now, ask(Ticket(i), "x", now+500*ms)) {
-			s, started := v.(Start)
+			s, started := v.(Admitted)
 			is.True(started)
 			ran[s.Server]++
 			q.Release(now, s.Server, defaultRun, false)
--- a/internal/replay/part.go
+++ b/internal/replay/part.go
@@ -125,8 +125,8 @@
 			p.sketch.Add(hash, p.loads[i])
 		}
 	}
-	rule := sketch.RuleFor(len(p.members), hotPart, place.DefaultMaxHot)
-	p.hot = sketch.Hot(p.sketch, p.hot, rule)
+	rule := sketch.RuleFor(len(p.members), hotPart, place.DefaultMaxHotKeys)
+	p.hot = sketch.HotKeys(p.sketch, p.hot, rule)
 }
 
 // load returns the load of a range.
--- a/internal/route/destination.go
+++ b/internal/route/destination.go
@@ -10,9 +10,9 @@
 	isDestination()
 }
 
-// Here says that this instance is the gate: it sends the request to one of Servers. A
+// Local says that this instance is the gate: it sends the request to one of Servers. A
 // divided service has exactly one.
-type Here struct {
+type Local struct {
 	Service *bundle.Service
 	Servers []Target
 }
@@ -32,26 +32,26 @@
 	Addresses []string
 }
 
-// Absence says why a request has no destination.
-type Absence string
+// Reason says why a request has no destination.
+type Reason string
 
 // The reasons.
 const (
-	AbsentService Absence = "unknown-service"
-	AbsentOwner   Absence = "no-owner"
-	AbsentGate    Absence = "no-gate"
-	AbsentDomain  Absence = "domain-unreachable"
-	AbsentBundle  Absence = "no-bundle"
+	ReasonUnknownService    Reason = "unknown-service"
+	ReasonNoOwner           Reason = "no-owner"
+	ReasonNoGate            Reason = "no-gate"
+	ReasonDomainUnreachable Reason = "domain-unreachable"
+	ReasonNoBundle          Reason = "no-bundle"
 )
 
-// Absent says that the request cannot be sent now.
-type Absent struct {
-	Reason Absence
+// Unavailable says that the request cannot be sent now.
+type Unavailable struct {
+	Reason Reason
 }
 
-func (Here) isDestination()    {}
-func (Forward) isDestination() {}
-func (Absent) isDestination()  {}
+func (Local) isDestination()       {}
+func (Forward) isDestination()     {}
+func (Unavailable) isDestination() {}
 
 // Finder finds destinations.
 type Finder interface {
--- a/internal/route/directory.go
+++ b/internal/route/directory.go
@@ -37,36 +37,36 @@
 	Members []Member
 }
 
-// Directory is a Finder over the newest View. It is safe for concurrent use.
-type Directory struct {
+// Router is a Finder over the newest View. It is safe for concurrent use.
+type Router struct {
 	index atomic.Pointer[index]
 }
 
-// NewDirectory returns a directory without a bundle.
-func NewDirectory() *Directory {
-	d := &Directory{}
+// NewRouter returns a directory without a bundle.
+func NewRouter() *Router {
+	d := &Router{}
 	d.Set(View{})
 	return d
 }
 
 // Set replaces the view.
-func (d *Directory) Set(v View) {
+func (d *Router) Set(v View) {
 	d.index.Store(newIndex(v))
 }
 
 // Find implements Finder.
-func (d *Directory) Find(service string, hash uint64) Destination {
+func (d *Router) Find(service string, hash uint64) Destination {
 	return d.index.Load().find(service, hash)
 }
 
 // FindHome returns the destination of a request that must meet the memory of its first
 // sending: in a service that is not divided, the gate in the domain that policy.Home names.
-func (d *Directory) FindHome(service string, hash uint64) Destination {
+func (d *Router) FindHome(service string, hash uint64) Destination {
 	return d.index.Load().findHome(service, hash)
 }
 
 // Owner returns the ownership of a hash by the routing table of this domain.
-func (d *Directory) Owner(service string, hash uint64) (Owner, bool) {
+func (d *Router) Owner(service string, hash uint64) (Owner, bool) {
 	s, found := d.index.Load().services[service]
 	if !found {
 		return Owner{}, false
@@ -169,12 +169,12 @@
 
 func (x *index) find(service string, hash uint64) Destination {
 	if x.view.Bundle == nil {
-		return Absent{Reason: AbsentBundle}
+		return Unavailable{Reason: ReasonNoBundle}
 	}
 	s, found := x.services[service]
 	switch {
 	case !found:
-		return Absent{Reason: AbsentService}
+		return Unavailable{Reason: ReasonUnknownService}
 	case s.service.Divided:
 		return x.findOwner(s, hash)
 	default:
@@ -187,7 +187,7 @@
 	if !found || s.service.Divided {
 		return x.find(service, hash)
 	}
-	domain := policy.Home(s.domains, hash)
+	domain := policy.HomeDomain(s.domains, hash)
 	if domain == x.view.Domain {
 		return x.findPool(s)
 	}
@@ -197,19 +197,19 @@
 func (x *index) findOwner(s *serviceIndex, hash uint64) Destination {
 	i := keys.FindBy(s.homes, hash, func(h Home) keys.Range { return h.Range })
 	if i < 0 {
-		return Absent{Reason: AbsentOwner}
+		return Unavailable{Reason: ReasonNoOwner}
 	}
 	if domain := s.homes[i].Domain; domain != x.view.Domain {
 		return x.forwardToDomains(s, []string{domain})
 	}
 	i = keys.FindBy(s.owners, hash, func(o Owner) keys.Range { return o.Range })
 	if i < 0 {
-		return Absent{Reason: AbsentOwner}
+		return Unavailable{Reason: ReasonNoOwner}
 	}
 	owner := s.owners[i]
 	server, found := s.servers[owner.Server]
 	if !found {
-		return Absent{Reason: AbsentOwner}
+		return Unavailable{Reason: ReasonNoOwner}
 	}
 	return x.viaGate(s, s.gates[owner.Server], []Target{{Server: server, Epoch: owner.Epoch}})
 }
@@ -223,14 +223,14 @@
 
 func (x *index) viaGate(s *serviceIndex, gate string, targets []Target) Destination {
 	if gate == "" {
-		return Absent{Reason: AbsentGate}
+		return Unavailable{Reason: ReasonNoGate}
 	}
 	if gate == x.view.Self {
-		return Here{Service: s.service, Servers: targets}
+		return Local{Service: s.service, Servers: targets}
 	}
 	m, live := x.members[gate]
 	if !live {
-		return Absent{Reason: AbsentGate}
+		return Unavailable{Reason: ReasonNoGate}
 	}
 	return Forward{Service: s.service, Domain: m.Domain, Addresses: []string{m.Address}}
 }
@@ -241,5 +241,5 @@
 			return Forward{Service: s.service, Domain: domain, Addresses: addresses}
 		}
 	}
-	return Absent{Reason: AbsentDomain}
+	return Unavailable{Reason: ReasonDomainUnreachable}
 }
--- a/internal/route/directory_test.go
+++ b/internal/route/directory_test.go
@@ -48,7 +48,7 @@
 // describe gives a destination a short form to compare.
 func describe(d Destination) string {
 	switch d := d.(type) {
-	case Here:
+	case Local:
 		names := ""
 		for _, t := range d.Servers {
 			names += " " + t.Server.Name
@@ -56,7 +56,7 @@
 		return "here" + names
 	case Forward:
 		return fmt.Sprintf("forward %s %v", d.Domain, d.Addresses)
-	case Absent:
+	case Unavailable:
 		return "absent " + string(d.Reason)
 	default:
 		return "nothing"
@@ -90,7 +90,7 @@
 			if tt.change != nil {
 				tt.change(&view)
 			}
-			d := NewDirectory()
+			d := NewRouter()
 			d.Set(view)
 			is.Equal(describe(d.Find(tt.service, tt.hash)), tt.want)
 		})
@@ -113,7 +113,7 @@
 		o := view.Table.Owners
 		o[i], o[j] = o[j], o[i]
 	})
-	d := NewDirectory()
+	d := NewRouter()
 	d.Set(view)
 	for range 2000 {
 		hash := random.Uint64()
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -35,8 +35,8 @@
 	Service  string `json:"service"`
 	Server   string `json:"server"`
 	Instance string `json:"instance"`
-	// Checks says whether the server checks grants itself.
-	Checks bool `json:"checks"`
+	// ChecksGrants says whether the server checks grants itself.
+	ChecksGrants bool `json:"checks"`
 }
 
 // Newer reports whether t replaces o.
--- a/internal/sketch/sketch_test.go
+++ b/internal/sketch/sketch_test.go
@@ -78,7 +78,7 @@
 
 func TestHotKeysComeAndGo(t *testing.T) {
 	is := is.New(t)
-	s, rule := New(64), Rule{Enter: 0.05, Leave: 0.025, Most: 240}
+	s, rule := New(64), Rule{EnterShare: 0.05, LeaveShare: 0.025, Most: 240}
 	var hot []uint64
 	sizes := map[string]int{}
 	for _, phase := range []struct {
@@ -97,7 +97,7 @@
 			for other := range uint64(500) {
 				s.Add(1000+other, 1000*(1-phase.share)/500)
 			}
-			hot = Hot(s, hot, rule)
+			hot = HotKeys(s, hot, rule)
 		}
 		is.True(slices.Equal(hot, phase.want)) // the phase's hot keys
 		sizes[phase.name] = len(s.heap)
