--- a/internal/logcl/appender.go
+++ b/internal/logcl/appender.go
@@ -8,61 +8,63 @@
 	"example.org/mustardring/internal/record"
 )
 
-// AppenderConfig bounds an Appender.
+// AppenderConfig configures an Appender.
 type AppenderConfig struct {
-	// PerSecond and Burst bound the calls. All instances share the rate of the log.
+	// PerSecond and Burst limit the rate of calls. All instances share the rate of the log.
 	PerSecond float64
 	Burst     int
-	// Queue bounds the records that wait.
-	Queue int
-	// Calls bounds the calls that are out at once.
-	Calls int
-	// Random spreads retries.
+	// MaxQueued is the largest number of records in the queue.
+	MaxQueued int
+	// MaxCalls is the largest number of calls in flight.
+	MaxCalls int
+	// Random adds jitter to retries.
 	Random *rand.Rand
 }
 
-// Appender appends records at least once. It has no input or output: Handle takes an event
-// with the time and returns effects. A record is sent again, under the same ID and with the
-// same data, until the log acknowledges it or the reader meets it in the log. A repeated
-// append is harmless, because the fold knows it by ID and data.
+// Appender appends records at least once. It performs no I/O: Handle takes an event and the time
+// and returns effects. A record is retried with the same ID and data until the log acknowledges
+// it or the Reader finds it in the log. A duplicate in the log is harmless, because package fold
+// recognizes it by ID and data.
 type Appender struct {
-	config AppenderConfig
-	pace   *pace
-	queue  []*item
-	calls  int
+	config        AppenderConfig
+	pacer         *pacer
+	queue         []*item
+	callsInFlight int
 }
 
 // NewAppender returns an Appender with an empty queue.
 func NewAppender(config AppenderConfig) *Appender {
-	return &Appender{config: config, pace: newPace(config.PerSecond, config.Burst, config.Random)}
+	return &Appender{config: config, pacer: newPacer(config.PerSecond, config.Burst, config.Random)}
 }
 
-// Waiting returns the number of records that are not acknowledged.
-func (a *Appender) Waiting() int {
+// Pending returns the number of records that are not acknowledged yet.
+func (a *Appender) Pending() int {
 	return len(a.queue)
 }
 
-// Handle takes one event. The time never goes back.
+// Handle processes one event and returns the effects. The time must not go back.
 func (a *Appender) Handle(now Time, event AppendEvent) []AppendEffect {
 	var effects []AppendEffect
 	switch e := event.(type) {
 	case Submitted:
 		effects = a.submit(e)
-	case Written:
-		effects = a.written(now, e)
-	case Seen:
+	case WriteResult:
+		effects = a.handleWriteResult(now, e)
+	case EntryRead:
 		effects = a.acknowledge(e.ID, e.Offset)
-	case LogRestarted:
+	case LogReplaced:
 		for _, i := range a.queue {
-			i.stale = i.calling
+			i.stale = i.inFlight
 		}
 	case Ticked:
 	}
 	return a.send(now, effects)
 }
 
+// submit queues a record, or merges it into a queued one. It ignores a submission that is in the
+// queue already.
 func (a *Appender) submit(e Submitted) []AppendEffect {
-	if a.knows(e.ID) {
+	if a.hasSubmission(e.ID) {
 		return nil
 	}
 	if newer, ok := e.Record.(record.AssignmentMade); ok {
@@ -71,23 +73,25 @@
 		}
 	}
 	effects := a.replace(e.Record)
-	if len(a.queue) >= a.config.Queue {
-		return append(effects, Dropped{ID: e.ID, Reason: DropFull})
+	if len(a.queue) >= a.config.MaxQueued {
+		return append(effects, Dropped{ID: e.ID, Reason: DropQueueFull})
 	}
 	a.queue = append(a.queue, newItem(e.ID, e.Record))
-	slices.SortStableFunc(a.queue, func(x, y *item) int { return rank(x.record) - rank(y.record) })
+	slices.SortStableFunc(a.queue, func(x, y *item) int { return priority(x.record) - priority(y.record) })
 	return effects
 }
 
-func (a *Appender) knows(id string) bool {
-	return slices.ContainsFunc(a.queue, func(i *item) bool { return slices.Contains(i.submits, id) })
+// hasSubmission reports whether the queue holds the submission with the ID.
+func (a *Appender) hasSubmission(id string) bool {
+	return slices.ContainsFunc(a.queue, func(i *item) bool { return slices.Contains(i.submissions, id) })
 }
 
-// merge joins into the newest item of the same servers, or into none: a record that went
-// into an older one would overtake the newer.
+// merge merges a record into the newest item of the same service and domain, and reports whether
+// it did. It never merges into an older item, because the record would then be appended before
+// the assignments of the newest one.
 func (a *Appender) merge(id string, newer record.AssignmentMade) ([]AppendEffect, bool) {
 	for _, i := range slices.Backward(a.queue) {
-		if i.sameServers(newer) {
+		if i.sameService(newer) {
 			replaced, merged := i.merge(id, newer)
 			return drop(replaced, DropReplaced), merged
 		}
@@ -95,13 +99,14 @@
 	return nil, false
 }
 
+// replace drops the unsent items that a newer record supersedes.
 func (a *Appender) replace(newer record.Record) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
-		if i.sent() || !replaces(newer, i.record) {
+		if i.sent() || !supersedes(newer, i.record) {
 			return false
 		}
-		effects = append(effects, drop(i.submits, DropReplaced)...)
+		effects = append(effects, drop(i.submissions, DropReplaced)...)
 		return true
 	})
 	return effects
@@ -115,43 +120,44 @@
 	return effects
 }
 
-func (a *Appender) written(now Time, e Written) []AppendEffect {
-	a.calls--
-	stale := a.answered(e.ID)
+func (a *Appender) handleWriteResult(now Time, e WriteResult) []AppendEffect {
+	a.callsInFlight--
+	stale := a.endCall(e.ID)
 	switch {
-	case errors.Is(e.Err, ErrRefused):
-		return a.remove(e.ID, DropRefused)
+	case errors.Is(e.Err, ErrRejected):
+		return a.remove(e.ID, DropRejected)
 	case e.Err != nil:
-		a.pace.failed(now)
+		a.pacer.failed(now)
 		return nil
 	}
-	a.pace.succeeded()
+	a.pacer.succeeded()
 	if stale {
 		return nil
 	}
 	return a.acknowledge(e.ID, e.Offset)
 }
 
-// answered ends the call of an item and reports whether its answer may come from a log that
-// is no more.
-func (a *Appender) answered(id string) (stale bool) {
+// endCall records that the call for an item has ended, and reports whether its result may come
+// from a log that has since been replaced.
+func (a *Appender) endCall(id string) (stale bool) {
 	for _, i := range a.queue {
 		if i.id == id {
 			stale = i.stale
-			i.calling, i.stale = false, false
+			i.inFlight, i.stale = false, false
 		}
 	}
 	return stale
 }
 
-// acknowledge also ends a record whose answers were lost: the reader saw it in the log.
+// acknowledge removes a record that is in the log according to a response or to the Reader, and
+// acknowledges its submissions. The Reader also finds records whose responses were all lost.
 func (a *Appender) acknowledge(id string, offset uint64) []AppendEffect {
 	var effects []AppendEffect
 	a.queue = slices.DeleteFunc(a.queue, func(i *item) bool {
 		if i.id != id || !i.sent() {
 			return false
 		}
-		for _, submit := range i.submits {
+		for _, submit := range i.submissions {
 			effects = append(effects, Acknowledged{ID: submit, Offset: offset})
 		}
 		return true
@@ -165,37 +171,38 @@
 		if i.id != id {
 			return false
 		}
-		effects = append(effects, drop(i.submits, reason)...)
+		effects = append(effects, drop(i.submissions, reason)...)
 		return true
 	})
 	return effects
 }
 
-// send starts as many calls as pace and bounds allow.
+// send adds a Write for each call that the rate limit, the backoff and MaxCalls allow.
 func (a *Appender) send(now Time, effects []AppendEffect) []AppendEffect {
-	for a.calls < a.config.Calls {
-		next := a.next()
+	for a.callsInFlight < a.config.MaxCalls {
+		next := a.nextItem()
 		if next == nil {
 			return effects
 		}
-		at, ok := a.pace.take(now)
+		at, ok := a.pacer.take(now)
 		if !ok {
 			return append(effects, WakeAt{At: at})
 		}
 		if err := next.encode(); err != nil {
-			effects = append(effects, a.remove(next.id, DropRefused)...)
+			effects = append(effects, a.remove(next.id, DropRejected)...)
 			continue
 		}
-		next.calling = true
-		a.calls++
+		next.inFlight = true
+		a.callsInFlight++
 		effects = append(effects, Write{ID: next.id, Data: next.data})
 	}
 	return effects
 }
 
-func (a *Appender) next() *item {
+// nextItem returns the first item of the queue that has no call in flight, or nil.
+func (a *Appender) nextItem() *item {
 	for _, i := range a.queue {
-		if !i.calling {
+		if !i.inFlight {
 			return i
 		}
 	}
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -7,117 +7,126 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// Config says who this instance is and how often it sends.
+// Config identifies this instance and sets the intervals and limits of a Core.
 type Config struct {
 	Self Instance
-	// Period is the time between heartbeats within the domain, and PeriodOutside to other
-	// domains.
-	Period        time.Duration
-	PeriodOutside time.Duration
-	// Silence is the time without a sign of life after which an instance of the domain counts
-	// as dead, and SilenceOutside that for others. Hearsay takes a Period for each hop.
-	Silence        time.Duration
-	SilenceOutside time.Duration
-	// All is the size up to which everybody in a group sends to everybody.
-	All int
-	// Delegates is the number of instances of another domain that are contacted.
-	Delegates int
-	// Patience is for how long after its silence began a process that the platform's list shows
-	// keeps its name against another one. Zero means as long as the list shows it.
-	Patience time.Duration
-	// Hearsay bounds the counters passed on in one heartbeat.
-	Hearsay int
+	// HeartbeatInterval is the time between heartbeats within the failure domain,
+	// CrossDomainInterval that between heartbeats to other domains.
+	HeartbeatInterval   time.Duration
+	CrossDomainInterval time.Duration
+	// HeartbeatTimeout is the time without a newer heartbeat after which an instance of the
+	// domain is no longer live, CrossDomainTimeout that for instances of other domains. Gossip
+	// takes one HeartbeatInterval per hop.
+	HeartbeatTimeout   time.Duration
+	CrossDomainTimeout time.Duration
+	// MaxFullMesh is the largest number of names in a group whose members all send heartbeats to
+	// each other. Larger groups send to a few contacts each.
+	MaxFullMesh int
+	// ContactsPerDomain is the number of live instances of another domain to which this instance
+	// sends heartbeats.
+	ContactsPerDomain int
+	// ReplaceDelay is how long a process that the platform's list showed, and that did not say
+	// that it is leaving, keeps its name after its heartbeats have timed out. After that another
+	// process may take the name although the list does not show it yet. Zero means that only a
+	// change of the list frees the name.
+	ReplaceDelay time.Duration
+	// MaxGossip is the largest number of counters passed on in one heartbeat.
+	MaxGossip int
 }
 
-// maxFormer bounds the processes that are remembered as replaced, for each name.
+// maxFormer is the number of former processes remembered per name.
 const maxFormer = 8
 
-// Core is the membership of one instance.
+// Core tracks the membership as seen by one instance. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	count   uint64
 	leaving bool
-	known   map[string]*known
-	// order is known by name, and told the place in it where the last heartbeat ended.
-	order []*known
-	told  int
-	// turn chooses among silent instances of other domains.
-	turn int
-	// mates is the number of other instances of the domain at the last tick.
-	mates int
-	// round counts periods.
-	round   int
-	leader  Process
-	term    grant.Term
-	nextAt  Time
-	nextOut Time
-	view    View
-	// stale says that the view may have changed.
+	known   map[string]*knownInstance
+	// order holds the values of known sorted by name. gossipOffset is the index in it at which
+	// the gossip of the next heartbeat starts.
+	order        []*knownInstance
+	gossipOffset int
+	// probeTurn selects the next unreachable instance of another domain to probe.
+	probeTurn int
+	// domainPeers is the number of other instances of the domain as of the last heartbeat round.
+	domainPeers int
+	// round counts the heartbeat rounds within the domain.
+	round               int
+	leader              Process
+	term                grant.Term
+	nextDomainSend      Time
+	nextCrossDomainSend Time
+	view                View
+	// stale reports whether the view may have changed since it was built.
 	stale bool
-	// listed and removed say whether the platform's list ever showed this process, and
-	// afterwards did so no more.
+	// listed reports whether the platform's list ever showed this process, removed whether it
+	// then stopped doing so.
 	listed  bool
 	removed bool
 }
 
-// known is what is known of the instance of one name.
-type known struct {
+// knownInstance is what is known about the instance with one name. The embedded Instance has
+// the process that holds the name at present.
+type knownInstance struct {
 	Instance
 	leaving bool
-	// count is the newest heartbeat counter of the present process.
+	// count is the newest known heartbeat counter of the present process.
 	count uint64
-	// liveUntil, heardUntil and hearsUntil are when the process counts as dead, as not heard
-	// directly, and as not hearing this instance, unless there is news before.
-	liveUntil  Time
-	heardUntil Time
-	hearsUntil Time
-	// calledUntil is until when its heartbeats, answered here, stand for own ones to it.
-	calledUntil Time
-	// listed says that the platform's list has shown the present process.
+	// Without newer heartbeats, the process is live until liveUntil, counts as heard directly
+	// until inboundUntil, and counts as receiving heartbeats of this instance until
+	// outboundUntil.
+	liveUntil     Time
+	inboundUntil  Time
+	outboundUntil Time
+	// replyOnlyUntil is until when the replies to its heartbeats replace heartbeats of this
+	// instance.
+	replyOnlyUntil Time
+	// listed reports whether the platform's list has shown the present process.
 	listed bool
-	// gone is set for good when the list shows the process no more.
-	gone bool
-	// former are other processes of the name: those that this one replaced, and those that
-	// the platform's list showed beside it.
-	former []former
+	// removed is set when the list no longer shows the process, and is never reset.
+	removed bool
+	// former lists other processes with the name: those that held it before, and those that the
+	// platform's list showed while this one held it.
+	former []formerProcess
 }
 
-// former is another process of a name than the present one.
-type former struct {
+// formerProcess is a process that does not hold its name at present.
+type formerProcess struct {
 	Process
-	// replaced says that it had the name once. It is not believed again: one that was paused
-	// and returns finds its place taken.
+	// replaced reports whether it held the name and another process took it. Its heartbeats are
+	// ignored when it returns from a pause.
 	replaced bool
 	listed   bool
-	gone     bool
+	removed  bool
 }
 
 // New returns a Core that knows only its own instance.
 func New(config Config) *Core {
-	return &Core{config: config, known: make(map[string]*known), stale: true}
+	return &Core{config: config, known: make(map[string]*knownInstance), stale: true}
 }
 
-// Handle takes one event. The time never goes back.
+// Handle processes one event and returns the effects. The time must not go back.
 func (c *Core) Handle(now Time, event Event) []Effect {
 	var effects []Effect
 	switch e := event.(type) {
 	case Ticked:
 		effects = c.tick(now)
 		c.stale = true
-	case Learned:
-		c.learn(e.Instance)
-	case Heard:
-		c.hear(now, e)
-	case Listed:
-		effects = c.list(now, e)
-	case LedBy:
-		c.ledBy(e)
+	case Discovered:
+		c.addInstance(e.Instance)
+	case HeartbeatReceived:
+		c.handleHeartbeat(now, e)
+	case InstancesListed:
+		effects = c.handleList(now, e)
+	case LeaderReported:
+		c.handleLeaderReport(e)
 	case Stopping:
 		c.leaving, c.stale = true, true
-		c.nextAt = 0
+		c.nextDomainSend = 0
 		effects = c.tick(now)
 	}
-	return c.report(now, effects)
+	return c.reportView(now, effects)
 }
 
 // View returns the view as of the last event.
@@ -125,13 +134,15 @@
 	return c.view
 }
 
-func (c *Core) learn(i Instance) *known {
+// addInstance returns the entry of an instance, which it adds if it is missing. It returns nil
+// for this instance and for an empty name.
+func (c *Core) addInstance(i Instance) *knownInstance {
 	if i.Name == "" || i.Name == c.config.Self.Name {
 		return nil
 	}
 	k := c.known[i.Name]
 	if k == nil {
-		k = &known{Instance: i}
+		k = &knownInstance{Instance: i}
 		c.known[i.Name] = k
 	}
 	if k.Incarnation == 0 {
@@ -143,25 +154,25 @@
 	return k
 }
 
-// hear takes a heartbeat, unless its process was replaced or is gone for certain.
-func (c *Core) hear(now Time, e Heard) {
-	k := c.learn(e.Beat.Instance)
-	if k == nil || !c.admit(now, k, e.Beat.Instance) {
+// handleHeartbeat processes a heartbeat. It ignores one whose process was replaced or removed.
+func (c *Core) handleHeartbeat(now Time, e HeartbeatReceived) {
+	k := c.addInstance(e.Heartbeat.Instance)
+	if k == nil || !c.acceptProcess(now, k, e.Heartbeat.Instance) {
 		return
 	}
 	wasLive, link, leaving := now < k.liveUntil, k.link(now), k.leaving
-	silence := c.silence(k)
-	isNew := e.Beat.Count > k.count
-	if !e.Answered {
-		k.calledUntil = now + c.period(k) + c.period(k)/2
+	timeout := c.timeout(k)
+	isNew := e.Heartbeat.Count > k.count
+	if !e.IsReply {
+		k.replyOnlyUntil = now + c.interval(k) + c.interval(k)/2
 	}
 	if isNew {
-		k.count = e.Beat.Count
-		k.leaving = e.Beat.Leaving
-		k.liveUntil, k.heardUntil = now+silence, now+silence
+		k.count = e.Heartbeat.Count
+		k.leaving = e.Heartbeat.Leaving
+		k.liveUntil, k.inboundUntil = now+timeout, now+timeout
 	}
-	if e.Answered || c.hearsMe(e.Beat) {
-		k.hearsUntil = now + silence
+	if e.IsReply || c.listsSelf(e.Heartbeat) {
+		k.outboundUntil = now + timeout
 	}
 	if !wasLive || link != k.link(now) || leaving != k.leaving {
 		c.stale = true
@@ -169,80 +180,86 @@
 	if k.Domain != c.config.Self.Domain || !isNew {
 		return
 	}
-	for _, h := range e.Beat.Hearsay {
-		c.hearsay(now, h)
+	for _, g := range e.Heartbeat.Gossip {
+		c.handleGossip(now, g)
 	}
-	c.hearLeader(e.Beat)
+	c.handleLeaderClaim(e.Heartbeat)
 }
 
-func (c *Core) hearLeader(b Beat) {
-	if b.Leader.Name == "" && b.Process == c.leader {
-		c.end()
+// handleLeaderClaim processes what a heartbeat states about the leader. Only the leader itself
+// can state that it has stepped down.
+func (c *Core) handleLeaderClaim(h Heartbeat) {
+	if h.Leader.Name == "" && h.Process == c.leader {
+		c.clearLeader()
 		return
 	}
-	c.follow(b.Leader, b.Term)
+	c.adoptLeader(h.Leader, h.Term)
 }
 
-// end notes that the leader leads no more. Its term stays, so late news of it is not believed.
-func (c *Core) end() {
+// clearLeader records that the leader has stepped down. The term stays, so that late heartbeats
+// that name it as leader of that term are ignored.
+func (c *Core) clearLeader() {
 	c.leader, c.stale = Process{}, true
 }
 
-// ledBy takes what the own leader core says.
-func (c *Core) ledBy(e LedBy) {
+// handleLeaderReport processes a report of the leader core of this instance.
+func (c *Core) handleLeaderReport(e LeaderReported) {
 	if e.Leader.Name == "" && c.leader == c.config.Self.Process {
-		c.end()
+		c.clearLeader()
 		return
 	}
-	c.follow(e.Leader, e.Term)
+	c.adoptLeader(e.Leader, e.Term)
 }
 
-// follow believes the claim of the highest term.
-func (c *Core) follow(leader Process, term grant.Term) {
+// adoptLeader takes over a leader whose term is higher than the known one.
+func (c *Core) adoptLeader(leader Process, term grant.Term) {
 	if leader.Name == "" || term.Compare(c.term) <= 0 {
 		return
 	}
 	c.leader, c.term, c.stale = leader, term, true
 }
 
-// admit decides whether a heartbeat comes from the process that has the name now.
+// acceptProcess reports whether a heartbeat comes from the process that holds the name, and
+// makes another process the holder if the present one may be replaced.
 //
-// The failure it guards against is an instance that was replaced at its address, and whose
-// old process was only paused: both then send under one name. It shows as two incarnations.
-// The present one stays until the platform lists the other in its place or, if it was never
-// listed itself or said that it leaves, until it has been silent for its time. One that was replaced stays so unless
-// the list shows it.
-func (c *Core) admit(now Time, k *known, i Instance) bool {
+// Two processes with different incarnations send under one name if an instance was replaced
+// while its old process was paused. The present one keeps the name until the platform lists
+// the other in its place. It loses the name after the heartbeat timeout if the list never
+// showed it, if it said that it is leaving or if the list no longer shows it, and after the
+// timeout and Config.ReplaceDelay in other cases. A replaced process does not get the name
+// back by its heartbeats unless the list shows it.
+func (c *Core) acceptProcess(now Time, k *knownInstance, i Instance) bool {
 	switch {
 	case i.Incarnation == k.Incarnation:
 		k.Domain = i.Domain
-		return !k.gone
-	case k.isRefused(i.Process), now < k.liveUntil, k.listed && !k.gone && !k.leaving && !c.isOverdue(now, k):
+		return !k.removed
+	case k.isRejected(i.Process), now < k.liveUntil, k.listed && !k.removed && !k.leaving && !c.isReplaceable(now, k):
 		return false
 	}
 	k.replace(i)
 	return true
 }
 
-// isOverdue reports whether a listed process has been silent for so long that another may take
-// its name though the list does not say so yet. Without it an instance that is replaced while
-// the list can't be read would stay unknown for as long.
-func (c *Core) isOverdue(now Time, k *known) bool {
-	return c.config.Patience > 0 && now >= k.liveUntil+Time(c.config.Patience)
+// isReplaceable reports whether a listed process has been unreachable for so long that another
+// one may take its name although the list does not show that yet. Without this rule an instance
+// that is replaced while the list is unavailable would stay unknown until the list returns.
+func (c *Core) isReplaceable(now Time, k *knownInstance) bool {
+	return c.config.ReplaceDelay > 0 && now >= k.liveUntil+Time(c.config.ReplaceDelay)
 }
 
-// Holds reports whether a process has its name now and is not known to be gone.
-func (c *Core) Holds(p Process) bool {
+// IsCurrent reports whether a process holds its name and is not known to be removed.
+func (c *Core) IsCurrent(p Process) bool {
 	k := c.known[p.Name]
-	return k != nil && k.Process == p && !k.gone
+	return k != nil && k.Process == p && !k.removed
 }
 
-func (k *known) isRefused(p Process) bool {
+// isRejected reports whether p is a former process that was replaced or removed.
+func (k *knownInstance) isRejected(p Process) bool {
 	f := k.findFormer(p)
-	return f != nil && (f.replaced || f.gone)
+	return f != nil && (f.replaced || f.removed)
 }
 
-func (k *known) findFormer(p Process) *former {
+func (k *knownInstance) findFormer(p Process) *formerProcess {
 	for n := range k.former {
 		if k.former[n].Process == p {
 			return &k.former[n]
@@ -251,24 +268,25 @@
 	return nil
 }
 
-// replace makes a new process the one that has the name.
-func (k *known) replace(i Instance) {
-	k.addFormer(former{Process: k.Process, replaced: true, listed: k.listed, gone: k.gone})
-	next := known{Instance: i, former: k.former}
+// replace makes the process of i the holder of the name, with what is known of it from the list.
+func (k *knownInstance) replace(i Instance) {
+	k.addFormer(formerProcess{Process: k.Process, replaced: true, listed: k.listed, removed: k.removed})
+	next := knownInstance{Instance: i, former: k.former}
 	if f := k.findFormer(i.Process); f != nil {
-		next.listed, next.gone = f.listed, f.gone
-		next.former = slices.DeleteFunc(next.former, func(f former) bool { return f.Process == i.Process })
+		next.listed, next.removed = f.listed, f.removed
+		next.former = slices.DeleteFunc(next.former, func(f formerProcess) bool { return f.Process == i.Process })
 	}
 	*k = next
 }
 
-func (k *known) addFormer(f former) {
+func (k *knownInstance) addFormer(f formerProcess) {
 	k.former = append(k.former, f)
 	k.former = k.former[max(0, len(k.former)-maxFormer):]
 }
 
-func (c *Core) hearsMe(b Beat) bool {
-	for _, p := range b.Direct {
+// listsSelf reports whether the sender of a heartbeat receives those of this process.
+func (c *Core) listsSelf(h Heartbeat) bool {
+	for _, p := range h.Direct {
 		if p == c.config.Self.Process {
 			return true
 		}
@@ -276,32 +294,35 @@
 	return false
 }
 
-// hearsay takes a counter that came over another instance. It shows that the process lives
-// though the link to it is cut, and passes a large group in steps.
-func (c *Core) hearsay(now Time, h Count) {
-	k := c.known[h.Name]
-	if k == nil || k.gone || k.Incarnation != h.Incarnation || h.Count <= k.count {
+// handleGossip processes a counter that another instance passed on. A newer counter shows that
+// the process is live although no heartbeats pass directly, because the link is cut or because
+// a large group is not a full mesh.
+func (c *Core) handleGossip(now Time, g HeartbeatCount) {
+	k := c.known[g.Name]
+	if k == nil || k.removed || k.Incarnation != g.Incarnation || g.Count <= k.count {
 		return
 	}
 	c.stale = c.stale || now >= k.liveUntil
-	k.count = h.Count
-	k.liveUntil = now + c.silence(k)
+	k.count = g.Count
+	k.liveUntil = now + c.timeout(k)
 }
 
-func (c *Core) period(k *known) Time {
+// interval returns the time between heartbeats to and from an instance.
+func (c *Core) interval(k *knownInstance) Time {
 	switch {
 	case k.Domain != c.config.Self.Domain:
-		return Time(c.config.PeriodOutside)
+		return Time(c.config.CrossDomainInterval)
 	case c.isSparse(k):
-		return sparsePeriods * Time(c.config.Period)
+		return sparseFactor * Time(c.config.HeartbeatInterval)
 	default:
-		return Time(c.config.Period)
+		return Time(c.config.HeartbeatInterval)
 	}
 }
 
-func (c *Core) silence(k *known) Time {
+// timeout returns the time without a newer heartbeat after which an instance is no longer live.
+func (c *Core) timeout(k *knownInstance) Time {
 	if k.Domain == c.config.Self.Domain {
-		return Time(c.config.Silence)
+		return Time(c.config.HeartbeatTimeout)
 	}
-	return Time(c.config.SilenceOutside)
+	return Time(c.config.CrossDomainTimeout)
 }
--- a/internal/member/send.go
+++ b/internal/member/send.go
@@ -5,66 +5,71 @@
 	"slices"
 )
 
-// tick sends the heartbeats that are due.
+// tick returns the heartbeats that are due. A contact gets none if it sends heartbeats to this
+// instance itself, since the replies to them serve the same purpose.
 func (c *Core) tick(now Time) []Effect {
 	var targets []string
-	if now >= c.nextAt {
-		c.nextAt = nextAfter(now, c.nextAt, Time(c.config.Period))
+	if now >= c.nextDomainSend {
+		c.nextDomainSend = nextAfter(now, c.nextDomainSend, Time(c.config.HeartbeatInterval))
 		c.round++
-		c.mates = c.countMates()
-		targets = c.inside()
+		c.domainPeers = c.countDomainPeers()
+		targets = c.domainContacts()
 	}
-	if now >= c.nextOut {
-		c.nextOut = nextAfter(now, c.nextOut, Time(c.config.PeriodOutside))
-		targets = append(targets, c.outside(now)...)
+	if now >= c.nextCrossDomainSend {
+		c.nextCrossDomainSend = nextAfter(now, c.nextCrossDomainSend, Time(c.config.CrossDomainInterval))
+		targets = append(targets, c.crossDomainContacts(now)...)
 	}
 	var effects []Effect
 	for _, name := range targets {
 		k := c.known[name]
-		if !c.leaving && (c.isSparse(k) && c.round%sparsePeriods != 0 || now < k.calledUntil && c.isCaller(k)) {
+		if !c.leaving && (c.isSparse(k) && c.round%sparseFactor != 0 || now < k.replyOnlyUntil && c.isSender(k)) {
 			continue
 		}
-		effects = append(effects, Send{To: k.Instance, Beat: c.Beat(now)})
+		effects = append(effects, SendHeartbeat{To: k.Instance, Heartbeat: c.NextHeartbeat(now)})
 	}
 	return effects
 }
 
-// sparsePeriods is the number of periods between heartbeats of two followers.
-const sparsePeriods = 2
+// sparseFactor is the number of heartbeat intervals between two heartbeats of a pair of
+// followers.
+const sparseFactor = 2
 
-// isSparse reports whether a contact needs fewer heartbeats: one of two followers in a small
-// domain, where no right and no succession rests on their hearing of each other.
-func (c *Core) isSparse(k *known) bool {
-	return k.Domain == c.config.Self.Domain && c.isSmall() &&
+// isSparse reports whether a contact needs fewer heartbeats. That holds between two followers
+// in a full-mesh domain: no lease and no election of a leader depends on the heartbeats that
+// they exchange.
+func (c *Core) isSparse(k *knownInstance) bool {
+	return k.Domain == c.config.Self.Domain && c.isFullMesh() &&
 		c.leader.Name != "" && c.leader != c.config.Self.Process && c.leader != k.Process
 }
 
-// isSmall reports whether all instances of the domain are in direct contact, as of the last
-// tick.
-func (c *Core) isSmall() bool {
-	return c.mates < c.config.All
+// isFullMesh reports whether all instances of the domain send heartbeats to each other, as of
+// the last heartbeat round.
+func (c *Core) isFullMesh() bool {
+	return c.domainPeers < c.config.MaxFullMesh
 }
 
-// countMates returns the number of other instances of the domain.
-func (c *Core) countMates() int {
+// countDomainPeers returns the number of other instances of the domain that are not removed.
+func (c *Core) countDomainPeers() int {
 	mates := 0
 	for _, k := range c.known {
-		if k.Domain == c.config.Self.Domain && !k.gone {
+		if k.Domain == c.config.Self.Domain && !k.removed {
 			mates++
 		}
 	}
 	return mates
 }
 
-// nextAfter keeps the pace when ticks come a little late, and does not make up for a pause.
+// nextAfter returns the time of the next round. It keeps the schedule when ticks come a little
+// late, and does not catch up on rounds missed during a pause.
 func nextAfter(now, due, period Time) Time {
 	return max(due+period, now+period/2)
 }
 
-// isCaller reports whether a contact is the one of the two that sends, while the other only
-// answers: the follower of a leader, whose rights rest on the leader's answers, otherwise the
-// first by name. Where they disagree both send.
-func (c *Core) isCaller(k *known) bool {
+// isSender reports whether the contact sends the heartbeats between it and this instance, which
+// then only replies. Between a leader and a follower of its domain the follower sends, because
+// the leases that it holds as a gate depend on the replies of the leader. In other pairs the
+// first by name sends. If the two disagree about the leader, both may send.
+func (c *Core) isSender(k *knownInstance) bool {
 	switch c.leader {
 	case c.config.Self.Process:
 		return k.Domain == c.config.Self.Domain || k.Name < c.config.Self.Name
@@ -75,10 +80,11 @@
 	}
 }
 
-// Beat returns the next heartbeat, to be sent or to answer one.
-func (c *Core) Beat(now Time) Beat {
+// NextHeartbeat returns the next heartbeat to send, or to reply with. Each call increases the
+// heartbeat counter.
+func (c *Core) NextHeartbeat(now Time) Heartbeat {
 	c.count++
-	b := Beat{
+	h := Heartbeat{
 		Instance: c.config.Self,
 		Count:    c.count,
 		Leaving:  c.leaving,
@@ -86,37 +92,38 @@
 		Term:     c.term,
 	}
 	for _, k := range c.sorted() {
-		if now < k.heardUntil {
-			b.Direct = append(b.Direct, k.Process)
+		if now < k.inboundUntil {
+			h.Direct = append(h.Direct, k.Process)
 		}
 	}
-	if !c.isSmall() {
-		b.Hearsay = c.hearsayFor(now)
+	if !c.isFullMesh() {
+		h.Gossip = c.nextGossip(now)
 	}
-	return b
+	return h
 }
 
-// hearsayFor goes on in the circle of names where the heartbeat before ended, so that a
-// bounded heartbeat passes on everybody's counter in turn.
-func (c *Core) hearsayFor(now Time) []Count {
+// nextGossip returns the counters for the next heartbeat. It continues in the order of names
+// where the last heartbeat ended and wraps around, so that the counters of all live instances
+// of the domain are passed on in turn although a heartbeat holds at most Config.MaxGossip.
+func (c *Core) nextGossip(now Time) []HeartbeatCount {
 	order := c.sorted()
-	var counts []Count
+	var counts []HeartbeatCount
 	for n := range order {
-		k := order[(c.told+n)%len(order)]
+		k := order[(c.gossipOffset+n)%len(order)]
 		if k.Domain != c.config.Self.Domain || now >= k.liveUntil {
 			continue
 		}
-		if len(counts) == c.config.Hearsay {
-			c.told = (c.told + n) % len(order)
+		if len(counts) == c.config.MaxGossip {
+			c.gossipOffset = (c.gossipOffset + n) % len(order)
 			break
 		}
-		counts = append(counts, Count{Process: k.Process, Count: k.count})
+		counts = append(counts, HeartbeatCount{Process: k.Process, Count: k.count})
 	}
 	return counts
 }
 
-// sorted returns what is known in the order of names.
-func (c *Core) sorted() []*known {
+// sorted returns the known instances sorted by name.
+func (c *Core) sorted() []*knownInstance {
 	if len(c.order) != len(c.known) {
 		c.order = c.order[:0]
 		for _, name := range slices.Sorted(maps.Keys(c.known)) {
@@ -126,20 +133,20 @@
 	return c.order
 }
 
-// inside returns the contacts in the own domain, dead ones included: only a heartbeat to
-// them finds out that they have returned. What is gone for certain is left out. The leader is
-// among them in any case.
-func (c *Core) inside() []string {
-	names := contacts(c.namesOf(c.config.Self.Domain), c.config.Self.Name, c.config.All)
+// domainContacts returns the names to contact in this domain. It includes instances that are not
+// live, because only a heartbeat to them finds out that they have returned, but none that were
+// removed. It always includes the leader.
+func (c *Core) domainContacts() []string {
+	names := contacts(c.namesIn(c.config.Self.Domain), c.config.Self.Name, c.config.MaxFullMesh)
 	leader := c.known[c.leader.Name]
-	if leader != nil && !leader.gone && !slices.Contains(names, c.leader.Name) {
+	if leader != nil && !leader.removed && !slices.Contains(names, c.leader.Name) {
 		names = append(names, c.leader.Name)
 	}
 	return names
 }
 
-// outside returns contacts in other domains, a few in each.
-func (c *Core) outside(now Time) []string {
+// crossDomainContacts returns the names to contact in other domains, a few in each.
+func (c *Core) crossDomainContacts(now Time) []string {
 	domains := []string{c.config.Self.Domain}
 	for _, k := range c.known {
 		if !slices.Contains(domains, k.Domain) {
@@ -148,20 +155,21 @@
 	}
 	slices.Sort(domains)
 	var targets []string
-	for _, domain := range contacts(domains, c.config.Self.Domain, c.config.All) {
-		targets = append(targets, c.delegatesOf(now, domain)...)
+	for _, domain := range contacts(domains, c.config.Self.Domain, c.config.MaxFullMesh) {
+		targets = append(targets, c.contactsIn(now, domain)...)
 	}
 	return targets
 }
 
-// namesOf returns the sorted names known in a domain, with the own one if it is there.
-func (c *Core) namesOf(domain string) []string {
+// namesIn returns the sorted names known in a domain, including that of this instance if it
+// belongs to the domain.
+func (c *Core) namesIn(domain string) []string {
 	var names []string
 	if domain == c.config.Self.Domain {
 		names = append(names, c.config.Self.Name)
 	}
 	for _, k := range c.sorted() {
-		if k.Domain == domain && !k.gone {
+		if k.Domain == domain && !k.removed {
 			names = append(names, k.Name)
 		}
 	}
@@ -169,27 +177,28 @@
 	return names
 }
 
-// delegatesOf returns those to contact in another domain: a few live ones, and one that is
-// not known to live, a different one each time, so that a domain whose known instances were
-// all replaced is found again. Instances begin at the place that they have among their own,
-// so that no instance of the other domain answers them all.
-func (c *Core) delegatesOf(now Time, domain string) []string {
-	var live, silent []string
-	for _, name := range c.namesOf(domain) {
+// contactsIn returns the names to contact in another domain: up to Config.ContactsPerDomain
+// live ones and a single one that is not live. The latter is a different one each time, so that
+// contact is restored with a domain whose known instances were all replaced. Each instance
+// starts at the index that it has among the names of its own domain, so that not all of them
+// contact the same instances of the other domain.
+func (c *Core) contactsIn(now Time, domain string) []string {
+	var live, unreachable []string
+	for _, name := range c.namesIn(domain) {
 		if now < c.known[name].liveUntil {
 			live = append(live, name)
 		} else {
-			silent = append(silent, name)
+			unreachable = append(unreachable, name)
 		}
 	}
 	var chosen []string
-	place := slices.Index(c.namesOf(c.config.Self.Domain), c.config.Self.Name)
-	for n := range min(len(live), c.config.Delegates) {
-		chosen = append(chosen, live[(place+n)%len(live)])
+	start := slices.Index(c.namesIn(c.config.Self.Domain), c.config.Self.Name)
+	for n := range min(len(live), c.config.ContactsPerDomain) {
+		chosen = append(chosen, live[(start+n)%len(live)])
 	}
-	if len(silent) > 0 {
-		c.turn++
-		chosen = append(chosen, silent[c.turn%len(silent)])
+	if len(unreachable) > 0 {
+		c.probeTurn++
+		chosen = append(chosen, unreachable[c.probeTurn%len(unreachable)])
 	}
 	return chosen
 }
