--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -10,13 +10,13 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// small is what a stock check answers.
-func small(w http.ResponseWriter, _ *http.Request) {
+// smallAnswer responds with a few bytes, like a query of the stock.
+func smallAnswer(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "42 wheels of cheese")
 }
 
-// direct is the call that is compared with: the caller's transport straight to the server.
-// All benchmarks use it for the caller's side.
+// benchmark sends one request after the other with the same client in all benchmarks, so that the
+// results can be compared with those of BenchmarkDirect, which bypasses the instances.
 func benchmark(b *testing.B, url string, method string, header ...string) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
@@ -45,38 +45,38 @@
 }
 
 func BenchmarkDirect(b *testing.B) {
-	benchmark(b, "http://"+backend(b, small)+"/x", http.MethodGet)
+	benchmark(b, "http://"+backend(b, smallAnswer)+"/x", http.MethodGet)
 }
 
 func BenchmarkGate(b *testing.B) {
 	i := start(b, "one", nil)
-	i.finder.set(here(testService(), backend(b, small)))
+	i.finder.set(here(testService(), backend(b, smallAnswer)))
 	benchmark(b, i.callers.URL+"/oddaja/x", http.MethodGet)
 }
 
 func BenchmarkForward(b *testing.B) {
-	gate, entry := start(b, "one", nil), start(b, "two", nil)
-	gate.finder.set(here(testService(), backend(b, small)))
-	entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
-	benchmark(b, entry.callers.URL+"/oddaja/x", http.MethodGet)
+	gate, edge := start(b, "one", nil), start(b, "two", nil)
+	gate.finder.set(here(testService(), backend(b, smallAnswer)))
+	edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
+	benchmark(b, edge.callers.URL+"/oddaja/x", http.MethodGet)
 }
 
 func BenchmarkSubmission(b *testing.B) {
 	i := start(b, "one", nil)
-	i.finder.set(here(testService(), backend(b, small)))
+	i.finder.set(here(testService(), backend(b, smallAnswer)))
 	benchmark(b, i.callers.URL+"/oddaja/x", http.MethodPost, caller.HeaderRequestID, "id-")
 }
 
-// wide returns the destination of a server with many slots.
-func wide(address string) route.Local {
+// manySlots returns a destination whose server has 64 slots.
+func manySlots(address string) route.Local {
 	d := here(testService(), address)
 	d.Servers[0].Server.Slots, d.Servers[0].Server.Connections = 64, 400
 	return d
 }
 
-// benchmarkMany has 16 callers at once. On one processor (-cpu 1) the time for each request
-// is the processor time of all that it passes, so that the difference to the direct call is
-// what the instance costs.
+// benchmarkMany sends requests from 16 callers at once. On one processor (-cpu 1) the time for a
+// request is the processor time of everything that it passes, so the difference to the direct call
+// is the cost of the instance.
 func benchmarkMany(b *testing.B, url string) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
@@ -106,34 +106,34 @@
 }
 
 func BenchmarkManyDirect(b *testing.B) {
-	benchmarkMany(b, "http://"+backend(b, small)+"/x")
+	benchmarkMany(b, "http://"+backend(b, smallAnswer)+"/x")
 }
 
 func BenchmarkManyGate(b *testing.B) {
 	i := start(b, "one", nil)
-	i.finder.set(wide(backend(b, small)))
+	i.finder.set(manySlots(backend(b, smallAnswer)))
 	benchmarkMany(b, i.callers.URL+"/oddaja/x")
 }
 
 func BenchmarkManyForward(b *testing.B) {
-	gate, entry := start(b, "one", nil), start(b, "two", nil)
-	gate.finder.set(wide(backend(b, small)))
-	entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
-	benchmarkMany(b, entry.callers.URL+"/oddaja/x")
+	gate, edge := start(b, "one", nil), start(b, "two", nil)
+	gate.finder.set(manySlots(backend(b, smallAnswer)))
+	edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
+	benchmarkMany(b, edge.callers.URL+"/oddaja/x")
 }
 
-// discard is a ResponseWriter that keeps nothing.
-type discard struct{ header http.Header }
+// discardWriter is an http.ResponseWriter that discards the body.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
 
-// BenchmarkHandler is one request through the front to a server on loopback, without the
-// caller's connection.
+// BenchmarkHandler sends requests through the handler to a server on loopback, without a connection
+// of the caller.
 func BenchmarkHandler(b *testing.B) {
 	i := start(b, "one", nil)
-	i.finder.set(here(testService(), backend(b, small)))
+	i.finder.set(here(testService(), backend(b, smallAnswer)))
 	r, err := http.NewRequest(http.MethodGet, "/oddaja/x", nil)
 	if err != nil {
 		b.Fatal(err)
@@ -142,7 +142,7 @@
 	r.RemoteAddr = "127.0.0.1:99"
 	b.ReportAllocs()
 	for b.Loop() {
-		w := &discard{header: http.Header{}}
+		w := &discardWriter{header: http.Header{}}
 		i.front.Callers().ServeHTTP(w, r)
 		if w.header.Get(caller.HeaderOutcome) != string(caller.Ran) {
 			b.Fatal(w.header)
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -15,19 +15,20 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// mortal is a backend server that dies and is back at once: all its connections end.
-type mortal struct {
+// crashingServer is a backend server that emulates a crash with an immediate restart by closing all
+// its connections.
+type crashingServer struct {
 	*httptest.Server
-	deaths atomic.Int32
+	crashes atomic.Int32
 }
 
-// startMortal starts a server that dies of requests whose body or path holds a word.
-func startMortal(t *testing.T, word string) *mortal {
-	m := &mortal{}
+// startCrashingServer starts a server that crashes on requests whose body or path contains a word.
+func startCrashingServer(t *testing.T, word string) *crashingServer {
+	m := &crashingServer{}
 	m.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if bytes.Contains(body, []byte(word)) || bytes.Contains([]byte(r.URL.Path), []byte(word)) {
-			m.deaths.Add(1)
+			m.crashes.Add(1)
 			m.CloseClientConnections()
 			panic(http.ErrAbortHandler)
 		}
@@ -37,19 +38,19 @@
 	return m
 }
 
-// settled waits until the front is done with finding out about lost servers.
-func (i *instance) settled() {
+// awaitIdle waits until no request is in flight and all checks of lost servers are done.
+func (i *instance) awaitIdle() {
 	for i.front.inFlight.count.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// One request crashes each server that runs it, and its caller sends it again and again, each
-// time with a new id. It may take two servers; then it is refused, also by instances that
-// never saw it, until operators lift the block. Other requests are served all the while.
+// A request crashes each server that runs it, and its caller keeps sending it, each time with a new
+// id. It may crash two servers. Then it is refused until operators lift the block, also by other
+// instances that got the crash records. Other requests are served all the time.
 func TestRequestThatCrashesServers(t *testing.T) {
 	is := is.New(t)
-	a, b, c := startMortal(t, "poison"), startMortal(t, "poison"), startMortal(t, "poison")
+	a, b, c := startCrashingServer(t, "poison"), startCrashingServer(t, "poison"), startCrashingServer(t, "poison")
 	d := undivided(address(a.Server), address(b.Server), address(c.Server))
 	one, two := start(t, "one", nil), start(t, "two", nil)
 	one.finder.set(d)
@@ -57,9 +58,9 @@
 	for i := range 12 {
 		is.Equal(do(t, get(is, one.callers.URL+"/oddaja/well")).outcome(), caller.Ran)
 		do(t, post(is, one.callers.URL+"/oddaja/x", "poison", caller.HeaderRequestID, fmt.Sprint("id-", i)))
-		one.settled()
+		one.awaitIdle()
 	}
-	deaths := func() int32 { return a.deaths.Load() + b.deaths.Load() + c.deaths.Load() }
+	deaths := func() int32 { return a.crashes.Load() + b.crashes.Load() + c.crashes.Load() }
 	is.Equal(deaths(), int32(2))
 	blocked := do(t, post(is, one.callers.URL+"/oddaja/x", "poison"))
 	is.Equal(blocked.outcome(), caller.NotRun)
@@ -77,11 +78,11 @@
 	is.True(two.front.Lift([]string{"no print"}) != nil)
 }
 
-// The same with an idempotent request, which the gate itself would try again: it stops
-// after the second server, and tells the caller at once.
+// An idempotent request crashes each server that runs it. The gate retries it by itself. It must
+// stop after the second server and respond with the reason "blocked".
 func TestIdempotentRequestThatCrashesServers(t *testing.T) {
 	is := is.New(t)
-	servers := []*mortal{startMortal(t, "poison"), startMortal(t, "poison"), startMortal(t, "poison")}
+	servers := []*crashingServer{startCrashingServer(t, "poison"), startCrashingServer(t, "poison"), startCrashingServer(t, "poison")}
 	i := start(t, "one", nil)
 	i.finder.set(undivided(address(servers[0].Server), address(servers[1].Server), address(servers[2].Server)))
 	for range 40 {
@@ -94,13 +95,13 @@
 	}
 	deaths := int32(0)
 	for _, s := range servers {
-		deaths += s.deaths.Load()
+		deaths += s.crashes.Load()
 	}
 	is.Equal(deaths, int32(2))
 }
 
-// A server closes the connection of one request each time, and lives. That request is not
-// blamed for a lost server.
+// A server closes the connection of each request without responding, but does not crash. The
+// request must not be suspected of crashing servers.
 func TestClosedConnectionIsNoLostServer(t *testing.T) {
 	is := is.New(t)
 	i := start(t, "one", nil)
@@ -111,14 +112,14 @@
 		got := do(t, post(is, i.callers.URL+"/oddaja/x", "text"))
 		is.Equal(got.outcome(), caller.Unknown)
 		is.Equal(got.problem(t).Reason, "server-lost")
-		i.settled()
+		i.awaitIdle()
 	}
 	is.Equal(len(i.front.Blocks()), 0)
 }
 
-// The same with an idempotent request, which the gate tries again: the server closed two
-// connections and lives, and the third try is answered.
-func TestClosedConnectionIsTriedAgain(t *testing.T) {
+// A server closes two connections on an idempotent request without crashing. The gate retries the
+// request, and the third attempt succeeds.
+func TestClosedConnectionIsRetried(t *testing.T) {
 	is := is.New(t)
 	var asked atomic.Int32
 	i := start(t, "one", nil)
--- a/internal/front/once_test.go
+++ b/internal/front/dedup_test.go
@@ -17,60 +17,61 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// domain is a Witness over the instances of one test domain. Lost instances do not answer.
-type domain struct {
+// testDomain is a Replicator for one of the instances of a test domain. Lost instances are removed
+// from the map.
+type testDomain struct {
 	mu        sync.Mutex
 	instances map[string]*instance
-	told      map[policy.ID]*instance
+	replicas  map[policy.ID]*instance
 	self      string
 }
 
-// join returns the Witness of one instance of the domain.
-func (d *domain) join(name string) *domain {
-	return &domain{instances: d.instances, told: map[policy.ID]*instance{}, self: name}
+// forInstance returns the Replicator of one instance of the domain.
+func (d *testDomain) forInstance(name string) *testDomain {
+	return &testDomain{instances: d.instances, replicas: map[policy.ID]*instance{}, self: name}
 }
 
-func (d *domain) Begin(_ context.Context, m policy.IdempotencyRecord) error {
+func (d *testDomain) Begin(_ context.Context, rec policy.IdempotencyRecord) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, i := range d.instances {
-		if name != d.self && i.front.Witnessed(m) {
-			d.told[m.RequestID] = i
+		if name != d.self && i.front.Witnessed(rec) {
+			d.replicas[rec.RequestID] = i
 			return nil
 		}
 	}
 	return errors.New("no other instance")
 }
 
-func (d *domain) End(m policy.IdempotencyRecord) {
+func (d *testDomain) End(rec policy.IdempotencyRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if i := d.told[m.RequestID]; i != nil {
-		i.front.Witnessed(m)
-		delete(d.told, m.RequestID)
+	if i := d.replicas[rec.RequestID]; i != nil {
+		i.front.Witnessed(rec)
+		delete(d.replicas, rec.RequestID)
 	}
 }
 
-func (d *domain) Recall(_ context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
-	var marks []policy.IdempotencyRecord
+func (d *testDomain) Recall(_ context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
+	var records []policy.IdempotencyRecord
 	for name, i := range d.instances {
 		if name != d.self {
-			marks = append(marks, i.front.Marks(service, r)...)
+			records = append(records, i.front.Marks(service, r)...)
 		}
 	}
-	return marks, nil
+	return records, nil
 }
 
-// startDomain returns instances that witness for each other.
-func startDomain(t *testing.T, names ...string) map[string]*instance {
-	d := &domain{instances: map[string]*instance{}}
+// startInstances starts instances that replicate their idempotency records to each other.
+func startInstances(t *testing.T, names ...string) map[string]*instance {
+	d := &testDomain{instances: map[string]*instance{}}
 	for _, name := range names {
-		d.instances[name] = start(t, name, func(deps *Deps) { deps.Witness = d.join(name) })
+		d.instances[name] = start(t, name, func(deps *Deps) { deps.Witness = d.forInstance(name) })
 	}
 	return d.instances
 }
 
-// makeGate makes one instance the gate and has the others forward to it.
+// makeGate makes one instance the gate and lets the others forward to it.
 func makeGate(instances map[string]*instance, gate string, d route.Local) {
 	for name, i := range instances {
 		if name == gate {
@@ -81,10 +82,10 @@
 	}
 }
 
-// A volunteer's submission is answered, and the answer is lost. The program sends it again
-// with the same id, through any instance, after the gate was lost too. It must get the first
-// answer, or at least learn that it ran.
-func TestResendAfterTheAnswer(t *testing.T) {
+// The response to a request is lost, and the caller sends the request again with the same id,
+// through any instance. It must get the first response. If the gate was lost meanwhile, the caller
+// must at least learn that the request ran.
+func TestResendAfterResponse(t *testing.T) {
 	tests := map[string]struct {
 		first, second string
 		gateLost      bool
@@ -93,9 +94,9 @@
 	}{
 		"same gate":                          {first: "one", second: "one", status: 201},
 		"through another instance":           {first: "two", second: "three", status: 201},
-		"gate lost, witness forwarded":       {first: "two", second: "three", gateLost: true, status: 409, reason: "already-ran"},
-		"gate lost, witness told":            {first: "one", second: "three", gateLost: true, status: 409, reason: "already-ran"},
-		"gate lost, witness is the new gate": {first: "two", second: "two", gateLost: true, status: 409, reason: "already-ran"},
+		"gate lost, replica forwarded":       {first: "two", second: "three", gateLost: true, status: 409, reason: "already-ran"},
+		"gate lost, gate made replica":       {first: "one", second: "three", gateLost: true, status: 409, reason: "already-ran"},
+		"gate lost, replica is the new gate": {first: "two", second: "two", gateLost: true, status: 409, reason: "already-ran"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +107,7 @@
 				w.WriteHeader(http.StatusCreated)
 				_, _ = fmt.Fprintf(w, "run %d", runs.Add(1))
 			}))
-			instances := startDomain(t, "one", "two", "three")
+			instances := startInstances(t, "one", "two", "three")
 			makeGate(instances, "one", d)
 			first := do(t, post(is, instances[tt.first].callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "evening"))
 			is.Equal(first.status, http.StatusCreated)
@@ -129,13 +130,13 @@
 	}
 }
 
-// A submission runs long. Its program loses patience and sends it again while the first
-// still runs; the second must not run, nor wait, and tells when to come back.
-func TestResendWhileTheFirstRuns(t *testing.T) {
+// A caller sends a request again while the first submission still runs. The second must neither run
+// nor wait, and its response says when to retry.
+func TestResendWhileFirstSubmissionRuns(t *testing.T) {
 	is := is.New(t)
 	begun, release := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int32
-	instances := startDomain(t, "one", "two")
+	instances := startInstances(t, "one", "two")
 	makeGate(instances, "one", here(testService(), backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
 		close(begun)
@@ -163,9 +164,9 @@
 	is.Equal(runs.Load(), int32(1))
 }
 
-// A server is lost while a submission runs there. The user must not be told that it did not
-// run, and the resend must not run before it is known that the first did not.
-func TestLostServerLeavesDoubt(t *testing.T) {
+// A server is lost while a request runs there. The outcome must not be "not run", and the resend
+// must not run either, since it is not known whether the first submission did.
+func TestLostServerLeavesOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
 	i := start(t, "one", nil)
@@ -183,18 +184,19 @@
 	is.True(runs.Load() >= 2)
 }
 
-// The gate is out of reach. Whether an earlier sending ran is known there only, so a resend
-// is told "unknown"; the first sending, and a request without an id, "not run".
-func TestUnreachedGate(t *testing.T) {
+// The gate cannot be reached. Only the gate knows whether an earlier submission ran, so the outcome
+// of a resend is "unknown". That of a first submission, or of a request without an id, is "not
+// run".
+func TestOutcomeWhenGateIsUnreachable(t *testing.T) {
 	tests := map[string]struct {
 		headers []string
 		want    caller.Outcome
 	}{
-		"no id":            {want: caller.NotRun},
-		"first sending":    {headers: []string{caller.HeaderRequestID, "x", caller.HeaderAttempt, "1"}, want: caller.NotRun},
-		"second sending":   {headers: []string{caller.HeaderRequestID, "x", caller.HeaderAttempt, "2"}, want: caller.Unknown},
-		"unstated sending": {headers: []string{caller.HeaderRequestID, "x"}, want: caller.Unknown},
-		"idempotent":       {headers: []string{caller.HeaderRequestID, "x", caller.HeaderIdempotent, "true"}, want: caller.NotRun},
+		"no id":               {want: caller.NotRun},
+		"first submission":    {headers: []string{caller.HeaderRequestID, "x", caller.HeaderAttempt, "1"}, want: caller.NotRun},
+		"second submission":   {headers: []string{caller.HeaderRequestID, "x", caller.HeaderAttempt, "2"}, want: caller.Unknown},
+		"unstated submission": {headers: []string{caller.HeaderRequestID, "x"}, want: caller.Unknown},
+		"idempotent":          {headers: []string{caller.HeaderRequestID, "x", caller.HeaderIdempotent, "true"}, want: caller.NotRun},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -213,21 +215,21 @@
 	}
 }
 
-// A request waits at the gate while its key moves to another server with another gate. It
-// follows, runs once, and its caller sees one answer.
-func TestOwnerMovesWhileRequestWaits(t *testing.T) {
+// A request is queued at the gate while its key moves to another server with another gate. It must
+// be routed to the new gate and run once.
+func TestOwnerMovesWhileRequestIsQueued(t *testing.T) {
 	tests := map[string]struct {
-		told bool
+		notified bool
 	}{
-		"found out when a slot is free": {},
-		"told at once":                  {told: true},
+		"noticed when a slot is free": {},
+		"GateMoved is called":         {notified: true},
 	}
 	for name, tt := range tests {
-		t.Run(name, func(t *testing.T) { moveOwner(t, tt.told) })
+		t.Run(name, func(t *testing.T) { testOwnerMove(t, tt.notified) })
 	}
 }
 
-func moveOwner(t *testing.T, told bool) {
+func testOwnerMove(t *testing.T, notified bool) {
 	is := is.New(t)
 	begun, release := make(chan struct{}, 8), make(chan struct{})
 	busy := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {
@@ -235,7 +237,7 @@
 		<-release
 	}))
 	busy.Servers[0].Server.Slots = 1
-	instances := startDomain(t, "one", "two")
+	instances := startInstances(t, "one", "two")
 	makeGate(instances, "one", busy)
 	results := make(chan answer, 2)
 	first := post(is, instances["one"].callers.URL+"/oddaja/x", "first", caller.HeaderRequestID, "first")
@@ -247,7 +249,7 @@
 	moved := here(testService(), backend(t, echo))
 	moved.Servers[0].Server.Name = "oddaja-z"
 	makeGate(instances, "two", moved)
-	if told {
+	if notified {
 		instances["one"].front.GateMoved("oddaja", "oddaja-a")
 	} else {
 		close(release)
@@ -255,7 +257,7 @@
 	servers := map[string]int{}
 	for n := range 2 {
 		got := <-results
-		if told && n == 0 {
+		if notified && n == 0 {
 			is.Equal(got.header.Get(caller.HeaderServer), "oddaja-z")
 			close(release)
 		}
@@ -269,8 +271,8 @@
 	is.Equal(servers, map[string]int{"oddaja-a": 1, "oddaja-z": 1})
 }
 
-// In a service that is not divided any domain may run a submission. The place of its memory
-// depends on the id, so that a resend through another domain is recognised.
+// In a service that is not divided, any domain may run a request. The id decides which domain keeps
+// the idempotency record, so that a resend through another domain is recognized.
 func TestResendThroughAnotherDomain(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
@@ -302,31 +304,31 @@
 	is.Equal(runs.Load(), int32(10))
 }
 
-// refuser is a Witness that knows nobody.
-type refuser struct{ begin, recall error }
+// failingReplicator is a Replicator that fails with the given errors.
+type failingReplicator struct{ begin, recall error }
 
-func (r refuser) Begin(context.Context, policy.IdempotencyRecord) error { return r.begin }
-func (r refuser) End(policy.IdempotencyRecord)                          {}
-func (r refuser) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
+func (r failingReplicator) Begin(context.Context, policy.IdempotencyRecord) error { return r.begin }
+func (r failingReplicator) End(policy.IdempotencyRecord)                          {}
+func (r failingReplicator) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, r.recall
 }
 
-// Two instances of a domain are cut off. What must not run twice does not run while nobody
-// else would remember it, or while it is not known what ran before.
-func TestNoWitness(t *testing.T) {
+// An instance cannot reach the others of its domain. A deduplicated request must not run while no
+// other instance holds a copy of its record, or while the earlier records cannot be recovered.
+func TestReplicatorFailure(t *testing.T) {
 	fault := errors.New("cut off")
 	tests := map[string]struct {
-		witness refuser
-		want    caller.Outcome
-		reason  string
+		replicator failingReplicator
+		want       caller.Outcome
+		reason     string
 	}{
-		"nobody remembers": {witness: refuser{begin: fault}, want: caller.NotRun, reason: "no-witness"},
-		"nobody recalls":   {witness: refuser{recall: fault}, want: caller.Unknown, reason: "memory-incomplete"},
+		"replication fails": {replicator: failingReplicator{begin: fault}, want: caller.NotRun, reason: "no-witness"},
+		"recovery fails":    {replicator: failingReplicator{recall: fault}, want: caller.Unknown, reason: "memory-incomplete"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i := start(t, "one", func(d *Deps) { d.Witness = tt.witness })
+			i := start(t, "one", func(d *Deps) { d.Witness = tt.replicator })
 			i.finder.set(here(testService(), backend(t, echo)))
 			got := do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
 			is.Equal(got.status, http.StatusServiceUnavailable)
@@ -337,17 +339,17 @@
 	}
 }
 
-// A submission comes while the gate cannot yet recall what ran before, and is refused with
-// "unknown". It did not run itself, so its memory must not keep the resend from running once
-// the gate can recall again. Its user would have to wait ten minutes.
-func TestRefusedSendingLeavesNoDoubt(t *testing.T) {
+// A request arrives while the gate cannot yet recover the idempotency records, and is refused with
+// the outcome "unknown". This submission did not run, so no record of it may prevent the resend
+// from running once the gate has recovered. Otherwise the caller would have to wait ten minutes.
+func TestRefusedSubmissionLeavesNoRecord(t *testing.T) {
 	is := is.New(t)
-	instances := startDomain(t, "one", "two", "three")
+	instances := startInstances(t, "one", "two", "three")
 	d := here(testService(), backend(t, echo))
 	makeGate(instances, "one", d)
 	gate := instances["one"].front
-	willing := gate.deps.Witness
-	gate.deps.Witness = refuser{recall: errors.New("cut off")}
+	working := gate.deps.Witness
+	gate.deps.Witness = failingReplicator{recall: errors.New("cut off")}
 	request := func(name string) *http.Request {
 		return post(is, instances[name].callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "evening")
 	}
@@ -356,6 +358,6 @@
 		is.Equal(refused.outcome(), caller.Unknown)
 		is.Equal(refused.header.Get(caller.HeaderUnsent), "true")
 	}
-	gate.deps.Witness = willing
+	gate.deps.Witness = working
 	is.Equal(do(t, request("three")).outcome(), caller.Ran)
 }
--- a/internal/front/fault.go
+++ b/internal/front/fault.go
@@ -13,54 +13,55 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// settleTime bounds the finding out whether a server was lost.
-const settleTime = time.Second
-
-// unanswered decides what becomes of a request to which the server gave no whole answer.
-func (j *job) unanswered(slot policy.Slot, t route.Target, err error) (*refusal, bool) {
-	f := j.front
-	f.deps.Log.Warn("no-answer", "request", j.id, "service", j.request.service, "server", slot.Server, "error", err)
-	if errors.Is(err, errNoRight) {
-		j.service.forget(j.policy)
+// lossCheckTimeout limits the check whether the process of a server died.
+const lossCheckTimeout = time.Second
+
+// handleNoResponse decides whether a request that got no complete response is retried. If so, it
+// returns true; otherwise it returns the refusal.
+func (g *gateRequest) handleNoResponse(slot policy.Slot, t route.Target, err error) (*refusal, bool) {
+	f := g.front
+	f.deps.Log.Warn("no-answer", "request", g.id, "service", g.request.service, "server", slot.Server, "error", err)
+	if errors.Is(err, errNotAuthorized) {
+		g.service.cancel(g.policyRequest)
 		return &refusal{
-			status: http.StatusServiceUnavailable, reason: ReasonNoRight, outcome: caller.NotRun,
-			detail: err.Error(), server: slot.Server, retry: retrySoon,
+			status: http.StatusServiceUnavailable, reason: ReasonRightLost, outcome: caller.NotRun,
+			detail: err.Error(), server: slot.Server, retryAfter: shortRetryDelay,
 		}, false
 	}
 	fault := faultOf(err)
 	if fault == policy.ConnectionLost {
-		j.blame(t, slot)
+		g.checkServerLoss(t, slot)
 	}
-	if j.Context().Err() != nil {
-		j.policy.Replayable = false
+	if g.Context().Err() != nil {
+		g.policyRequest.Replayable = false
 	}
-	decision := j.service.failed(j.policy, slot, fault)
+	decision := g.service.handleFault(g.policyRequest, slot, fault)
 	if errors.Is(err, upstr.ErrSilent) {
-		f.meters.silent.Add(1)
+		f.counters.silentConnections.Add(1)
 	}
-	if _, again := decision.(policy.Retry); again {
-		j.doubt = j.doubt || fault != policy.NotSent
-		j.fresh = errors.Is(err, upstr.ErrSilent)
+	if _, retry := decision.(policy.Retry); retry {
+		g.mayHaveRun = g.mayHaveRun || fault != policy.NotSent
+		g.newConn = errors.Is(err, upstr.ErrSilent)
 		return nil, true
 	}
 	final := decision.(policy.Final)
-	no := failed(j.request, final.Outcome, err)
-	if errors.Is(err, upstr.ErrDeadline) && j.body.cause() == nil {
-		no.status, no.reason = http.StatusGatewayTimeout, ReasonTimeout
+	ref := failureRefusal(g.request, final.Outcome, err)
+	if errors.Is(err, upstr.ErrDeadline) && g.body.readError() == nil {
+		ref.status, ref.reason = http.StatusGatewayTimeout, ReasonTimeout
 	}
 	if errors.Is(err, upstr.ErrSilent) {
-		no.reason = ReasonSilent
+		ref.reason = ReasonConnectionSilent
 	}
 	if final.Blocked {
-		no.reason = policy.ReasonBlocked
-		no.detail = "block " + j.policy.Fingerprint.String()
-		no.retry = 0
+		ref.reason = policy.ReasonBlocked
+		ref.detail = "block " + g.policyRequest.Fingerprint.String()
+		ref.retryAfter = 0
 	}
-	no.server = slot.Server
-	return no, false
+	ref.server = slot.Server
+	return ref, false
 }
 
-// faultOf returns the fault that an error of package upstr tells of.
+// faultOf returns the fault that an error of package upstr stands for.
 func faultOf(err error) policy.Fault {
 	switch {
 	case errors.Is(err, upstr.ErrNotSent):
@@ -72,109 +73,111 @@
 	}
 }
 
-// blame finds out whether the server was lost, and suspects the request if it was. A request
-// that may be tried again waits for that, so that it does not walk through the servers; the
-// caller of any other has its answer at once.
-func (j *job) blame(t route.Target, slot policy.Slot) {
-	if j.policy.Fingerprint == 0 {
-		j.print()
+// checkServerLoss checks whether the process of the server died when its connection was lost, and
+// records the request as a suspect if so. An idempotent request waits for the result, since its
+// retries could otherwise crash one server after another. For any other request the check runs in
+// the background, so that the caller gets the response at once.
+func (g *gateRequest) checkServerLoss(t route.Target, slot policy.Slot) {
+	if g.policyRequest.Fingerprint == 0 {
+		g.print()
 	}
 	lostAt := time.Now()
-	print, server := j.policy.Fingerprint, j.service.connections(t.Server)
-	heldAt := j.service.hold(print, slot.Server)
-	settle := func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	print, server := g.policyRequest.Fingerprint, g.service.client(t.Server)
+	addedAt := g.service.addPendingLoss(print, slot.Server)
+	check := func() {
+		ctx, cancel := context.WithTimeout(context.Background(), lossCheckTimeout)
 		defer cancel()
 		died := server.ServerDied(ctx, lostAt)
 		if died {
-			j.front.meters.lost.Add(1)
-			j.front.deps.Log.Warn("server-lost", "service", j.service.name, "server", slot.Server, "request", j.id, "print", print)
+			g.front.counters.serversLost.Add(1)
+			g.front.deps.Log.Warn("server-lost", "service", g.service.name, "server", slot.Server, "request", g.id, "print", print)
 		}
-		j.service.settle(heldAt, print, slot.Server, died)
+		g.service.resolvePendingLoss(addedAt, print, slot.Server, died)
 	}
-	if j.idempotent {
-		settle()
+	if g.idempotent {
+		check()
 		return
 	}
-	j.front.inFlight.begin()
+	g.front.inFlight.begin()
 	go func() {
-		defer j.front.inFlight.end()
-		settle()
+		defer g.front.inFlight.end()
+		check()
 	}()
 }
 
-// refusedBefore reports whether a server says that it refused a request before running it.
-func refusedBefore(r *http.Response) bool {
+// refusedBeforeRunning reports whether a response says that the server did not begin the request.
+func refusedBeforeRunning(r *http.Response) bool {
 	refusing := r.StatusCode == http.StatusMisdirectedRequest || r.StatusCode == http.StatusServiceUnavailable ||
 		r.StatusCode == http.StatusTooManyRequests
 	return refusing && r.Header.Get(caller.HeaderOutcome) == string(caller.NotRun)
 }
 
-// refused decides what becomes of a request that the server refused before running it.
-func (j *job) refused(slot policy.Slot, r *http.Response) (*refusal, bool) {
-	no := &refusal{
+// handleRefusal decides whether a request that the server refused before running it is retried. If
+// so, it returns true; otherwise it returns the refusal.
+func (g *gateRequest) handleRefusal(slot policy.Slot, r *http.Response) (*refusal, bool) {
+	ref := &refusal{
 		status: http.StatusServiceUnavailable, reason: ReasonServerBusy, outcome: caller.NotRun, server: slot.Server,
-		retry: retrySoon,
+		retryAfter: shortRetryDelay,
 	}
 	fault := policy.Refused
 	if seconds, err := strconv.Atoi(r.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		no.retry = time.Duration(seconds) * time.Second
+		ref.retryAfter = time.Duration(seconds) * time.Second
 	}
 	if r.StatusCode == http.StatusMisdirectedRequest {
-		no.reason, fault = ReasonNotOwner, policy.NotOwner
+		ref.reason, fault = ReasonNotOwner, policy.NotOwner
 	} else {
-		j.service.busy(slot, j.front.now().Add(no.retry))
+		g.service.ejectBusy(slot, g.front.now().Add(ref.retryAfter))
 	}
-	if _, again := j.service.failed(j.policy, slot, fault).(policy.Retry); again {
+	if _, retry := g.service.handleFault(g.policyRequest, slot, fault).(policy.Retry); retry {
 		return nil, true
 	}
-	return no, false
+	return ref, false
 }
 
-// The calls of the policy core, each under the service's lock.
+// The following methods call the policy core, all but slotOf with the lock held.
 
-func (s *service) earn() {
+func (s *service) earnRetry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.EarnRetry()
 }
 
-func (s *service) spend() bool {
+func (s *service) spendRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.SpendRetry()
 }
 
-func (s *service) suspicious() bool {
+func (s *service) hasSuspects() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.HasSuspects()
 }
 
-func (s *service) forget(r *policy.Request) {
+func (s *service) cancel(r *policy.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Cancel(r)
 }
 
-func (s *service) held(r *policy.Request, server string) policy.Slot {
+func (s *service) slotOf(r *policy.Request, server string) policy.Slot {
 	return s.core.SlotOf(r, server)
 }
 
-func (s *service) failed(r *policy.Request, slot policy.Slot, fault policy.Fault) policy.RetryDecision {
+func (s *service) handleFault(r *policy.Request, slot policy.Slot, fault policy.Fault) policy.RetryDecision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.HandleFault(s.front.now(), r, slot, fault)
 }
 
-func (s *service) busy(slot policy.Slot, until policy.Time) {
+func (s *service) ejectBusy(slot policy.Slot, until policy.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.EjectBusy(s.front.now(), slot, until)
 }
 
-// hold returns the time for settle.
-func (s *service) hold(p policy.Fingerprint, server string) policy.Time {
+// addPendingLoss returns the time that resolvePendingLoss needs.
+func (s *service) addPendingLoss(p policy.Fingerprint, server string) policy.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.front.now()
@@ -182,19 +185,19 @@
 	return now
 }
 
-func (s *service) settle(heldAt policy.Time, p policy.Fingerprint, server string, died bool) {
+func (s *service) resolvePendingLoss(addedAt policy.Time, p policy.Fingerprint, server string, died bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.ResolvePendingLoss(s.front.now(), heldAt, p, server, died)
+	s.core.ResolvePendingLoss(s.front.now(), addedAt, p, server, died)
 }
 
-func (s *service) answered(r *policy.Request, status int, k *policy.StoredResponse) {
+func (s *service) complete(r *policy.Request, status int, stored *policy.StoredResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Complete(s.front.now(), r, status, k)
+	s.core.Complete(s.front.now(), r, status, stored)
 }
 
-func (s *service) doubt(r *policy.Request) {
+func (s *service) recordUnknown(r *policy.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.RecordUnknown(r)
--- a/internal/front/fault_test.go
+++ b/internal/front/fault_test.go
@@ -21,7 +21,8 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// undivided returns the destination of a service of two servers that any request may use.
+// undivided returns a destination in a service that is not divided, so that any request may be sent
+// to any of the servers.
 func undivided(addresses ...string) route.Local {
 	s := testService()
 	s.Divided = false
@@ -32,7 +33,7 @@
 	return d
 }
 
-// get returns an idempotent request.
+// get returns an idempotent request with a key.
 func get(is *is.I, url string) *http.Request {
 	is.Helper()
 	r, err := http.NewRequest(http.MethodGet, url, nil)
@@ -41,29 +42,30 @@
 	return r
 }
 
-// Twenty callers at once, and a server with two slots. It never runs three requests.
-func TestSlotsAreExact(t *testing.T) {
+// Twenty callers send requests through two instances to a server with two slots. The server must
+// never run three requests at once.
+func TestSlotLimitIsNeverExceeded(t *testing.T) {
 	is := is.New(t)
-	var running, most atomic.Int32
+	var running, maxRunning atomic.Int32
 	s := testService()
 	s.Limits.Queue = 50
 	i := start(t, "one", nil)
-	entry := start(t, "two", nil)
+	edge := start(t, "two", nil)
 	d := here(s, backend(t, func(http.ResponseWriter, *http.Request) {
 		n := running.Add(1)
-		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+		for m := maxRunning.Load(); n > m && !maxRunning.CompareAndSwap(m, n); m = maxRunning.Load() {
 		}
 		time.Sleep(time.Millisecond)
 		running.Add(-1)
 	}))
 	i.finder.set(d)
-	entry.finder.set(route.Forward{Service: s, Addresses: []string{address(i.forwards)}})
+	edge.finder.set(route.Forward{Service: s, Addresses: []string{address(i.forwards)}})
 	var group sync.WaitGroup
 	var ran atomic.Int32
 	for n := range 20 {
 		url := i.callers.URL
 		if n%2 == 0 {
-			url = entry.callers.URL
+			url = edge.callers.URL
 		}
 		requests := make([]*http.Request, 10)
 		for k := range requests {
@@ -79,11 +81,11 @@
 	}
 	group.Wait()
 	is.Equal(ran.Load(), int32(200))
-	is.Equal(most.Load(), int32(2))
+	is.Equal(maxRunning.Load(), int32(2))
 }
 
-// A server is restarted. Requests that any server may run go to the other one, and the caller
-// sees nothing of it.
+// One of two servers is down. Requests that either server may run go to the other one, and the
+// callers notice nothing.
 func TestServerDownIsAvoided(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,15 +106,15 @@
 	}
 }
 
-// A server sheds load. If it says that it did not run the request, the caller may send it
-// again; if it says nothing, nobody knows.
-func TestServerSheds(t *testing.T) {
+// A server sheds load. If it states that it did not run the request, the caller may send it again.
+// If it states nothing, the outcome is unknown.
+func TestServerShedsLoad(t *testing.T) {
 	tests := map[string]struct {
 		header string
 		want   caller.Outcome
 	}{
-		"says so":      {header: string(caller.NotRun), want: caller.NotRun},
-		"says nothing": {want: caller.Unknown},
+		"states not run": {header: string(caller.NotRun), want: caller.NotRun},
+		"states nothing": {want: caller.Unknown},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +135,8 @@
 	}
 }
 
-// A server freezes. Its caller learns of it at the deadline, not later, and that it may run.
+// A server freezes. The caller gets a response at the deadline, which says that the request may
+// run.
 func TestFrozenServer(t *testing.T) {
 	is := is.New(t)
 	thaw := make(chan struct{})
@@ -147,53 +150,53 @@
 	close(thaw)
 }
 
-// The caller goes away. The server hears of it, through an instance between as well.
-func TestCancellationReachesTheServer(t *testing.T) {
+// A caller cancels a request that was forwarded. The cancellation must reach the server.
+func TestCancellationReachesServer(t *testing.T) {
 	is := is.New(t)
-	begun, told := make(chan struct{}), make(chan struct{})
-	gate, entry := start(t, "one", nil), start(t, "two", nil)
+	begun, canceled := make(chan struct{}), make(chan struct{})
+	gate, edge := start(t, "one", nil), start(t, "two", nil)
 	gate.finder.set(here(testService(), backend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(begun)
 		<-r.Context().Done()
-		close(told)
+		close(canceled)
 	})))
-	entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
+	edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
 	ctx, cancel := context.WithCancel(context.Background())
-	r := post(is, entry.callers.URL+"/oddaja/x", "text").WithContext(ctx)
+	r := post(is, edge.callers.URL+"/oddaja/x", "text").WithContext(ctx)
 	go func() {
 		<-begun
 		cancel()
 	}()
-	_, err := http.DefaultTransport.RoundTrip(r) //nolint:bodyclose // there is none
+	_, err := http.DefaultTransport.RoundTrip(r) //nolint:bodyclose // there is no response
 	is.True(errors.Is(err, context.Canceled))
-	<-told
+	<-canceled
 }
 
-// The deadline that the server sees is the caller's, less the hops.
-func TestDeadlineIsHandedOn(t *testing.T) {
+// The deadline that the server gets is that of the caller, less hopAllowance for each hop.
+func TestDeadlineIsPassedOn(t *testing.T) {
 	is := is.New(t)
-	gate, entry := start(t, "one", nil), start(t, "two", nil)
+	gate, edge := start(t, "one", nil), start(t, "two", nil)
 	gate.finder.set(here(testService(), backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Header.Get(caller.HeaderDeadline))
 	})))
-	entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
+	edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
 	stated := time.Now().Add(20 * time.Second).UnixMilli()
-	got := do(t, post(is, entry.callers.URL+"/oddaja/x", "text", caller.HeaderDeadline, strconv.FormatInt(stated, 10)))
+	got := do(t, post(is, edge.callers.URL+"/oddaja/x", "text", caller.HeaderDeadline, strconv.FormatInt(stated, 10)))
 	seen, err := strconv.ParseInt(string(got.body), 10, 64)
 	is.NoErr(err)
-	hops := 2 * hopTime.Milliseconds()
+	hops := 2 * hopAllowance.Milliseconds()
 	is.True(seen <= stated-hops)
 	is.True(seen >= stated-hops-4)
 }
 
-// The right to a server that checks nothing is lost while a connection is being opened. No
-// byte may be written, and what runs on open connections is cut.
-func TestRightIsCheckedBeforeTheWrite(t *testing.T) {
+// The Authorizer refuses a request to a server that does not check grants. No byte of it may be
+// written. When the lease is lost while a request runs, its connection is closed.
+func TestAuthorizerIsCalledBeforeWrite(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int32
-	holder := &rightHolder{}
-	i := start(t, "one", func(d *Deps) { d.Right = holder })
+	authorizer := &revocableAuthorizer{}
+	i := start(t, "one", func(d *Deps) { d.Right = authorizer })
 	begun := make(chan struct{}, 1)
 	d := here(testService(), backend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -203,12 +206,12 @@
 	}))
 	d.Servers[0].Server.ChecksGrants = false
 	i.finder.set(d)
-	holder.fault.Store(true)
+	authorizer.revoked.Store(true)
 	got := do(t, post(is, i.callers.URL+"/oddaja/x", "text"))
 	is.Equal(got.outcome(), caller.NotRun)
 	is.Equal(got.problem(t).Reason, "right-lost")
 	is.Equal(seen.Load(), int32(0))
-	holder.fault.Store(false)
+	authorizer.revoked.Store(false)
 	r := post(is, i.callers.URL+"/oddaja/x", "text")
 	go func() {
 		<-begun
@@ -218,24 +221,24 @@
 	is.Equal(seen.Load(), int32(1))
 }
 
-// rightHolder is a Right that tests take away.
-type rightHolder struct{ fault atomic.Bool }
+// revocableAuthorizer is an Authorizer that a test can make refuse all requests.
+type revocableAuthorizer struct{ revoked atomic.Bool }
 
-func (r *rightHolder) Begin(Approach) (Work, error) {
-	if r.fault.Load() {
-		return nil, errors.New("lapsed")
+func (r *revocableAuthorizer) Begin(Approach) (Work, error) {
+	if r.revoked.Load() {
+		return nil, errors.New("lease expired")
 	}
-	return endless{}, nil
+	return noWork{}, nil
 }
 
-// endless is a Work whose end nobody waits for.
-type endless struct{}
+// noWork is a Work that does nothing.
+type noWork struct{}
 
-func (endless) End() {}
+func (noWork) End() {}
 
-// An archivist pulls a volume of 64 MB while the instance is told to stop. The volume comes
-// whole, the stop waits for it, and new callers are sent elsewhere.
-func TestDrainLetsDownloadsEnd(t *testing.T) {
+// An instance is drained while a caller downloads 64 MB. The download must be complete, Drain must
+// wait for it, and the instance must no longer be ready.
+func TestDrainWaitsForDownloads(t *testing.T) {
 	is := is.New(t)
 	const size = 64 << 20
 	half, resume := make(chan struct{}), make(chan struct{})
@@ -272,8 +275,8 @@
 	is.NoErr(<-drained)
 }
 
-// A leaving server gets nothing new, and what runs there ends.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// A leaving server gets no new requests, and the requests that run there complete.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	begun, release := make(chan struct{}, 1), make(chan struct{})
 	leaving := backend(t, func(http.ResponseWriter, *http.Request) {
@@ -296,8 +299,8 @@
 	is.Equal((<-result).outcome(), caller.Ran)
 }
 
-// A caller sends half of its body and goes on later. It must not use a slot meanwhile.
-func TestSlowCallerHoldsNoSlot(t *testing.T) {
+// A caller sends half of a body and the rest later. It must not occupy a slot meanwhile.
+func TestSlowCallerOccupiesNoSlot(t *testing.T) {
 	is := is.New(t)
 	i := start(t, "one", nil)
 	d := here(testService(), backend(t, echo))
@@ -316,9 +319,9 @@
 	is.Equal(string((<-result).body), "POST /x epoch=3.1.7.9 body=slowness")
 }
 
-// A body that turns out too large, without a stated length, is refused before it runs if its
-// beginning shows it.
-func TestBodyWithoutLengthIsBounded(t *testing.T) {
+// A body without a stated length turns out to be too large. If that shows in the buffered part, the
+// request is refused before it runs.
+func TestBodyWithoutLengthIsLimited(t *testing.T) {
 	is := is.New(t)
 	s := testService()
 	s.Limits = bundle.Limits{BodyBytes: 1000, RequestMillis: 60_000}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,6 @@
-// Package front takes requests from callers and from other entry instances, and sees each to
-// its one answer: it runs at the gate of a backend server, or goes on to another instance.
+// Package front handles the requests of callers and those that other entry instances forward. If
+// this instance is the gate of a backend server that may serve the request, it sends the request
+// there; otherwise it forwards the request to another instance. Each request gets one response.
 package front
 
 import (
@@ -24,42 +25,45 @@
 // ErrDeps is returned by New when a dependency is missing.
 var ErrDeps = errors.New("front: missing dependency")
 
-// Right is this instance's right to send work to backend servers as their gate.
+// Authorizer decides whether this instance may send requests to backend servers as their gate.
 type Right interface {
-	// Begin returns nil if the server may be sent the request at this moment. It is called
-	// immediately before each write to a server. The Work is ended when the server is done.
+	// Begin returns an error if the request must not be sent to the server now. It is called
+	// immediately before the first byte of each attempt is written. Work.End is called when the
+	// server is done.
 	Begin(a Approach) (Work, error)
 }
 
-// Approach is a request that is about to be written to a server.
+// Attempt describes a request that is about to be written to a server.
 type Approach struct {
 	Service string
 	Server  string
-	Hash    uint64
-	// Divided says that each key of the service has one owner.
+	// Hash is the hash of the key by which the request was routed.
+	Hash uint64
+	// Divided says that each key of the service is owned by one server.
 	Divided bool
-	// Checks says that the server itself checks grants.
+	// ChecksGrants says that the server itself rejects requests for keys that it does not own.
 	Checks     bool
 	Idempotent bool
 }
 
-// Work is a request that was written to a server.
+// Work is a request that the Authorizer has allowed.
 type Work interface {
-	// End says that the server is done with the request, or never got it.
+	// End is called when the server is done with the request, or never got it.
 	End()
 }
 
-// Witness is the memory that one other instance of the domain keeps of non-idempotent
-// requests at this gate, so that the loss of one instance loses none.
+// Replicator copies the idempotency records of this gate to one other instance of the failure
+// domain, so that no record is lost when one instance is lost.
 type Witness interface {
-	// Begin returns nil when one other instance remembers the mark, or when the domain has no
-	// other instance. It is called before the first byte is written to a server.
-	Begin(ctx context.Context, m policy.IdempotencyRecord) error
-	// End tells the outcome to the instance that remembers the mark. It does not wait.
-	End(m policy.IdempotencyRecord)
-	// Recall returns the marks that the other instances of the domain hold for a range of a
-	// service. Each mark is held by two instances, so one instance may fail to answer; an
-	// error says that more did.
+	// Replicate returns nil when another instance holds the record, or when the domain has no other
+	// instance. It is called before the first byte is written to a server.
+	Begin(ctx context.Context, rec policy.IdempotencyRecord) error
+	// ReplicateOutcome updates the copy of the record with the outcome of the request. It does not
+	// wait for the other instance.
+	End(rec policy.IdempotencyRecord)
+	// Recover returns the records that the other instances of the domain hold for a range of a
+	// service. Each record is held by two instances, so one of them may fail to answer. It returns
+	// an error if records may be missing.
 	Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
 }
 
@@ -69,55 +73,59 @@
 	Instance string
 	Domain   string
 	Finder   route.Finder
-	// Home returns the destination of a named, non-idempotent request to a service that is
-	// not divided: the gate in the domain that policy.Home names for the hash of the id, so
-	// that a resend through any domain meets the memory of the first sending. Nil means
+	// FindHome returns the destination of a non-idempotent request with a request id to a service
+	// that is not divided. It is the gate in the domain that policy.HomeDomain returns for the hash
+	// of the id, so that resends through any domain reach the same idempotency table. Nil means
 	// Finder.Find.
 	Home func(service string, hash uint64) route.Destination
-	// Right is asked before each write to a server. Nil means that it is always held.
+	// Authorizer is called before each write to a server. Nil allows all requests.
 	Right Right
-	// Witness is nil when there is no other instance.
+	// Replicator is nil if there is no other instance.
 	Witness Witness
-	// Forward carries requests to other instances, at URLs with ForwardScheme, https if empty.
+	// ForwardTransport sends requests to other instances, at URLs with ForwardScheme. An empty
+	// scheme means https.
 	Forward       http.RoundTripper
 	ForwardScheme string
 	// CallerHeader names the request header that identifies a caller. Empty means the remote
 	// address.
 	CallerHeader string
-	// Hint returns the last reported load of a server; it breaks ties only.
-	Hint func(service, server string) float64
-	// Ran is told of each request that ran, for the load of ranges.
+	// LoadHint returns the last reported load of a server; it breaks ties only.
+	LoadHint func(service, server string) float64
+	// ObserveRun, if not nil, is called with the duration of each request to which a server has
+	// responded. The load of ranges is computed from it.
 	Ran func(service, server string, hash uint64, d time.Duration)
-	// Tracer makes a span for each hop. Nil means none.
+	// Tracer makes a span for each hop. Nil disables tracing.
 	Tracer trace.Tracer
 	Log    *log.Logger
-	// Bounds bound the memory of request ids of one service; zero means the default.
-	Bounds policy.TableLimits
-	// Patience is the least time for which a connection to a server may be silent before it
-	// is doubted; zero means the default.
-	Patience time.Duration
+	// TableLimits are the limits of the idempotency table of each service; zero means
+	// policy.DefaultTableLimits.
+	TableLimits policy.TableLimits
+	// SilenceTimeout is how long a request waits at least, on a reused connection without a
+	// response, before the connection is checked for having gone silent; zero means
+	// upstr.DefaultSilenceTimeout.
+	SilenceTimeout time.Duration
 }
 
-// Front is the request path of one instance.
+// Front is the request path of one instance. Its methods may be called concurrently.
 type Front struct {
-	deps     Deps
-	origin   time.Time
-	callers  http.Handler
-	forwards http.Handler
-	tickets  atomic.Uint64
-	turn     atomic.Uint64
-	buffered atomic.Int64
-
-	mu       sync.RWMutex
-	services map[string]*service
-	lifted   []policy.Fingerprint
+	deps           Deps
+	clockStart     time.Time
+	callerHandler  http.Handler
+	forwardHandler http.Handler
+	lastTicket     atomic.Uint64
+	nextAddress    atomic.Uint64
+	bufferedBytes  atomic.Int64
+
+	mu           sync.RWMutex
+	services     map[string]*service
+	liftedBlocks []policy.Fingerprint
 
 	draining atomic.Bool
 	inFlight *inFlight
-	meters   meters
+	counters counters
 }
 
-// New returns the request path of one instance.
+// New returns a Front. It returns ErrDeps if a required dependency is missing.
 func New(d Deps) (*Front, error) {
 	if d.Finder == nil || d.Forward == nil || d.Instance == "" || d.Domain == "" {
 		return nil, fmt.Errorf("%w: Instance, Domain, Finder and Forward are required", ErrDeps)
@@ -128,53 +136,55 @@
 	if d.ForwardScheme == "" {
 		d.ForwardScheme = "https"
 	}
-	if d.Bounds == (policy.TableLimits{}) {
-		d.Bounds = policy.DefaultTableLimits
+	if d.TableLimits == (policy.TableLimits{}) {
+		d.TableLimits = policy.DefaultTableLimits
 	}
-	f := &Front{deps: d, origin: time.Now(), services: make(map[string]*service), inFlight: newInFlight()}
+	f := &Front{deps: d, clockStart: time.Now(), services: make(map[string]*service), inFlight: newInFlight()}
 	var err error
-	if f.callers, err = f.handler(fromCaller); err != nil {
+	if f.callerHandler, err = f.newHandler(fromCaller); err != nil {
 		return nil, err
 	}
-	if f.forwards, err = f.handler(fromInstance); err != nil {
+	if f.forwardHandler, err = f.newHandler(fromInstance); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// Callers returns the handler for callers: /{service}/{rest...}.
-func (f *Front) Callers() http.Handler { return f.callers }
+// CallerHandler returns the handler for callers: /{service}/{rest...}.
+func (f *Front) Callers() http.Handler { return f.callerHandler }
 
-// Forwards returns the handler for requests that other instances forward. Only instances may
-// reach it: it believes their headers.
-func (f *Front) Forwards() http.Handler { return f.forwards }
+// ForwardHandler returns the handler for requests that other instances forward. Only instances may
+// have access to it, since it trusts headers that callers must not set.
+func (f *Front) Forwards() http.Handler { return f.forwardHandler }
 
-// GateMoved says that another instance is the gate of a server now. What runs goes on to its
-// end, what waits is looked up anew, and what was recalled for the server is recalled anew before it serves again.
+// GateMoved is called when another instance has become the gate of a server. Requests that run
+// there continue, and queued requests are routed again. The idempotency records are recovered again
+// before this instance next sends a deduplicated request to the server.
 func (f *Front) GateMoved(service, server string) {
-	if s := f.known(service); s != nil {
-		s.unrecall(server)
-		s.move(server)
+	if s := f.knownService(service); s != nil {
+		s.dropRecovered(server)
+		s.dequeueMoved(server)
 	}
 }
 
-// RightLost says that the right to send to a server that checks nothing has ended. All
-// connections to it are closed at once, since another gate may use the server by now.
+// LeaseLost is called when the lease that this instance holds on behalf of a server that does not
+// check grants has ended. All connections to the server are closed at once, because another gate
+// may already use the server. The idempotency records are recovered again as after GateMoved.
 func (f *Front) RightLost(service, server string) {
-	if s := f.known(service); s != nil {
-		s.unrecall(server)
-		s.cut(server)
+	if s := f.knownService(service); s != nil {
+		s.dropRecovered(server)
+		s.closeConns(server)
 	}
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers here.
 func (f *Front) Ready() bool { return !f.draining.Load() }
 
-// Refuse makes Ready report false. Requests are served as before.
+// SetNotReady makes Ready report false. Requests are still served.
 func (f *Front) Refuse() { f.draining.Store(true) }
 
-// Drain refuses readiness and returns when no request is in flight, or with the context's
-// error. Requests that still come are served: the balancer's view lags.
+// Drain makes Ready report false and returns when no request is in flight, or with the context's
+// error. Requests that still arrive are served, because the load balancer notices only later.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	return f.inFlight.wait(ctx)
@@ -182,15 +192,15 @@
 
 // Close closes the connections to servers. No request may be in flight.
 func (f *Front) Close() {
-	for _, s := range f.all() {
+	for _, s := range f.allServices() {
 		s.close()
 	}
 }
 
-// Marks returns what this instance remembers of requests in a range of a service, for
-// another instance's Recall.
+// Records returns the idempotency records that this instance holds for a range of a service. Other
+// instances get them through Replicator.Recover.
 func (f *Front) Marks(service string, r keys.Range) []policy.IdempotencyRecord {
-	s := f.known(service)
+	s := f.knownService(service)
 	if s == nil {
 		return nil
 	}
@@ -199,77 +209,77 @@
 	return s.core.Records(f.now(), r)
 }
 
-// Witnessed takes in a mark for which another instance's Begin or End asks. It reports false
-// when there is no room for it.
-func (f *Front) Witnessed(m policy.IdempotencyRecord) bool {
-	return f.service(m.Service).adopt(m)
+// AddRecord adds or updates an idempotency record of another instance. It returns false if the
+// table is full.
+func (f *Front) Witnessed(rec policy.IdempotencyRecord) bool {
+	return f.service(rec.Service).addRecord(rec)
 }
 
-// Blocks returns what is known of requests that may crash servers, for the other instances.
+// CrashRecords returns the records of requests that may crash servers, for the other instances.
 func (f *Front) Blocks() []policy.CrashRecord {
-	var blocks []policy.CrashRecord
-	for _, s := range f.all() {
+	var records []policy.CrashRecord
+	for _, s := range f.allServices() {
 		s.mu.Lock()
-		blocks = append(blocks, s.core.CrashRecords(f.now())...)
+		records = append(records, s.core.CrashRecords(f.now())...)
 		s.mu.Unlock()
 	}
-	return blocks
+	return records
 }
 
-// Merge takes in the Blocks of another instance.
-func (f *Front) Merge(blocks []policy.CrashRecord) {
-	for _, b := range blocks {
-		s := f.service(b.Service)
+// MergeCrashRecords adds the CrashRecords of another instance.
+func (f *Front) Merge(records []policy.CrashRecord) {
+	for _, rec := range records {
+		s := f.service(rec.Service)
 		s.mu.Lock()
-		s.core.MergeCrashRecords([]policy.CrashRecord{b})
+		s.core.MergeCrashRecords([]policy.CrashRecord{rec})
 		s.mu.Unlock()
 	}
 }
 
-// Lift replaces the set of blocked requests that operators let pass: the lifted-blocks of the
-// bundle in force. Text that is no print is ignored and reported.
+// SetLiftedBlocks replaces the set of requests that operators have unblocked, the lifted-blocks of
+// the bundle in force. It ignores texts that are not fingerprints and returns an error for them.
 func (f *Front) Lift(texts []string) error {
-	var faults []error
-	prints := make([]policy.Fingerprint, 0, len(texts))
+	var errs []error
+	fingerprints := make([]policy.Fingerprint, 0, len(texts))
 	for _, text := range texts {
-		var p policy.Fingerprint
-		if err := p.UnmarshalText([]byte(text)); err != nil {
-			faults = append(faults, err)
+		var fp policy.Fingerprint
+		if err := fp.UnmarshalText([]byte(text)); err != nil {
+			errs = append(errs, err)
 			continue
 		}
-		prints = append(prints, p)
+		fingerprints = append(fingerprints, fp)
 	}
 	f.mu.Lock()
-	f.lifted = prints
+	f.liftedBlocks = fingerprints
 	f.mu.Unlock()
-	for _, s := range f.all() {
+	for _, s := range f.allServices() {
 		s.mu.Lock()
-		s.core.SetLiftedBlocks(prints)
+		s.core.SetLiftedBlocks(fingerprints)
 		s.mu.Unlock()
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// now returns the present time of the policy's clock.
+// now returns the time since the Front was created, the clock of package policy.
 func (f *Front) now() policy.Time {
-	return policy.Time(time.Since(f.origin))
+	return policy.Time(time.Since(f.clockStart))
 }
 
-// at returns the wall clock time of a policy time.
-func (f *Front) at(t policy.Time) time.Time {
-	return f.origin.Add(time.Duration(t))
+// wallTime converts a time of the policy clock to wall-clock time.
+func (f *Front) wallTime(t policy.Time) time.Time {
+	return f.clockStart.Add(time.Duration(t))
 }
 
-// known returns a service that was seen before, nil otherwise.
-func (f *Front) known(name string) *service {
+// knownService returns the service, or nil if no request for it has arrived yet.
+func (f *Front) knownService(name string) *service {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.services[name]
 }
 
-// service returns a service, a new one if it was not seen before.
+// service returns the service and creates it if necessary.
 func (f *Front) service(name string) *service {
-	if s := f.known(name); s != nil {
+	if s := f.knownService(name); s != nil {
 		return s
 	}
 	f.mu.Lock()
@@ -277,13 +287,13 @@
 	s := f.services[name]
 	if s == nil {
 		s = newService(f, name)
-		s.core.SetLiftedBlocks(f.lifted)
+		s.core.SetLiftedBlocks(f.liftedBlocks)
 		f.services[name] = s
 	}
 	return s
 }
 
-func (f *Front) all() []*service {
+func (f *Front) allServices() []*service {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	all := make([]*service, 0, len(f.services))
@@ -293,8 +303,9 @@
 	return all
 }
 
-// outcomeHeader sets the headers that each answer carries.
-func outcomeHeader(h http.Header, id string, outcome caller.Outcome) {
+// setOutcomeHeaders sets the headers that every response has. Both values share one array, which
+// saves an allocation.
+func setOutcomeHeaders(h http.Header, id string, outcome caller.Outcome) {
 	values := [...]string{id, string(outcome)}
 	h[caller.HeaderRequest] = values[0:1:1]
 	h[caller.HeaderOutcome] = values[1:2:2]
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -10,8 +10,8 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// FuzzParse gives the headers of callers and instances any text. A request that is taken
-// keeps within the bounds, whatever it says.
+// FuzzParse checks that the values of a request that is accepted keep to the limits, whatever text
+// the headers of callers and instances contain.
 func FuzzParse(f *testing.F) {
 	f.Add("volume-7", "evening", "1767225600000", "true", "2", "1", "00112233445566778899aabbccddeeff", "/oddaja/x", true)
 	f.Add("", "", "", "", "", "", "", "/oddaja", false)
@@ -36,32 +36,32 @@
 		if instance {
 			from = fromInstance
 		}
-		q, err := front.parse(r, from)
-		if q == nil || q.id == "" || len(q.id) > maxID {
-			t.Fatalf("no usable id: %+v", q)
+		q, err := front.parseRequest(r, from)
+		if q == nil || q.id == "" || len(q.id) > maxIDBytes {
+			t.Fatalf("no valid request id: %+v", q)
 		}
 		if err != nil {
 			return
 		}
-		if len(q.key) > maxKey || q.hops < 0 || q.attempt < 0 || q.hops > 255 {
-			t.Fatalf("out of bounds: %+v", q)
+		if len(q.key) > maxKeyBytes || q.hops < 0 || q.submissionNumber < 0 || q.hops > 255 {
+			t.Fatalf("value exceeds its limit: %+v", q)
 		}
-		if instance && q.hops == 0 || !instance && (q.hops != 0 || q.witness != "") {
-			t.Fatalf("%d hops of a request from %v", q.hops, from)
+		if instance && q.hops == 0 || !instance && (q.hops != 0 || q.replica != "") {
+			t.Fatalf("%d hops of a request from sender kind %v", q.hops, from)
 		}
-		if q.once() && q.sending.IsZero() && !instance {
-			t.Fatal("no sending")
+		if q.deduplicated() && q.submissionID.IsZero() && !instance {
+			t.Fatal("no submission id")
 		}
 		service := testService()
-		front.bound(q, service)
+		front.limitDeadline(q, service)
 		limit := time.Duration(service.Limits.RequestMillis) * time.Millisecond
 		if left := q.deadline.Until(front.now()); left > limit {
-			t.Fatalf("deadline in %v", left)
+			t.Fatalf("deadline in %v exceeds the limit of the service", left)
 		}
 	})
 }
 
-// FuzzPath gives the path any text. The server must get what follows the service, with the same
+// FuzzPath checks that the server gets the part of any path that follows the service, with the same
 // meaning.
 func FuzzPath(f *testing.F) {
 	for _, path := range []string{"/oddaja/x", "/oddaja", "/", "//x", "/a%2Fb/c%20d", "/oddaja/../x", "/oddaja/%zz"} {
@@ -73,7 +73,7 @@
 		}
 		service, rest := splitPath(path)
 		if strings.Contains(service, "/") || !strings.HasPrefix(rest, "/") {
-			t.Fatalf("%q and %q", service, rest)
+			t.Fatalf("path is split into service %q and rest %q", service, rest)
 		}
 		var u url.URL
 		setPath(&u, rest)
--- a/internal/front/fixture_test.go
+++ b/internal/front/helpers_test.go
@@ -20,7 +20,7 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// finder is a route.Finder whose answer tests set.
+// finder is a route.Finder that returns the destination that a test has set.
 type finder struct {
 	mu   sync.Mutex
 	dest route.Destination
@@ -38,7 +38,7 @@
 	f.dest = d
 }
 
-// testService is a divided service with short limits.
+// testService returns a divided service with low limits.
 func testService() *bundle.Service {
 	return &bundle.Service{
 		Name: "oddaja", Divided: true,
@@ -46,7 +46,7 @@
 	}
 }
 
-// here returns the destination of a gate for servers that check grants.
+// here returns the destination at the gate of servers that check grants.
 func here(s *bundle.Service, addresses ...string) route.Local {
 	d := route.Local{Service: s}
 	for i, address := range addresses {
@@ -60,13 +60,13 @@
 	return d
 }
 
-// instance is a Front with its two listeners.
+// instance is a Front with a listener for callers and one for other instances.
 type instance struct {
 	front    *Front
 	finder   *finder
 	callers  *httptest.Server
 	forwards *httptest.Server
-	// open counts the connections of callers that were taken.
+	// open counts the connections that were accepted from callers.
 	open atomic.Int32
 }
 
@@ -76,14 +76,14 @@
 	}
 }
 
-// awaitOpen waits until a number of connections were taken.
+// awaitOpen waits until n connections have been accepted.
 func (i *instance) awaitOpen(n int32) {
 	for i.open.Load() < n {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// start returns an instance on loopback that ends with the test.
+// start starts an instance on loopback and stops it at the end of the test.
 func start(t testing.TB, name string, change func(*Deps)) *instance {
 	t.Helper()
 	i := &instance{finder: &finder{}}
@@ -110,7 +110,7 @@
 	return i
 }
 
-// backend returns a backend server and its address.
+// backend starts a backend server and returns its address.
 func backend(t testing.TB, handle http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(handle)
@@ -122,16 +122,16 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// answer is what a caller sees.
+// answer is a response as a caller sees it.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
-	// cut is the error with which the body ended, nil if it was whole.
+	// cut is the error with which the body ended, nil if it is complete.
 	cut error
 }
 
-// do sends a request and returns the answer, as far as it came.
+// do sends a request and returns the response, possibly with an incomplete body.
 func do(t testing.TB, r *http.Request) answer {
 	t.Helper()
 	response, err := http.DefaultTransport.RoundTrip(r)
@@ -143,12 +143,12 @@
 	return answer{status: response.StatusCode, header: response.Header, body: body, cut: err}
 }
 
-// outcome returns what the answer says of the request.
+// outcome returns the value of the outcome header.
 func (a answer) outcome() caller.Outcome {
 	return caller.Outcome(a.header.Get(caller.HeaderOutcome))
 }
 
-// problem returns the answer's problem.
+// problem decodes the body as a problem document.
 func (a answer) problem(t testing.TB) caller.Problem {
 	t.Helper()
 	var p caller.Problem
@@ -158,7 +158,7 @@
 	return p
 }
 
-// post returns a request with a key.
+// post returns a POST request with a key and the given pairs of header names and values.
 func post(is *is.I, url, body string, header ...string) *http.Request {
 	is.Helper()
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -170,7 +170,7 @@
 	return r
 }
 
-// awaitWaiting waits until a number of requests wait at the gate.
+// awaitWaiting waits until n requests of a service are queued at the gate.
 func (i *instance) awaitWaiting(service string, n int) {
 	for {
 		s := i.front.service(service)
--- a/internal/front/memory_test.go
+++ b/internal/front/memory_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// memoryInUse returns the bytes of heap and stacks in use.
+// memoryInUse returns the number of bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() uint64 {
-	// The second run frees what the first one found out about, pools among it.
+	// Objects in a sync.Pool are freed only by the second collection.
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
@@ -22,9 +22,9 @@
 	return s.HeapAlloc + s.StackInuse
 }
 
-// BenchmarkMemory reports the bytes that an instance holds for each open connection of a
-// caller, and for each request with a body of 4 KB that waits for a slot. The callers' ends
-// are bare connections, whose few hundred bytes count as well.
+// BenchmarkMemory reports the bytes that an instance uses for each open connection of a caller, and
+// for each queued request with a body of 4 KB. The callers' ends of the connections are in the same
+// process; their few hundred bytes each are included.
 func BenchmarkMemory(b *testing.B) {
 	const count = 1000
 	for b.Loop() {
@@ -32,12 +32,12 @@
 		release := make(chan struct{})
 		s := testService()
 		s.Limits.Queue = 2 * count
-		// So that they wait, and are not shed for the time they would have to.
+		// With a shorter limit the requests would be rejected because of their expected wait.
 		s.Limits.RequestMillis = 24 * time.Hour.Milliseconds()
 		i.finder.set(here(s, backend(b, func(http.ResponseWriter, *http.Request) { <-release })))
-		keyless := get(is.New(b), i.callers.URL+"/oddaja/x")
-		keyless.Header = http.Header{}
-		do(b, keyless)
+		noKey := get(is.New(b), i.callers.URL+"/oddaja/x")
+		noKey.Header = http.Header{}
+		do(b, noKey)
 		before := memoryInUse()
 		conns := make([]net.Conn, count)
 		for n := range conns {
@@ -63,6 +63,6 @@
 			c.Close()
 		}
 		close(release)
-		i.settled()
+		i.awaitIdle()
 	}
 }
--- a/internal/front/refuse.go
+++ b/internal/front/refusal.go
@@ -11,31 +11,32 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// The reasons of refusals that do not come from package policy or route.
+// The reasons of refusals, besides those of packages policy and route.
 const (
-	ReasonNoRoute     policy.Reason = "no-route"
-	ReasonNoKey       policy.Reason = "no-key"
-	ReasonBadHeader   policy.Reason = "bad-header"
-	ReasonBodyTooBig  policy.Reason = "body-too-large"
-	ReasonBodyCut     policy.Reason = "body-cut"
-	ReasonHops        policy.Reason = "too-many-hops"
-	ReasonUnreachable policy.Reason = "unreachable"
-	ReasonNoRight     policy.Reason = "right-lost"
-	ReasonNotOwner    policy.Reason = "not-owner"
-	ReasonServerBusy  policy.Reason = "server-busy"
-	ReasonServerLost  policy.Reason = "server-lost"
-	ReasonTimeout     policy.Reason = "timeout"
-	ReasonCanceled    policy.Reason = "caller-gone"
-	ReasonAnswerCut   policy.Reason = "answer-cut"
-	ReasonNoWitness   policy.Reason = "no-witness"
-	ReasonNoMemory    policy.Reason = "memory-incomplete"
-	ReasonSilent      policy.Reason = "connection-silent"
+	ReasonNoRoute          policy.Reason = "no-route"
+	ReasonNoKey            policy.Reason = "no-key"
+	ReasonBadHeader        policy.Reason = "bad-header"
+	ReasonBodyTooLarge     policy.Reason = "body-too-large"
+	ReasonBodyCut          policy.Reason = "body-cut"
+	ReasonTooManyHops      policy.Reason = "too-many-hops"
+	ReasonUnreachable      policy.Reason = "unreachable"
+	ReasonRightLost        policy.Reason = "right-lost"
+	ReasonNotOwner         policy.Reason = "not-owner"
+	ReasonServerBusy       policy.Reason = "server-busy"
+	ReasonServerLost       policy.Reason = "server-lost"
+	ReasonTimeout          policy.Reason = "timeout"
+	ReasonCallerGone       policy.Reason = "caller-gone"
+	ReasonAnswerCut        policy.Reason = "answer-cut"
+	ReasonNoWitness        policy.Reason = "no-witness"
+	ReasonMemoryIncomplete policy.Reason = "memory-incomplete"
+	ReasonConnectionSilent policy.Reason = "connection-silent"
 )
 
-// statusCallerGone is the status of an answer that nobody waits for.
+// statusCallerGone is the status of a response to a caller that has disconnected. It is not a
+// registered status; nginx uses it too.
 const statusCallerGone = 499
 
-// refusal is an answer that this instance itself gives.
+// refusal is an error response that this instance generates itself.
 type refusal struct {
 	status  int
 	reason  policy.Reason
@@ -43,20 +44,21 @@
 	detail  string
 	service string
 	server  string
-	// unsent says that this sending did not run, whatever the outcome says of earlier ones. It
-	// is implied by NotRun.
+	// unsent says that this submission did not run, even if the outcome is unknown because of an
+	// earlier one. The outcome caller.NotRun implies it.
 	unsent bool
-	// retry is how long the caller should wait before the next sending; zero states nothing.
-	retry time.Duration
+	// retryAfter is how long the caller should wait before it sends the request again; zero omits
+	// the header.
+	retryAfter time.Duration
 }
 
-// ranNot reports whether this sending did not run, nor will.
-func (r *refusal) ranNot() bool {
+// didNotRun reports whether this submission did not run and will not run.
+func (r *refusal) didNotRun() bool {
 	return r.unsent || r.outcome == caller.NotRun
 }
 
-// titles are the titles of problems where the reason says less than it could.
-var titles = map[policy.Reason]string{
+// problemTitles are the titles of problems, by reason. The default is the text of the HTTP status.
+var problemTitles = map[policy.Reason]string{
 	ReasonNoKey:                   "The service is divided by key and the request names none",
 	policy.ReasonQueueFull:        "Too many requests wait for the server",
 	policy.ReasonDeadlineTooNear:  "The request would wait beyond its deadline",
@@ -67,20 +69,21 @@
 	policy.ReasonAlreadyRan:       "An earlier sending of the request ran",
 	policy.ReasonIDReused:         "The request id was used for another request",
 	policy.ReasonMemoryFull:       "Too many request ids to remember",
-	ReasonNoMemory:                "It cannot be found out whether the request ran before",
+	ReasonMemoryIncomplete:        "It cannot be found out whether the request ran before",
 	ReasonServerLost:              "The server was lost while the request may have run",
 	ReasonAnswerCut:               "The server's answer ended early",
 	ReasonTimeout:                 "The server did not answer by the deadline",
 	reasonOf(route.ReasonNoOwner): "Nobody owns the key at this moment",
 }
 
+// reasonOf converts a reason of package route.
 func reasonOf(a route.Reason) policy.Reason { return policy.Reason(a) }
 
-// refuse writes a refusal as a problem (RFC 9457).
-func refuse(w http.ResponseWriter, id string, r *refusal) {
+// writeRefusal writes a refusal as a problem document (RFC 9457).
+func writeRefusal(w http.ResponseWriter, id string, r *refusal) {
 	h := w.Header()
-	outcomeHeader(h, id, r.outcome)
-	if r.ranNot() {
+	setOutcomeHeaders(h, id, r.outcome)
+	if r.didNotRun() {
 		h.Set(caller.HeaderUnsent, "true")
 	}
 	h.Set("Content-Type", caller.ContentTypeProblem)
@@ -88,11 +91,11 @@
 	if r.unsent {
 		h.Set(caller.HeaderUnsent, "true")
 	}
-	if r.retry > 0 {
-		seconds := (r.retry + time.Second - 1) / time.Second
+	if r.retryAfter > 0 {
+		seconds := (r.retryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
-	title, found := titles[r.reason]
+	title, found := problemTitles[r.reason]
 	if !found {
 		title = http.StatusText(r.status)
 	}
--- a/internal/front/witness_test.go
+++ b/internal/front/replication_test.go
@@ -14,25 +14,24 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// counter is a Witness that counts what it is asked to remember.
-type counter struct{ begun atomic.Int32 }
+// countingReplicator is a Replicator that counts the records that are replicated.
+type countingReplicator struct{ replicated atomic.Int32 }
 
-func (c *counter) Begin(context.Context, policy.IdempotencyRecord) error {
-	c.begun.Add(1)
+func (c *countingReplicator) Begin(context.Context, policy.IdempotencyRecord) error {
+	c.replicated.Add(1)
 	return nil
 }
 
-func (*counter) End(policy.IdempotencyRecord) {}
+func (*countingReplicator) End(policy.IdempotencyRecord) {}
 
-func (*counter) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
+func (*countingReplicator) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, nil
 }
 
-// A buyer in one domain orders cheese whose gate is in another. The gate is killed after the
-// order ran; the buyer, told that it is unknown, sends it again and gets two. The gate had
-// taken the instance that forwarded the order as its witness, but the next gate asks only
-// the instances of its own domain.
-func TestWitnessIsInTheDomainOfTheGate(t *testing.T) {
+// An instance that forwards a request holds a copy of its idempotency record. That suffices as the
+// replica only if the instance is in the domain of the gate, because a new gate recovers records
+// only from its own domain. Otherwise, if the gate is lost, a resend would run a second time.
+func TestReplicaIsInDomainOfGate(t *testing.T) {
 	tests := map[string]struct {
 		domain string
 		want   int32
@@ -43,25 +42,25 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			witness := &counter{}
-			gate := start(t, "gate", func(d *Deps) { d.Witness = witness })
+			replicator := &countingReplicator{}
+			gate := start(t, "gate", func(d *Deps) { d.Witness = replicator })
 			gate.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {})))
 			edge := start(t, "edge", func(d *Deps) { d.Domain = tt.domain })
 			edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
 			r := post(is, edge.callers.URL+"/oddaja/x", "text")
 			r.Header.Set(caller.HeaderRequestID, "order-1")
 			is.Equal(do(t, r).outcome(), caller.Ran)
-			is.Equal(witness.begun.Load(), tt.want)
+			is.Equal(replicator.replicated.Load(), tt.want)
 		})
 	}
 }
 
-// A submission is refused because the gate cannot recall yet, and sent again. It must run
-// then. The instance that forwarded it remembered the first sending as one that may have run,
-// and every later one was refused as in progress.
-func TestUnsentRequestIsNotRemembered(t *testing.T) {
+// A forwarded request is refused because its key has no owner, and sent again later. It must run
+// then. If the forwarding instance kept a record of the first submission as one that may have run,
+// every resend would be refused as in progress.
+func TestUnsentRequestLeavesNoRecord(t *testing.T) {
 	is := is.New(t)
-	gate := start(t, "gate", func(d *Deps) { d.Witness = &counter{} })
+	gate := start(t, "gate", func(d *Deps) { d.Witness = &countingReplicator{} })
 	target := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {}))
 	gate.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	edge := start(t, "edge", nil)
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -17,82 +17,95 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// The bounds of what callers send.
+// The limits of what callers send, and the defaults.
 const (
-	maxKey = 1024
-	maxID  = 128
-	// maxHops is the number of entry instances that a request may pass: one in the caller's
-	// domain, one in the owner's, its gate, and one more when the gate moves meanwhile.
+	maxKeyBytes = 1024
+	maxIDBytes  = 128
+	// maxHops is the number of entry instances that a request may pass: one in the domain of the
+	// caller, one in the domain of the owner, the gate, and one more if the gate moves meanwhile.
 	maxHops = 4
-	// defaultDeadline bounds requests to services that state no bound.
+	// defaultDeadline is the time limit of requests to services without a configured limit.
 	defaultDeadline = 30 * time.Second
-	// maxDeadline keeps a far deadline from overflowing the policy's clock.
+	// maxDeadline prevents a deadline far in the future from overflowing policy.Time.
 	maxDeadline = 24 * time.Hour
-	// hopTime is what is taken off the deadline at each hop, for the answer's way back.
-	hopTime = 2 * time.Millisecond
+	// hopAllowance is subtracted from the deadline at each hop, so that there is time to pass the
+	// response back.
+	hopAllowance = 2 * time.Millisecond
 )
 
-// errHeader is wrapped by errors that say which header is malformed.
+// errHeader is wrapped by errors about malformed headers.
 var errHeader = errors.New("front: malformed header")
 
-// request is a request as this instance sees it.
+// request is an HTTP request with the parsed values of its path and headers.
+//
+// A submission is one sending of a request by the caller, or by an instance that lost the
+// connection over which it forwarded the request. Submissions with the same id after the first are
+// resends. An attempt is one try of the gate to send a submission to a server.
 type request struct {
 	*http.Request
-	from    origin
+	sender  senderKind
 	service string
-	rest    string
-	key     string
-	hash    uint64
-	// id is the request id; named says that the caller chose it.
+	// serverPath is the escaped path that the server gets.
+	serverPath string
+	key        string
+	// hash is the hash of the key, or of the id if findDestination routes the request by its id.
+	hash uint64
+	// id is the request id; named says that the caller chose it. Otherwise it is generated.
 	id         string
 	named      bool
 	idempotent bool
-	// sending identifies this sending of a named request, over all hops.
-	sending policy.ID
-	// attempt is which sending of the request the caller says this is, zero if it does not.
-	attempt int
-	caller  string
-	hops    int
-	// deadline is when the caller needs the answer; zero until bound sets it if none is stated.
+	// submissionID identifies one submission of a deduplicated request, at all hops.
+	submissionID policy.ID
+	// submissionNumber counts the submissions of the request as the caller states it, from 1; zero
+	// if it is not stated.
+	submissionNumber int
+	caller           string
+	// hops is the number of instances that the request has passed.
+	hops int
+	// deadline is when the caller needs the response. If the caller states none, it is zero until
+	// limitDeadline sets it.
 	deadline policy.Time
-	// body is set when the request's service is known.
+	// body is set by prepare, when the limits of the service are known.
 	body *body
-	// doubt says that an earlier sending or try of the request by this instance may have run.
-	doubt bool
-	// moves counts how often the request was looked up anew at this instance.
-	moves int
-	// witness names the instance that remembers the request beside the gate, empty if none.
-	witness string
+	// mayHaveRun says that an earlier attempt or submission by this instance may have run.
+	mayHaveRun bool
+	// lookups counts how often the request was routed at this instance.
+	lookups int
+	// replica is the instance that holds a copy of the idempotency record for the gate, empty if
+	// there is none yet.
+	replica string
 }
 
-// once reports whether the request must not run twice, and can be recognised.
-func (q *request) once() bool { return q.named && !q.idempotent }
+// deduplicated reports whether the request must not run twice and has an id by which resends are
+// recognized.
+func (q *request) deduplicated() bool { return q.named && !q.idempotent }
 
-// parse reads what the headers say.
-func (f *Front) parse(r *http.Request, from origin) (*request, error) {
-	q := &request{Request: r, from: from}
-	q.service, q.rest = splitPath(r.URL.EscapedPath())
+// parseRequest parses path and headers. The request is not nil and has an id even if it returns an
+// error.
+func (f *Front) parseRequest(r *http.Request, sender senderKind) (*request, error) {
+	q := &request{Request: r, sender: sender}
+	q.service, q.serverPath = splitPath(r.URL.EscapedPath())
 	if err := q.parseID(); err != nil {
 		return q, err
 	}
 	q.key = r.Header.Get(caller.HeaderKey)
-	if len(q.key) > maxKey {
-		return q, fmt.Errorf("%w: %s is longer than %d bytes", errHeader, caller.HeaderKey, maxKey)
+	if len(q.key) > maxKeyBytes {
+		return q, fmt.Errorf("%w: %s is longer than %d bytes", errHeader, caller.HeaderKey, maxKeyBytes)
 	}
 	q.hash = keys.Hash(q.service, q.key)
 	q.idempotent = idempotent(r.Method) || r.Header.Get(caller.HeaderIdempotent) == "true"
 	var err error
-	if q.attempt, err = parseAttempt(r.Header.Get(caller.HeaderAttempt)); err != nil {
+	if q.submissionNumber, err = parseSubmissionNumber(r.Header.Get(caller.HeaderAttempt)); err != nil {
 		return q, err
 	}
-	if from == fromInstance {
-		if err := q.parseHop(); err != nil {
+	if sender == fromInstance {
+		if err := q.parseForwarded(); err != nil {
 			return q, err
 		}
 	} else {
 		q.caller = f.identify(r)
-		if q.once() {
-			q.sending = policy.ID(uuid.New())
+		if q.deduplicated() {
+			q.submissionID = policy.ID(uuid.New())
 		}
 	}
 	stated := r.Header.Get(caller.HeaderDeadline)
@@ -107,19 +120,19 @@
 	return q, nil
 }
 
-// parseHop reads what another instance says.
-func (q *request) parseHop() error {
+// parseForwarded parses the headers that the forwarding instance sets.
+func (q *request) parseForwarded() error {
 	hops, err := parseHops(q.Header.Get(caller.HeaderHops))
 	if err != nil {
 		return err
 	}
 	q.hops = hops
-	q.witness = q.Header.Get(caller.HeaderWitness)
+	q.replica = q.Header.Get(caller.HeaderWitness)
 	q.caller = q.Header.Get(caller.HeaderCaller)
-	if !q.once() {
+	if !q.deduplicated() {
 		return nil
 	}
-	if err := q.sending.UnmarshalText([]byte(q.Header.Get(caller.HeaderSending))); err != nil {
+	if err := q.submissionID.UnmarshalText([]byte(q.Header.Get(caller.HeaderSending))); err != nil {
 		return fmt.Errorf("%w: %s: %w", errHeader, caller.HeaderSending, err)
 	}
 	return nil
@@ -128,11 +141,11 @@
 func (q *request) parseID() error {
 	q.id = q.Header.Get(caller.HeaderRequestID)
 	q.named = q.id != ""
-	if len(q.id) > maxID {
+	if len(q.id) > maxIDBytes {
 		q.id = newID()
-		return fmt.Errorf("%w: %s is longer than %d bytes", errHeader, caller.HeaderRequestID, maxID)
+		return fmt.Errorf("%w: %s is longer than %d bytes", errHeader, caller.HeaderRequestID, maxIDBytes)
 	}
-	if !q.named && q.from == fromInstance {
+	if !q.named && q.sender == fromInstance {
 		q.id = q.Header.Get(caller.HeaderRequest)
 	}
 	if q.id == "" {
@@ -141,8 +154,8 @@
 	return nil
 }
 
-// bound sets or shortens the deadline to the limit of the service.
-func (f *Front) bound(q *request, service *bundle.Service) {
+// limitDeadline sets the deadline to the limit of the service, unless it is earlier.
+func (f *Front) limitDeadline(q *request, service *bundle.Service) {
 	limit := defaultDeadline
 	if service.Limits.RequestMillis > 0 {
 		limit = time.Duration(service.Limits.RequestMillis) * time.Millisecond
@@ -153,10 +166,11 @@
 	}
 }
 
-// identify returns the identity of a caller.
+// identify returns the identity of a caller, for the fair use of queues: the configured header, or
+// the remote address without the port.
 func (f *Front) identify(r *http.Request) string {
 	if f.deps.CallerHeader != "" {
-		if name := r.Header.Get(f.deps.CallerHeader); name != "" && len(name) <= maxID {
+		if name := r.Header.Get(f.deps.CallerHeader); name != "" && len(name) <= maxIDBytes {
 			return name
 		}
 	}
@@ -167,7 +181,7 @@
 	return host
 }
 
-// parseDeadline reads a time in Unix milliseconds.
+// parseDeadline parses a time in Unix milliseconds.
 func parseDeadline(text string) (time.Time, error) {
 	millis, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || millis <= 0 {
@@ -176,31 +190,32 @@
 	return time.UnixMilli(millis), nil
 }
 
-// parseHops reads the number of instances that a request has passed.
+// parseHops parses the number of instances that a request has passed.
 func parseHops(text string) (int, error) {
 	hops, err := strconv.ParseUint(text, 10, 8)
 	if err != nil || hops == 0 {
-		return 0, fmt.Errorf("%w: %s is not a count from 1", errHeader, caller.HeaderHops)
+		return 0, fmt.Errorf("%w: %s is not a number from 1 to 255", errHeader, caller.HeaderHops)
 	}
 	return int(hops), nil
 }
 
-// parseAttempt reads which sending of a request this is, zero if that is not stated.
-func parseAttempt(text string) (int, error) {
+// parseSubmissionNumber parses the value of caller.HeaderAttempt. It returns zero if it is not
+// stated.
+func parseSubmissionNumber(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
-	attempt, err := strconv.ParseUint(text, 10, 16)
-	if err != nil || attempt == 0 {
-		return 0, fmt.Errorf("%w: %s is not a count from 1", errHeader, caller.HeaderAttempt)
+	number, err := strconv.ParseUint(text, 10, 16)
+	if err != nil || number == 0 {
+		return 0, fmt.Errorf("%w: %s is not a number from 1 to 65535", errHeader, caller.HeaderAttempt)
 	}
-	return int(attempt), nil
+	return int(number), nil
 }
 
 // splitPath splits an escaped path into the service and the path that the server sees.
-func splitPath(path string) (service, rest string) {
-	service, rest, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	return service, "/" + rest
+func splitPath(path string) (service, serverPath string) {
+	service, serverPath, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	return service, "/" + serverPath
 }
 
 // idempotent reports whether HTTP defines a method as idempotent (RFC 9110, 9.2.2).
--- a/internal/front/retry_test.go
+++ b/internal/front/retry_test.go
@@ -10,20 +10,20 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// earned is the number of whole answers that fill the budget for retries.
-const earned = 60
+// fullRetryBudget is the number of complete responses that fill the retry budget.
+const fullRetryBudget = 60
 
-// A read runs, its answer is cut, and the gate tries it once more; the server sheds that try.
-// The caller was told that the read had not run, which was true of the second try only.
-func TestRetryAfterDoubtIsNotCalledNotRun(t *testing.T) {
+// A GET request runs, its response is cut, and the gate retries it; the server refuses the second
+// attempt. The outcome must not be "not run", which is true of the second attempt only.
+func TestOutcomeUnknownAfterRefusedRetry(t *testing.T) {
 	is := is.New(t)
-	var tries atomic.Int32
+	var attempts atomic.Int32
 	i := start(t, "gate", nil)
 	i.finder.set(here(testService(), backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		switch n := tries.Add(1); {
-		case n <= earned:
+		switch n := attempts.Add(1); {
+		case n <= fullRetryBudget:
 			return
-		case n == earned+1:
+		case n == fullRetryBudget+1:
 			conn, _, err := http.NewResponseController(w).Hijack()
 			if err != nil {
 				t.Error(err)
@@ -37,12 +37,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})))
 	var got answer
-	for range earned + 1 {
+	for range fullRetryBudget + 1 {
 		r, err := http.NewRequest(http.MethodGet, i.callers.URL+"/oddaja/x", nil)
 		is.NoErr(err)
 		r.Header.Set(caller.HeaderKey, "k")
 		got = do(t, r)
 	}
-	is.True(tries.Load() > earned+1)
+	is.True(attempts.Load() > fullRetryBudget+1)
 	is.Equal(got.outcome(), caller.Unknown)
 }
--- a/internal/front/serve.go
+++ b/internal/front/serve.go
@@ -13,61 +13,62 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// retrySoon is when callers are told to come back after a fault that is likely to be short.
-const retrySoon = time.Second
+// shortRetryDelay is the Retry-After of a refusal whose cause probably lasts only briefly.
+const shortRetryDelay = time.Second
 
-// serve sees one request to its answer.
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, from origin) {
+// serve handles one request.
+func (f *Front) serve(w http.ResponseWriter, r *http.Request, sender senderKind) {
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q, err := f.parse(r, from)
+	q, err := f.parseRequest(r, sender)
 	if err != nil {
-		refuse(w, q.id, &refusal{
+		writeRefusal(w, q.id, &refusal{
 			status: http.StatusBadRequest, reason: ReasonBadHeader, outcome: caller.NotRun,
 			detail: err.Error(), service: q.service,
 		})
 		return
 	}
-	defer q.free()
-	defer f.serveSpan(w, q)()
-	if no := f.route(w, q); no != nil {
-		if q.doubt && no.ranNot() {
-			// The last try did not run, but one before it may have.
-			no.outcome, no.unsent = caller.Unknown, false
+	defer q.releaseBody()
+	defer f.startServeSpan(w, q)()
+	if ref := f.route(w, q); ref != nil {
+		if q.mayHaveRun && ref.didNotRun() {
+			// The last attempt did not run, but an earlier one may have.
+			ref.outcome, ref.unsent = caller.Unknown, false
 		}
-		no.service = q.service
-		f.meters.refusals.Add(string(no.reason), 1)
-		refuse(w, q.id, no)
+		ref.service = q.service
+		f.counters.refusals.Add(string(ref.reason), 1)
+		writeRefusal(w, q.id, ref)
 	}
-	f.meters.count(w.Header())
+	f.counters.count(w.Header())
 }
 
-// route sends a request to where it goes next. A refusal is returned if nothing was written.
+// route sends a request to its destination and writes the response. If it returns a refusal,
+// nothing has been written yet.
 func (f *Front) route(w http.ResponseWriter, q *request) *refusal {
-	switch d := f.find(q).(type) {
+	switch d := f.findDestination(q).(type) {
 	case route.Local:
-		if no := f.admit(q, d.Service); no != nil {
-			return no
+		if ref := f.prepare(q, d.Service); ref != nil {
+			return ref
 		}
-		return f.run(w, q, d)
+		return f.runAtGate(w, q, d)
 	case route.Forward:
-		if no := f.admit(q, d.Service); no != nil {
-			return no
+		if ref := f.prepare(q, d.Service); ref != nil {
+			return ref
 		}
 		return f.forward(w, q, d)
 	case route.Unavailable:
-		return absent(q, d)
+		return unavailableRefusal(q, d)
 	default:
-		return &refusal{status: http.StatusInternalServerError, reason: ReasonNoRoute, outcome: unreached(q), unsent: true}
+		return &refusal{status: http.StatusInternalServerError, reason: ReasonNoRoute, outcome: unreachedOutcome(q), unsent: true}
 	}
 }
 
-// find returns the next destination of a request. In a service that is not divided, the place
-// of a request that must not run twice depends on its id, so that its resends go there too.
-func (f *Front) find(q *request) route.Destination {
+// findDestination returns the next destination of a request. In a service that is not divided, the
+// destination of a deduplicated request depends on its id, so that its resends go there too.
+func (f *Front) findDestination(q *request) route.Destination {
 	d := f.deps.Finder.Find(q.service, q.hash)
-	if !q.once() || divided(d) {
+	if !q.deduplicated() || divided(d) {
 		return d
 	}
 	q.hash = keys.Hash(q.service, q.id)
@@ -77,7 +78,8 @@
 	return f.deps.Home(q.service, q.hash)
 }
 
-// divided reports whether a destination is in a divided service, or none at all.
+// divided reports whether a destination belongs to a divided service. It returns true if there is
+// no destination.
 func divided(d route.Destination) bool {
 	switch d := d.(type) {
 	case route.Local:
@@ -89,8 +91,9 @@
 	}
 }
 
-// admit checks what the service asks of each request.
-func (f *Front) admit(q *request, s *bundle.Service) *refusal {
+// prepare checks a request against the limits of the service, and sets its body and deadline. It
+// also limits how often the request is routed at this instance.
+func (f *Front) prepare(q *request, s *bundle.Service) *refusal {
 	if s.Divided && q.key == "" {
 		return &refusal{
 			status: http.StatusBadRequest, reason: ReasonNoKey, outcome: caller.NotRun,
@@ -98,71 +101,74 @@
 		}
 	}
 	if limit := s.Limits.BodyBytes; limit > 0 && q.ContentLength > limit {
-		return &refusal{status: http.StatusRequestEntityTooLarge, reason: ReasonBodyTooBig, outcome: caller.NotRun}
+		return &refusal{status: http.StatusRequestEntityTooLarge, reason: ReasonBodyTooLarge, outcome: caller.NotRun}
 	}
-	if q.moves++; q.moves > maxHops {
-		return moving(q)
+	if q.lookups++; q.lookups > maxHops {
+		return ownerMovedRefusal(q)
 	}
 	if q.body == nil {
 		q.body = f.newBody(q, s.Limits.BodyBytes)
 	}
-	f.bound(q, s)
+	f.limitDeadline(q, s)
 	return nil
 }
 
-// moving returns the refusal for a request whose owner moves faster than it follows.
-func moving(q *request) *refusal {
+// ownerMovedRefusal returns the refusal for a request that was routed too often because the owner
+// of its key keeps changing.
+func ownerMovedRefusal(q *request) *refusal {
 	return &refusal{
-		status: http.StatusServiceUnavailable, reason: ReasonHops, outcome: unreached(q), unsent: true, retry: retrySoon,
+		status: http.StatusServiceUnavailable, reason: ReasonTooManyHops, outcome: unreachedOutcome(q), unsent: true, retryAfter: shortRetryDelay,
 		detail: "the owner of the key moved while the request was on its way",
 	}
 }
 
-// unreached returns the outcome of a request that did not reach its gate. This sending did not
-// run, but an earlier one of the same id may have: only the gate remembers. So "not run" is
-// said only of a request that has no id, or that the caller says it sends for the first time.
-func unreached(q *request) caller.Outcome {
-	if q.once() && q.attempt != 1 {
+// unreachedOutcome returns the outcome of a request that did not reach its gate. This submission
+// did not run, but an earlier one with the same id may have, and only the gate has the record. The
+// outcome is therefore "not run" only if the request is not deduplicated or the caller states that
+// this is the first submission.
+func unreachedOutcome(q *request) caller.Outcome {
+	if q.deduplicated() && q.submissionNumber != 1 {
 		return caller.Unknown
 	}
 	return caller.NotRun
 }
 
-// absent returns the refusal for a request without a destination.
-func absent(q *request, a route.Unavailable) *refusal {
-	if a.Reason == route.ReasonUnknownService {
-		return &refusal{status: http.StatusNotFound, reason: reasonOf(a.Reason), outcome: caller.NotRun}
+// unavailableRefusal returns the refusal for a request that has no destination.
+func unavailableRefusal(q *request, d route.Unavailable) *refusal {
+	if d.Reason == route.ReasonUnknownService {
+		return &refusal{status: http.StatusNotFound, reason: reasonOf(d.Reason), outcome: caller.NotRun}
 	}
 	return &refusal{
-		status: http.StatusServiceUnavailable, reason: reasonOf(a.Reason), outcome: unreached(q), unsent: true, retry: retrySoon,
+		status: http.StatusServiceUnavailable, reason: reasonOf(d.Reason), outcome: unreachedOutcome(q), unsent: true, retryAfter: shortRetryDelay,
 	}
 }
 
-// failed returns the refusal for a request that ended with an error.
-func failed(q *request, outcome caller.Outcome, err error) *refusal {
-	no := &refusal{status: http.StatusBadGateway, reason: ReasonServerLost, outcome: outcome, retry: retrySoon}
-	switch cause := q.body.cause(); {
-	case errors.Is(cause, errBodySize):
-		no.status, no.reason, no.retry = http.StatusRequestEntityTooLarge, ReasonBodyTooBig, 0
+// failureRefusal returns the refusal for a request that ended with an error. An error that occurred
+// while the body was read decides about status and reason.
+func failureRefusal(q *request, outcome caller.Outcome, err error) *refusal {
+	ref := &refusal{status: http.StatusBadGateway, reason: ReasonServerLost, outcome: outcome, retryAfter: shortRetryDelay}
+	switch cause := q.body.readError(); {
+	case errors.Is(cause, errBodyTooLarge):
+		ref.status, ref.reason, ref.retryAfter = http.StatusRequestEntityTooLarge, ReasonBodyTooLarge, 0
 	case errors.Is(cause, errBodyCut):
-		no.status, no.reason, no.retry = http.StatusBadRequest, ReasonBodyCut, 0
+		ref.status, ref.reason, ref.retryAfter = http.StatusBadRequest, ReasonBodyCut, 0
 	case isTimeout(err):
-		no.status, no.reason = http.StatusGatewayTimeout, ReasonTimeout
+		ref.status, ref.reason = http.StatusGatewayTimeout, ReasonTimeout
 	case q.Context().Err() != nil:
-		no.status, no.reason, no.retry = statusCallerGone, ReasonCanceled, 0
+		ref.status, ref.reason, ref.retryAfter = statusCallerGone, ReasonCallerGone, 0
 	case outcome == caller.NotRun:
-		no.status, no.reason = http.StatusServiceUnavailable, ReasonUnreachable
+		ref.status, ref.reason = http.StatusServiceUnavailable, ReasonUnreachable
 	}
-	if no.reason == ReasonTimeout && outcome == caller.NotRun {
-		no.status, no.reason = http.StatusServiceUnavailable, policy.ReasonDeadlinePassed
+	if ref.reason == ReasonTimeout && outcome == caller.NotRun {
+		ref.status, ref.reason = http.StatusServiceUnavailable, policy.ReasonDeadlinePassed
 	}
-	return no
+	return ref
 }
 
-// unsent says of a refusal that this sending did not run.
-func unsent(no *refusal) *refusal {
-	no.unsent = true
-	return no
+// asUnsent marks a refusal as one of a submission that did not run, and returns it.
+func asUnsent(ref *refusal) *refusal {
+	ref.unsent = true
+	return ref
 }
 
 func isTimeout(err error) bool {
--- a/internal/front/serve_test.go
+++ b/internal/front/serve_test.go
@@ -13,7 +13,7 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// echo answers with what it was sent.
+// echo responds with the parts of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = fmt.Fprintf(w, "%s %s epoch=%s body=%s", r.Method, r.URL.RequestURI(), r.Header.Get(caller.HeaderEpoch), body)
@@ -23,20 +23,20 @@
 	tests := map[string]struct {
 		forwarded bool
 	}{
-		"at the gate":         {},
-		"through an instance": {forwarded: true},
+		"at the gate":                   {},
+		"forwarded by another instance": {forwarded: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			gate := start(t, "one", nil)
 			gate.finder.set(here(testService(), backend(t, echo)))
-			entry := gate
+			edge := gate
 			if tt.forwarded {
-				entry = start(t, "two", nil)
-				entry.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
+				edge = start(t, "two", nil)
+				edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
 			}
-			response := do(t, post(is, entry.callers.URL+"/oddaja/a%2Fb/c?d=e", "text", caller.HeaderRequestID, "id-1"))
+			response := do(t, post(is, edge.callers.URL+"/oddaja/a%2Fb/c?d=e", "text", caller.HeaderRequestID, "id-1"))
 			is.NoErr(response.cut)
 			is.Equal(response.status, http.StatusOK)
 			is.Equal(string(response.body), "POST /a%2Fb/c?d=e epoch=3.1.7.9 body=text")
@@ -61,7 +61,7 @@
 		},
 		"key too long": {
 			dest: here(testService(), "127.0.0.1:1"), status: 400, reason: "bad-header",
-			change: func(r *http.Request) { r.Header.Set(caller.HeaderKey, strings.Repeat("k", maxKey+1)) },
+			change: func(r *http.Request) { r.Header.Set(caller.HeaderKey, strings.Repeat("k", maxKeyBytes+1)) },
 		},
 		"bad deadline": {
 			dest: here(testService(), "127.0.0.1:1"), status: 400, reason: "bad-header",
@@ -110,9 +110,9 @@
 	}
 }
 
-// Two instances each believe that the other is the gate, as while a gate moves. A user would
-// see a request that circles until its deadline. The hop count ends it.
-func TestForwardsDoNotCircle(t *testing.T) {
+// Two instances each believe that the other is the gate, as may happen while a gate moves. Without
+// a limit of hops they would forward the request to each other until its deadline.
+func TestForwardingLoopEnds(t *testing.T) {
 	is := is.New(t)
 	one, two := start(t, "one", nil), start(t, "two", nil)
 	to := func(i *instance) route.Forward {
@@ -125,9 +125,9 @@
 	is.Equal(response.outcome(), caller.NotRun)
 }
 
-// A server closes the connection in the middle of its answer. A user must see a broken
-// answer, not a short one that looks whole.
-func TestCutAnswerIsCut(t *testing.T) {
+// A server closes the connection in the middle of a response. The caller must see an error, not a
+// short response that looks complete.
+func TestCutResponseIsAborted(t *testing.T) {
 	tests := map[string]http.HandlerFunc{
 		"content length": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100000")
@@ -146,21 +146,21 @@
 				is := is.New(t)
 				gate := start(t, "one", nil)
 				gate.finder.set(here(testService(), backend(t, handle)))
-				entry := gate
+				edge := gate
 				if forwarded {
-					entry = start(t, "two", nil)
-					entry.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
+					edge = start(t, "two", nil)
+					edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
 				}
-				response := do(t, post(is, entry.callers.URL+"/oddaja/x", "text"))
+				response := do(t, post(is, edge.callers.URL+"/oddaja/x", "text"))
 				is.True(response.cut != nil)
 			})
 		}
 	}
 }
 
-// A server that checks grants refuses a key it no longer owns. The user learns that nothing
-// ran and may send again.
-func TestServerRefusesBeforeRunning(t *testing.T) {
+// A server that checks grants refuses a request for a key that it no longer owns. The caller learns
+// that the request did not run and may be sent again.
+func TestServerRefusesBeforeRunningRequest(t *testing.T) {
 	is := is.New(t)
 	i := start(t, "one", nil)
 	i.finder.set(here(testService(), backend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -172,7 +172,7 @@
 	is.Equal(response.outcome(), caller.NotRun)
 }
 
-func TestSettings(t *testing.T) {
+func TestNewWithoutDeps(t *testing.T) {
 	is := is.New(t)
 	_, err := New(Deps{})
 	is.True(err != nil)
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -14,38 +14,40 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// tick is how often waiting requests are looked at when nothing else happens.
-const tick = 50 * time.Millisecond
+// advanceInterval is how often Core.Advance is called while requests are queued.
+const advanceInterval = 50 * time.Millisecond
 
-// service is one service at this instance: the policy core with what waits on it.
+// service is the state of one service at this instance: its policy core, the queued requests and
+// the connections to its servers.
 type service struct {
-	front    *Front
-	name     string
-	recalls  singleflight.Group
-	mu       sync.Mutex
-	core     *policy.Core
-	waiters  map[policy.Ticket]chan policy.Decision
-	servers  map[string]*upstr.Client
-	recalled map[shard]recallState
-	// epochs holds the header forms of the newest epochs of servers.
-	epochs sync.Map
-	// ticking says that a tick is set.
-	ticking bool
-	// capacity is reused by configure.
-	capacity []policy.Server
+	front      *Front
+	name       string
+	recoveries singleflight.Group
+	mu         sync.Mutex
+	core       *policy.Core
+	waiters    map[policy.Ticket]chan policy.Decision
+	clients    map[string]*upstr.Client
+	recovered  map[shard]recoveryState
+	// epochTexts maps the name of a server to the *epochEntry of its newest epoch.
+	epochTexts sync.Map
+	// advanceScheduled says that a timer will call Core.Advance.
+	advanceScheduled bool
+	// policyServers is a buffer that configure reuses.
+	policyServers []policy.Server
 }
 
 func newService(f *Front, name string) *service {
 	return &service{
 		front: f, name: name,
-		core:     policy.NewCore(name, f.deps.Bounds, f.origin.UnixMilli()),
-		waiters:  make(map[policy.Ticket]chan policy.Decision),
-		servers:  make(map[string]*upstr.Client),
-		recalled: make(map[shard]recallState),
+		core:      policy.NewCore(name, f.deps.TableLimits, f.clockStart.UnixMilli()),
+		waiters:   make(map[policy.Ticket]chan policy.Decision),
+		clients:   make(map[string]*upstr.Client),
+		recovered: make(map[shard]recoveryState),
 	}
 }
 
-// poolOf names the servers that share a queue.
+// poolOf returns the name of the pool, the servers that share a queue. In a divided service each
+// server is a pool of its own; otherwise all servers of the service are the pool "".
 func poolOf(d route.Local) string {
 	if d.Service.Divided && len(d.Servers) == 1 {
 		return d.Servers[0].Server.Name
@@ -53,40 +55,40 @@
 	return ""
 }
 
-// recollect asks the memory about a request.
-func (s *service) recollect(r *policy.Request) policy.CheckResult {
+// checkIdempotency looks a request up in the idempotency table. See Core.CheckIdempotency.
+func (s *service) checkIdempotency(r *policy.Request) policy.CheckResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.CheckIdempotency(s.front.now(), r)
 }
 
-// acquire waits for a slot. The verdict is not Wait, and the second result says whether the
-// request waited. An error is the context's, or errDeadline; the request then did not run.
+// acquire waits for a slot. The decision is never Queued; the second result says whether the
+// request was queued. An error is the context's or errDeadline, and the request did not run then.
 func (s *service) acquire(ctx context.Context, r *policy.Request, d route.Local) (policy.Decision, bool, error) {
 	s.mu.Lock()
 	s.configure(r.Pool, d)
-	verdicts := s.core.Admit(s.front.now(), r)
-	first := verdicts[0]
+	decisions := s.core.Admit(s.front.now(), r)
+	first := decisions[0]
 	if _, waits := first.(policy.Queued); !waits {
-		s.tell(verdicts[1:])
+		s.deliver(decisions[1:])
 		s.mu.Unlock()
 		return first, false, nil
 	}
-	mine := make(chan policy.Decision, 1)
-	s.waiters[r.Ticket] = mine
-	s.tell(verdicts[1:])
-	s.setTick()
+	decided := make(chan policy.Decision, 1)
+	s.waiters[r.Ticket] = decided
+	s.deliver(decisions[1:])
+	s.scheduleAdvance()
 	s.mu.Unlock()
-	v, err := s.await(ctx, r, mine)
+	v, err := s.awaitDecision(ctx, r, decided)
 	return v, true, err
 }
 
-func (s *service) await(ctx context.Context, r *policy.Request, mine chan policy.Decision) (policy.Decision, error) {
+func (s *service) awaitDecision(ctx context.Context, r *policy.Request, decided chan policy.Decision) (policy.Decision, error) {
 	expired := time.NewTimer(r.Deadline.Until(s.front.now()))
 	defer expired.Stop()
 	var err error
 	select {
-	case v := <-mine:
+	case v := <-decided:
 		return v, nil
 	case <-ctx.Done():
 		err = context.Cause(ctx)
@@ -94,36 +96,36 @@
 		err = errDeadline
 	}
 	s.mu.Lock()
-	left := s.core.Dequeue(r)
+	dequeued := s.core.Dequeue(r)
 	delete(s.waiters, r.Ticket)
 	s.mu.Unlock()
-	if left {
+	if dequeued {
 		return nil, err
 	}
-	if v, started := (<-mine).(policy.Admitted); started {
-		s.withdraw(r, v.Server)
+	if v, admitted := (<-decided).(policy.Admitted); admitted {
+		s.cancelAndRelease(r, v.Server)
 	}
 	return nil, err
 }
 
-// withdraw gives back the slot of a request that did not run.
-func (s *service) withdraw(r *policy.Request, server string) {
+// cancelAndRelease cancels an admitted request that was not sent, and releases its slot.
+func (s *service) cancelAndRelease(r *policy.Request, server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Cancel(r)
-	s.tell(s.core.Release(s.front.now(), s.core.SlotOf(r, server), 0))
+	s.deliver(s.core.Release(s.front.now(), s.core.SlotOf(r, server), 0))
 }
 
-// freed gives a slot back.
-func (s *service) freed(slot policy.Slot, ran time.Duration) {
+// release gives back a slot after a request that ran for the given time, zero if it did not run.
+func (s *service) release(slot policy.Slot, ran time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tell(s.core.Release(s.front.now(), slot, ran))
+	s.deliver(s.core.Release(s.front.now(), slot, ran))
 }
 
-// tell passes verdicts to the waiting requests. The caller holds mu.
-func (s *service) tell(verdicts []policy.Decision) {
-	for _, v := range verdicts {
+// deliver passes decisions to the queued requests. The caller holds mu.
+func (s *service) deliver(decisions []policy.Decision) {
+	for _, v := range decisions {
 		var t policy.Ticket
 		switch v := v.(type) {
 		case policy.Admitted:
@@ -142,66 +144,70 @@
 	}
 }
 
-// setTick has the waiting requests looked at after a while. The caller holds mu.
-func (s *service) setTick() {
-	if s.ticking {
+// scheduleAdvance calls Core.Advance every advanceInterval until no request is queued. The caller
+// holds mu.
+func (s *service) scheduleAdvance() {
+	if s.advanceScheduled {
 		return
 	}
-	s.ticking = true
-	time.AfterFunc(tick, func() {
+	s.advanceScheduled = true
+	time.AfterFunc(advanceInterval, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.ticking = false
-		s.tell(s.core.Advance(s.front.now()))
+		s.advanceScheduled = false
+		s.deliver(s.core.Advance(s.front.now()))
 		if s.core.Waiting() > 0 {
-			s.setTick()
+			s.scheduleAdvance()
 		}
 	})
 }
 
-// configure follows the bundle. The caller holds mu.
+// configure passes the servers of a pool and the limits of the service to the policy core, except
+// for servers that are leaving. The caller holds mu.
 func (s *service) configure(pool string, d route.Local) {
-	s.capacity = s.capacity[:0]
+	s.policyServers = s.policyServers[:0]
 	for _, t := range d.Servers {
 		if t.Server.Leaving {
 			continue
 		}
 		c := policy.Server{Name: t.Server.Name, Slots: max(t.Server.Slots, 1)}
-		if s.front.deps.Hint != nil && len(d.Servers) > 1 {
-			c.LoadHint = s.front.deps.Hint(s.name, t.Server.Name)
+		if s.front.deps.LoadHint != nil && len(d.Servers) > 1 {
+			c.LoadHint = s.front.deps.LoadHint(s.name, t.Server.Name)
 		}
-		s.capacity = append(s.capacity, c)
+		s.policyServers = append(s.policyServers, c)
 	}
-	s.tell(s.core.Configure(s.front.now(), pool, d.Service.Limits, s.capacity))
+	s.deliver(s.core.Configure(s.front.now(), pool, d.Service.Limits, s.policyServers))
 }
 
-// epochForm is an epoch with its header form.
-type epochForm struct {
+// epochEntry is an epoch and its value in the epoch header.
+type epochEntry struct {
 	epoch grant.Epoch
 	text  []string
 }
 
-// epochOf returns the header form of a target's epoch, which few requests see change.
-func (s *service) epochOf(t route.Target) []string {
-	if known, found := s.epochs.Load(t.Server.Name); found {
-		if form := known.(*epochForm); form.epoch == t.Epoch {
-			return form.text
+// epochHeader returns the epoch of a target as a header value. The value is cached, because epochs
+// change rarely.
+func (s *service) epochHeader(t route.Target) []string {
+	if known, found := s.epochTexts.Load(t.Server.Name); found {
+		if entry := known.(*epochEntry); entry.epoch == t.Epoch {
+			return entry.text
 		}
 	}
-	form := &epochForm{epoch: t.Epoch, text: []string{epochText(t.Epoch)}}
-	s.epochs.Store(t.Server.Name, form)
-	return form.text
+	entry := &epochEntry{epoch: t.Epoch, text: []string{epochText(t.Epoch)}}
+	s.epochTexts.Store(t.Server.Name, entry)
+	return entry.text
 }
 
-// connections returns the connections to a server, new ones if its settings changed.
-func (s *service) connections(b *bundle.Server) *upstr.Client {
+// client returns the client of a server. If the settings of the server changed, it makes a new
+// client and closes the old one in the background.
+func (s *service) client(b *bundle.Server) *upstr.Client {
 	settings := upstr.Settings{
 		Name: b.Name, Address: b.Address, MaxConns: b.Connections, Slots: max(b.Slots, 1),
-		SilenceTimeout: s.front.deps.Patience,
+		SilenceTimeout: s.front.deps.SilenceTimeout,
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.servers[b.Name]
+	known := s.clients[b.Name]
 	if known != nil && known.HasSettings(settings) {
 		return known
 	}
@@ -213,54 +219,56 @@
 		}()
 	}
 	fresh := upstr.NewClient(settings)
-	s.servers[b.Name] = fresh
+	s.clients[b.Name] = fresh
 	return fresh
 }
 
-// unrecall drops what was recalled for a server.
-func (s *service) unrecall(server string) {
+// dropRecovered forgets that records were recovered for a server, so that they are recovered again.
+// Shards of services that are not divided do not name a server, and are dropped as well.
+func (s *service) dropRecovered(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.recalled {
-		if k.server == server || k.server == "" {
-			delete(s.recalled, k)
+	for sh := range s.recovered {
+		if sh.server == server || sh.server == "" {
+			delete(s.recovered, sh)
 		}
 	}
 }
 
-// move lets the requests that wait for a server go on to its new gate.
-func (s *service) move(server string) {
+// dequeueMoved removes the requests that are queued for a server, which are then routed to its new
+// gate.
+func (s *service) dequeueMoved(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if server != "" {
-		s.tell(s.core.DequeuePool(server))
+		s.deliver(s.core.DequeuePool(server))
 	}
 }
 
-// cut closes the connections to a server at once.
-func (s *service) cut(server string) {
+// closeConns closes the connections to a server at once, also those in use.
+func (s *service) closeConns(server string) {
 	s.mu.Lock()
-	connections := s.servers[server]
+	client := s.clients[server]
 	s.mu.Unlock()
-	if connections != nil {
-		connections.CloseConns()
+	if client != nil {
+		client.CloseConns()
 	}
 }
 
-// close ends the connections to all servers.
+// close closes the clients of all servers.
 func (s *service) close() {
 	s.mu.Lock()
-	servers := s.servers
-	s.servers = make(map[string]*upstr.Client)
+	clients := s.clients
+	s.clients = make(map[string]*upstr.Client)
 	s.mu.Unlock()
-	for _, server := range servers {
-		server.Close()
+	for _, c := range clients {
+		c.Close()
 	}
 }
 
-// adopt takes in a mark. It reports false when there is no room.
-func (s *service) adopt(m policy.IdempotencyRecord) bool {
+// addRecord adds an idempotency record. It returns false if the table is full.
+func (s *service) addRecord(rec policy.IdempotencyRecord) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.AddRecord(s.front.now(), m)
+	return s.core.AddRecord(s.front.now(), rec)
 }
--- a/internal/front/silent_test.go
+++ b/internal/front/silence_test.go
@@ -15,9 +15,9 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// startSilent starts a server whose used connection goes silent under the first request for
-// /silent, while new connections work.
-func startSilent(t *testing.T) string {
+// startSilentServer starts a server that never responds on the connection of the first request for
+// /silent, while other connections work.
+func startSilentServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,13 +60,13 @@
 	return l.Addr().String()
 }
 
-// Something between gate and server loses track of a connection. A reader of a page has it
-// on a new connection shortly after; the slot of the lost request stays in use, as the server
-// may still run it, and the other one serves on.
-func TestSilentConnectionIsFollowedByAnother(t *testing.T) {
+// A device between gate and server drops the state of a connection, and the connection goes silent.
+// An idempotent request on it is retried on a new connection. The slot of the first attempt stays
+// occupied, since the server may still run it, and the other slot remains usable.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	i := start(t, "one", func(d *Deps) { d.Patience = 20 * time.Millisecond })
-	i.finder.set(here(testService(), startSilent(t)))
+	i := start(t, "one", func(d *Deps) { d.SilenceTimeout = 20 * time.Millisecond })
+	i.finder.set(here(testService(), startSilentServer(t)))
 	for range 12 {
 		is.Equal(do(t, get(is, i.callers.URL+"/oddaja/page")).outcome(), caller.Ran)
 	}
--- a/internal/front/span.go
+++ b/internal/front/span.go
@@ -11,7 +11,7 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// The names of spans, one for each hop.
+// The names of spans.
 const (
 	spanServe   = "serve"
 	spanForward = "forward"
@@ -21,9 +21,9 @@
 // traceContext is the W3C trace context (traceparent and tracestate).
 var traceContext propagation.TraceContext
 
-// serveSpan begins the span of a request at this instance, and returns what ends it. Without
-// a tracer it does nothing, and the caller's trace context is passed on as it came.
-func (f *Front) serveSpan(w http.ResponseWriter, q *request) func() {
+// startServeSpan starts the span of a request at this instance and returns the function that ends
+// it. Without a tracer it does nothing, and the trace context of the caller is passed on unchanged.
+func (f *Front) startServeSpan(w http.ResponseWriter, q *request) func() {
 	if f.deps.Tracer == nil {
 		return func() {}
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-// nextSpan begins the span of the next hop and puts the trace context into its headers. It
-// returns what ends the span.
-func (f *Front) nextSpan(ctx context.Context, name, to string, h http.Header) func() {
+// startHopSpan starts the span of the next hop, adds the trace context to the headers h, and
+// returns the function that ends the span.
+func (f *Front) startHopSpan(ctx context.Context, name, to string, h http.Header) func() {
 	if f.deps.Tracer == nil {
 		return func() {}
 	}
--- a/internal/front/span_test.go
+++ b/internal/front/span_test.go
@@ -16,23 +16,23 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// A request over two instances to a server leaves one trace with a span for each hop, which
-// begins with the caller's own context and goes on in the server's.
+// A request that is forwarded once makes one trace with a span for each hop. The trace continues
+// that of the caller and is passed on to the server.
 func TestSpanForEachHop(t *testing.T) {
 	is := is.New(t)
 	recorder := tracetest.NewSpanRecorder()
 	provider := sdk.NewTracerProvider(sdk.WithSpanProcessor(recorder))
 	defer func() { _ = provider.Shutdown(context.Background()) }()
 	tracing := func(d *Deps) { d.Tracer = provider.Tracer("test") }
-	gate, entry := start(t, "one", tracing), start(t, "two", tracing)
+	gate, edge := start(t, "one", tracing), start(t, "two", tracing)
 	gate.finder.set(here(testService(), backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Header.Get("Traceparent"))
 	})))
-	entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
+	edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
 	const trace = "0af7651916cd43dd8448eb211c80319c"
-	got := do(t, post(is, entry.callers.URL+"/oddaja/x", "text", "Traceparent", "00-"+trace+"-b7ad6b7169203331-01"))
+	got := do(t, post(is, edge.callers.URL+"/oddaja/x", "text", "Traceparent", "00-"+trace+"-b7ad6b7169203331-01"))
 	is.True(strings.HasPrefix(string(got.body), "00-"+trace+"-"))
-	entry.callers.Close()
+	edge.callers.Close()
 	gate.forwards.Close()
 	var names []string
 	for _, span := range recorder.Ended() {
@@ -54,7 +54,7 @@
 	is.Equal(string(do(t, post(is, i.callers.URL+"/oddaja/x", "text", "Traceparent", parent)).body), parent)
 }
 
-// The names and values that operators watch.
+// The names of the metrics are stable, because operators monitor them.
 func TestVars(t *testing.T) {
 	is := is.New(t)
 	i := start(t, "one", nil)
@@ -63,7 +63,7 @@
 	do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
 	i.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	do(t, post(is, i.callers.URL+"/oddaja/x", "text"))
-	i.settled()
+	i.awaitIdle()
 	var vars struct {
 		Ran      int            `json:"requests-ran"`
 		NotRun   int            `json:"requests-not-run"`
@@ -76,6 +76,6 @@
 	is.Equal(vars.NotRun, 1)
 	is.Equal(vars.Replayed, 1)
 	is.Equal(vars.Refusals, map[string]int{"no-owner": 1})
-	is.Equal(vars.Services[0].Remembered, 1)
+	is.Equal(vars.Services[0].NumRecords, 1)
 	is.Equal(vars.Services[0].Servers, []ServerStatus{{Server: "oddaja-a", Slots: 2, Connections: 1}})
 }
