--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -123,7 +123,7 @@
 // heard handles what another instance says of itself. Fresh says that it was not known.
 func (e *Entry) heard(ctx context.Context, h Heartbeat, fresh bool) {
 	if fresh {
-		e.front.Merge(h.Blocks)
+		e.front.MergeCrashRecords(h.Blocks)
 	}
 	if h.Domain == e.deps.Settings.Domain {
 		e.tell(ctx, peerHeard(h))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -123,24 +123,24 @@
 	e.losses = newLosses()
 	e.witness = newWitness(e.peers, e.gained, e.losses, e.state, d.Logger)
 	f, err := front.New(front.Deps{
-		Instance:      d.Settings.Name,
-		Domain:        d.Settings.Domain,
-		Finder:        e.state.directory,
-		Right:         right{holders: e.holders, lease: e.lease, now: e.now},
-		Witness:       e.witness,
-		Ran:           e.ran,
-		Home:          e.state.directory.FindHome,
-		Forward:       newForwardTransport(d.TLS),
-		ForwardScheme: "https",
-		Tracer:        d.Tracer,
-		Log:           d.Logger,
+		Instance:         d.Settings.Name,
+		Domain:           d.Settings.Domain,
+		Finder:           e.state.directory,
+		Authorizer:       right{holders: e.holders, lease: e.lease, now: e.now},
+		Replicator:       e.witness,
+		ObserveRun:       e.ran,
+		FindHome:         e.state.directory.FindHome,
+		ForwardTransport: newForwardTransport(d.TLS),
+		ForwardScheme:    "https",
+		Tracer:           d.Tracer,
+		Log:              d.Logger,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("entry: %w", err)
 	}
 	e.front = f
-	e.callerServer = newServer(f.Callers())
-	e.forwardServer = newServer(f.Forwards())
+	e.callerServer = newServer(f.CallerHandler())
+	e.forwardServer = newServer(f.ForwardHandler())
 	return e, nil
 }
 
@@ -230,7 +230,7 @@
 const balancerTime = 500 * time.Millisecond
 
 func (e *Entry) balancerLag(ctx context.Context) {
-	e.front.Refuse()
+	e.front.SetNotReady()
 	duty.Pause(ctx, balancerTime)
 }
 
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -42,7 +42,7 @@
 // when another instance has become its gate.
 func (e *Entry) closeLapsed() {
 	for _, name := range e.holders.lapsed() {
-		e.front.RightLost(name.service, name.server)
+		e.front.LeaseLost(name.service, name.server)
 	}
 }
 
--- a/internal/entry/losses.go
+++ b/internal/entry/losses.go
@@ -103,7 +103,7 @@
 	}
 	clients := e.peers.liveInDomain()
 	for _, s := range b.Services {
-		marks := e.front.Marks(s.Name, keys.Full)
+		marks := e.front.Records(s.Name, keys.Full)
 		for part := range slices.Chunk(marks, maxMarks) {
 			for _, c := range clients[:min(len(clients), marksCopies)] {
 				if _, err := call[MarksCall, Done](ctx, c, marksLimit, methodMarks, MarksCall{Marks: part}); err != nil {
@@ -116,7 +116,7 @@
 
 func (e *Entry) handleMarks(_ context.Context, c MarksCall) (Done, error) {
 	for _, m := range c.Marks {
-		if !e.front.Witnessed(m) {
+		if !e.front.AddRecord(m) {
 			return Done{}, errNoRoom
 		}
 	}
--- a/internal/entry/losses_test.go
+++ b/internal/entry/losses_test.go
@@ -90,7 +90,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := asker.witness.Recall(ctx, service, keys.Full)
+			_, err := asker.witness.Recover(ctx, service, keys.Full)
 			s.is.Equal(errors.Is(err, errRecall), test.wantErr)
 		})
 	}
@@ -106,6 +106,6 @@
 	asker := s.life(2, 12)
 	s.says(witness, asker)
 	s.answerPeers(witness)
-	_, err := asker.witness.Recall(t.Context(), service, keys.Full)
+	_, err := asker.witness.Recover(t.Context(), service, keys.Full)
 	s.is.True(errors.Is(err, errRecall))
 }
--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -44,7 +44,7 @@
 	if view.Table != nil {
 		h.TableTerm, h.TableSerial = view.Table.Term, view.Table.Serial
 	}
-	h.Blocks = e.front.Blocks()
+	h.Blocks = e.front.CrashRecords()
 	slices.SortFunc(h.Blocks, compareBlocks)
 	if core := e.coreView.heartbeat.Load(); core != nil {
 		h.Leading, h.Term = core.Leading, core.Term
--- a/internal/entry/right.go
+++ b/internal/entry/right.go
@@ -35,11 +35,11 @@
 // A request that must not run twice is sent only while the leader has confirmed lately that
 // this instance is the gate. A gate that was cut off or paused would otherwise send a request
 // whose resend the next gate, which cannot know of it, sends as well.
-func (r right) Begin(a front.Approach) (front.Work, error) {
+func (r right) Begin(a front.Attempt) (front.Work, error) {
 	if !a.Idempotent && r.now() >= r.lease.until() {
 		return nil, errGateLapsed
 	}
-	if a.Checks || !a.Divided {
+	if a.ChecksGrants || !a.Divided {
 		return noWork{}, nil
 	}
 	return r.holders.begin(a.Service, a.Server, a.Hash)
--- a/internal/entry/witness.go
+++ b/internal/entry/witness.go
@@ -84,9 +84,9 @@
 	return &witness{peers: p, gained: g, losses: lost, state: s, ended: make(chan policy.IdempotencyRecord, markCapacity), logger: l}
 }
 
-// Begin implements front.Witness. The instance is chosen by the mark, the next one if it
+// Replicate implements front.Witness. The instance is chosen by the mark, the next one if it
 // does not answer.
-func (w *witness) Begin(ctx context.Context, m policy.IdempotencyRecord) error {
+func (w *witness) Replicate(ctx context.Context, m policy.IdempotencyRecord) error {
 	others := w.peers.liveInDomain()
 	if len(others) == 0 {
 		return nil
@@ -113,9 +113,9 @@
 	return err
 }
 
-// End implements front.Witness. A full ring drops the outcome: the witness then goes on
+// ReplicateOutcome implements front.Witness. A full ring drops the outcome: the witness then goes on
 // calling the request in doubt, which is safe.
-func (w *witness) End(m policy.IdempotencyRecord) {
+func (w *witness) ReplicateOutcome(m policy.IdempotencyRecord) {
 	select {
 	case w.ended <- m:
 	default:
@@ -138,7 +138,7 @@
 			}
 			go func() {
 				defer func() { <-free }()
-				if err := w.Begin(ctx, m); err != nil && ctx.Err() == nil {
+				if err := w.Replicate(ctx, m); err != nil && ctx.Err() == nil {
 					w.logger.Warn("mark-untold", "service", m.Service, "error", err)
 				}
 			}()
@@ -146,10 +146,10 @@
 	}
 }
 
-// Recall implements front.Witness. Until the former gate of a server of the service has said
+// Recover implements front.Witness. Until the former gate of a server of the service has said
 // that it knows of its end, or cannot act any more, it returns an error: what the former gate
 // is about to send is not remembered anywhere yet.
-func (w *witness) Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
+func (w *witness) Recover(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
 	clients := w.peers.recentInDomain(time.Now())
 	type answer struct {
 		result RecallResult
@@ -195,7 +195,7 @@
 }
 
 func (e *Entry) handleMark(_ context.Context, c MarkCall) (Done, error) {
-	if !e.front.Witnessed(c.Mark) {
+	if !e.front.AddRecord(c.Mark) {
 		return Done{}, errNoRoom
 	}
 	return Done{}, nil
@@ -206,6 +206,6 @@
 	if t := e.state.table(); t != nil {
 		result.TableTerm, result.TableSerial = t.Term, t.Serial
 	}
-	result.Marks = e.front.Marks(c.Service, c.Range)
+	result.Marks = e.front.Records(c.Service, c.Range)
 	return result, nil
 }
--- a/internal/front/dedup_test.go
+++ b/internal/front/dedup_test.go
@@ -31,11 +31,11 @@
 	return &testDomain{instances: d.instances, replicas: map[policy.ID]*instance{}, self: name}
 }
 
-func (d *testDomain) Begin(_ context.Context, rec policy.IdempotencyRecord) error {
+func (d *testDomain) Replicate(_ context.Context, rec policy.IdempotencyRecord) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, i := range d.instances {
-		if name != d.self && i.front.Witnessed(rec) {
+		if name != d.self && i.front.AddRecord(rec) {
 			d.replicas[rec.RequestID] = i
 			return nil
 		}
@@ -43,20 +43,20 @@
 	return errors.New("no other instance")
 }
 
-func (d *testDomain) End(rec policy.IdempotencyRecord) {
+func (d *testDomain) ReplicateOutcome(rec policy.IdempotencyRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i := d.replicas[rec.RequestID]; i != nil {
-		i.front.Witnessed(rec)
+		i.front.AddRecord(rec)
 		delete(d.replicas, rec.RequestID)
 	}
 }
 
-func (d *testDomain) Recall(_ context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
+func (d *testDomain) Recover(_ context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error) {
 	var records []policy.IdempotencyRecord
 	for name, i := range d.instances {
 		if name != d.self {
-			records = append(records, i.front.Marks(service, r)...)
+			records = append(records, i.front.Records(service, r)...)
 		}
 	}
 	return records, nil
@@ -66,7 +66,7 @@
 func startInstances(t *testing.T, names ...string) map[string]*instance {
 	d := &testDomain{instances: map[string]*instance{}}
 	for _, name := range names {
-		d.instances[name] = start(t, name, func(deps *Deps) { deps.Witness = d.forInstance(name) })
+		d.instances[name] = start(t, name, func(deps *Deps) { deps.Replicator = d.forInstance(name) })
 	}
 	return d.instances
 }
@@ -291,8 +291,8 @@
 	}
 	klet.finder.set(a)
 	dvorana.finder.set(b)
-	klet.front.deps.Home = home("klet", dvorana)
-	dvorana.front.deps.Home = home("dvorana-a", klet)
+	klet.front.deps.FindHome = home("klet", dvorana)
+	dvorana.front.deps.FindHome = home("dvorana-a", klet)
 	for n := range 10 {
 		id := fmt.Sprint("id-", n)
 		for _, i := range []*instance{klet, dvorana} {
@@ -307,9 +307,9 @@
 // failingReplicator is a Replicator that fails with the given errors.
 type failingReplicator struct{ begin, recall error }
 
-func (r failingReplicator) Begin(context.Context, policy.IdempotencyRecord) error { return r.begin }
-func (r failingReplicator) End(policy.IdempotencyRecord)                          {}
-func (r failingReplicator) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
+func (r failingReplicator) Replicate(context.Context, policy.IdempotencyRecord) error { return r.begin }
+func (r failingReplicator) ReplicateOutcome(policy.IdempotencyRecord)                 {}
+func (r failingReplicator) Recover(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, r.recall
 }
 
@@ -328,7 +328,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i := start(t, "one", func(d *Deps) { d.Witness = tt.replicator })
+			i := start(t, "one", func(d *Deps) { d.Replicator = tt.replicator })
 			i.finder.set(here(testService(), backend(t, echo)))
 			got := do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
 			is.Equal(got.status, http.StatusServiceUnavailable)
@@ -348,8 +348,8 @@
 	d := here(testService(), backend(t, echo))
 	makeGate(instances, "one", d)
 	gate := instances["one"].front
-	working := gate.deps.Witness
-	gate.deps.Witness = failingReplicator{recall: errors.New("cut off")}
+	working := gate.deps.Replicator
+	gate.deps.Replicator = failingReplicator{recall: errors.New("cut off")}
 	request := func(name string) *http.Request {
 		return post(is, instances[name].callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "evening")
 	}
@@ -358,6 +358,6 @@
 		is.Equal(refused.outcome(), caller.Unknown)
 		is.Equal(refused.header.Get(caller.HeaderUnsent), "true")
 	}
-	gate.deps.Witness = working
+	gate.deps.Replicator = working
 	is.Equal(do(t, request("three")).outcome(), caller.Ran)
 }
--- a/internal/front/fault_test.go
+++ b/internal/front/fault_test.go
@@ -196,7 +196,7 @@
 	is := is.New(t)
 	var seen atomic.Int32
 	authorizer := &revocableAuthorizer{}
-	i := start(t, "one", func(d *Deps) { d.Right = authorizer })
+	i := start(t, "one", func(d *Deps) { d.Authorizer = authorizer })
 	begun := make(chan struct{}, 1)
 	d := here(testService(), backend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -215,7 +215,7 @@
 	r := post(is, i.callers.URL+"/oddaja/x", "text")
 	go func() {
 		<-begun
-		i.front.RightLost("oddaja", "oddaja-a")
+		i.front.LeaseLost("oddaja", "oddaja-a")
 	}()
 	is.Equal(do(t, r).outcome(), caller.Unknown)
 	is.Equal(seen.Load(), int32(1))
@@ -224,7 +224,7 @@
 // revocableAuthorizer is an Authorizer that a test can make refuse all requests.
 type revocableAuthorizer struct{ revoked atomic.Bool }
 
-func (r *revocableAuthorizer) Begin(Approach) (Work, error) {
+func (r *revocableAuthorizer) Begin(Attempt) (Work, error) {
 	if r.revoked.Load() {
 		return nil, errors.New("lease expired")
 	}
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -171,7 +171,7 @@
 	}
 	r.front.counters.forwarded.Add(1)
 	defer r.front.startHopSpan(ctx, spanForward, address, out.Header)()
-	response, err := r.front.deps.Forward.RoundTrip(out)
+	response, err := r.front.deps.ForwardTransport.RoundTrip(out)
 	if err != nil {
 		return nil, connected.Load(), errors.Join(errForward, err)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -26,15 +26,15 @@
 var ErrDeps = errors.New("front: missing dependency")
 
 // Authorizer decides whether this instance may send requests to backend servers as their gate.
-type Right interface {
+type Authorizer interface {
 	// Begin returns an error if the request must not be sent to the server now. It is called
 	// immediately before the first byte of each attempt is written. Work.End is called when the
 	// server is done.
-	Begin(a Approach) (Work, error)
+	Begin(a Attempt) (Work, error)
 }
 
 // Attempt describes a request that is about to be written to a server.
-type Approach struct {
+type Attempt struct {
 	Service string
 	Server  string
 	// Hash is the hash of the key by which the request was routed.
@@ -42,8 +42,8 @@
 	// Divided says that each key of the service is owned by one server.
 	Divided bool
 	// ChecksGrants says that the server itself rejects requests for keys that it does not own.
-	Checks     bool
-	Idempotent bool
+	ChecksGrants bool
+	Idempotent   bool
 }
 
 // Work is a request that the Authorizer has allowed.
@@ -54,17 +54,17 @@
 
 // Replicator copies the idempotency records of this gate to one other instance of the failure
 // domain, so that no record is lost when one instance is lost.
-type Witness interface {
+type Replicator interface {
 	// Replicate returns nil when another instance holds the record, or when the domain has no other
 	// instance. It is called before the first byte is written to a server.
-	Begin(ctx context.Context, rec policy.IdempotencyRecord) error
+	Replicate(ctx context.Context, rec policy.IdempotencyRecord) error
 	// ReplicateOutcome updates the copy of the record with the outcome of the request. It does not
 	// wait for the other instance.
-	End(rec policy.IdempotencyRecord)
+	ReplicateOutcome(rec policy.IdempotencyRecord)
 	// Recover returns the records that the other instances of the domain hold for a range of a
 	// service. Each record is held by two instances, so one of them may fail to answer. It returns
 	// an error if records may be missing.
-	Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
+	Recover(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
 }
 
 // Deps is what a Front depends on. Instance, Domain, Finder and Forward are required.
@@ -77,15 +77,15 @@
 	// that is not divided. It is the gate in the domain that policy.HomeDomain returns for the hash
 	// of the id, so that resends through any domain reach the same idempotency table. Nil means
 	// Finder.Find.
-	Home func(service string, hash uint64) route.Destination
+	FindHome func(service string, hash uint64) route.Destination
 	// Authorizer is called before each write to a server. Nil allows all requests.
-	Right Right
+	Authorizer Authorizer
 	// Replicator is nil if there is no other instance.
-	Witness Witness
+	Replicator Replicator
 	// ForwardTransport sends requests to other instances, at URLs with ForwardScheme. An empty
 	// scheme means https.
-	Forward       http.RoundTripper
-	ForwardScheme string
+	ForwardTransport http.RoundTripper
+	ForwardScheme    string
 	// CallerHeader names the request header that identifies a caller. Empty means the remote
 	// address.
 	CallerHeader string
@@ -93,7 +93,7 @@
 	LoadHint func(service, server string) float64
 	// ObserveRun, if not nil, is called with the duration of each request to which a server has
 	// responded. The load of ranges is computed from it.
-	Ran func(service, server string, hash uint64, d time.Duration)
+	ObserveRun func(service, server string, hash uint64, d time.Duration)
 	// Tracer makes a span for each hop. Nil disables tracing.
 	Tracer trace.Tracer
 	Log    *log.Logger
@@ -127,7 +127,7 @@
 
 // New returns a Front. It returns ErrDeps if a required dependency is missing.
 func New(d Deps) (*Front, error) {
-	if d.Finder == nil || d.Forward == nil || d.Instance == "" || d.Domain == "" {
+	if d.Finder == nil || d.ForwardTransport == nil || d.Instance == "" || d.Domain == "" {
 		return nil, fmt.Errorf("%w: Instance, Domain, Finder and Forward are required", ErrDeps)
 	}
 	if d.Log == nil {
@@ -151,11 +151,11 @@
 }
 
 // CallerHandler returns the handler for callers: /{service}/{rest...}.
-func (f *Front) Callers() http.Handler { return f.callerHandler }
+func (f *Front) CallerHandler() http.Handler { return f.callerHandler }
 
 // ForwardHandler returns the handler for requests that other instances forward. Only instances may
 // have access to it, since it trusts headers that callers must not set.
-func (f *Front) Forwards() http.Handler { return f.forwardHandler }
+func (f *Front) ForwardHandler() http.Handler { return f.forwardHandler }
 
 // GateMoved is called when another instance has become the gate of a server. Requests that run
 // there continue, and queued requests are routed again. The idempotency records are recovered again
@@ -170,7 +170,7 @@
 // LeaseLost is called when the lease that this instance holds on behalf of a server that does not
 // check grants has ended. All connections to the server are closed at once, because another gate
 // may already use the server. The idempotency records are recovered again as after GateMoved.
-func (f *Front) RightLost(service, server string) {
+func (f *Front) LeaseLost(service, server string) {
 	if s := f.knownService(service); s != nil {
 		s.dropRecovered(server)
 		s.closeConns(server)
@@ -181,7 +181,7 @@
 func (f *Front) Ready() bool { return !f.draining.Load() }
 
 // SetNotReady makes Ready report false. Requests are still served.
-func (f *Front) Refuse() { f.draining.Store(true) }
+func (f *Front) SetNotReady() { f.draining.Store(true) }
 
 // Drain makes Ready report false and returns when no request is in flight, or with the context's
 // error. Requests that still arrive are served, because the load balancer notices only later.
@@ -199,7 +199,7 @@
 
 // Records returns the idempotency records that this instance holds for a range of a service. Other
 // instances get them through Replicator.Recover.
-func (f *Front) Marks(service string, r keys.Range) []policy.IdempotencyRecord {
+func (f *Front) Records(service string, r keys.Range) []policy.IdempotencyRecord {
 	s := f.knownService(service)
 	if s == nil {
 		return nil
@@ -211,12 +211,12 @@
 
 // AddRecord adds or updates an idempotency record of another instance. It returns false if the
 // table is full.
-func (f *Front) Witnessed(rec policy.IdempotencyRecord) bool {
+func (f *Front) AddRecord(rec policy.IdempotencyRecord) bool {
 	return f.service(rec.Service).addRecord(rec)
 }
 
 // CrashRecords returns the records of requests that may crash servers, for the other instances.
-func (f *Front) Blocks() []policy.CrashRecord {
+func (f *Front) CrashRecords() []policy.CrashRecord {
 	var records []policy.CrashRecord
 	for _, s := range f.allServices() {
 		s.mu.Lock()
@@ -227,7 +227,7 @@
 }
 
 // MergeCrashRecords adds the CrashRecords of another instance.
-func (f *Front) Merge(records []policy.CrashRecord) {
+func (f *Front) MergeCrashRecords(records []policy.CrashRecord) {
 	for _, rec := range records {
 		s := f.service(rec.Service)
 		s.mu.Lock()
@@ -238,7 +238,7 @@
 
 // SetLiftedBlocks replaces the set of requests that operators have unblocked, the lifted-blocks of
 // the bundle in force. It ignores texts that are not fingerprints and returns an error for them.
-func (f *Front) Lift(texts []string) error {
+func (f *Front) SetLiftedBlocks(texts []string) error {
 	var errs []error
 	fingerprints := make([]policy.Fingerprint, 0, len(texts))
 	for _, text := range texts {
--- a/internal/front/gate.go
+++ b/internal/front/gate.go
@@ -79,12 +79,12 @@
 	if _, fresh := result.(policy.Fresh); !fresh {
 		return g.respondToResend(w, result), true
 	}
-	if g.replica != "" && g.replica != g.front.deps.Instance || g.front.deps.Witness == nil {
+	if g.replica != "" && g.replica != g.front.deps.Instance || g.front.deps.Replicator == nil {
 		return nil, false
 	}
 	ctx, cancel := context.WithDeadline(g.Context(), g.front.wallTime(g.deadline))
 	defer cancel()
-	if err := g.front.deps.Witness.Begin(ctx, g.record(caller.Unknown, 0)); err != nil {
+	if err := g.front.deps.Replicator.Replicate(ctx, g.record(caller.Unknown, 0)); err != nil {
 		g.service.cancel(g.policyRequest)
 		g.front.deps.Log.Warn("no-witness", "request", g.id, "service", g.service.name, "error", err)
 		return &refusal{
@@ -113,7 +113,7 @@
 // replicateOutcome updates the copy of the idempotency record with the outcome.
 func (g *gateRequest) replicateOutcome(o caller.Outcome, status int) {
 	if g.replicated {
-		g.front.deps.Witness.End(g.record(o, status))
+		g.front.deps.Replicator.ReplicateOutcome(g.record(o, status))
 	}
 }
 
@@ -256,8 +256,8 @@
 		return g.handleRefusal(slot, response)
 	}
 	ref, retry := g.writeResponse(w, slot, t, response)
-	if f.deps.Ran != nil {
-		f.deps.Ran(g.request.service, server, g.hash, time.Duration(f.now()-start))
+	if f.deps.ObserveRun != nil {
+		f.deps.ObserveRun(g.request.service, server, g.hash, time.Duration(f.now()-start))
 	}
 	return ref, retry
 }
@@ -269,17 +269,17 @@
 // might not notice: two gates would then send requests for one key to two servers, or send one
 // request twice.
 func (g *gateRequest) authorizeWrite(t route.Target, work *Work) func() error {
-	if g.front.deps.Right == nil {
+	if g.front.deps.Authorizer == nil {
 		return nil
 	}
 	return func() error {
-		begun, err := g.front.deps.Right.Begin(Approach{
-			Service:    g.request.service,
-			Server:     t.Server.Name,
-			Hash:       g.hash,
-			Divided:    g.dest.Service.Divided,
-			Checks:     t.Server.ChecksGrants,
-			Idempotent: g.idempotent,
+		begun, err := g.front.deps.Authorizer.Begin(Attempt{
+			Service:      g.request.service,
+			Server:       t.Server.Name,
+			Hash:         g.hash,
+			Divided:      g.dest.Service.Divided,
+			ChecksGrants: t.Server.ChecksGrants,
+			Idempotent:   g.idempotent,
 		})
 		if err != nil {
 			return fmt.Errorf("%w: %w", errNotAuthorized, err)
--- a/internal/front/recovery.go
+++ b/internal/front/recovery.go
@@ -50,7 +50,7 @@
 // epoch changes whenever the server gains or loses a range. Requests that need the same shard share
 // one recovery, which therefore does not end when the context of one of them does.
 func (s *service) ensureRecovered(ctx context.Context, hash uint64, server string, epoch grant.Epoch) error {
-	replicator := s.front.deps.Witness
+	replicator := s.front.deps.Replicator
 	if replicator == nil {
 		return nil
 	}
@@ -68,9 +68,9 @@
 
 // recoverShard retries the recovery until it succeeds or the context ends. In a planned move the
 // former gate can answer after a few round trips.
-func (s *service) recoverShard(ctx context.Context, replicator Witness, sh shard, epoch grant.Epoch) error {
+func (s *service) recoverShard(ctx context.Context, replicator Replicator, sh shard, epoch grant.Epoch) error {
 	for {
-		records, err := replicator.Recall(ctx, s.name, sh.hashes())
+		records, err := replicator.Recover(ctx, s.name, sh.hashes())
 		if err == nil {
 			return s.addRecovered(sh, epoch, records)
 		}
--- a/internal/front/replication_test.go
+++ b/internal/front/replication_test.go
@@ -17,14 +17,14 @@
 // countingReplicator is a Replicator that counts the records that are replicated.
 type countingReplicator struct{ replicated atomic.Int32 }
 
-func (c *countingReplicator) Begin(context.Context, policy.IdempotencyRecord) error {
+func (c *countingReplicator) Replicate(context.Context, policy.IdempotencyRecord) error {
 	c.replicated.Add(1)
 	return nil
 }
 
-func (*countingReplicator) End(policy.IdempotencyRecord) {}
+func (*countingReplicator) ReplicateOutcome(policy.IdempotencyRecord) {}
 
-func (*countingReplicator) Recall(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
+func (*countingReplicator) Recover(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
 	return nil, nil
 }
 
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			replicator := &countingReplicator{}
-			gate := start(t, "gate", func(d *Deps) { d.Witness = replicator })
+			gate := start(t, "gate", func(d *Deps) { d.Replicator = replicator })
 			gate.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {})))
 			edge := start(t, "edge", func(d *Deps) { d.Domain = tt.domain })
 			edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
@@ -60,7 +60,7 @@
 // every resend would be refused as in progress.
 func TestUnsentRequestLeavesNoRecord(t *testing.T) {
 	is := is.New(t)
-	gate := start(t, "gate", func(d *Deps) { d.Witness = &countingReplicator{} })
+	gate := start(t, "gate", func(d *Deps) { d.Replicator = &countingReplicator{} })
 	target := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {}))
 	gate.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	edge := start(t, "edge", nil)
@@ -71,7 +71,7 @@
 		return do(t, r)
 	}
 	is.Equal(send().outcome(), caller.Unknown)
-	is.Equal(len(edge.front.Marks("oddaja", keys.Full)), 0)
+	is.Equal(len(edge.front.Records("oddaja", keys.Full)), 0)
 	gate.finder.set(target)
 	is.Equal(send().outcome(), caller.Ran)
 }
--- a/internal/front/resubmit_test.go
+++ b/internal/front/resubmit_test.go
@@ -70,7 +70,7 @@
 			is := is.New(t)
 			var runs atomic.Int32
 			broken := &breakingTransport{RoundTripper: &http.Transport{DisableKeepAlives: true}}
-			gate, edge := start(t, "one", nil), start(t, "two", func(d *Deps) { d.Forward = broken })
+			gate, edge := start(t, "one", nil), start(t, "two", func(d *Deps) { d.ForwardTransport = broken })
 			gate.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })))
 			edge.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
 			for range 10 {
@@ -99,9 +99,9 @@
 	var runs atomic.Int32
 	d := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	broken := &breakingTransport{RoundTripper: &http.Transport{DisableKeepAlives: true}}
-	edge := start(t, "two", func(d *Deps) { d.Forward = broken })
+	edge := start(t, "two", func(d *Deps) { d.ForwardTransport = broken })
 	old := start(t, "one", nil)
-	next := start(t, "three", func(d *Deps) { d.Witness = failingReplicator{recall: errors.New("cut off")} })
+	next := start(t, "three", func(d *Deps) { d.Replicator = failingReplicator{recall: errors.New("cut off")} })
 	old.finder.set(d)
 	next.finder.set(d)
 	to := func(i *instance) route.Forward {
--- a/internal/front/serve.go
+++ b/internal/front/serve.go
@@ -72,10 +72,10 @@
 		return d
 	}
 	q.hash = keys.Hash(q.service, q.id)
-	if f.deps.Home == nil {
+	if f.deps.FindHome == nil {
 		return d
 	}
-	return f.deps.Home(q.service, q.hash)
+	return f.deps.FindHome(q.service, q.hash)
 }
 
 // divided reports whether a destination belongs to a divided service. It returns true if there is
