--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,8 @@
-// Package front handles the requests of callers and those that other entry instances forward. If
-// this instance is the gate of a backend server that may serve the request, it sends the request
-// there; otherwise it forwards the request to another instance. Each request gets one response.
+// Package front handles the requests of callers and those that other entry instances forward.
+//
+// All requests to a backend server pass through one entry instance, the gate of the server. If this
+// instance is the gate of a server that may serve a request, it sends the request there; otherwise
+// it forwards the request to another instance. Each request gets one response.
 package front
 
 import (
@@ -67,7 +69,7 @@
 	Recover(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
 }
 
-// Deps is what a Front depends on. Instance, Domain, Finder and Forward are required.
+// Deps is what a Front depends on. Instance, Domain, Finder and ForwardTransport are required.
 type Deps struct {
 	// Instance and Domain are this instance's name and failure domain.
 	Instance string
@@ -128,7 +130,7 @@
 // New returns a Front. It returns ErrDeps if a required dependency is missing.
 func New(d Deps) (*Front, error) {
 	if d.Finder == nil || d.ForwardTransport == nil || d.Instance == "" || d.Domain == "" {
-		return nil, fmt.Errorf("%w: Instance, Domain, Finder and Forward are required", ErrDeps)
+		return nil, fmt.Errorf("%w: Instance, Domain, Finder and ForwardTransport are required", ErrDeps)
 	}
 	if d.Log == nil {
 		d.Log = log.New(io.Discard)
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -188,8 +188,8 @@
 // epochHeader returns the epoch of a target as a header value. The value is cached, because epochs
 // change rarely.
 func (s *service) epochHeader(t route.Target) []string {
-	if known, found := s.epochTexts.Load(t.Server.Name); found {
-		if entry := known.(*epochEntry); entry.epoch == t.Epoch {
+	if cached, found := s.epochTexts.Load(t.Server.Name); found {
+		if entry := cached.(*epochEntry); entry.epoch == t.Epoch {
 			return entry.text
 		}
 	}
@@ -207,15 +207,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.clients[b.Name]
-	if known != nil && known.HasSettings(settings) {
-		return known
+	current := s.clients[b.Name]
+	if current != nil && current.HasSettings(settings) {
+		return current
 	}
-	if known != nil {
+	if current != nil {
 		s.front.inFlight.begin()
 		go func() {
 			defer s.front.inFlight.end()
-			known.Close()
+			current.Close()
 		}()
 	}
 	fresh := upstr.NewClient(settings)
