--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -15,13 +15,13 @@
 	Leading       bool       `json:"leading"`
 	Term          grant.Term `json:"term"`
 	BundleVersion uint64     `json:"bundle-version"`
-	LogNext       uint64     `json:"log-next"`
+	NextLogOffset uint64     `json:"log-next"`
 	TableTerm     grant.Term `json:"table-term"`
 	TableSerial   uint64     `json:"table-serial"`
 	Ranges        int        `json:"ranges"`
-	// Owned is the least share, over the divided services, of the domain's homes by the bundle
+	// OwnedShare is the least share, over the divided services, of the domain's homes by the bundle
 	// that has an owner; 1 when nothing is unavailable, 0 without a table.
-	Owned       float64         `json:"owned"`
+	OwnedShare  float64         `json:"owned"`
 	Provisional int             `json:"provisional"`
 	Members     []route.Member  `json:"members"`
 	Domains     []DomainVersion `json:"domains"`
--- a/internal/cmds/run.go
+++ b/internal/cmds/run.go
@@ -48,8 +48,8 @@
 	if err != nil {
 		return err
 	}
-	expvar.Publish("mustardring-control", e.Control().Var())
-	expvar.Publish("mustardring-requests", e.Requests())
+	expvar.Publish("mustardring-control", e.ControlCounters().Var())
+	expvar.Publish("mustardring-requests", e.RequestCounters())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	return errors.Join(e.Run(ctx), spans.Close(context.Background()))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -153,13 +153,13 @@
 	return c
 }
 
-// Control returns the counters of this instance's control traffic.
-func (e *Entry) Control() *meter.Control {
+// ControlCounters returns the counters of this instance's control traffic.
+func (e *Entry) ControlCounters() *meter.Control {
 	return e.meter
 }
 
-// Requests returns the counters of the request path.
-func (e *Entry) Requests() expvar.Var {
+// RequestCounters returns the counters of the request path.
+func (e *Entry) RequestCounters() expvar.Var {
 	return e.front.Vars()
 }
 
--- a/internal/entry/logduty.go
+++ b/internal/entry/logduty.go
@@ -42,8 +42,8 @@
 	appender     *logcl.Appender
 	reader       *logcl.Reader
 	checkpointer *logcl.Checkpointer
-	written      chan logcl.Written
-	fetched      chan logcl.Fetched
+	written      chan logcl.WriteResult
+	fetched      chan logcl.FetchResult
 	oldest       uint64
 	current      bool
 	// provenAt is when the bundle in force may be appended next, should the log lack it.
@@ -55,17 +55,17 @@
 	return &logDuty{
 		entry: e,
 		appender: logcl.NewAppender(logcl.AppenderConfig{
-			PerSecond: appendPerSecond, Burst: appendBurst, Queue: appendQueue, Calls: appendCalls, Random: random,
+			PerSecond: appendPerSecond, Burst: appendBurst, MaxQueued: appendQueue, MaxCalls: appendCalls, Random: random,
 		}),
 		reader: logcl.NewReader(logcl.ReaderConfig{
-			Anchors: e.deps.Settings.Roots, Limit: readLimit, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
+			Anchors: e.deps.Settings.Roots, MaxEntries: readLimit, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
 		}),
 		checkpointer: logcl.NewCheckpointer(logcl.CheckpointerConfig{
 			Instance: e.deps.Settings.Name, Incarnation: e.deps.Incarnation,
-			Records: checkpointRecords, Interval: checkpointInterval, Grace: checkpointGrace,
+			MaxRecords: checkpointRecords, Interval: checkpointInterval, RankDelay: checkpointGrace,
 		}),
-		written: make(chan logcl.Written, appendCalls),
-		fetched: make(chan logcl.Fetched, 1),
+		written: make(chan logcl.WriteResult, appendCalls),
+		fetched: make(chan logcl.FetchResult, 1),
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // append hands an event to the appender and carries out what it decides.
 func (d *logDuty) append(ctx context.Context, ev logcl.AppendEvent) {
-	if w, is := ev.(logcl.Written); is && w.Err != nil {
+	if w, is := ev.(logcl.WriteResult); is && w.Err != nil {
 		d.entry.meter.LogAppendsFailed.Add(1)
 		d.entry.deps.Logger.Warn("append-failed", "id", w.ID, "error", w.Err)
 		d.entry.tell(ctx, leader.LogFailed{})
@@ -118,14 +118,14 @@
 	d.entry.meter.LogAppends.Add(1)
 	offset, err := d.entry.deps.Log.Append(bounded, w.ID, w.Data)
 	select {
-	case d.written <- logcl.Written{ID: w.ID, Offset: offset, Err: err}:
+	case d.written <- logcl.WriteResult{ID: w.ID, Offset: offset, Err: err}:
 	case <-ctx.Done():
 	}
 }
 
 func (d *logDuty) fetch(ctx context.Context, f logcl.Fetch) {
 	duty.Pause(ctx, time.Duration(f.At-d.entry.now()))
-	result := logcl.Fetched{Fetch: f, AskedAt: d.entry.now()}
+	result := logcl.FetchResult{Fetch: f, AskedAt: d.entry.now()}
 	bounded, cancel := context.WithTimeout(ctx, readWait)
 	defer cancel()
 	d.entry.meter.LogReads.Add(1)
@@ -137,18 +137,18 @@
 }
 
 // read hands the answer of a read to the reader, carries out what it decides and reads on.
-func (d *logDuty) read(ctx context.Context, f logcl.Fetched) {
+func (d *logDuty) read(ctx context.Context, f logcl.FetchResult) {
 	d.oldest = f.Batch.Oldest
 	d.current = false
 	effects, next := d.reader.Handle(d.entry.now(), f)
 	for _, effect := range effects {
 		d.perform(ctx, effect)
 	}
-	d.checkpoint(ctx, logcl.Progressed{
-		Next:   d.reader.State().Next,
-		Oldest: d.oldest,
-		Rank:   d.entry.rank(),
-		Able:   d.current && d.reader.State().MayLead(),
+	d.checkpoint(ctx, logcl.ReadProgress{
+		Next:     d.reader.State().Next,
+		Oldest:   d.oldest,
+		Rank:     d.entry.rank(),
+		CanWrite: d.current && d.reader.State().MayLead(),
 	})
 	go d.fetch(ctx, next)
 }
@@ -156,37 +156,37 @@
 func (d *logDuty) perform(ctx context.Context, effect logcl.ReadEffect) {
 	logger := d.entry.deps.Logger
 	switch f := effect.(type) {
-	case logcl.Folded:
+	case logcl.EntryApplied:
 		d.folded(ctx, f)
-	case logcl.Current:
+	case logcl.CaughtUp:
 		d.current = true
 		d.publish(ctx, f.AskedAt)
-	case logcl.Gapped:
+	case logcl.GapFound:
 		logger.Warn("log-gap", "wanted", f.Wanted, "oldest", f.Oldest)
-	case logcl.Restarted:
+	case logcl.StateReset:
 		logger.Warn("log-started-anew", "identity", f.Identity)
-		d.append(ctx, logcl.LogRestarted{})
-	case logcl.Unread:
+		d.append(ctx, logcl.LogReplaced{})
+	case logcl.ReadFailed:
 		d.entry.meter.LogReadsFailed.Add(1)
 		logger.Warn("log-unavailable", "error", f.Err)
 		d.entry.tell(ctx, leader.LogFailed{})
 	}
 }
 
-func (d *logDuty) folded(ctx context.Context, f logcl.Folded) {
-	if v, refused := f.Verdict.(fold.Rejected); refused {
+func (d *logDuty) folded(ctx context.Context, f logcl.EntryApplied) {
+	if v, refused := f.Result.(fold.Rejected); refused {
 		d.entry.meter.RecordsRefused.Add(1)
 		d.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
-	d.append(ctx, logcl.Seen{ID: f.Entry.ID, Offset: f.Entry.Offset})
-	if _, accepted := f.Verdict.(fold.Accepted); !accepted {
+	d.append(ctx, logcl.EntryRead{ID: f.Entry.ID, Offset: f.Entry.Offset})
+	if _, accepted := f.Result.(fold.Accepted); !accepted {
 		return
 	}
 	r, err := record.Decode(f.Entry.Data)
 	if err != nil {
 		return
 	}
-	d.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
+	d.checkpoint(ctx, logcl.RecordAccepted{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
 }
 
 func (d *logDuty) checkpoint(ctx context.Context, ev logcl.CheckpointEvent) {
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -19,7 +19,7 @@
 func (p *peers) take(effects []member.Effect) []*remote {
 	var all []*remote
 	for _, effect := range effects {
-		send, is := effect.(member.Send)
+		send, is := effect.(member.SendHeartbeat)
 		if !is {
 			continue
 		}
@@ -42,7 +42,7 @@
 func (p *peers) led(now member.Time, h Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ev := member.LedBy{Term: h.Term}
+	ev := member.LeaderReported{Term: h.Term}
 	if h.Leading {
 		ev.Leader = p.own
 	}
@@ -68,7 +68,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	removed := false
-	for _, effect := range p.member.Handle(now, member.Listed{Instances: listed}) {
+	for _, effect := range p.member.Handle(now, member.InstancesListed{Instances: listed}) {
 		_, is := effect.(member.Removed)
 		removed = removed || is
 	}
@@ -96,8 +96,8 @@
 
 // fill returns a whole pulse.
 func (p *peers) fill(now member.Time, to string, own Heartbeat) Pulse {
-	b := p.member.Beat(now)
-	pulse := Pulse{Name: own.Name, Count: b.Count, Stated: stated(own), Heartbeat: &own, Hearsay: b.Hearsay, Deaf: true}
+	b := p.member.NextHeartbeat(now)
+	pulse := Pulse{Name: own.Name, Count: b.Count, Stated: stated(own), Heartbeat: &own, Hearsay: b.Gossip, Deaf: true}
 	r := p.known[to]
 	if r == nil {
 		return pulse
@@ -123,8 +123,8 @@
 	if !found {
 		return h, false, false
 	}
-	p.member.Handle(now, member.Heard{Beat: pulse.beat(h, p.own), Answered: answer})
-	if !p.member.Holds(h.instance().Process) {
+	p.member.Handle(now, member.HeartbeatReceived{Heartbeat: pulse.beat(h, p.own), IsReply: answer})
+	if !p.member.IsCurrent(h.instance().Process) {
 		return h, false, false
 	}
 	if pulse.Heartbeat != nil {
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -33,9 +33,9 @@
 	// Lacks says in a result that the sender has no Heartbeat of the caller.
 	Lacks bool `json:"lacks,omitempty"`
 	// Deaf says that the sender does not hear the receiver.
-	Deaf      bool           `json:"deaf,omitempty"`
-	Heartbeat *Heartbeat     `json:"heartbeat,omitempty"`
-	Hearsay   []member.Count `json:"hearsay,omitempty"`
+	Deaf      bool                    `json:"deaf,omitempty"`
+	Heartbeat *Heartbeat              `json:"heartbeat,omitempty"`
+	Hearsay   []member.HeartbeatCount `json:"hearsay,omitempty"`
 }
 
 // Heartbeat is what an instance says of itself.
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -28,13 +28,13 @@
 		s.BundleVersion = view.Bundle.Version
 	}
 	if state := e.folded.Load(); state != nil {
-		s.LogNext = state.Next
+		s.NextLogOffset = state.Next
 	}
 	if t := view.Table; t != nil {
 		s.TableTerm, s.TableSerial = t.Term, t.Serial
 		s.Ranges = len(t.Owners)
 		s.Provisional = countProvisional(t)
-		s.Owned = ownedShare(view)
+		s.OwnedShare = ownedShare(view)
 	}
 	s.Domains = e.peers.versions(s.BundleVersion)
 	return s
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -53,15 +53,15 @@
 	own := member.Process{Name: self.Name, Incarnation: incarnation}
 	p := &peers{self: self, config: tlsConfig, meter: m, own: own, known: make(map[string]*remote)}
 	p.member = member.New(member.Config{
-		Self:           member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
-		Period:         beatInDomain,
-		PeriodOutside:  beatElsewhere,
-		Silence:        silentInDomain,
-		SilenceOutside: silentElsewhere,
-		All:            beatAll,
-		Delegates:      beatDelegates,
-		Patience:       beatPatience,
-		Hearsay:        beatHearsay,
+		Self:                member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
+		HeartbeatInterval:   beatInDomain,
+		CrossDomainInterval: beatElsewhere,
+		HeartbeatTimeout:    silentInDomain,
+		CrossDomainTimeout:  silentElsewhere,
+		MaxFullMesh:         beatAll,
+		ContactsPerDomain:   beatDelegates,
+		ReplaceDelay:        beatPatience,
+		MaxGossip:           beatHearsay,
 	})
 	for _, seed := range self.Peers {
 		p.learn(seed)
@@ -89,7 +89,7 @@
 		go old.client.Close()
 	}
 	p.known[found.Name] = &remote{Peer: found, client: peer.NewClient(found.PeerAddress, p.config, p.count)}
-	p.member.Handle(0, member.Learned{Instance: member.Instance{
+	p.member.Handle(0, member.Discovered{Instance: member.Instance{
 		Process: member.Process{Name: found.Name},
 		Domain:  found.Domain,
 		Address: found.PeerAddress,
@@ -141,7 +141,7 @@
 
 // accepts reports whether work may be sent to an instance. One that is known by hearsay only
 // is beyond the direct contacts of a large domain.
-func accepts(l member.Live) bool {
+func accepts(l member.LiveInstance) bool {
 	return !l.Leaving && (l.Link == member.LinkBoth || l.Link == member.LinkNone)
 }
 
--- a/internal/entry/pulse.go
+++ b/internal/entry/pulse.go
@@ -88,13 +88,13 @@
 }
 
 // beat returns the heartbeat of the core of membership that a pulse with h stands for.
-func (p Pulse) beat(h Heartbeat, self member.Process) member.Beat {
-	b := member.Beat{
+func (p Pulse) beat(h Heartbeat, self member.Process) member.Heartbeat {
+	b := member.Heartbeat{
 		Instance: h.instance(),
 		Count:    p.Count,
 		Leaving:  h.Stopping,
 		Term:     h.Term,
-		Hearsay:  p.Hearsay,
+		Gossip:   p.Hearsay,
 	}
 	if h.Leading {
 		b.Leader = b.Process
--- a/internal/proof/cutoff_test.go
+++ b/internal/proof/cutoff_test.go
@@ -26,7 +26,7 @@
 	s.startInstance(1, leader)
 	s.eventually("the new instance has the bundle", func() bool {
 		status, answered := s.status(1, leader)
-		return answered && status.BundleVersion == s.bundle.Version && status.LogNext == 0
+		return answered && status.BundleVersion == s.bundle.Version && status.NextLogOffset == 0
 	})
 	s.eventually("every range is owned", s.everyRangeOwned)
 	f.flow()
@@ -37,7 +37,7 @@
 	}
 	s.eventually("the new instance leads", func() bool {
 		status, answered := s.status(1, leader)
-		return answered && status.Leading && status.Owned == 1
+		return answered && status.Leading && status.OwnedShare == 1
 	})
 	for h := 1; h <= hosts; h++ {
 		if h != leader {
@@ -49,7 +49,7 @@
 	s.eventually("every assignment is in the log", func() bool {
 		for h := 1; h <= hosts; h++ {
 			status, answered := s.status(1, h)
-			if !answered || status.LogNext == 0 || status.Provisional > 0 {
+			if !answered || status.NextLogOffset == 0 || status.Provisional > 0 {
 				return false
 			}
 		}
--- a/internal/proof/site_test.go
+++ b/internal/proof/site_test.go
@@ -354,7 +354,7 @@
 				continue
 			}
 			status, answered := s.status(d, h)
-			if !answered || status.Owned < 1 {
+			if !answered || status.OwnedShare < 1 {
 				return false
 			}
 		}
