--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -20,8 +20,8 @@
 // recognised by a key that the common authority signed, wherever its address is.
 const InstanceName = "instance.mustardring"
 
-// validity is the life of the certificates that this package makes, in years.
-const validity = 10
+// validityYears is the life of the certificates that this package makes, in years.
+const validityYears = 10
 
 // ErrAuthority is returned when an authority's PEM text has no certificate.
 var ErrAuthority = errors.New("certs: no certificate of an authority")
@@ -71,7 +71,7 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.AddDate(validity, 0, 0),
+		NotAfter:     now.AddDate(validityYears, 0, 0),
 	}
 }
 
--- a/internal/cmds/bundle.go
+++ b/internal/cmds/bundle.go
@@ -88,12 +88,12 @@
 	Output string `default:"text" enum:"text,json" help:"Form of the result: text or json."`
 }
 
-// texter is a result that people can read. Its JSON form is for programs.
-type texter interface {
+// textResult is a result that people can read. Its JSON form is for programs.
+type textResult interface {
 	writeText(w *strings.Builder)
 }
 
-func (o bundleOutput) show(w io.Writer, result texter) error {
+func (o bundleOutput) show(w io.Writer, result textResult) error {
 	if o.Output != "json" {
 		var text strings.Builder
 		result.writeText(&text)
@@ -121,8 +121,8 @@
 	Wait  time.Duration `default:"30s" help:"How long to try while the log does not answer."`
 }
 
-// with runs a command on the log, within the time that its flags allow.
-func (f bundleLogFlags) with(run func(ctx context.Context, l *bundleLog, out io.Writer) error) error {
+// withLog runs a command on the log, within the time that its flags allow.
+func (f bundleLogFlags) withLog(run func(ctx context.Context, l *bundleLog, out io.Writer) error) error {
 	anchors, err := readSigners(f.Roots)
 	if err != nil {
 		return err
--- a/internal/cmds/bundle_test.go
+++ b/internal/cmds/bundle_test.go
@@ -18,11 +18,11 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-func TestReleaseByCommands(t *testing.T) {
+func TestReleaseWithCommands(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	d.release(d.file(1, "one.json", nil), 1)
-	d.release(d.file(2, "two.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} }), 2)
+	d := newOperatorEnv(t)
+	d.release(d.writeBundle(1, "one.json", nil), 1)
+	d.release(d.writeBundle(2, "two.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} }), 2)
 
 	var out bytes.Buffer
 	signers, err := readSigners(d.roots)
@@ -41,19 +41,19 @@
 // The log takes the record and its answer is lost, so the command tries again by itself. The
 // operator, who is not sure either, gives the command once more.
 func TestPublishAfterLostAnswer(t *testing.T) {
-	d := newDesk(t)
-	file := d.file(1, "one.json", nil)
-	d.log.lost = 1
+	d := newOperatorEnv(t)
+	file := d.writeBundle(1, "one.json", nil)
+	d.log.loseAnswers = 1
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, err := d.publish(file, "ana", false)
 		is.NoErr(err)
-		is.Equal(s.Verdict, wordAccepted)
+		is.Equal(s.Verdict, verdictAccepted)
 		is.Equal(s.Offset, uint64(0))
 		is.Equal(len(d.log.entries), 2)
 		s, err = d.publish(file, "ana", false)
 		is.NoErr(err)
-		is.Equal(s.Verdict, wordRepeated)
+		is.Equal(s.Verdict, verdictRepeated)
 		is.Equal(s.Offset, uint64(0))
 		is.Equal(len(d.log.entries), 2)
 	})
@@ -62,32 +62,32 @@
 // The log is down for longer than the command waits. The operator must not take that for a
 // refusal, and the same command must do once the log is back.
 func TestPublishWhileLogIsDown(t *testing.T) {
-	d := newDesk(t)
-	file := d.file(1, "one.json", nil)
-	d.log.down = 1 << 30
+	d := newOperatorEnv(t)
+	file := d.writeBundle(1, "one.json", nil)
+	d.log.failCalls = 1 << 30
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, err := d.publish(file, "ana", false)
 		is.Equal(ExitCode(err), ExitUncertain)
 		is.True(errors.Is(err, errNoAnswer))
 		is.Equal(len(d.log.entries), 0)
-		d.log.down = 1
+		d.log.failCalls = 1
 		s, err := d.publish(file, "ana", false)
 		is.NoErr(err)
-		is.Equal(s.Verdict, wordAccepted)
+		is.Equal(s.Verdict, verdictAccepted)
 	})
 }
 
 // Two operators publish at once. The one who comes second is told who was first.
 func TestPublishRace(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	_, err := d.publish(d.file(1, "one.json", nil), "ana", false)
+	d := newOperatorEnv(t)
+	_, err := d.publish(d.writeBundle(1, "one.json", nil), "ana", false)
 	is.NoErr(err)
-	other := d.file(1, "other.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} })
+	other := d.writeBundle(1, "other.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} })
 	s, err := d.publish(other, "boris", false)
 	is.Equal(ExitCode(err), ExitFailed)
-	is.Equal(s.Verdict, wordRefused)
+	is.Equal(s.Verdict, verdictRefused)
 	is.Equal(s.Winner.Signer, "ana")
 	is.Equal(s.Winner.Offset, uint64(0))
 	is.True(strings.Contains(s.Reason, `by "ana"`))
@@ -97,17 +97,17 @@
 // whose answer was lost.
 func TestRollRaceAndRepeat(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	d.release(d.file(1, "one.json", nil), 1)
+	d := newOperatorEnv(t)
+	d.release(d.writeBundle(1, "one.json", nil), 1)
 	s, err := d.roll(1, 0, "dora")
 	is.NoErr(err)
-	is.Equal(s.Verdict, wordRepeated)
+	is.Equal(s.Verdict, verdictRepeated)
 	is.Equal(len(d.log.entries), 3)
 	s, err = d.roll(1, 0, "cene")
 	is.Equal(ExitCode(err), ExitFailed)
 	is.Equal(s.Winner.Signer, "dora")
 
-	two, err := d.publish(d.file(2, "two.json", nil), "ana", false)
+	two, err := d.publish(d.writeBundle(2, "two.json", nil), "ana", false)
 	is.NoErr(err)
 	_, err = d.approve(2, two.Hash, "cene")
 	is.NoErr(err)
@@ -122,9 +122,9 @@
 	is.Equal(ExitCode(err), ExitFailed)
 }
 
-func TestApproveWhatWasReviewed(t *testing.T) {
-	d := newDesk(t)
-	published, err := d.publish(d.file(1, "one.json", nil), "ana", false)
+func TestApproveChecksHashAndRole(t *testing.T) {
+	d := newOperatorEnv(t)
+	published, err := d.publish(d.writeBundle(1, "one.json", nil), "ana", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,11 +132,11 @@
 		hash, signer string
 		want         int
 	}{
-		"other hash": {hash: strings.Repeat("0", minHash), signer: "cene", want: ExitInput},
-		"short hash": {hash: published.Hash[:minHash-1], signer: "cene", want: ExitInput},
+		"other hash": {hash: strings.Repeat("0", minHashDigits), signer: "cene", want: ExitInput},
+		"short hash": {hash: published.Hash[:minHashDigits-1], signer: "cene", want: ExitInput},
 		"publisher":  {hash: published.Hash, signer: "ana", want: ExitInput},
 		"no role":    {hash: published.Hash, signer: "boris", want: ExitFailed},
-		"approver":   {hash: published.Hash[:minHash], signer: "cene", want: ExitDone},
+		"approver":   {hash: published.Hash[:minHashDigits], signer: "cene", want: ExitDone},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -147,12 +147,12 @@
 	}
 }
 
-func TestMovesNeedAFlag(t *testing.T) {
+func TestPublishLimitsMoves(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
-	one := d.file(1, "one.json", nil)
+	d := newOperatorEnv(t)
+	one := d.writeBundle(1, "one.json", nil)
 	d.release(one, 1)
-	two := d.file(2, "two.json", func(b *bundle.Bundle) {
+	two := d.writeBundle(2, "two.json", func(b *bundle.Bundle) {
 		b.Services[0].Homes = []bundle.Home{{Domain: "podstresje", Share: 1}, {Domain: "klet", Share: 1}}
 	})
 	_, err := d.publish(two, "ana", false)
@@ -165,15 +165,15 @@
 	is.NoErr(err)
 }
 
-func TestPlanSettles(t *testing.T) {
+func TestPlanSettlesHomes(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newOperatorEnv(t)
 	homes := func(a, b int) func(*bundle.Bundle) {
 		return func(v *bundle.Bundle) {
 			v.Services[0].Homes = []bundle.Home{{Domain: "klet", Share: a}, {Domain: "podstresje", Share: b}}
 		}
 	}
-	one, two := d.file(1, "one.json", homes(1, 1)), d.file(2, "two.json", homes(1, 3))
+	one, two := d.writeBundle(1, "one.json", homes(1, 1)), d.writeBundle(2, "two.json", homes(1, 3))
 	settled := filepath.Join(d.dir, "settled.json")
 	var out bytes.Buffer
 	is.NoErr((&BundlePlanCmd{Before: one, After: two, RoundTrip: 3 * time.Millisecond, Lease: 3 * time.Second, Settle: settled}).run(&out))
@@ -183,7 +183,7 @@
 	b, err := readBundle(settled)
 	is.NoErr(err)
 	is.Equal(len(b.Services[0].Homes[0].Ranges), 0) // shares in order move the least here
-	turned := d.file(2, "turned.json", func(v *bundle.Bundle) {
+	turned := d.writeBundle(2, "turned.json", func(v *bundle.Bundle) {
 		v.Services[0].Homes = []bundle.Home{{Domain: "podstresje", Share: 1}, {Domain: "klet", Share: 1}}
 	})
 	out.Reset()
@@ -198,9 +198,9 @@
 	is.True(strings.Contains(out.String(), `service "pregled" home "podstresje": share 1 becomes 3`))
 }
 
-func TestInitAndKeygenKeepWhatIsThere(t *testing.T) {
+func TestInitAndKeygenKeepExistingFiles(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newOperatorEnv(t)
 	before, err := os.ReadFile(filepath.Join(d.dir, "ana.key"))
 	is.NoErr(err)
 	is.NoErr((&BundleKeygenCmd{Name: "ana", Roles: []bundle.Role{bundle.RolePublish}, Dir: d.dir, Roots: d.roots}).run(&bytes.Buffer{}))
@@ -223,7 +223,7 @@
 // A bundle of a thousand servers is in the log once; each change of it is small.
 func TestLargeBundlesArePublishedAsDeltas(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newOperatorEnv(t)
 	many := func(hot string) func(*bundle.Bundle) {
 		return func(b *bundle.Bundle) {
 			s := &b.Services[0]
@@ -236,28 +236,28 @@
 			}
 		}
 	}
-	d.release(d.file(1, "one.json", many("gauda")), 1)
-	d.release(d.file(2, "two.json", many("tolminc")), 2)
+	d.release(d.writeBundle(1, "one.json", many("gauda")), 1)
+	d.release(d.writeBundle(2, "two.json", many("tolminc")), 2)
 	is.True(len(d.log.entries[0].Data) > 100_000)
 	is.True(len(d.log.entries[3].Data) < 2000)
 	s, err := d.publish(filepath.Join(d.dir, "two.json"), "ana", false)
 	is.NoErr(err)
-	is.Equal(s.Verdict, wordRepeated)
+	is.Equal(s.Verdict, verdictRepeated)
 	is.Equal(len(d.log.entries), 6)
 }
 
-func TestReportNamesEachDomainOnce(t *testing.T) {
+func TestReportProgressNamesEachDomainOnce(t *testing.T) {
 	is := is.New(t)
 	done := make(map[string]bool)
 	s := admin.Status{Domains: []admin.DomainVersion{{Domain: "klet", Lowest: 2}, {Domain: "podstresje", Lowest: 1, Highest: 2}}}
-	text, complete := report(s, 2, done)
+	text, complete := reportProgress(s, 2, done)
 	is.Equal(text, "version 2 in force at klet\n")
 	is.True(!complete)
 	s.Domains[1].Lowest = 2
-	text, complete = report(s, 2, done)
+	text, complete = reportProgress(s, 2, done)
 	is.Equal(text, "version 2 in force at podstresje\n")
 	is.True(complete)
-	_, complete = report(admin.Status{}, 2, done)
+	_, complete = reportProgress(admin.Status{}, 2, done)
 	is.True(!complete)
 }
 
--- a/internal/cmds/bundlefile.go
+++ b/internal/cmds/bundlefile.go
@@ -38,7 +38,7 @@
 		}
 		problems = changeProblems(c.File, before, b, c.AllowMoves, c.AllowVoters)
 	}
-	result := checked{File: c.File, Problems: problems}
+	result := checkResult{File: c.File, Problems: problems}
 	if len(problems) == 0 {
 		canonical, err := b.Canonical()
 		if err != nil {
@@ -55,14 +55,14 @@
 	return nil
 }
 
-type checked struct {
+type checkResult struct {
 	File string `json:"file"`
 	// Hash is what an approver states, in hexadecimal digits; empty if there are problems.
 	Hash     string         `json:"hash,omitempty"`
 	Problems check.Problems `json:"problems"`
 }
 
-func (c checked) writeText(w *strings.Builder) {
+func (c checkResult) writeText(w *strings.Builder) {
 	for _, p := range c.Problems {
 		fmt.Fprintln(w, p)
 	}
@@ -139,14 +139,14 @@
 }
 
 func (c *BundleDiffCmd) run(out io.Writer) error {
-	before, after, err := readTwo(c.Before, c.After)
+	before, after, err := readBundles(c.Before, c.After)
 	if err != nil {
 		return err
 	}
-	return c.show(out, difference{Before: before.Version, After: after.Version, Changes: bundle.Diff(before, after)})
+	return c.show(out, diffResult{Before: before.Version, After: after.Version, Changes: bundle.Diff(before, after)})
 }
 
-func readTwo(before, after string) (*bundle.Bundle, *bundle.Bundle, error) {
+func readBundles(before, after string) (*bundle.Bundle, *bundle.Bundle, error) {
 	b, err := readBundle(before)
 	if err != nil {
 		return nil, nil, err
@@ -155,13 +155,13 @@
 	return b, a, err
 }
 
-type difference struct {
+type diffResult struct {
 	Before  uint64          `json:"before"`
 	After   uint64          `json:"after"`
 	Changes []bundle.Change `json:"changes"`
 }
 
-func (d difference) writeText(w *strings.Builder) {
+func (d diffResult) writeText(w *strings.Builder) {
 	fmt.Fprintf(w, "from version %d to %d, %d changes\n", d.Before, d.After, len(d.Changes))
 	for _, c := range d.Changes {
 		fmt.Fprintln(w, c)
--- a/internal/cmds/bundlefixture_test.go
+++ b/internal/cmds/bundlefixture_test.go
@@ -18,29 +18,29 @@
 // fakeLog is a log in memory. It keeps repeated appends, as the platform's may.
 type fakeLog struct {
 	entries []record.Entry
-	// down is the number of calls that fail before anything is written, lost that of appends
+	// failCalls is the number of calls that fail before anything is written, lost that of appends
 	// whose answer is lost after the record was written.
-	down int
-	lost int
+	failCalls   int
+	loseAnswers int
 }
 
 func (f *fakeLog) Append(_ context.Context, id string, data []byte) (uint64, error) {
-	if f.down > 0 {
-		f.down--
+	if f.failCalls > 0 {
+		f.failCalls--
 		return 0, logcl.ErrUnavailable
 	}
 	offset := uint64(len(f.entries))
 	f.entries = append(f.entries, record.Entry{Offset: offset, ID: id, Data: data})
-	if f.lost > 0 {
-		f.lost--
+	if f.loseAnswers > 0 {
+		f.loseAnswers--
 		return 0, logcl.ErrUncertain
 	}
 	return offset, nil
 }
 
 func (f *fakeLog) Read(_ context.Context, from uint64, limit int) (logcl.Batch, error) {
-	if f.down > 0 {
-		f.down--
+	if f.failCalls > 0 {
+		f.failCalls--
 		return logcl.Batch{}, logcl.ErrUnavailable
 	}
 	next := uint64(len(f.entries))
@@ -48,16 +48,16 @@
 	return logcl.Batch{Entries: f.entries[min(from, end):end], Next: next}, nil
 }
 
-// desk is what an operator has at hand: keys, the signers' file and bundle files.
-type desk struct {
+// operatorEnv is what an operator has at hand: keys, the signers' file and bundle files.
+type operatorEnv struct {
 	t     *testing.T
 	dir   string
 	log   *fakeLog
 	roots string
 }
 
-func newDesk(t *testing.T) *desk {
-	d := &desk{t: t, dir: t.TempDir(), log: &fakeLog{}}
+func newOperatorEnv(t *testing.T) *operatorEnv {
+	d := &operatorEnv{t: t, dir: t.TempDir(), log: &fakeLog{}}
 	d.roots = filepath.Join(d.dir, "roots.json")
 	for name, roles := range map[string][]bundle.Role{
 		"ana": {bundle.RolePublish}, "boris": {bundle.RolePublish},
@@ -71,15 +71,15 @@
 	return d
 }
 
-// file writes a version with four servers in two domains, after a change.
-func (d *desk) file(version uint64, name string, change func(*bundle.Bundle)) string {
+// writeBundle writes a version with four servers in two domains, after a change.
+func (d *operatorEnv) writeBundle(version uint64, name string, change func(*bundle.Bundle)) string {
 	d.t.Helper()
 	signers, err := readSigners(d.roots)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	b := &bundle.Bundle{Format: 1, Version: version, Follows: version - 1, Signers: signers}
-	s := firstService("pregled")
+	s := defaultService("pregled")
 	for i, domain := range []string{"klet", "podstresje"} {
 		b.Domains = append(b.Domains, bundle.Domain{Name: domain})
 		for j := range 2 {
@@ -100,12 +100,12 @@
 	return file
 }
 
-func (d *desk) signFlags(name string) bundleSignFlags {
+func (d *operatorEnv) signFlags(name string) bundleSignFlags {
 	return bundleSignFlags{Signer: name, Key: filepath.Join(d.dir, name+keySuffix)}
 }
 
-// give runs a command as a new process would, with a wait of 30 s.
-func (d *desk) give(run func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error) (submitted, error) {
+// runCommand runs a command as a new process would, with a wait of 30 s.
+func (d *operatorEnv) runCommand(run func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error) (submitResult, error) {
 	d.t.Helper()
 	signers, err := readSigners(d.roots)
 	if err != nil {
@@ -115,7 +115,7 @@
 	defer cancel()
 	var out bytes.Buffer
 	failure := run(ctx, newBundleLog(d.log, signers), &out)
-	var s submitted
+	var s submitResult
 	if out.Len() > 0 {
 		if err := json.Unmarshal(out.Bytes(), &s); err != nil {
 			d.t.Fatal(err)
@@ -124,40 +124,40 @@
 	return s, failure
 }
 
-func (d *desk) publish(file, name string, allowMoves bool) (submitted, error) {
+func (d *operatorEnv) publish(file, name string, allowMoves bool) (submitResult, error) {
 	c := BundlePublishCmd{File: file, AllowMoves: allowMoves, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.give(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
-func (d *desk) approve(version uint64, hash, name string) (submitted, error) {
+func (d *operatorEnv) approve(version uint64, hash, name string) (submitResult, error) {
 	c := BundleApproveCmd{Version: version, Hash: hash, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.give(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
-func (d *desk) roll(version, replaces uint64, name string) (submitted, error) {
+func (d *operatorEnv) roll(version, replaces uint64, name string) (submitResult, error) {
 	c := BundleRollCmd{Version: version, Replaces: replaces, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.give(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
 // release brings a file into force and fails the test if that fails.
-func (d *desk) release(file string, version uint64) {
+func (d *operatorEnv) release(file string, version uint64) {
 	d.t.Helper()
 	is := is.New(d.t)
 	s, err := d.publish(file, "ana", false)
 	is.NoErr(err)
-	_, err = d.approve(version, s.Hash[:minHash], "cene")
+	_, err = d.approve(version, s.Hash[:minHashDigits], "cene")
 	is.NoErr(err)
 	_, err = d.roll(version, 0, "dora")
 	is.NoErr(err)
 }
 
-// forgetful is a fakeLog whose first records are gone.
-type forgetful struct {
+// truncatedLog is a fakeLog whose first records are gone.
+type truncatedLog struct {
 	*fakeLog
 	oldest uint64
 }
 
-func (f *forgetful) Read(ctx context.Context, from uint64, limit int) (logcl.Batch, error) {
+func (f *truncatedLog) Read(ctx context.Context, from uint64, limit int) (logcl.Batch, error) {
 	if from < f.oldest {
 		return logcl.Batch{Oldest: f.oldest, Next: uint64(len(f.entries))}, logcl.ErrGap
 	}
--- a/internal/cmds/bundleinit.go
+++ b/internal/cmds/bundleinit.go
@@ -42,15 +42,15 @@
 	case old.Version != b.Version:
 		return badInput("%s holds version %d, expected no file or version %d", c.File, old.Version, b.Version)
 	}
-	return c.show(out, initiated{File: c.File, Version: b.Version})
+	return c.show(out, initResult{File: c.File, Version: b.Version})
 }
 
-type initiated struct {
+type initResult struct {
 	File    string `json:"file"`
 	Version uint64 `json:"version"`
 }
 
-func (i initiated) writeText(w *strings.Builder) {
+func (i initResult) writeText(w *strings.Builder) {
 	fmt.Fprintf(w, "%s holds version %d\n", i.File, i.Version)
 }
 
@@ -76,13 +76,13 @@
 		b.Domains = append(b.Domains, bundle.Domain{Name: d})
 	}
 	for _, s := range c.Services {
-		b.Services = append(b.Services, firstService(s))
+		b.Services = append(b.Services, defaultService(s))
 	}
 	return b, nil
 }
 
-// firstService holds limits and weights to start from.
-func firstService(name string) bundle.Service {
+// defaultService holds limits and weights to start from.
+func defaultService(name string) bundle.Service {
 	return bundle.Service{
 		Name:      name,
 		Divided:   true,
--- a/internal/cmds/bundlekey.go
+++ b/internal/cmds/bundlekey.go
@@ -52,15 +52,15 @@
 	if err := addSigner(c.Roots, s); err != nil {
 		return err
 	}
-	return c.show(out, madeSigner{Signer: s, KeyFile: file})
+	return c.show(out, keygenResult{Signer: s, KeyFile: file})
 }
 
-type madeSigner struct {
+type keygenResult struct {
 	Signer  bundle.Signer `json:"signer"`
 	KeyFile string        `json:"key-file"`
 }
 
-func (m madeSigner) writeText(w *strings.Builder) {
+func (m keygenResult) writeText(w *strings.Builder) {
 	fmt.Fprintf(w, "private key of %q is in %s; public key %s\n", m.Signer.Name, m.KeyFile,
 		base64.StdEncoding.EncodeToString(m.Signer.PublicKey))
 }
--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -18,29 +18,29 @@
 
 // Bounds of a command's dealings with the log.
 const (
-	bundleReadLimit   = 1000
-	bundleReadWait    = 500 * time.Millisecond
-	bundleRetryLowest = 100 * time.Millisecond
+	maxReadRecords    = 1000
+	readTimeout       = 500 * time.Millisecond
+	initialRetryDelay = 100 * time.Millisecond
 )
 
 // bundleLog folds the log for one command.
 type bundleLog struct {
-	log     logcl.Log
-	anchors []bundle.Signer
-	state   *fold.State
+	log   logcl.Log
+	roots []bundle.Signer
+	state *fold.State
 	// from is the offset of the next read; behind a gap it is above state.Next.
-	from   uint64
-	judged []judged
+	from    uint64
+	records []foldedRecord
 }
 
-// judged is a record that was read, with its verdict.
-type judged struct {
-	entry   record.Entry
-	verdict fold.Result
+// foldedRecord is a record that was read, with its verdict.
+type foldedRecord struct {
+	entry  record.Entry
+	result fold.Result
 }
 
 func newBundleLog(log logcl.Log, anchors []bundle.Signer) *bundleLog {
-	return &bundleLog{log: log, anchors: anchors, state: fold.New(anchors)}
+	return &bundleLog{log: log, roots: anchors, state: fold.New(anchors)}
 }
 
 // errNoAnswer says that the log did not answer in time.
@@ -49,12 +49,12 @@
 // retry calls f until it succeeds, fails for good, or the context ends.
 func retry[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = bundleRetryLowest
+	b.InitialInterval = initialRetryDelay
 	var last error
 	value, err := backoff.Retry(ctx, func() (T, error) {
 		v, err := f()
 		last = err
-		if err != nil && !passing(err) {
+		if err != nil && !isTransient(err) {
 			return v, backoff.Permanent(err)
 		}
 		return v, err
@@ -62,15 +62,15 @@
 	switch {
 	case err == nil:
 		return value, nil
-	case passing(last) || ctx.Err() != nil:
+	case isTransient(last) || ctx.Err() != nil:
 		return value, &CommandError{Code: ExitUncertain, Err: fmt.Errorf("%w: %w", errNoAnswer, cmp.Or(last, err))}
 	default:
 		return value, &CommandError{Code: ExitFailed, Err: err}
 	}
 }
 
-// passing reports whether an error of the log may go away.
-func passing(err error) bool {
+// isTransient reports whether an error of the log may go away.
+func isTransient(err error) bool {
 	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrLimited) || errors.Is(err, logcl.ErrUncertain)
 }
 
@@ -90,12 +90,12 @@
 
 // read returns a batch. After a gap it returns the one that begins with the oldest record.
 func (l *bundleLog) read(ctx context.Context) (logcl.Batch, error) {
-	bounded, cancel := context.WithTimeout(ctx, bundleReadWait)
+	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	batch, err := l.log.Read(bounded, l.from, bundleReadLimit)
+	batch, err := l.log.Read(bounded, l.from, maxReadRecords)
 	if errors.Is(err, logcl.ErrGap) {
 		l.from = batch.Oldest
-		return l.log.Read(bounded, l.from, bundleReadLimit)
+		return l.log.Read(bounded, l.from, maxReadRecords)
 	}
 	return batch, err
 }
@@ -110,14 +110,14 @@
 			l.from = e.Offset + 1
 			continue
 		}
-		l.judged = append(l.judged, judged{entry: e, verdict: v})
+		l.records = append(l.records, foldedRecord{entry: e, result: v})
 		l.from = l.state.Next
 		if l.state.Next <= e.Offset {
 			return // a checkpoint was taken over: read on from there
 		}
 	}
 	if l.state.Next < l.from && l.from >= batch.Next {
-		l.state = fold.NewAt(l.anchors, batch.Oldest)
+		l.state = fold.NewAt(l.roots, batch.Oldest)
 		l.from = batch.Oldest
 	}
 }
@@ -129,15 +129,15 @@
 	id := st.ID()
 	var last fold.Result
 	var offset uint64
-	for _, j := range l.judged {
+	for _, j := range l.records {
 		if j.entry.ID != id {
 			continue
 		}
 		if found, _, ok := statementIn(j.entry.Data); !ok || !bytes.Equal(found.Signature, st.Signature) {
 			continue
 		}
-		last, offset = j.verdict, j.entry.Offset
-		if _, refused := j.verdict.(fold.Rejected); !refused {
+		last, offset = j.result, j.entry.Offset
+		if _, refused := j.result.(fold.Rejected); !refused {
 			return last, offset
 		}
 	}
--- a/internal/cmds/bundlelog_test.go
+++ b/internal/cmds/bundlelog_test.go
@@ -18,14 +18,14 @@
 // reads back over HTTP must be its own record.
 func TestSubmitOverHTTP(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(t)
+	d := newOperatorEnv(t)
 	service := stand.NewLogService(stand.LogSettings{AppendRate: 1000})
 	server := httptest.NewServer(service)
 	defer server.Close()
 	signers, err := readSigners(d.roots)
 	is.NoErr(err)
 	service.SetFault(stand.LogFault{LoseAnswers: 1})
-	c := BundlePublishCmd{File: d.file(1, "one.json", nil), bundleSignFlags: d.signFlags("ana")}
+	c := BundlePublishCmd{File: d.writeBundle(1, "one.json", nil), bundleSignFlags: d.signFlags("ana")}
 	var out bytes.Buffer
 	is.NoErr(c.run(t.Context(), newBundleLog(logcl.New(server.URL, server.Client()), signers), &out))
 	is.True(bytes.Contains(out.Bytes(), []byte(`by "ana": accepted at offset 0`)))
@@ -46,16 +46,16 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(t)
-			d.release(d.file(1, "one.json", nil), 1)
+			d := newOperatorEnv(t)
+			d.release(d.writeBundle(1, "one.json", nil), 1)
 			signers, err := readSigners(d.roots)
 			is.NoErr(err)
 			if tt.checkpoint {
 				d.addCheckpoint(signers)
-				_, err := d.publish(d.file(2, "two.json", nil), "ana", false)
+				_, err := d.publish(d.writeBundle(2, "two.json", nil), "ana", false)
 				is.NoErr(err)
 			}
-			l := newBundleLog(&forgetful{fakeLog: d.log, oldest: 2}, signers)
+			l := newBundleLog(&truncatedLog{fakeLog: d.log, oldest: 2}, signers)
 			is.NoErr(l.catchUp(t.Context(), 0))
 			is.Equal(l.state.Next, uint64(len(d.log.entries)))
 			is.Equal(l.state.StartOffset, tt.since)
@@ -69,7 +69,7 @@
 }
 
 // addCheckpoint appends a mark and its checkpoint.
-func (d *desk) addCheckpoint(signers []bundle.Signer) {
+func (d *operatorEnv) addCheckpoint(signers []bundle.Signer) {
 	d.t.Helper()
 	is := is.New(d.t)
 	s := fold.New(signers)
--- a/internal/cmds/bundleplan.go
+++ b/internal/cmds/bundleplan.go
@@ -11,9 +11,9 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// roundTrips is the number of round trips for which a range has no owner in a planned move:
+// moveRoundTrips is the number of round trips for which a range has no owner in a planned move:
 // revoke and acknowledgement, grant, and the first request to the new owner.
-const roundTrips = 3
+const moveRoundTrips = 3
 
 // BundlePlanCmd says what a version will move before anything is published. With Settle it
 // speaks of the version that it writes.
@@ -32,7 +32,7 @@
 }
 
 func (c *BundlePlanCmd) run(out io.Writer) error {
-	before, after, err := readTwo(c.Before, c.After)
+	before, after, err := readBundles(c.Before, c.After)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 			Moves:       m,
 			Total:       m.Total(),
 			Least:       m.Least(),
-			PlannedMove: millis(roundTrips * c.RoundTrip),
+			PlannedMove: millis(moveRoundTrips * c.RoundTrip),
 			LostServer:  millis(c.Lease),
 		})
 	}
@@ -58,7 +58,7 @@
 // writes it.
 func (c *BundlePlanCmd) settle(before, after *bundle.Bundle) error {
 	for _, m := range bundle.CompareMoves(before, after) {
-		if math.Abs(m.Between-m.LeastBetween) < leastDifference {
+		if math.Abs(m.Between-m.LeastBetween) < minShareDifference {
 			continue
 		}
 		if homes := after.SettleHomes(before, m.Service); homes != nil {
@@ -68,8 +68,8 @@
 	return writeJSONFile(c.Settle, after)
 }
 
-// leastDifference is the share of the hash space below which two divisions count as equal.
-const leastDifference = 1e-9
+// minShareDifference is the share of the hash space below which two divisions count as equal.
+const minShareDifference = 1e-9
 
 func millis(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
@@ -111,7 +111,7 @@
 	if s.Lost > 0 {
 		fmt.Fprintf(w, "  servers with %.2f%% of the keys are removed without leaving first: if they do not answer, %.0f ms\n", 100*s.Lost, s.LostServer)
 	}
-	if s.Total > s.Least+leastDifference {
+	if s.Total > s.Least+minShareDifference {
 		fmt.Fprintf(w, "  plan --settle FILE writes the version with ranges that move the least\n")
 	}
 }
--- a/internal/cmds/bundleshow.go
+++ b/internal/cmds/bundleshow.go
@@ -23,7 +23,7 @@
 
 // Run shows the status.
 func (c *BundleStatusCmd) Run() error {
-	return c.with(c.run)
+	return c.withLog(c.run)
 }
 
 func (c *BundleStatusCmd) run(ctx context.Context, l *bundleLog, out io.Writer) error {
@@ -101,14 +101,14 @@
 	} else {
 		v := s.InForce
 		fmt.Fprintf(w, "version %d (%s) is in force: published by %q, approved by %q, rolled by %q at offset %d\n",
-			v.Version, v.Hash[:minHash], v.Publisher, v.Approver, v.Roller, v.Offset)
+			v.Version, v.Hash[:minHashDigits], v.Publisher, v.Approver, v.Roller, v.Offset)
 	}
 	for _, v := range s.Waiting {
 		approved := "not approved"
 		if v.Approver != "" {
 			approved = fmt.Sprintf("approved by %q", v.Approver)
 		}
-		fmt.Fprintf(w, "version %d (%s) waits: published by %q, %s\n", v.Version, v.Hash[:minHash], v.Publisher, approved)
+		fmt.Fprintf(w, "version %d (%s) waits: published by %q, %s\n", v.Version, v.Hash[:minHashDigits], v.Publisher, approved)
 	}
 	fmt.Fprintf(w, "the next version is %d and follows %d\n", s.Head+1, s.Head)
 	for _, t := range s.Terms {
@@ -127,7 +127,7 @@
 
 // Run shows the history.
 func (c *BundleHistoryCmd) Run() error {
-	return c.with(c.run)
+	return c.withLog(c.run)
 }
 
 func (c *BundleHistoryCmd) run(ctx context.Context, l *bundleLog, out io.Writer) error {
@@ -135,8 +135,8 @@
 		return err
 	}
 	h := history{Since: l.state.StartOffset}
-	for _, j := range l.judged {
-		if e, ok := eventOf(j); ok {
+	for _, j := range l.records {
+		if e, ok := newHistoryEvent(j); ok {
 			h.Events = append(h.Events, e)
 		}
 	}
@@ -144,11 +144,11 @@
 }
 
 type history struct {
-	Since  uint64  `json:"since"`
-	Events []event `json:"events"`
+	Since  uint64         `json:"since"`
+	Events []historyEvent `json:"events"`
 }
 
-type event struct {
+type historyEvent struct {
 	Offset  uint64 `json:"offset"`
 	Action  string `json:"action"`
 	Version uint64 `json:"version"`
@@ -160,7 +160,7 @@
 
 func (h history) writeText(w *strings.Builder) {
 	for _, e := range h.Events {
-		fmt.Fprintf(w, "%d %s of version %d (%s) by %q: %s", e.Offset, e.Action, e.Version, e.Hash[:minHash], e.Signer, e.Verdict)
+		fmt.Fprintf(w, "%d %s of version %d (%s) by %q: %s", e.Offset, e.Action, e.Version, e.Hash[:minHashDigits], e.Signer, e.Verdict)
 		if e.Reason != "" {
 			fmt.Fprintf(w, ": %s", e.Reason)
 		}
@@ -168,19 +168,19 @@
 	}
 }
 
-// eventOf returns false for records that are not about bundles.
-func eventOf(j judged) (event, bool) {
+// newHistoryEvent returns false for records that are not about bundles.
+func newHistoryEvent(j foldedRecord) (historyEvent, bool) {
 	st, action, ok := statementIn(j.entry.Data)
 	if !ok {
-		return event{}, false
+		return historyEvent{}, false
 	}
-	hash := fmt.Sprintf("%0*x", minHash, st.Hash)
-	e := event{Offset: j.entry.Offset, Action: action, Version: st.Version, Hash: hash, Signer: st.Signer, Verdict: wordAccepted}
-	switch v := j.verdict.(type) {
+	hash := fmt.Sprintf("%0*x", minHashDigits, st.Hash)
+	e := historyEvent{Offset: j.entry.Offset, Action: action, Version: st.Version, Hash: hash, Signer: st.Signer, Verdict: verdictAccepted}
+	switch v := j.result.(type) {
 	case fold.Duplicate:
-		e.Verdict = wordRepeated
+		e.Verdict = verdictRepeated
 	case fold.Rejected:
-		e.Verdict, e.Reason = wordRefused, v.Reason
+		e.Verdict, e.Reason = verdictRefused, v.Reason
 	}
 	return e, true
 }
--- a/internal/cmds/bundlesign.go
+++ b/internal/cmds/bundlesign.go
@@ -15,8 +15,8 @@
 	"example.org/mustardring/pkg/bundle/check"
 )
 
-// minHash is the number of hexadecimal digits by which a bundle is named at least.
-const minHash = 8
+// minHashDigits is the number of hexadecimal digits by which a bundle is named at least.
+const minHashDigits = 8
 
 // bundleSignFlags say who signs.
 type bundleSignFlags struct {
@@ -28,8 +28,8 @@
 	return readKey(f.Key)
 }
 
-// submitted is the result of publish, approve and roll.
-type submitted struct {
+// submitResult is the result of publish, approve and roll.
+type submitResult struct {
 	Action  string       `json:"action"`
 	Version uint64       `json:"version"`
 	Hash    string       `json:"hash"`
@@ -40,8 +40,8 @@
 	Winner  *fold.Winner `json:"winner,omitempty"`
 }
 
-func (s submitted) writeText(w *strings.Builder) {
-	fmt.Fprintf(w, "%s of version %d (%s) by %q: %s at offset %d\n", s.Action, s.Version, s.Hash[:minHash], s.Signer, s.Verdict, s.Offset)
+func (s submitResult) writeText(w *strings.Builder) {
+	fmt.Fprintf(w, "%s of version %d (%s) by %q: %s at offset %d\n", s.Action, s.Version, s.Hash[:minHashDigits], s.Signer, s.Verdict, s.Offset)
 	if s.Reason != "" {
 		fmt.Fprintf(w, "%s\n", s.Reason)
 	}
@@ -49,27 +49,27 @@
 
 // The words for verdicts.
 const (
-	wordAccepted = "accepted"
-	wordRepeated = "accepted before"
-	wordRefused  = "refused"
+	verdictAccepted = "accepted"
+	verdictRepeated = "accepted before"
+	verdictRefused  = "refused"
 )
 
-// finish submits a statement's record, shows the verdict, and returns an error if refused.
-func finish(ctx context.Context, l *bundleLog, o bundleOutput, out io.Writer, st bundle.Statement, r record.Record) error {
+// submitAndShow submits a statement's record, shows the verdict, and returns an error if refused.
+func submitAndShow(ctx context.Context, l *bundleLog, o bundleOutput, out io.Writer, st bundle.Statement, r record.Record) error {
 	v, offset, err := l.submit(ctx, st, r)
 	if err != nil {
 		return err
 	}
-	s := submitted{
+	s := submitResult{
 		Action: string(st.Role), Version: st.Version, Hash: hex.EncodeToString(st.Hash),
-		Signer: st.Signer, Verdict: wordAccepted, Offset: offset,
+		Signer: st.Signer, Verdict: verdictAccepted, Offset: offset,
 	}
 	var refusal error
 	switch v := v.(type) {
 	case fold.Duplicate:
-		s.Verdict = wordRepeated
+		s.Verdict = verdictRepeated
 	case fold.Rejected:
-		s.Verdict, s.Reason = wordRefused, v.Reason
+		s.Verdict, s.Reason = verdictRefused, v.Reason
 		if !v.Winner.IsZero() {
 			s.Winner = &v.Winner
 		}
@@ -93,7 +93,7 @@
 
 // Run publishes.
 func (c *BundlePublishCmd) Run() error {
-	return c.with(c.run)
+	return c.withLog(c.run)
 }
 
 func (c *BundlePublishCmd) run(ctx context.Context, l *bundleLog, out io.Writer) error {
@@ -121,16 +121,16 @@
 	if err != nil {
 		return failed("%w", err)
 	}
-	return finish(ctx, l, c.bundleOutput, out, signed.Statement, r)
+	return submitAndShow(ctx, l, c.bundleOutput, out, signed.Statement, r)
 }
 
-// minDelta is the size in bytes from which on a bundle is published as a delta, if the log
+// minDeltaBytes is the size in bytes from which on a bundle is published as a delta, if the log
 // holds the version that it follows.
-const minDelta = 16 << 10
+const minDeltaBytes = 16 << 10
 
 func publishedRecord(s *fold.State, b *bundle.Bundle, signed bundle.Signed) (record.Record, error) {
 	whole := record.BundlePublished{Signed: signed}
-	if len(signed.Canonical) < minDelta {
+	if len(signed.Canonical) < minDeltaBytes {
 		return whole, nil
 	}
 	followed, err := findPublished(s, b.Follows)
@@ -172,7 +172,7 @@
 
 // Run approves.
 func (c *BundleApproveCmd) Run() error {
-	return c.with(c.run)
+	return c.withLog(c.run)
 }
 
 func (c *BundleApproveCmd) run(ctx context.Context, l *bundleLog, out io.Writer) error {
@@ -187,14 +187,14 @@
 	if err != nil {
 		return err
 	}
-	if hash := hex.EncodeToString(published.Hash); len(c.Hash) < minHash || !strings.HasPrefix(hash, c.Hash) {
+	if hash := hex.EncodeToString(published.Hash); len(c.Hash) < minHashDigits || !strings.HasPrefix(hash, c.Hash) {
 		return badInput("version %d has hash %s, not %q: another bundle was published than the one reviewed", c.Version, hash, c.Hash)
 	}
 	approval, err := bundle.Approve(published, c.Signer, key)
 	if err != nil {
 		return badInput("%w", err)
 	}
-	return finish(ctx, l, c.bundleOutput, out, approval, record.BundleApproved{Approval: approval})
+	return submitAndShow(ctx, l, c.bundleOutput, out, approval, record.BundleApproved{Approval: approval})
 }
 
 // findPublished returns the publisher's statement of a version that waits or is in force.
@@ -221,12 +221,12 @@
 	bundleSignFlags
 	bundleLogFlags
 	bundleOutput
-	bundleWatch
+	bundleWatchFlags
 }
 
 // Run rolls.
 func (c *BundleRollCmd) Run() error {
-	return c.with(func(ctx context.Context, l *bundleLog, out io.Writer) error {
+	return c.withLog(func(ctx context.Context, l *bundleLog, out io.Writer) error {
 		if err := c.run(ctx, l, out); err != nil {
 			return err
 		}
@@ -250,7 +250,7 @@
 	if err != nil {
 		return badInput("%w", err)
 	}
-	return finish(ctx, l, c.bundleOutput, out, roll, record.BundleRolled{Roll: roll})
+	return submitAndShow(ctx, l, c.bundleOutput, out, roll, record.BundleRolled{Roll: roll})
 }
 
 // replaces returns the version that the roll replaces. If the version is in force already,
--- a/internal/cmds/bundlewatch.go
+++ b/internal/cmds/bundlewatch.go
@@ -11,28 +11,28 @@
 	"example.org/mustardring/internal/admin"
 )
 
-// watchEvery is the time between two questions to an instance.
-const watchEvery = 200 * time.Millisecond
+// watchInterval is the time between two questions to an instance.
+const watchInterval = 200 * time.Millisecond
 
-// bundleWatch says which instance to ask how far a roll has come.
-type bundleWatch struct {
+// bundleWatchFlags says which instance to ask how far a roll has come.
+type bundleWatchFlags struct {
 	Watch string `help:"Operator address of an instance, as IP:PORT, to follow the roll through the domains."`
 	Token string `env:"MUSTARDRING_TOKEN" help:"Operator token for --watch."`
 }
 
 // watch prints a line each time a domain comes to serve the version, until all that the
 // instance has heard of do, or the context ends.
-func (b bundleWatch) watch(ctx context.Context, out io.Writer, version uint64) error {
+func (b bundleWatchFlags) watch(ctx context.Context, out io.Writer, version uint64) error {
 	if b.Watch == "" {
 		return nil
 	}
 	done := make(map[string]bool)
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
-		status, err := b.ask(ctx)
+		status, err := b.fetchStatus(ctx)
 		if err == nil {
-			text, complete := report(status, version, done)
+			text, complete := reportProgress(status, version, done)
 			if err := write(out, text); err != nil || complete {
 				return err
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// report returns a line for each domain that is new to the version, and whether none is left.
-func report(s admin.Status, version uint64, done map[string]bool) (text string, complete bool) {
+// reportProgress returns a line for each domain that is new to the version, and whether none is left.
+func reportProgress(s admin.Status, version uint64, done map[string]bool) (text string, complete bool) {
 	complete = len(s.Domains) > 0
 	for _, d := range s.Domains {
 		switch {
@@ -60,7 +60,7 @@
 	return text, complete
 }
 
-func (b bundleWatch) ask(ctx context.Context) (admin.Status, error) {
+func (b bundleWatchFlags) fetchStatus(ctx context.Context) (admin.Status, error) {
 	var status admin.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.Watch+admin.PathStatus, nil)
 	if err != nil {
--- a/internal/cmds/certs.go
+++ b/internal/cmds/certs.go
@@ -11,8 +11,8 @@
 
 // Names of the files that CertsCmd writes.
 const (
-	authorityCertificate = "authority.pem"
-	authorityKey         = "authority-key.pem"
+	authorityCertFile = "authority.pem"
+	authorityKeyFile  = "authority-key.pem"
 )
 
 // CertsCmd makes the key pairs by which instances authenticate each other.
@@ -43,16 +43,16 @@
 }
 
 func (c *CertsCmd) authority() (certs.Pair, error) {
-	certificate, err := os.ReadFile(filepath.Join(c.Dir, authorityCertificate))
+	certificate, err := os.ReadFile(filepath.Join(c.Dir, authorityCertFile))
 	if err == nil {
-		key, err := os.ReadFile(filepath.Join(c.Dir, authorityKey))
+		key, err := os.ReadFile(filepath.Join(c.Dir, authorityKeyFile))
 		return certs.Pair{Certificate: certificate, Key: key}, err
 	}
 	pair, err := certs.NewAuthority(time.Now())
 	if err != nil {
 		return pair, err
 	}
-	return pair, c.write(pair, authorityCertificate, authorityKey)
+	return pair, c.write(pair, authorityCertFile, authorityKeyFile)
 }
 
 func (c *CertsCmd) write(pair certs.Pair, certificate, key string) error {
--- a/internal/cmds/explain.go
+++ b/internal/cmds/explain.go
@@ -15,14 +15,14 @@
 	Files []string `arg:"" help:"Logs of instances." type:"existingfile"`
 }
 
-// dependedOn are the events that say what was believed of a server, by event name.
-var dependedOn = []string{
+// serverEvents are the events that say what was believed of a server, by event name.
+var serverEvents = []string{
 	"server", "server-gone", "server-regained", "renewal-failed", "renewal-withheld", "right-ended", "moved",
 	"first-grant-failed", "server-lost-in-request",
 }
 
-// lineMost is the longest line of a log.
-const lineMost = 1 << 20
+// maxLineLength is the longest line of a log.
+const maxLineLength = 1 << 20
 
 // logLine is a line of a log with what it says.
 type logLine struct {
@@ -60,18 +60,18 @@
 func readLog(r io.Reader) ([]logLine, error) {
 	var out []logLine
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineLength)
 	for s.Scan() {
 		if at := strings.Index(s.Text(), "time="); at >= 0 {
 			text := s.Text()[at:]
-			out = append(out, logLine{text, fieldsOf(text)})
+			out = append(out, logLine{text, parseFields(text)})
 		}
 	}
 	return out, s.Err()
 }
 
-// fieldsOf splits a line of key=value pairs. Values with spaces stand in quotes.
-func fieldsOf(text string) map[string]string {
+// parseFields splits a line of key=value pairs. Values with spaces stand in quotes.
+func parseFields(text string) map[string]string {
 	out := map[string]string{}
 	for text != "" {
 		key, rest, found := strings.Cut(text, "=")
@@ -112,13 +112,13 @@
 	delete(servers, "")
 	var out []string
 	for _, l := range lines {
-		switch about := servers[l.fields["server"]] && slices.Contains(dependedOn, l.fields["msg"]); {
+		switch about := servers[l.fields["server"]] && slices.Contains(serverEvents, l.fields["msg"]); {
 		case l.fields["id"] == id, about, l.fields["msg"] == "lines-dropped":
 			out = append(out, l.text)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b string) int {
-		return strings.Compare(fieldsOf(a)["time"], fieldsOf(b)["time"])
+		return strings.Compare(parseFields(a)["time"], parseFields(b)["time"])
 	})
 	return out
 }
--- a/internal/cmds/run.go
+++ b/internal/cmds/run.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return entry.Deps{}, err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformIdle}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePlatformConns}}
 	return entry.Deps{
 		Settings:    settings,
 		TLS:         tlsConfig,
@@ -80,27 +80,27 @@
 	}, nil
 }
 
-// platformIdle is the number of idle connections kept to the log and the list.
-const platformIdle = 4
+// maxIdlePlatformConns is the number of idle connections kept to the log and the list.
+const maxIdlePlatformConns = 4
 
 // readPair reads PEM files that are named relative to the settings file.
 func readPair(file string, t config.TLS) (certs.Pair, []byte, error) {
-	certificate, err := readBeside(file, "tls.certificate", t.Certificate)
+	certificate, err := readRelative(file, "tls.certificate", t.Certificate)
 	if err != nil {
 		return certs.Pair{}, nil, err
 	}
-	key, err := readBeside(file, "tls.key", t.Key)
+	key, err := readRelative(file, "tls.key", t.Key)
 	if err != nil {
 		return certs.Pair{}, nil, err
 	}
-	authority, err := readBeside(file, "tls.authority", t.Authority)
+	authority, err := readRelative(file, "tls.authority", t.Authority)
 	if err != nil {
 		return certs.Pair{}, nil, err
 	}
 	return certs.Pair{Certificate: certificate, Key: key}, authority, nil
 }
 
-func readBeside(file, field, name string) ([]byte, error) {
+func readRelative(file, field, name string) ([]byte, error) {
 	if !filepath.IsAbs(name) {
 		name = filepath.Join(filepath.Dir(file), name)
 	}
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -18,9 +18,9 @@
 	Settings string `help:"JSON file with the settings of the instance; by default the one that the platform names." type:"path"`
 }
 
-// memoryShare is the part of the instance's memory that the garbage collector aims to stay
+// memoryLimitShare is the part of the instance's memory that the garbage collector aims to stay
 // below. The rest is for stacks, buffers of the kernel and what is not yet collected.
-const memoryShare = 0.6
+const memoryLimitShare = 0.6
 
 // Run serves until the process is told to stop, and then stops gracefully.
 func (c *ServeCmd) Run(logger *log.Logger) error {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB) * (1 << 20)))
 	events := eventlog.New(os.Stdout, logger.GetLevel())
 	n, err := node.New(settings, platform.New(settings.Store), events)
 	if err != nil {
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -16,18 +16,18 @@
 // errStatus says that an instance did not answer a question of an operator.
 var errStatus = errors.New("cmds: no answer from the instance")
 
-// statusLimit bounds a question to an instance.
-const statusLimit = 5 * time.Second
+// statusTimeout bounds a question to an instance.
+const statusTimeout = 5 * time.Second
 
-// operator says which instance to ask and with which token.
-type operator struct {
+// operatorFlags says which instance to ask and with which token.
+type operatorFlags struct {
 	Address string `required:"" help:"Operator address of an entry instance, as IP:PORT."`
 	Token   string `required:"" env:"MUSTARDRING_TOKEN" help:"Operator token."`
 }
 
 // StatusCmd shows what an instance says of itself.
 type StatusCmd struct {
-	operator
+	operatorFlags
 }
 
 // Run prints the status as JSON.
@@ -37,7 +37,7 @@
 
 // AssignmentsCmd shows the assignments recorded in the log.
 type AssignmentsCmd struct {
-	operator
+	operatorFlags
 }
 
 // Run prints the assignments as JSON.
@@ -47,7 +47,7 @@
 
 // OwnerCmd shows who owns a key.
 type OwnerCmd struct {
-	operator
+	operatorFlags
 	Service string `arg:"" help:"Service."`
 	Key     string `arg:"" help:"Key."`
 }
@@ -58,8 +58,8 @@
 	return c.show(admin.PathOwner + "?" + query.Encode())
 }
 
-func (o *operator) show(path string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), statusLimit)
+func (o *operatorFlags) show(path string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.Address+path, nil)
 	if err != nil {
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -47,7 +47,7 @@
 		c.fail("roots", "nothing", "give the signers of the first bundle")
 	}
 	for _, r := range roots {
-		c.need("roots.name", r.Name)
+		c.required("roots.name", r.Name)
 		if len(r.PublicKey) != ed25519.PublicKeySize {
 			c.fail("roots.public-key", "a key of another length", "give an ed25519 public key in base64")
 		}
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -67,21 +67,21 @@
 // Check implements Checker and fills in defaults.
 func (r *Run) Check(file string) error {
 	c := checks{file: file}
-	c.need("name", r.Name)
-	c.need("domain", r.Domain)
+	c.required("name", r.Name)
+	c.required("domain", r.Domain)
 	c.address("caller-address", r.CallerAddress)
 	c.address("peer-address", r.PeerAddress)
 	c.address("forward-address", r.ForwardAddress)
 	c.address("operator-address", r.OperatorAddress)
-	c.need("operator-token", r.OperatorToken)
+	c.required("operator-token", r.OperatorToken)
 	c.url("log-url", r.LogURL)
 	c.url("list-url", r.ListURL)
-	c.need("tls.certificate", r.TLS.Certificate)
-	c.need("tls.key", r.TLS.Key)
-	c.need("tls.authority", r.TLS.Authority)
+	c.required("tls.certificate", r.TLS.Certificate)
+	c.required("tls.key", r.TLS.Key)
+	c.required("tls.authority", r.TLS.Authority)
 	for _, p := range r.Peers {
-		c.need("peers.name", p.Name)
-		c.need("peers.domain", p.Domain)
+		c.required("peers.name", p.Name)
+		c.required("peers.domain", p.Domain)
 		c.address("peers.peer-address", p.PeerAddress)
 		c.address("peers.forward-address", p.ForwardAddress)
 	}
@@ -95,7 +95,7 @@
 		r.DrainMillis = DefaultDrainMillis
 	}
 	c.positive("drain-ms", r.DrainMillis)
-	return c.first()
+	return c.err()
 }
 
 // checks collects the first fault of a settings file.
@@ -110,14 +110,14 @@
 	}
 }
 
-func (c *checks) first() error {
+func (c *checks) err() error {
 	if c.fault == nil {
 		return nil
 	}
 	return c.fault
 }
 
-func (c *checks) need(field, value string) {
+func (c *checks) required(field, value string) {
 	if value == "" {
 		c.fail(field, "nothing", "give a value")
 	}
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -49,8 +49,8 @@
 // Check implements Checker.
 func (s *Serve) Check(file string) error {
 	c := checks{file: file}
-	c.need("name", s.Name)
-	c.need("domain", s.Domain)
+	c.required("name", s.Name)
+	c.required("domain", s.Domain)
 	c.address("front", s.Front)
 	c.address("ready", s.Ready)
 	c.address("store", s.Store)
@@ -66,5 +66,5 @@
 			c.fail(field, "nothing or less", "give a number above zero")
 		}
 	}
-	return c.first()
+	return c.err()
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -33,17 +33,17 @@
 // The bounds of what is written. A line costs some 5 microseconds of processor time, so that
 // the three rates together take below 1% of a core.
 const (
-	ringSize     = 1024
-	beliefRate   = 400
-	failureRate  = 200
-	successRate  = 100
-	burstSeconds = 5
-	// reportEvery is how often dropped lines are reported.
-	reportEvery = 5 * time.Second
-	// gatherTime is how long lines are gathered before they are written together. Written one by
+	queueSize       = 1024
+	stateChangeRate = 400
+	failureRate     = 200
+	successRate     = 100
+	burstSeconds    = 5
+	// reportInterval is how often dropped lines are reported.
+	reportInterval = 5 * time.Second
+	// batchDelay is how long lines are gathered before they are written together. Written one by
 	// one, each line costs a wake-up and a system call.
-	gatherTime = 40 * time.Millisecond
-	writeSize  = 32 << 10
+	batchDelay      = 40 * time.Millisecond
+	writeBufferSize = 32 << 10
 )
 
 type line struct {
@@ -55,27 +55,27 @@
 
 // Log takes events.
 type Log struct {
-	ring    chan line
+	queue   chan line
 	out     *bufio.Writer
 	logger  *log.Logger
 	limits  [3]*rate.Limiter
 	dropped [3]atomic.Int64
-	count   *expvar.Map
+	counts  *expvar.Map
 }
 
 // New returns a log that writes to w. Run writes what it takes.
 func New(w io.Writer, level log.Level) *Log {
-	out := bufio.NewWriterSize(w, writeSize)
+	out := bufio.NewWriterSize(w, writeBufferSize)
 	l := &Log{
-		ring: make(chan line, ringSize),
-		out:  out,
+		queue: make(chan line, queueSize),
+		out:   out,
 		logger: log.NewWithOptions(out, log.Options{
 			Level: level, Formatter: log.LogfmtFormatter, ReportTimestamp: true,
 			TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		}),
-		count: new(expvar.Map).Init(),
+		counts: new(expvar.Map).Init(),
 	}
-	for i, r := range [...]float64{beliefRate, failureRate, successRate} {
+	for i, r := range [...]float64{stateChangeRate, failureRate, successRate} {
 		l.limits[i] = rate.NewLimiter(rate.Limit(r), int(r)*burstSeconds)
 	}
 	return l
@@ -83,7 +83,7 @@
 
 // Note takes one event. Pairs are keys and values in turn.
 func (l *Log) Note(c Class, name string, pairs ...any) {
-	l.count.Add(name, 1)
+	l.counts.Add(name, 1)
 	if !l.limits[c].Allow() {
 		l.dropped[c].Add(1)
 		return
@@ -93,18 +93,18 @@
 		level = log.WarnLevel
 	}
 	select {
-	case l.ring <- line{level: level, name: name, pairs: pairs, at: time.Now()}:
+	case l.queue <- line{level: level, name: name, pairs: pairs, at: time.Now()}:
 	default:
 		l.dropped[c].Add(1)
 	}
 }
 
 // Counts is the number of events by name.
-func (l *Log) Counts() *expvar.Map { return l.count }
+func (l *Log) Counts() *expvar.Map { return l.counts }
 
 // Run writes events until the context ends, and then what is left in the ring.
 func (l *Log) Run(ctx context.Context) error {
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	defer func() {
 		l.drain()
@@ -113,8 +113,8 @@
 	}()
 	for {
 		select {
-		case n := <-l.ring:
-			if l.write(n); !duty.Pause(ctx, gatherTime) {
+		case n := <-l.queue:
+			if l.write(n); !duty.Pause(ctx, batchDelay) {
 				return ctx.Err()
 			}
 			l.drain()
@@ -129,8 +129,8 @@
 
 // drain writes what waits in the ring.
 func (l *Log) drain() {
-	for len(l.ring) > 0 {
-		l.write(<-l.ring)
+	for len(l.queue) > 0 {
+		l.write(<-l.queue)
 	}
 }
 
@@ -138,7 +138,7 @@
 // to tell it.
 func (l *Log) flush() {
 	if err := l.out.Flush(); err != nil {
-		l.count.Add("write-failed", 1)
+		l.counts.Add("write-failed", 1)
 	}
 }
 
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -40,7 +40,7 @@
 
 // An instance with a sixth of a core wrote a line and woke up once for each request. Lines that come
 // close together are written together, and none waits for long.
-func TestLinesAreGathered(t *testing.T) {
+func TestLinesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := &writer{}
@@ -52,7 +52,7 @@
 			l.Note(Success, "request", "id", "x")
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(gatherTime)
+		time.Sleep(batchDelay)
 		is.Equal(w.lines(), 50)
 		is.True(w.calls <= 3)
 		l.Note(Belief, "stop")
@@ -75,7 +75,7 @@
 			l.Note(Failure, "request")
 		}
 		is.Equal(time.Since(began), time.Duration(0))
-		is.True(l.dropped[Success].Load() > l.dropped[Failure].Load()-int64(ringSize))
+		is.True(l.dropped[Success].Load() > l.dropped[Failure].Load()-int64(queueSize))
 		is.Equal(l.Counts().Get("request").String(), "10000") // all are counted
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
