--- a/cmd/mustardring/main.go
+++ b/cmd/mustardring/main.go
@@ -1,5 +1,5 @@
-// Command mustardring routes requests to the servers that own their keys, and has the tools
-// to operate and try it.
+// Command mustardring routes requests to the servers that own their keys. It also has the commands
+// for operating and testing such a system.
 package main
 
 import (
@@ -15,22 +15,22 @@
 // version is set by the linker for a release.
 var version = "development"
 
-// program is the command line.
+// program has the flags and commands of the command line.
 type program struct {
-	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Least level of events that are logged."`
+	LogLevel string `default:"info" enum:"debug,info,warn,error" help:"Minimum level of logged events."`
 
 	Run         cmds.RunCmd         `cmd:"" help:"Run an entry instance."`
 	Serve       cmds.ServeCmd       `cmd:"" help:"Run an instance on the users' platform."`
-	Explain     cmds.ExplainCmd     `cmd:"" help:"Tell the story of one request from the logs of instances."`
+	Explain     cmds.ExplainCmd     `cmd:"" help:"Show the lines about one request from the logs of instances."`
 	StandIn     cmds.StandInCmd     `cmd:"" name:"stand-in" help:"Run stand-ins of the platform and of backend servers."`
-	Load        cmds.LoadCmd        `cmd:"" help:"Send load to instances on this machine and check the answers."`
-	Ask         cmds.AskCmd         `cmd:"" help:"Send one request and show what became of it."`
+	Load        cmds.LoadCmd        `cmd:"" help:"Send load to instances on this machine and check the responses."`
+	Ask         cmds.AskCmd         `cmd:"" help:"Send one request and show its outcome."`
 	Status      cmds.StatusCmd      `cmd:"" help:"Show the status of an instance."`
 	Owner       cmds.OwnerCmd       `cmd:"" help:"Show who owns a key."`
 	Assignments cmds.AssignmentsCmd `cmd:"" help:"Show the recorded assignments."`
-	Replay      cmds.ReplayCmd      `cmd:"" help:"Play a trace to the placer and to naive placements, or make one."`
+	Replay      cmds.ReplayCmd      `cmd:"" help:"Replay a trace with the placer and with naive placements, or generate one."`
 	Bundle      cmds.BundleCmd      `cmd:"" help:"Publish, approve and roll bundles."`
-	Certs       cmds.CertsCmd       `cmd:"" help:"Make key pairs for instances."`
+	Certs       cmds.CertsCmd       `cmd:"" help:"Generate certificates for instances."`
 	Version     versionCmd          `cmd:"" help:"Print the version."`
 }
 
--- a/internal/cmds/bundle_test.go
+++ b/internal/cmds/bundle_test.go
@@ -20,72 +20,72 @@
 
 func TestReleaseWithCommands(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
-	d.release(d.writeBundle(1, "one.json", nil), 1)
-	d.release(d.writeBundle(2, "two.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} }), 2)
+	env := newOperatorEnv(t)
+	env.release(env.writeBundle(1, "one.json", nil), 1)
+	env.release(env.writeBundle(2, "two.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} }), 2)
 
 	var out bytes.Buffer
-	signers, err := readSigners(d.roots)
+	signers, err := readSigners(env.roots)
 	is.NoErr(err)
-	saved := filepath.Join(d.dir, "saved.json")
-	is.NoErr((&BundleStatusCmd{Save: saved}).run(t.Context(), newBundleLog(d.log, signers), &out))
-	is.NoErr((&BundleDiffCmd{Before: filepath.Join(d.dir, "two.json"), After: saved}).run(&out))
+	saved := filepath.Join(env.dir, "saved.json")
+	is.NoErr((&BundleStatusCmd{Save: saved}).run(t.Context(), newBundleLog(env.log, signers), &out))
+	is.NoErr((&BundleDiffCmd{Before: filepath.Join(env.dir, "two.json"), After: saved}).run(&out))
 	is.True(strings.Contains(out.String(), "from version 2 to 2, 0 changes"))
 	is.True(strings.Contains(out.String(), `is in force: published by "ana", approved by "cene", rolled by "dora" at offset 5`))
 	is.True(strings.Contains(out.String(), "the next version is 3 and follows 2"))
 	out.Reset()
-	is.NoErr((&BundleHistoryCmd{}).run(t.Context(), newBundleLog(d.log, signers), &out))
+	is.NoErr((&BundleHistoryCmd{}).run(t.Context(), newBundleLog(env.log, signers), &out))
 	is.Equal(strings.Count(out.String(), "accepted\n"), 6)
 }
 
-// The log takes the record and its answer is lost, so the command tries again by itself. The
-// operator, who is not sure either, gives the command once more.
+// The log appends the record but its answer is lost, so the command retries. The operator then
+// repeats the command. The record must take effect once.
 func TestPublishAfterLostAnswer(t *testing.T) {
-	d := newOperatorEnv(t)
-	file := d.writeBundle(1, "one.json", nil)
-	d.log.loseAnswers = 1
+	env := newOperatorEnv(t)
+	file := env.writeBundle(1, "one.json", nil)
+	env.log.loseAnswers = 1
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s, err := d.publish(file, "ana", false)
+		s, err := env.publish(file, "ana", false)
 		is.NoErr(err)
 		is.Equal(s.Verdict, verdictAccepted)
 		is.Equal(s.Offset, uint64(0))
-		is.Equal(len(d.log.entries), 2)
-		s, err = d.publish(file, "ana", false)
+		is.Equal(len(env.log.entries), 2)
+		s, err = env.publish(file, "ana", false)
 		is.NoErr(err)
 		is.Equal(s.Verdict, verdictRepeated)
 		is.Equal(s.Offset, uint64(0))
-		is.Equal(len(d.log.entries), 2)
+		is.Equal(len(env.log.entries), 2)
 	})
 }
 
-// The log is down for longer than the command waits. The operator must not take that for a
-// refusal, and the same command must do once the log is back.
+// The log is down for longer than the command waits. The exit code must differ from that of a
+// refusal, and the same command must succeed once the log is back.
 func TestPublishWhileLogIsDown(t *testing.T) {
-	d := newOperatorEnv(t)
-	file := d.writeBundle(1, "one.json", nil)
-	d.log.failCalls = 1 << 30
+	env := newOperatorEnv(t)
+	file := env.writeBundle(1, "one.json", nil)
+	env.log.failCalls = 1 << 30
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, err := d.publish(file, "ana", false)
+		_, err := env.publish(file, "ana", false)
 		is.Equal(ExitCode(err), ExitUncertain)
 		is.True(errors.Is(err, errNoAnswer))
-		is.Equal(len(d.log.entries), 0)
-		d.log.failCalls = 1
-		s, err := d.publish(file, "ana", false)
+		is.Equal(len(env.log.entries), 0)
+		env.log.failCalls = 1
+		s, err := env.publish(file, "ana", false)
 		is.NoErr(err)
 		is.Equal(s.Verdict, verdictAccepted)
 	})
 }
 
-// Two operators publish at once. The one who comes second is told who was first.
+// Two operators publish the same version. The second is refused and gets the record of the first.
 func TestPublishRace(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
-	_, err := d.publish(d.writeBundle(1, "one.json", nil), "ana", false)
+	env := newOperatorEnv(t)
+	_, err := env.publish(env.writeBundle(1, "one.json", nil), "ana", false)
 	is.NoErr(err)
-	other := d.writeBundle(1, "other.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} })
-	s, err := d.publish(other, "boris", false)
+	other := env.writeBundle(1, "other.json", func(b *bundle.Bundle) { b.Services[0].HotKeys = []string{"gauda"} })
+	s, err := env.publish(other, "boris", false)
 	is.Equal(ExitCode(err), ExitFailed)
 	is.Equal(s.Verdict, verdictRefused)
 	is.Equal(s.Winner.Signer, "ana")
@@ -93,38 +93,38 @@
 	is.True(strings.Contains(s.Reason, `by "ana"`))
 }
 
-// An operator rolls a version that was planned when another was in force, and repeats a roll
-// whose answer was lost.
+// A roll that was planned for another version in force is refused. A roll repeated after a lost
+// answer counts as accepted before.
 func TestRollRaceAndRepeat(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
-	d.release(d.writeBundle(1, "one.json", nil), 1)
-	s, err := d.roll(1, 0, "dora")
+	env := newOperatorEnv(t)
+	env.release(env.writeBundle(1, "one.json", nil), 1)
+	s, err := env.roll(1, 0, "dora")
 	is.NoErr(err)
 	is.Equal(s.Verdict, verdictRepeated)
-	is.Equal(len(d.log.entries), 3)
-	s, err = d.roll(1, 0, "cene")
+	is.Equal(len(env.log.entries), 3)
+	s, err = env.roll(1, 0, "cene")
 	is.Equal(ExitCode(err), ExitFailed)
 	is.Equal(s.Winner.Signer, "dora")
 
-	two, err := d.publish(d.writeBundle(2, "two.json", nil), "ana", false)
+	two, err := env.publish(env.writeBundle(2, "two.json", nil), "ana", false)
 	is.NoErr(err)
-	_, err = d.approve(2, two.Hash, "cene")
+	_, err = env.approve(2, two.Hash, "cene")
 	is.NoErr(err)
-	s, err = d.roll(2, 9, "dora")
+	s, err = env.roll(2, 9, "dora")
 	is.Equal(ExitCode(err), ExitFailed)
 	is.Equal(s.Winner.Version, uint64(1))
-	_, err = d.roll(2, 1, "dora")
+	_, err = env.roll(2, 1, "dora")
 	is.NoErr(err)
-	_, err = d.roll(1, 0, "dora")
+	_, err = env.roll(1, 0, "dora")
 	is.Equal(ExitCode(err), ExitFailed)
-	_, err = d.roll(5, 0, "dora")
+	_, err = env.roll(5, 0, "dora")
 	is.Equal(ExitCode(err), ExitFailed)
 }
 
 func TestApproveChecksHashAndRole(t *testing.T) {
-	d := newOperatorEnv(t)
-	published, err := d.publish(d.writeBundle(1, "one.json", nil), "ana", false)
+	env := newOperatorEnv(t)
+	published, err := env.publish(env.writeBundle(1, "one.json", nil), "ana", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := d.approve(1, tt.hash, tt.signer)
+			_, err := env.approve(1, tt.hash, tt.signer)
 			is.Equal(ExitCode(err), tt.want)
 		})
 	}
@@ -149,32 +149,32 @@
 
 func TestPublishLimitsMoves(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
-	one := d.writeBundle(1, "one.json", nil)
-	d.release(one, 1)
-	two := d.writeBundle(2, "two.json", func(b *bundle.Bundle) {
+	env := newOperatorEnv(t)
+	one := env.writeBundle(1, "one.json", nil)
+	env.release(one, 1)
+	two := env.writeBundle(2, "two.json", func(b *bundle.Bundle) {
 		b.Services[0].Homes = []bundle.Home{{Domain: "podstresje", Share: 1}, {Domain: "klet", Share: 1}}
 	})
-	_, err := d.publish(two, "ana", false)
+	_, err := env.publish(two, "ana", false)
 	is.Equal(ExitCode(err), ExitInput)
 	is.True(strings.Contains(err.Error(), `/services/0: found a change that moves 100.0% of the keys of "pregled", expected at most 25.0%`))
-	is.Equal(len(d.log.entries), 3)
+	is.Equal(len(env.log.entries), 3)
 	is.Equal(ExitCode((&BundleCheckCmd{File: two, Before: one}).run(&bytes.Buffer{})), ExitInput)
 	is.NoErr((&BundleCheckCmd{File: two, Before: one, AllowMoves: true}).run(&bytes.Buffer{}))
-	_, err = d.publish(two, "ana", true)
+	_, err = env.publish(two, "ana", true)
 	is.NoErr(err)
 }
 
 func TestPlanSettlesHomes(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
+	env := newOperatorEnv(t)
 	homes := func(a, b int) func(*bundle.Bundle) {
 		return func(v *bundle.Bundle) {
 			v.Services[0].Homes = []bundle.Home{{Domain: "klet", Share: a}, {Domain: "podstresje", Share: b}}
 		}
 	}
-	one, two := d.writeBundle(1, "one.json", homes(1, 1)), d.writeBundle(2, "two.json", homes(1, 3))
-	settled := filepath.Join(d.dir, "settled.json")
+	one, two := env.writeBundle(1, "one.json", homes(1, 1)), env.writeBundle(2, "two.json", homes(1, 3))
+	settled := filepath.Join(env.dir, "settled.json")
 	var out bytes.Buffer
 	is.NoErr((&BundlePlanCmd{Before: one, After: two, RoundTrip: 3 * time.Millisecond, Lease: 3 * time.Second, Settle: settled}).run(&out))
 	is.True(strings.Contains(out.String(), `service "pregled": 25.00% of the keys move, the least possible is 25.00%`))
@@ -182,8 +182,8 @@
 	is.NoErr((&BundleCheckCmd{File: settled, Before: one}).run(&bytes.Buffer{}))
 	b, err := readBundle(settled)
 	is.NoErr(err)
-	is.Equal(len(b.Services[0].Homes[0].Ranges), 0) // shares in order move the least here
-	turned := d.writeBundle(2, "turned.json", func(v *bundle.Bundle) {
+	is.Equal(len(b.Services[0].Homes[0].Ranges), 0) // the division by shares in order moves the least here
+	turned := env.writeBundle(2, "turned.json", func(v *bundle.Bundle) {
 		v.Services[0].Homes = []bundle.Home{{Domain: "podstresje", Share: 1}, {Domain: "klet", Share: 1}}
 	})
 	out.Reset()
@@ -200,19 +200,19 @@
 
 func TestInitAndKeygenKeepExistingFiles(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
-	before, err := os.ReadFile(filepath.Join(d.dir, "ana.key"))
+	env := newOperatorEnv(t)
+	before, err := os.ReadFile(filepath.Join(env.dir, "ana.key"))
 	is.NoErr(err)
-	is.NoErr((&BundleKeygenCmd{Name: "ana", Roles: []bundle.Role{bundle.RolePublish}, Dir: d.dir, Roots: d.roots}).run(&bytes.Buffer{}))
-	after, err := os.ReadFile(filepath.Join(d.dir, "ana.key"))
+	is.NoErr((&BundleKeygenCmd{Name: "ana", Roles: []bundle.Role{bundle.RolePublish}, Dir: env.dir, Roots: env.roots}).run(&bytes.Buffer{}))
+	after, err := os.ReadFile(filepath.Join(env.dir, "ana.key"))
 	is.NoErr(err)
 	is.Equal(before, after)
-	file := filepath.Join(d.dir, "new.json")
-	first := BundleInitCmd{File: file, Roots: d.roots, Domains: []string{"klet"}, Services: []string{"pregled"}}
+	file := filepath.Join(env.dir, "new.json")
+	first := BundleInitCmd{File: file, Roots: env.roots, Domains: []string{"klet"}, Services: []string{"pregled"}}
 	is.NoErr(first.run(&bytes.Buffer{}))
 	is.NoErr(first.run(&bytes.Buffer{}))
 	is.Equal(ExitCode((&BundleInitCmd{File: file, Follow: file}).run(&bytes.Buffer{})), ExitInput)
-	next := filepath.Join(d.dir, "next.json")
+	next := filepath.Join(env.dir, "next.json")
 	is.NoErr((&BundleInitCmd{File: next, Follow: file}).run(&bytes.Buffer{}))
 	b, err := readBundle(next)
 	is.NoErr(err)
@@ -220,10 +220,10 @@
 	is.Equal(b.Follows, uint64(1))
 }
 
-// A bundle of a thousand servers is in the log once; each change of it is small.
+// A bundle of a thousand servers is recorded whole once. Later versions are recorded as deltas.
 func TestLargeBundlesArePublishedAsDeltas(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
+	env := newOperatorEnv(t)
 	many := func(hot string) func(*bundle.Bundle) {
 		return func(b *bundle.Bundle) {
 			s := &b.Services[0]
@@ -236,14 +236,14 @@
 			}
 		}
 	}
-	d.release(d.writeBundle(1, "one.json", many("gauda")), 1)
-	d.release(d.writeBundle(2, "two.json", many("tolminc")), 2)
-	is.True(len(d.log.entries[0].Data) > 100_000)
-	is.True(len(d.log.entries[3].Data) < 2000)
-	s, err := d.publish(filepath.Join(d.dir, "two.json"), "ana", false)
+	env.release(env.writeBundle(1, "one.json", many("gauda")), 1)
+	env.release(env.writeBundle(2, "two.json", many("tolminc")), 2)
+	is.True(len(env.log.entries[0].Data) > 100_000)
+	is.True(len(env.log.entries[3].Data) < 2000)
+	s, err := env.publish(filepath.Join(env.dir, "two.json"), "ana", false)
 	is.NoErr(err)
 	is.Equal(s.Verdict, verdictRepeated)
-	is.Equal(len(d.log.entries), 6)
+	is.Equal(len(env.log.entries), 6)
 }
 
 func TestReportProgressNamesEachDomainOnce(t *testing.T) {
--- a/internal/cmds/bundlefile.go
+++ b/internal/cmds/bundlefile.go
@@ -11,16 +11,16 @@
 	"example.org/mustardring/pkg/bundle/check"
 )
 
-// BundleCheckCmd examines a file without the log.
+// BundleCheckCmd checks a bundle file for problems, without using the log.
 type BundleCheckCmd struct {
 	File        string `arg:"" type:"path" help:"Bundle file."`
-	Before      string `type:"path" help:"File of the version in force, to compare moves with."`
-	AllowMoves  bool   `help:"Accept that more keys move than the version before allows."`
+	Before      string `type:"path" help:"File of the version in force, to compare moves and voters with."`
+	AllowMoves  bool   `help:"Accept that more keys move than the previous version allows."`
 	AllowVoters bool   `help:"Accept that more than one voter of a domain changes."`
 	bundleOutput
 }
 
-// Run shows the problems and returns an error if there are any.
+// Run prints the problems, or the hash if there are none, and returns an error if there are any.
 func (c *BundleCheckCmd) Run() error {
 	return c.run(os.Stdout)
 }
@@ -55,23 +55,26 @@
 	return nil
 }
 
+// checkResult is the result of BundleCheckCmd.
 type checkResult struct {
 	File string `json:"file"`
-	// Hash is what an approver states, in hexadecimal digits; empty if there are problems.
+	// Hash identifies the bundle to its approver, in hexadecimal digits. It is empty if there are
+	// problems.
 	Hash     string         `json:"hash,omitempty"`
 	Problems check.Problems `json:"problems"`
 }
 
-func (c checkResult) writeText(w *strings.Builder) {
-	for _, p := range c.Problems {
+func (r checkResult) writeText(w *strings.Builder) {
+	for _, p := range r.Problems {
 		fmt.Fprintln(w, p)
 	}
-	if len(c.Problems) == 0 {
-		fmt.Fprintf(w, "%s: no problems, hash %s\n", c.File, c.Hash)
+	if len(r.Problems) == 0 {
+		fmt.Fprintf(w, "%s: no problems, hash %s\n", r.File, r.Hash)
 	}
 }
 
-// changeProblems reports what a version may not change at once, unless it was allowed.
+// changeProblems reports changes between two versions that need a flag: more moved keys than
+// allowed, unless moves is set, and more than one voter of a domain, unless voters is set.
 func changeProblems(file string, before, after *bundle.Bundle, moves, voters bool) check.Problems {
 	var problems check.Problems
 	if !moves {
@@ -83,7 +86,7 @@
 	return problems
 }
 
-// voterProblems reports domains of which more than one voter changes.
+// voterProblems reports domains in which more than one voter changes.
 func voterProblems(file string, before, after *bundle.Bundle) check.Problems {
 	var problems check.Problems
 	for _, c := range bundle.CompareVoters(before, after) {
@@ -97,7 +100,8 @@
 	return problems
 }
 
-// movesProblems reports services of which more keys move than the version before allows.
+// movesProblems reports services of which a larger share of the keys moves than the earlier version
+// allows.
 func movesProblems(file string, before, after *bundle.Bundle) check.Problems {
 	var problems check.Problems
 	for _, m := range bundle.CompareMoves(before, after) {
@@ -117,6 +121,7 @@
 	return problems
 }
 
+// servicePointer returns the JSON pointer to a service in a bundle file.
 func servicePointer(b *bundle.Bundle, name string) string {
 	for i := range b.Services {
 		if b.Services[i].Name == name {
@@ -126,14 +131,14 @@
 	return "/services"
 }
 
-// BundleDiffCmd compares two files.
+// BundleDiffCmd compares two bundle files.
 type BundleDiffCmd struct {
 	Before string `arg:"" type:"path" help:"File of the earlier version."`
 	After  string `arg:"" type:"path" help:"File of the later version."`
 	bundleOutput
 }
 
-// Run shows what changes.
+// Run prints the changes.
 func (c *BundleDiffCmd) Run() error {
 	return c.run(os.Stdout)
 }
@@ -155,15 +160,16 @@
 	return b, a, err
 }
 
+// diffResult is the result of BundleDiffCmd.
 type diffResult struct {
 	Before  uint64          `json:"before"`
 	After   uint64          `json:"after"`
 	Changes []bundle.Change `json:"changes"`
 }
 
-func (d diffResult) writeText(w *strings.Builder) {
-	fmt.Fprintf(w, "from version %d to %d, %d changes\n", d.Before, d.After, len(d.Changes))
-	for _, c := range d.Changes {
+func (r diffResult) writeText(w *strings.Builder) {
+	fmt.Fprintf(w, "from version %d to %d, %d changes\n", r.Before, r.After, len(r.Changes))
+	for _, c := range r.Changes {
 		fmt.Fprintln(w, c)
 	}
 }
--- a/internal/cmds/bundlefixture_test.go
+++ b/internal/cmds/bundlefixture_test.go
@@ -15,11 +15,11 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// fakeLog is a log in memory. It keeps repeated appends, as the platform's may.
+// fakeLog is a log in memory. It keeps repeated appends, as the platform's log may.
 type fakeLog struct {
 	entries []record.Entry
-	// failCalls is the number of calls that fail before anything is written, lost that of appends
-	// whose answer is lost after the record was written.
+	// failCalls is the number of calls that fail before anything is written. loseAnswers is the
+	// number of appends whose answer is lost after the record was written.
 	failCalls   int
 	loseAnswers int
 }
@@ -48,7 +48,8 @@
 	return logcl.Batch{Entries: f.entries[min(from, end):end], Next: next}, nil
 }
 
-// operatorEnv is what an operator has at hand: keys, the signers' file and bundle files.
+// operatorEnv is the environment of an operator: a directory with private keys, the file of signers
+// and bundle files, and the log.
 type operatorEnv struct {
 	t     *testing.T
 	dir   string
@@ -57,26 +58,27 @@
 }
 
 func newOperatorEnv(t *testing.T) *operatorEnv {
-	d := &operatorEnv{t: t, dir: t.TempDir(), log: &fakeLog{}}
-	d.roots = filepath.Join(d.dir, "roots.json")
+	e := &operatorEnv{t: t, dir: t.TempDir(), log: &fakeLog{}}
+	e.roots = filepath.Join(e.dir, "roots.json")
 	for name, roles := range map[string][]bundle.Role{
 		"ana": {bundle.RolePublish}, "boris": {bundle.RolePublish},
 		"cene": {bundle.RoleApprove, bundle.RoleRoll}, "dora": {bundle.RoleApprove, bundle.RoleRoll},
 	} {
-		c := BundleKeygenCmd{Name: name, Roles: roles, Dir: d.dir, Roots: d.roots}
+		c := BundleKeygenCmd{Name: name, Roles: roles, Dir: e.dir, Roots: e.roots}
 		if err := c.run(&bytes.Buffer{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return d
+	return e
 }
 
-// writeBundle writes a version with four servers in two domains, after a change.
-func (d *operatorEnv) writeBundle(version uint64, name string, change func(*bundle.Bundle)) string {
-	d.t.Helper()
-	signers, err := readSigners(d.roots)
+// writeBundle writes a bundle file and returns its path. The bundle has four servers in two domains;
+// change, if not nil, edits it.
+func (e *operatorEnv) writeBundle(version uint64, name string, change func(*bundle.Bundle)) string {
+	e.t.Helper()
+	signers, err := readSigners(e.roots)
 	if err != nil {
-		d.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	b := &bundle.Bundle{Format: 1, Version: version, Follows: version - 1, Signers: signers}
 	s := defaultService("pregled")
@@ -93,65 +95,65 @@
 	if change != nil {
 		change(b)
 	}
-	file := filepath.Join(d.dir, name)
+	file := filepath.Join(e.dir, name)
 	if err := writeJSONFile(file, b); err != nil {
-		d.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	return file
 }
 
-func (d *operatorEnv) signFlags(name string) bundleSignFlags {
-	return bundleSignFlags{Signer: name, Key: filepath.Join(d.dir, name+keySuffix)}
+func (e *operatorEnv) signFlags(name string) bundleSignFlags {
+	return bundleSignFlags{Signer: name, Key: filepath.Join(e.dir, name+keySuffix)}
 }
 
-// runCommand runs a command as a new process would, with a wait of 30 s.
-func (d *operatorEnv) runCommand(run func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error) (submitResult, error) {
-	d.t.Helper()
-	signers, err := readSigners(d.roots)
+// runCommand runs a command with a new bundleLog, as a new process would, and a timeout of 30 s.
+func (e *operatorEnv) runCommand(run func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error) (submitResult, error) {
+	e.t.Helper()
+	signers, err := readSigners(e.roots)
 	if err != nil {
-		d.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	var out bytes.Buffer
-	failure := run(ctx, newBundleLog(d.log, signers), &out)
+	failure := run(ctx, newBundleLog(e.log, signers), &out)
 	var s submitResult
 	if out.Len() > 0 {
 		if err := json.Unmarshal(out.Bytes(), &s); err != nil {
-			d.t.Fatal(err)
+			e.t.Fatal(err)
 		}
 	}
 	return s, failure
 }
 
-func (d *operatorEnv) publish(file, name string, allowMoves bool) (submitResult, error) {
-	c := BundlePublishCmd{File: file, AllowMoves: allowMoves, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+func (e *operatorEnv) publish(file, name string, allowMoves bool) (submitResult, error) {
+	c := BundlePublishCmd{File: file, AllowMoves: allowMoves, bundleSignFlags: e.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
+	return e.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
-func (d *operatorEnv) approve(version uint64, hash, name string) (submitResult, error) {
-	c := BundleApproveCmd{Version: version, Hash: hash, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+func (e *operatorEnv) approve(version uint64, hash, name string) (submitResult, error) {
+	c := BundleApproveCmd{Version: version, Hash: hash, bundleSignFlags: e.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
+	return e.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
-func (d *operatorEnv) roll(version, replaces uint64, name string) (submitResult, error) {
-	c := BundleRollCmd{Version: version, Replaces: replaces, bundleSignFlags: d.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
-	return d.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
+func (e *operatorEnv) roll(version, replaces uint64, name string) (submitResult, error) {
+	c := BundleRollCmd{Version: version, Replaces: replaces, bundleSignFlags: e.signFlags(name), bundleOutput: bundleOutput{Output: "json"}}
+	return e.runCommand(func(ctx context.Context, l *bundleLog, out *bytes.Buffer) error { return c.run(ctx, l, out) })
 }
 
-// release brings a file into force and fails the test if that fails.
-func (d *operatorEnv) release(file string, version uint64) {
-	d.t.Helper()
-	is := is.New(d.t)
-	s, err := d.publish(file, "ana", false)
+// release publishes, approves and rolls a bundle file, and fails the test if that fails.
+func (e *operatorEnv) release(file string, version uint64) {
+	e.t.Helper()
+	is := is.New(e.t)
+	s, err := e.publish(file, "ana", false)
 	is.NoErr(err)
-	_, err = d.approve(version, s.Hash[:minHashDigits], "cene")
+	_, err = e.approve(version, s.Hash[:minHashDigits], "cene")
 	is.NoErr(err)
-	_, err = d.roll(version, 0, "dora")
+	_, err = e.roll(version, 0, "dora")
 	is.NoErr(err)
 }
 
-// truncatedLog is a fakeLog whose first records are gone.
+// truncatedLog is a fakeLog that no longer returns the records before oldest.
 type truncatedLog struct {
 	*fakeLog
 	oldest uint64
--- a/internal/cmds/bundleinit.go
+++ b/internal/cmds/bundleinit.go
@@ -11,7 +11,8 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// BundleInitCmd writes a bundle file to start from.
+// BundleInitCmd writes a bundle file for the operator to edit: a first version, or a copy of an
+// earlier version with the next number.
 type BundleInitCmd struct {
 	File     string   `arg:"" type:"path" help:"File to write."`
 	Follow   string   `type:"path" help:"File of the version to follow. Without it, a first version is written."`
@@ -21,7 +22,7 @@
 	bundleOutput
 }
 
-// Run writes the file. One that is there already is kept.
+// Run writes the file. An existing file is kept, and must hold the expected version.
 func (c *BundleInitCmd) Run() error {
 	return c.run(os.Stdout)
 }
@@ -45,15 +46,17 @@
 	return c.show(out, initResult{File: c.File, Version: b.Version})
 }
 
+// initResult is the result of BundleInitCmd.
 type initResult struct {
 	File    string `json:"file"`
 	Version uint64 `json:"version"`
 }
 
-func (i initResult) writeText(w *strings.Builder) {
-	fmt.Fprintf(w, "%s holds version %d\n", i.File, i.Version)
+func (r initResult) writeText(w *strings.Builder) {
+	fmt.Fprintf(w, "%s holds version %d\n", r.File, r.Version)
 }
 
+// bundle returns the version to write.
 func (c *BundleInitCmd) bundle() (*bundle.Bundle, error) {
 	if c.Follow != "" {
 		b, err := readBundle(c.Follow)
@@ -81,7 +84,7 @@
 	return b, nil
 }
 
-// defaultService holds limits and weights to start from.
+// defaultService returns a service without servers and with default weights and limits.
 func defaultService(name string) bundle.Service {
 	return bundle.Service{
 		Name:      name,
--- a/internal/cmds/bundlekey.go
+++ b/internal/cmds/bundlekey.go
@@ -17,10 +17,11 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// keySuffix is that of private key files: the seed in base64, on one line.
+// keySuffix is the file name suffix of private keys. A key file holds the ed25519 seed in base64, on
+// one line.
 const keySuffix = ".key"
 
-// BundleKeygenCmd makes a signer's key and adds the signer to a file.
+// BundleKeygenCmd generates the key of a signer and adds the signer to a file of signers.
 type BundleKeygenCmd struct {
 	Name  string        `arg:"" help:"Name of the signer."`
 	Roles []bundle.Role `required:"" help:"What the signer may do: publish, approve, roll."`
@@ -29,7 +30,7 @@
 	bundleOutput
 }
 
-// Run makes the key. A key that is there already is kept.
+// Run generates the key, unless its file exists already, and adds or updates the signer.
 func (c *BundleKeygenCmd) Run() error {
 	return c.run(os.Stdout)
 }
@@ -37,7 +38,7 @@
 func (c *BundleKeygenCmd) run(out io.Writer) error {
 	for _, r := range c.Roles {
 		if r != bundle.RolePublish && r != bundle.RoleApprove && r != bundle.RoleRoll {
-			return badInput("found role %q, expected publish, approve or roll", r)
+			return badInput("unknown role %q, expected publish, approve or roll", r)
 		}
 	}
 	file := filepath.Join(c.Dir, c.Name+keySuffix)
@@ -55,16 +56,18 @@
 	return c.show(out, keygenResult{Signer: s, KeyFile: file})
 }
 
+// keygenResult is the result of BundleKeygenCmd.
 type keygenResult struct {
 	Signer  bundle.Signer `json:"signer"`
 	KeyFile string        `json:"key-file"`
 }
 
-func (m keygenResult) writeText(w *strings.Builder) {
-	fmt.Fprintf(w, "private key of %q is in %s; public key %s\n", m.Signer.Name, m.KeyFile,
-		base64.StdEncoding.EncodeToString(m.Signer.PublicKey))
+func (r keygenResult) writeText(w *strings.Builder) {
+	fmt.Fprintf(w, "private key of %q is in %s; public key %s\n", r.Signer.Name, r.KeyFile,
+		base64.StdEncoding.EncodeToString(r.Signer.PublicKey))
 }
 
+// readKey reads a private key file. Its error wraps fs.ErrNotExist if there is no such file.
 func readKey(file string) (ed25519.PrivateKey, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -72,12 +75,13 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(data)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, badInput("%s: found %d bytes, expected a seed of %d in base64", file, len(seed), ed25519.SeedSize)
+		return nil, badInput("%s: found a seed of %d bytes, expected %d bytes in base64", file, len(seed), ed25519.SeedSize)
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// writeKey never replaces a file: the signatures of a lost key could not be made again.
+// writeKey generates a key and writes it to a new file. It never replaces a file, because the
+// signatures of a lost key can't be made again.
 func writeKey(file string) (ed25519.PrivateKey, error) {
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -94,7 +98,8 @@
 	return key, nil
 }
 
-// addSigner adds a signer to a file of signers, which is made if it is missing.
+// addSigner adds a signer to a file of signers, or replaces the signer of the same name. It creates
+// the file if it doesn't exist, and does nothing if no file is named.
 func addSigner(file string, s bundle.Signer) error {
 	if file == "" {
 		return nil
@@ -114,6 +119,7 @@
 	return writeJSONFile(file, signers)
 }
 
+// writeJSONFile writes a value as indented JSON and replaces an existing file.
 func writeJSONFile(file string, value any) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -16,37 +16,42 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Bounds of a command's dealings with the log.
+// Limits of a command's calls to the log.
 const (
 	maxReadRecords    = 1000
 	readTimeout       = 500 * time.Millisecond
 	initialRetryDelay = 100 * time.Millisecond
 )
 
-// bundleLog folds the log for one command.
+// bundleLog reads the log for one command and folds it into a state.
 type bundleLog struct {
-	log   logcl.Log
+	log     logcl.Log
 	anchors []bundle.Signer
-	state *fold.State
-	// from is the offset of the next read; behind a gap it is above state.Next.
+	state   *fold.State
+	// from is the offset of the next read. It is above state.Next while records after a gap are
+	// skipped in search of a checkpoint.
 	from    uint64
 	records []foldedRecord
 }
 
-// foldedRecord is a record that was read, with its verdict.
+// foldedRecord is a log entry with the result of folding it.
 type foldedRecord struct {
 	entry  record.Entry
 	result fold.Result
 }
 
+// newBundleLog returns a bundleLog at the start of the log. The anchors are the signers whose first
+// bundle is trusted.
 func newBundleLog(log logcl.Log, anchors []bundle.Signer) *bundleLog {
 	return &bundleLog{log: log, anchors: anchors, state: fold.New(anchors)}
 }
 
-// errNoAnswer says that the log did not answer in time.
-var errNoAnswer = errors.New("cmds: the log does not answer; give the same command again")
+// errNoAnswer is returned if the log does not answer in time.
+var errNoAnswer = errors.New("cmds: the log does not answer; repeat the same command")
 
-// retry calls f until it succeeds, fails for good, or the context ends.
+// retry calls f, with backoff, until it succeeds, returns an error that isn't transient, or the
+// context ends. The returned error has the code ExitUncertain if the last error was transient or the
+// context ended, and ExitFailed otherwise.
 func retry[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialRetryDelay
@@ -69,12 +74,12 @@
 	}
 }
 
-// isTransient reports whether an error of the log may go away.
+// isTransient reports whether a call to the log that failed with this error may succeed later.
 func isTransient(err error) bool {
 	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrLimited) || errors.Is(err, logcl.ErrUncertain)
 }
 
-// catchUp reads to the end of the log, and at least up to an offset.
+// catchUp reads and folds the log up to its end, and at least up to the offset upTo.
 func (l *bundleLog) catchUp(ctx context.Context, upTo uint64) error {
 	for {
 		batch, err := retry(ctx, func() (logcl.Batch, error) { return l.read(ctx) })
@@ -88,7 +93,8 @@
 	}
 }
 
-// read returns a batch. After a gap it returns the one that begins with the oldest record.
+// read returns the batch at l.from. If the log no longer holds that record, it continues at the
+// oldest one.
 func (l *bundleLog) read(ctx context.Context) (logcl.Batch, error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -100,8 +106,8 @@
 	return batch, err
 }
 
-// apply folds a batch. A reader that finds no checkpoint behind a gap starts at the oldest
-// record.
+// apply folds a batch. After a gap it skips records up to a checkpoint. If the log ends without one,
+// it starts over at the oldest record with an empty state.
 func (l *bundleLog) apply(batch logcl.Batch) {
 	for i := range batch.Entries {
 		e := batch.Entries[i]
@@ -113,7 +119,7 @@
 		l.records = append(l.records, foldedRecord{entry: e, result: v})
 		l.from = l.state.Next
 		if l.state.Next <= e.Offset {
-			return // a checkpoint was taken over: read on from there
+			return // the state of a checkpoint was adopted: read on from its offset
 		}
 	}
 	if l.state.Next < l.from && l.from >= batch.Next {
@@ -122,33 +128,35 @@
 	}
 }
 
-// outcome returns the verdict on a statement: the first that let it take effect, or else the
-// last refusal. It is nil if no record with the statement was read. The statement is what
-// counts, not the bytes of the record, which may hold the bundle whole or as a delta.
+// outcome returns the result of folding a statement, and the offset of its record: the first result
+// that is not a rejection, or else the last rejection. It is nil if no record with the statement was
+// read. Records are compared by their statement and not by their bytes, as the same bundle may be
+// recorded whole or as a delta.
 func (l *bundleLog) outcome(st bundle.Statement) (fold.Result, uint64) {
 	id := st.ID()
 	var last fold.Result
 	var offset uint64
-	for _, j := range l.records {
-		if j.entry.ID != id {
+	for _, r := range l.records {
+		if r.entry.ID != id {
 			continue
 		}
-		if found, _, ok := statementIn(j.entry.Data); !ok || !bytes.Equal(found.Signature, st.Signature) {
+		if found, _, ok := statementIn(r.entry.Data); !ok || !bytes.Equal(found.Signature, st.Signature) {
 			continue
 		}
-		last, offset = j.result, j.entry.Offset
-		if _, refused := j.result.(fold.Rejected); !refused {
+		last, offset = r.result, r.entry.Offset
+		if _, refused := r.result.(fold.Rejected); !refused {
 			return last, offset
 		}
 	}
 	return last, offset
 }
 
-// submit appends a record unless it took effect before, reads the log back, and returns what
-// became of the record.
+// submit appends a record unless its statement has already taken effect, reads the log up to it, and
+// returns the result of folding the record and its offset.
 //
-// It guards against a lost answer, after which the command is given again or tries again by
-// itself: the ID is the same each time, so the fold lets the record take effect once.
+// After a lost answer of the log, submit retries or the operator repeats the command, so that the
+// record may be appended twice. The ID of the statement is the same each time, and the fold lets the
+// record take effect once.
 func (l *bundleLog) submit(ctx context.Context, st bundle.Statement, r record.Record) (fold.Result, uint64, error) {
 	data, err := record.Encode(r)
 	if err != nil {
@@ -173,6 +181,6 @@
 	return v, at, nil
 }
 
-// errNotReadBack says that the log acknowledged a record which it does not return: it started
-// anew in between, or a checkpoint stands for the record.
-var errNotReadBack = errors.New("cmds: the log does not return the record; look at the status and repeat the command")
+// errNotReadBack is returned if the log acknowledged a record but does not return it: the log was
+// replaced in between, or a checkpoint covers the record.
+var errNotReadBack = errors.New("cmds: the log acknowledged the record but does not return it; check the status and repeat the command")
--- a/internal/cmds/bundlelog_test.go
+++ b/internal/cmds/bundlelog_test.go
@@ -14,26 +14,26 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// The stand-in breaks the connection after the append took effect. What the command then
-// reads back over HTTP must be its own record.
+// The stand-in closes the connection after the append took effect. The command must find its own
+// record when it reads the log over HTTP.
 func TestSubmitOverHTTP(t *testing.T) {
 	is := is.New(t)
-	d := newOperatorEnv(t)
+	env := newOperatorEnv(t)
 	service := stand.NewLogService(stand.LogSettings{AppendRate: 1000})
 	server := httptest.NewServer(service)
 	defer server.Close()
-	signers, err := readSigners(d.roots)
+	signers, err := readSigners(env.roots)
 	is.NoErr(err)
 	service.SetFault(stand.LogFault{LoseAnswers: 1})
-	c := BundlePublishCmd{File: d.writeBundle(1, "one.json", nil), bundleSignFlags: d.signFlags("ana")}
+	c := BundlePublishCmd{File: env.writeBundle(1, "one.json", nil), bundleSignFlags: env.signFlags("ana")}
 	var out bytes.Buffer
 	is.NoErr(c.run(t.Context(), newBundleLog(logcl.New(server.URL, server.Client()), signers), &out))
 	is.True(bytes.Contains(out.Bytes(), []byte(`by "ana": accepted at offset 0`)))
 	is.Equal(service.Appends(), 2)
 }
 
-// The log forgot its first records. The command starts at the checkpoint behind the gap, and
-// without one at the oldest record.
+// The log no longer holds its first records. The command starts at the checkpoint after the gap, or
+// at the oldest record if there is none.
 func TestCatchUpAfterGap(t *testing.T) {
 	tests := map[string]struct {
 		checkpoint bool
@@ -46,18 +46,18 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newOperatorEnv(t)
-			d.release(d.writeBundle(1, "one.json", nil), 1)
-			signers, err := readSigners(d.roots)
+			env := newOperatorEnv(t)
+			env.release(env.writeBundle(1, "one.json", nil), 1)
+			signers, err := readSigners(env.roots)
 			is.NoErr(err)
 			if tt.checkpoint {
-				d.addCheckpoint(signers)
-				_, err := d.publish(d.writeBundle(2, "two.json", nil), "ana", false)
+				env.addCheckpoint(signers)
+				_, err := env.publish(env.writeBundle(2, "two.json", nil), "ana", false)
 				is.NoErr(err)
 			}
-			l := newBundleLog(&truncatedLog{fakeLog: d.log, oldest: 2}, signers)
+			l := newBundleLog(&truncatedLog{fakeLog: env.log, oldest: 2}, signers)
 			is.NoErr(l.catchUp(t.Context(), 0))
-			is.Equal(l.state.Next, uint64(len(d.log.entries)))
+			is.Equal(l.state.Next, uint64(len(env.log.entries)))
 			is.Equal(l.state.StartOffset, tt.since)
 			version := uint64(0)
 			if l.state.InForce != nil {
@@ -68,10 +68,10 @@
 	}
 }
 
-// addCheckpoint appends a mark and its checkpoint.
-func (d *operatorEnv) addCheckpoint(signers []bundle.Signer) {
-	d.t.Helper()
-	is := is.New(d.t)
+// addCheckpoint appends a checkpoint mark and its checkpoint to the log.
+func (e *operatorEnv) addCheckpoint(signers []bundle.Signer) {
+	e.t.Helper()
+	is := is.New(e.t)
 	s := fold.New(signers)
 	for _, r := range []func() (record.Record, error){
 		func() (record.Record, error) { return s.NewMark("one") },
@@ -81,10 +81,10 @@
 		is.NoErr(err)
 		data, err := record.Encode(made)
 		is.NoErr(err)
-		_, err = d.log.Append(d.t.Context(), "checkpoint", data)
+		_, err = e.log.Append(e.t.Context(), "checkpoint", data)
 		is.NoErr(err)
-		for s.Next < uint64(len(d.log.entries)) {
-			s.Apply(d.log.entries[s.Next])
+		for s.Next < uint64(len(e.log.entries)) {
+			s.Apply(e.log.entries[s.Next])
 		}
 	}
 }
--- a/internal/cmds/bundleplan.go
+++ b/internal/cmds/bundleplan.go
@@ -11,22 +11,22 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// moveRoundTrips is the number of round trips for which a range has no owner in a planned move:
-// revoke and acknowledgement, grant, and the first request to the new owner.
+// moveRoundTrips is the number of round trips for which a range has no owner in a planned move: the
+// revocation and its acknowledgement, the grant, and the first request to the new owner.
 const moveRoundTrips = 3
 
-// BundlePlanCmd says what a version will move before anything is published. With Settle it
-// speaks of the version that it writes.
+// BundlePlanCmd shows which share of the keys a version moves, before anything is published. With
+// Settle it also writes a version with stated ranges that move fewer keys, and shows that one.
 type BundlePlanCmd struct {
 	Before    string        `arg:"" type:"path" help:"File of the version in force."`
 	After     string        `arg:"" type:"path" help:"File of the planned version."`
-	RoundTrip time.Duration `default:"3ms" help:"Round trip between instances and servers."`
-	Lease     time.Duration `default:"3s" help:"Lease of grants."`
+	RoundTrip time.Duration `default:"3ms" help:"Round-trip time between instances and servers."`
+	Lease     time.Duration `default:"3s" help:"Duration of the leases of servers."`
 	Settle    string        `type:"path" help:"Write the planned version with stated ranges that move the fewest keys."`
 	bundleOutput
 }
 
-// Run shows the plan.
+// Run prints the plan.
 func (c *BundlePlanCmd) Run() error {
 	return c.run(os.Stdout)
 }
@@ -54,8 +54,9 @@
 	return c.show(out, p)
 }
 
-// settle states ranges in the planned version, where the rule does not move the least, and
-// writes it.
+// settle writes the planned version to the file that Settle names. For services whose default
+// division between domains moves more keys than necessary, it first adds ranges that move the
+// fewest.
 func (c *BundlePlanCmd) settle(before, after *bundle.Bundle) error {
 	for _, m := range bundle.CompareMoves(before, after) {
 		if math.Abs(m.Between-m.LeastBetween) < minShareDifference {
@@ -68,25 +69,28 @@
 	return writeJSONFile(c.Settle, after)
 }
 
-// minShareDifference is the share of the hash space below which two divisions count as equal.
+// minShareDifference is a share of the hash space. Divisions that differ by less count as equal.
 const minShareDifference = 1e-9
 
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
 
+// plan is the result of BundlePlanCmd.
 type plan struct {
 	Before   uint64        `json:"before"`
 	After    uint64        `json:"after"`
 	Services []servicePlan `json:"services"`
 }
 
+// servicePlan holds the moves of one service, as shares of the hash space.
 type servicePlan struct {
 	bundle.Moves
 	Total float64 `json:"total"`
 	Least float64 `json:"least"`
-	// PlannedMove and LostServer are the times for which a key that moves has no owner, in
-	// milliseconds: when its present server gives it up, and when it does not answer.
+	// PlannedMove and LostServer are how long a key that moves has no owner, in milliseconds:
+	// PlannedMove if its current server releases it, LostServer if that server does not answer.
 	PlannedMove float64 `json:"planned-move-ms"`
 	LostServer  float64 `json:"lost-server-ms"`
 }
--- a/internal/cmds/bundleshow.go
+++ b/internal/cmds/bundleshow.go
@@ -14,14 +14,14 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// BundleStatusCmd shows what the log says of bundles and leaders.
+// BundleStatusCmd shows the bundles in the log and the leaders of the domains.
 type BundleStatusCmd struct {
 	Save string `type:"path" help:"Write the bundle in force to this file."`
 	bundleLogFlags
 	bundleOutput
 }
 
-// Run shows the status.
+// Run prints the status, and saves the bundle in force if Save is set.
 func (c *BundleStatusCmd) Run() error {
 	return c.withLog(c.run)
 }
@@ -41,17 +41,24 @@
 	return c.show(out, statusOf(l.state))
 }
 
+// logStatus is the result of BundleStatusCmd.
 type logStatus struct {
-	Next    uint64         `json:"next"`
-	Since   uint64         `json:"since"`
-	InForce *versionState  `json:"in-force"`
+	// Next is the offset after the last record that was read. Since is the offset at which the
+	// state starts. It is above zero if the first records are gone and no checkpoint covers them.
+	Next    uint64        `json:"next"`
+	Since   uint64        `json:"since"`
+	InForce *versionState `json:"in-force"`
+	// Head is the newest published version. Waiting are the published versions that are not in
+	// force yet.
 	Head    uint64         `json:"newest-published"`
 	Waiting []versionState `json:"waiting"`
 	Terms   []termState    `json:"terms"`
-	// Newer is set when a record was met that only a newer release can read.
+	// Newer describes a record that only a newer release of the program can read, if there is one.
 	Newer string `json:"newer-record,omitempty"`
 }
 
+// versionState is a published version with its signers. Offset is the offset of the roll for the
+// version in force, and of the publication for the others.
 type versionState struct {
 	Version   uint64 `json:"version"`
 	Hash      string `json:"hash"`
@@ -61,11 +68,13 @@
 	Offset    uint64 `json:"offset"`
 }
 
+// termState is the current term of the leader of a domain.
 type termState struct {
 	Domain string `json:"domain"`
 	fold.Term
 }
 
+// statusOf returns the status that a state of the log describes.
 func statusOf(s *fold.State) logStatus {
 	status := logStatus{Next: s.Next, Since: s.StartOffset, Head: s.Head}
 	if s.InForce != nil {
@@ -119,13 +128,13 @@
 	}
 }
 
-// BundleHistoryCmd shows each bundle record in the log.
+// BundleHistoryCmd shows each bundle record in the log and its verdict.
 type BundleHistoryCmd struct {
 	bundleLogFlags
 	bundleOutput
 }
 
-// Run shows the history.
+// Run prints the history.
 func (c *BundleHistoryCmd) Run() error {
 	return c.withLog(c.run)
 }
@@ -135,19 +144,22 @@
 		return err
 	}
 	h := history{Since: l.state.StartOffset}
-	for _, j := range l.records {
-		if e, ok := newHistoryEvent(j); ok {
+	for _, r := range l.records {
+		if e, ok := newHistoryEvent(r); ok {
 			h.Events = append(h.Events, e)
 		}
 	}
 	return c.show(out, h)
 }
 
+// history is the result of BundleHistoryCmd. Since is the offset at which the state of the log
+// starts.
 type history struct {
 	Since  uint64         `json:"since"`
 	Events []historyEvent `json:"events"`
 }
 
+// historyEvent is a bundle record in the log. Reason is set if the record was refused.
 type historyEvent struct {
 	Offset  uint64 `json:"offset"`
 	Action  string `json:"action"`
@@ -168,15 +180,15 @@
 	}
 }
 
-// newHistoryEvent returns false for records that are not about bundles.
-func newHistoryEvent(j foldedRecord) (historyEvent, bool) {
-	st, action, ok := statementIn(j.entry.Data)
+// newHistoryEvent describes a bundle record. It returns false for other records.
+func newHistoryEvent(r foldedRecord) (historyEvent, bool) {
+	st, action, ok := statementIn(r.entry.Data)
 	if !ok {
 		return historyEvent{}, false
 	}
 	hash := fmt.Sprintf("%0*x", minHashDigits, st.Hash)
-	e := historyEvent{Offset: j.entry.Offset, Action: action, Version: st.Version, Hash: hash, Signer: st.Signer, Verdict: verdictAccepted}
-	switch v := j.result.(type) {
+	e := historyEvent{Offset: r.entry.Offset, Action: action, Version: st.Version, Hash: hash, Signer: st.Signer, Verdict: verdictAccepted}
+	switch v := r.result.(type) {
 	case fold.Duplicate:
 		e.Verdict = verdictRepeated
 	case fold.Rejected:
@@ -185,10 +197,12 @@
 	return e, true
 }
 
-// actionReturn is the action of a record that brings a bundle back into a log.
+// actionReturn is the action of a record that restores the bundle in force in a log that has lost
+// the records of it.
 const actionReturn = "return"
 
-// statementIn returns the statement of a record about bundles, and what it does.
+// statementIn returns the statement of a bundle record and its action, which is the role of its
+// signer or actionReturn. It returns false for other records and for malformed ones.
 func statementIn(data []byte) (st bundle.Statement, action string, ok bool) {
 	r, err := record.Decode(data)
 	if err != nil {
--- a/internal/cmds/bundlesign.go
+++ b/internal/cmds/bundlesign.go
@@ -15,10 +15,10 @@
 	"example.org/mustardring/pkg/bundle/check"
 )
 
-// minHashDigits is the number of hexadecimal digits by which a bundle is named at least.
+// minHashDigits is the minimum number of hexadecimal digits of a hash that identify a bundle.
 const minHashDigits = 8
 
-// bundleSignFlags say who signs.
+// bundleSignFlags are the flags of commands that sign: the signer and its private key.
 type bundleSignFlags struct {
 	Signer string `required:"" help:"Name of the signer."`
 	Key    string `required:"" type:"path" help:"File with the signer's private key, made by keygen."`
@@ -28,7 +28,8 @@
 	return readKey(f.Key)
 }
 
-// submitResult is the result of publish, approve and roll.
+// submitResult is the result of publish, approve and roll. Winner is the earlier record that a
+// refused one conflicts with, if any.
 type submitResult struct {
 	Action  string       `json:"action"`
 	Version uint64       `json:"version"`
@@ -40,21 +41,22 @@
 	Winner  *fold.Winner `json:"winner,omitempty"`
 }
 
-func (s submitResult) writeText(w *strings.Builder) {
-	fmt.Fprintf(w, "%s of version %d (%s) by %q: %s at offset %d\n", s.Action, s.Version, s.Hash[:minHashDigits], s.Signer, s.Verdict, s.Offset)
-	if s.Reason != "" {
-		fmt.Fprintf(w, "%s\n", s.Reason)
+func (r submitResult) writeText(w *strings.Builder) {
+	fmt.Fprintf(w, "%s of version %d (%s) by %q: %s at offset %d\n", r.Action, r.Version, r.Hash[:minHashDigits], r.Signer, r.Verdict, r.Offset)
+	if r.Reason != "" {
+		fmt.Fprintf(w, "%s\n", r.Reason)
 	}
 }
 
-// The words for verdicts.
+// Verdicts on a record in the log.
 const (
 	verdictAccepted = "accepted"
 	verdictRepeated = "accepted before"
 	verdictRefused  = "refused"
 )
 
-// submitAndShow submits a statement's record, shows the verdict, and returns an error if refused.
+// submitAndShow submits the record r of the statement st and prints the verdict. It returns an error
+// with the code ExitFailed if the record was refused.
 func submitAndShow(ctx context.Context, l *bundleLog, o bundleOutput, out io.Writer, st bundle.Statement, r record.Record) error {
 	v, offset, err := l.submit(ctx, st, r)
 	if err != nil {
@@ -81,17 +83,17 @@
 	return refusal
 }
 
-// BundlePublishCmd signs a bundle as its publisher and appends it.
+// BundlePublishCmd signs a bundle as its publisher and appends it to the log.
 type BundlePublishCmd struct {
 	File        string `arg:"" type:"path" help:"Bundle file."`
-	AllowMoves  bool   `help:"Publish although more keys move than the bundle in force allows."`
-	AllowVoters bool   `help:"Publish although more than one voter of a domain changes."`
+	AllowMoves  bool   `help:"Publish even if more keys move than the bundle in force allows."`
+	AllowVoters bool   `help:"Publish even if more than one voter of a domain changes."`
 	bundleSignFlags
 	bundleLogFlags
 	bundleOutput
 }
 
-// Run publishes.
+// Run publishes the bundle.
 func (c *BundlePublishCmd) Run() error {
 	return c.withLog(c.run)
 }
@@ -124,10 +126,11 @@
 	return submitAndShow(ctx, l, c.bundleOutput, out, signed.Statement, r)
 }
 
-// minDeltaBytes is the size in bytes from which on a bundle is published as a delta, if the log
-// holds the version that it follows.
+// minDeltaBytes is the minimum size of a bundle that is published as a delta, if the log holds the
+// version that it follows. Smaller bundles are published whole.
 const minDeltaBytes = 16 << 10
 
+// publishedRecord returns the record that publishes a bundle, whole or as a delta.
 func publishedRecord(s *fold.State, b *bundle.Bundle, signed bundle.Signed) (record.Record, error) {
 	whole := record.BundlePublished{Signed: signed}
 	if len(signed.Canonical) < minDeltaBytes {
@@ -148,7 +151,7 @@
 	return record.BundlePublished{Signed: bundle.Signed{Statement: signed.Statement}, Delta: &d}, nil
 }
 
-// checkedBundle reads a file that must have no problems.
+// checkedBundle reads a bundle file and returns an error if it has problems.
 func checkedBundle(file string) (*bundle.Bundle, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -164,13 +167,13 @@
 // BundleApproveCmd approves a published version.
 type BundleApproveCmd struct {
 	Version uint64 `arg:"" help:"Version to approve."`
-	Hash    string `required:"" help:"First digits of the hash of the bundle that was reviewed, eight at least."`
+	Hash    string `required:"" help:"First digits of the hash of the reviewed bundle, at least eight."`
 	bundleSignFlags
 	bundleLogFlags
 	bundleOutput
 }
 
-// Run approves.
+// Run approves the version.
 func (c *BundleApproveCmd) Run() error {
 	return c.withLog(c.run)
 }
@@ -188,7 +191,7 @@
 		return err
 	}
 	if hash := hex.EncodeToString(published.Hash); len(c.Hash) < minHashDigits || !strings.HasPrefix(hash, c.Hash) {
-		return badInput("version %d has hash %s, not %q: another bundle was published than the one reviewed", c.Version, hash, c.Hash)
+		return badInput("version %d has hash %s, not %q: the published bundle is not the one that was reviewed", c.Version, hash, c.Hash)
 	}
 	approval, err := bundle.Approve(published, c.Signer, key)
 	if err != nil {
@@ -197,7 +200,7 @@
 	return submitAndShow(ctx, l, c.bundleOutput, out, approval, record.BundleApproved{Approval: approval})
 }
 
-// findPublished returns the publisher's statement of a version that waits or is in force.
+// findPublished returns the publisher's statement of a version that is pending or in force.
 func findPublished(s *fold.State, version uint64) (bundle.Statement, error) {
 	for _, c := range s.Candidates {
 		if c.Signed.Statement.Version == version {
@@ -208,23 +211,23 @@
 		return s.Proof.Signed.Statement, nil
 	}
 	if s.InForce != nil && s.InForce.Version > version {
-		return bundle.Statement{}, failed("version %d is overtaken: version %d of %q is in force",
+		return bundle.Statement{}, failed("version %d is out of date: version %d, published by %q, is in force",
 			version, s.InForce.Version, s.Proof.Signed.Statement.Signer)
 	}
-	return bundle.Statement{}, failed("version %d is not published; the newest is %d", version, s.Head)
+	return bundle.Statement{}, failed("version %d is not published; the newest published version is %d", version, s.Head)
 }
 
 // BundleRollCmd puts an approved version in force.
 type BundleRollCmd struct {
 	Version  uint64 `arg:"" help:"Version to put in force."`
-	Replaces uint64 `help:"Version in force that the roll was planned for. The one in force now when left out."`
+	Replaces uint64 `help:"Version that must be in force before the roll; by default the current one."`
 	bundleSignFlags
 	bundleLogFlags
 	bundleOutput
 	bundleWatchFlags
 }
 
-// Run rolls.
+// Run puts the version in force and, with --watch, waits until all domains serve it.
 func (c *BundleRollCmd) Run() error {
 	return c.withLog(func(ctx context.Context, l *bundleLog, out io.Writer) error {
 		if err := c.run(ctx, l, out); err != nil {
@@ -253,8 +256,8 @@
 	return submitAndShow(ctx, l, c.bundleOutput, out, roll, record.BundleRolled{Roll: roll})
 }
 
-// replaces returns the version that the roll replaces. If the version is in force already,
-// the command is given again after a lost answer, and the statement must be the same.
+// replaces returns the version that the roll replaces. If the version to roll is already in force,
+// the command is being repeated after a lost answer, and must sign the same statement as before.
 func (c *BundleRollCmd) replaces(s *fold.State) uint64 {
 	switch {
 	case c.Replaces != 0 || s.InForce == nil:
--- a/internal/cmds/bundlewatch.go
+++ b/internal/cmds/bundlewatch.go
@@ -11,17 +11,17 @@
 	"example.org/mustardring/internal/admin"
 )
 
-// watchInterval is the time between two questions to an instance.
+// watchInterval is the time between two requests for the status of an instance.
 const watchInterval = 200 * time.Millisecond
 
-// bundleWatchFlags says which instance to ask how far a roll has come.
+// bundleWatchFlags are the flags for following the progress of a roll at an instance.
 type bundleWatchFlags struct {
 	Watch string `help:"Operator address of an instance, as IP:PORT, to follow the roll through the domains."`
 	Token string `env:"MUSTARDRING_TOKEN" help:"Operator token for --watch."`
 }
 
-// watch prints a line each time a domain comes to serve the version, until all that the
-// instance has heard of do, or the context ends.
+// watch prints a line for each domain once all its instances serve the version, until all domains
+// that the instance knows of do, or the context ends. Failed requests are retried.
 func (b bundleWatchFlags) watch(ctx context.Context, out io.Writer, version uint64) error {
 	if b.Watch == "" {
 		return nil
@@ -45,7 +45,8 @@
 	}
 }
 
-// reportProgress returns a line for each domain that is new to the version, and whether none is left.
+// reportProgress returns a line for each domain that serves the version and is not in done, adds
+// these to done, and reports whether all domains serve it.
 func reportProgress(s admin.Status, version uint64, done map[string]bool) (text string, complete bool) {
 	complete = len(s.Domains) > 0
 	for _, d := range s.Domains {
@@ -60,6 +61,7 @@
 	return text, complete
 }
 
+// fetchStatus requests the status of the instance. Its errors wrap errStatus.
 func (b bundleWatchFlags) fetchStatus(ctx context.Context) (admin.Status, error) {
 	var status admin.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.Watch+admin.PathStatus, nil)
--- a/internal/cmds/certs.go
+++ b/internal/cmds/certs.go
@@ -15,13 +15,14 @@
 	authorityKeyFile  = "authority-key.pem"
 )
 
-// CertsCmd makes the key pairs by which instances authenticate each other.
+// CertsCmd generates the certificates with which instances authenticate each other.
 type CertsCmd struct {
 	Dir       string   `required:"" help:"Directory to write the PEM files to." type:"path"`
 	Instances []string `arg:"" help:"Names of instances."`
 }
 
-// Run writes the authority's pair, unless it is there already, and one pair an instance.
+// Run writes the certificate and key of the authority, unless they exist already, and those of each
+// instance, which replace existing ones.
 func (c *CertsCmd) Run() error {
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return fmt.Errorf("cmds: %w", err)
@@ -42,6 +43,7 @@
 	return nil
 }
 
+// authority reads the authority from the directory, or generates it and writes it there.
 func (c *CertsCmd) authority() (certs.Pair, error) {
 	certificate, err := os.ReadFile(filepath.Join(c.Dir, authorityCertFile))
 	if err == nil {
@@ -55,6 +57,7 @@
 	return pair, c.write(pair, authorityCertFile, authorityKeyFile)
 }
 
+// write writes a certificate and its key to two files. The key file is readable by its owner only.
 func (c *CertsCmd) write(pair certs.Pair, certificate, key string) error {
 	if err := os.WriteFile(filepath.Join(c.Dir, certificate), pair.Certificate, 0o644); err != nil {
 		return fmt.Errorf("cmds: %w", err)
--- a/internal/cmds/explain.go
+++ b/internal/cmds/explain.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// ExplainCmd tells the story of one request from the logs of instances.
+// ExplainCmd shows the log lines about one request and the server that it went to, from the logs of
+// instances.
 type ExplainCmd struct {
 	ID    string   `arg:"" help:"Id of the request."`
 	Files []string `arg:"" help:"Logs of instances." type:"existingfile"`
 }
 
-// serverEvents are the events that say what was believed of a server, by event name.
+// serverEvents are the names of the events about the state of a server and of its lease.
 var serverEvents = []string{
 	"server", "server-gone", "server-regained", "renewal-failed", "renewal-withheld", "right-ended", "moved",
 	"first-grant-failed", "server-lost-in-request",
 }
 
-// maxLineLength is the longest line of a log.
+// maxLineLength is the maximum length of a log line, in bytes. A longer one fails the command.
 const maxLineLength = 1 << 20
 
-// logLine is a line of a log with what it says.
+// logLine is a line of a log with its parsed fields.
 type logLine struct {
 	text   string
 	fields map[string]string
 }
 
-// Run prints the lines of the request in the order of time, and those about the server it went
-// to.
+// Run prints the lines about the request and the server that it went to, in order of time.
 func (c *ExplainCmd) Run() error {
 	var lines []logLine
 	for _, name := range c.Files {
@@ -46,17 +46,18 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := explain(lines, c.ID)
-	if len(story) == 0 {
-		return badInput("request %s is in none of the logs; it may have been thinned out: see lines-dropped", c.ID)
+	matches := explain(lines, c.ID)
+	if len(matches) == 0 {
+		return badInput("request %s is in none of the logs; its line may have been dropped, see the events lines-dropped", c.ID)
 	}
-	for _, l := range story {
+	for _, l := range matches {
 		fmt.Println(l)
 	}
 	return nil
 }
 
-// readLog reads the lines that an instance has written.
+// readLog reads the lines of an event log. Text before "time=" is cut off, and lines without it are
+// ignored.
 func readLog(r io.Reader) ([]logLine, error) {
 	var out []logLine
 	s := bufio.NewScanner(r)
@@ -70,7 +71,8 @@
 	return out, s.Err()
 }
 
-// parseFields splits a line of key=value pairs. Values with spaces stand in quotes.
+// parseFields splits a line of key=value pairs. Quoted values may contain spaces; escape sequences
+// in them are kept as they are.
 func parseFields(text string) map[string]string {
 	out := map[string]string{}
 	for text != "" {
@@ -95,8 +97,8 @@
 	return out
 }
 
-// explain returns the lines of a request, those about its server, and those that say that lines
-// are missing, in the order of time.
+// explain returns the lines about a request, the server events of its server, and the reports of
+// dropped lines, in order of time. It returns nil if no line has the id of the request.
 func explain(lines []logLine, id string) []string {
 	servers := map[string]bool{}
 	found := false
--- a/internal/cmds/explain_test.go
+++ b/internal/cmds/explain_test.go
@@ -18,9 +18,9 @@
 	is := is.New(t)
 	lines, err := readLog(strings.NewReader(logs))
 	is.NoErr(err)
-	story := explain(lines, "abc")
-	is.Equal(len(story), 2) // the request, and what was believed of its server before
-	is.True(strings.Contains(story[0], "renewal-failed"))
-	is.True(strings.Contains(story[1], "why=no-owner"))
+	matches := explain(lines, "abc")
+	is.Equal(len(matches), 2) // the request, and the earlier event about its server
+	is.True(strings.Contains(matches[0], "renewal-failed"))
+	is.True(strings.Contains(matches[1], "why=no-owner"))
 	is.Equal(len(explain(lines, "missing")), 0)
 }
--- a/internal/cmds/replay.go
+++ b/internal/cmds/replay.go
@@ -10,22 +10,23 @@
 	"example.org/mustardring/internal/replay"
 )
 
-// ErrReplay is returned when the arguments of the replay command do not fit together.
+// ErrReplay is returned if the arguments of the replay command don't fit together or the trace file
+// can't be opened or created.
 var ErrReplay = errors.New("replay")
 
-// ReplayCmd plays a recorded trace to the placer and to naive placements in one run and
-// reports imbalance, churn and unavailable time, or makes a trace from a recipe.
+// ReplayCmd replays a recorded trace with the placer and with naive placement methods and reports
+// imbalance, churn and unavailable time of each. It can also generate a trace from a recipe.
 type ReplayCmd struct {
-	Trace      string `arg:"" optional:"" help:"Trace of JSON lines to play." type:"path"`
-	Output     string `default:"table" enum:"table,json" help:"Form of the report: table or json."`
-	Plot       string `help:"PNG file for the course of imbalance and churn." type:"path"`
-	Recipe     string `help:"Make a trace by this recipe instead; 'list' shows all."`
-	Deployment string `default:"rokopisna" enum:"rokopisna,uva" help:"Deployment that a recipe is made for."`
+	Trace      string `arg:"" optional:"" help:"Trace to replay, a file of JSON lines." type:"path"`
+	Output     string `default:"table" enum:"table,json" help:"Format of the report: table or json."`
+	Plot       string `help:"PNG file for a plot of imbalance and churn over time." type:"path"`
+	Recipe     string `help:"Generate a trace from this recipe instead; 'list' shows all recipes."`
+	Deployment string `default:"rokopisna" enum:"rokopisna,uva" help:"Deployment that the recipe generates a trace of."`
 	Seed       uint64 `default:"1" help:"Seed of the recipe."`
-	Write      string `help:"File that the trace of a recipe is written to; without it the trace is played at once." type:"path"`
+	Write      string `help:"File to write the trace of a recipe to; without it the trace is replayed." type:"path"`
 }
 
-// Run makes or plays a trace.
+// Run lists the recipes, writes the trace of a recipe, or replays a trace and prints the report.
 func (c *ReplayCmd) Run(logger *log.Logger) error {
 	if c.Recipe == "list" {
 		return listRecipes()
@@ -53,15 +54,15 @@
 	return report.WriteTable(os.Stdout)
 }
 
-// trace returns the trace that the arguments name.
+// trace reads the trace file or generates the trace of the recipe, whichever is given.
 func (c *ReplayCmd) trace() ([]replay.Stamped, error) {
 	switch {
 	case c.Recipe != "" && c.Trace != "":
-		return nil, fmt.Errorf("%w: name either a trace or a recipe", ErrReplay)
+		return nil, fmt.Errorf("%w: give either a trace or a recipe, not both", ErrReplay)
 	case c.Recipe != "":
 		return replay.Make(c.Recipe, c.Deployment, c.Seed)
 	case c.Trace == "":
-		return nil, fmt.Errorf("%w: name a trace or a recipe", ErrReplay)
+		return nil, fmt.Errorf("%w: give a trace or a recipe", ErrReplay)
 	case c.Write != "":
 		return nil, fmt.Errorf("%w: only the trace of a recipe can be written", ErrReplay)
 	}
@@ -73,7 +74,7 @@
 	return replay.Read(file)
 }
 
-// write writes a trace to the file asked for.
+// write writes a trace to the file that Write names.
 func (c *ReplayCmd) write(trace []replay.Stamped) error {
 	file, err := os.Create(c.Write)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return file.Close()
 }
 
-// listRecipes shows what recipes there are.
+// listRecipes prints the name, deployments and description of each recipe.
 func listRecipes() error {
 	for _, r := range replay.Recipes() {
 		if _, err := fmt.Printf("%s %v\n    %s\n", r.Name, r.Deployments, r.Story); err != nil {
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -18,8 +18,8 @@
 	Settings string `help:"JSON file with the settings of the instance; by default the one that the platform names." type:"path"`
 }
 
-// memoryLimitShare is the part of the instance's memory that the garbage collector aims to stay
-// below. The rest is for stacks, buffers of the kernel and what is not yet collected.
+// memoryLimitShare is the part of the instance's memory that is set as the soft memory limit of the
+// Go runtime. The rest is for stacks, kernel buffers and garbage that is not collected yet.
 const memoryLimitShare = 0.6
 
 // Run serves until the process is told to stop, and then stops gracefully.
--- a/internal/cmds/standin.go
+++ b/internal/cmds/standin.go
@@ -1,4 +1,4 @@
-// Package cmds has the commands of the program mustardring.
+// Package cmds implements the commands of the program mustardring.
 package cmds
 
 import (
@@ -12,12 +12,13 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// StandInCmd runs stand-ins for the platform and for backend servers, for tests and trials.
+// StandInCmd runs stand-ins for the platform's log and instance list and for backend servers, for
+// tests and trials.
 type StandInCmd struct {
 	Settings string `required:"" help:"JSON file that names the stand-ins." type:"path"`
 }
 
-// Run serves until the process is told to stop.
+// Run serves until the process gets SIGINT or SIGTERM.
 func (c *StandInCmd) Run(logger *log.Logger) error {
 	settings, err := config.Load[stand.Settings](c.Settings)
 	if err != nil {
--- a/internal/cmds/status.go
+++ b/internal/cmds/status.go
@@ -13,19 +13,19 @@
 	"example.org/mustardring/internal/admin"
 )
 
-// errStatus says that an instance did not answer a question of an operator.
+// errStatus is returned if a request to the operator address of an instance fails.
 var errStatus = errors.New("cmds: no answer from the instance")
 
-// statusTimeout bounds a question to an instance.
+// statusTimeout is the time limit of a request to an instance.
 const statusTimeout = 5 * time.Second
 
-// operatorFlags says which instance to ask and with which token.
+// operatorFlags are the flags of requests to the operator address of an instance.
 type operatorFlags struct {
 	Address string `required:"" help:"Operator address of an entry instance, as IP:PORT."`
 	Token   string `required:"" env:"MUSTARDRING_TOKEN" help:"Operator token."`
 }
 
-// StatusCmd shows what an instance says of itself.
+// StatusCmd shows the status of an instance.
 type StatusCmd struct {
 	operatorFlags
 }
@@ -58,6 +58,7 @@
 	return c.show(admin.PathOwner + "?" + query.Encode())
 }
 
+// show requests a path from the instance and copies the response to standard output.
 func (o *operatorFlags) show(path string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
