--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,13 +19,13 @@
 	// Field is the path of the JSON field, such as "tls.key", or "-" for the file as a whole.
 	Field string
 	Found string
-	// Mend is an instruction to the operator, such as "give a value".
-	Mend string
+	// Fix is an instruction to the operator, such as "give a value".
+	Fix string
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return fmt.Sprintf("settings file=%s field=%s found=%s mend=%s", e.File, quote(e.Field), quote(e.Found), quote(e.Mend))
+	return fmt.Sprintf("settings file=%s field=%s found=%s mend=%s", e.File, quote(e.Field), quote(e.Found), quote(e.Fix))
 }
 
 // quote quotes a value where it would break up a line of key=value pairs.
@@ -52,7 +52,7 @@
 	var settings T
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return settings, &Error{File: file, Field: "-", Found: err.Error(), Mend: "name a readable file"}
+		return settings, &Error{File: file, Field: "-", Found: err.Error(), Fix: "name a readable file"}
 	}
 	if err := decode(file, data, &settings); err != nil {
 		return settings, err
@@ -71,7 +71,7 @@
 		return describe(file, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return &Error{File: file, Field: "-", Found: "text after the settings", Mend: "keep one JSON object in the file"}
+		return &Error{File: file, Field: "-", Found: "text after the settings", Fix: "keep one JSON object in the file"}
 	}
 	return nil
 }
@@ -84,10 +84,10 @@
 func describe(file string, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return &Error{File: file, Field: wrongType.Field, Found: wrongType.Value, Mend: "give a value of type " + wrongType.Type.String()}
+		return &Error{File: file, Field: wrongType.Field, Found: wrongType.Value, Fix: "give a value of type " + wrongType.Type.String()}
 	}
 	if name, found := strings.CutPrefix(err.Error(), unknownField); found {
-		return &Error{File: file, Field: strings.Trim(name, `"`), Found: "an unknown field", Mend: "remove it or correct its name"}
+		return &Error{File: file, Field: strings.Trim(name, `"`), Found: "an unknown field", Fix: "remove it or correct its name"}
 	}
-	return &Error{File: file, Field: "-", Found: err.Error(), Mend: "write one JSON object"}
+	return &Error{File: file, Field: "-", Found: err.Error(), Fix: "write one JSON object"}
 }
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -110,7 +110,7 @@
 // fail records a fault, unless there is an earlier one.
 func (c *checks) fail(field, found, mend string) {
 	if c.fault == nil {
-		c.fault = &Error{File: c.file, Field: field, Found: found, Mend: mend}
+		c.fault = &Error{File: c.file, Field: field, Found: found, Fix: mend}
 	}
 }
 
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -8,15 +8,15 @@
 	Domain string `json:"domain"`
 	// IP is the address for messages between instances.
 	IP string `json:"ip"`
-	// Front is the address for callers. Ready is the address of the readiness check for the load
+	// CallerAddress is the address for callers. Ready is the address of the readiness check for the load
 	// balancer of the platform.
-	Front string `json:"front"`
-	Ready string `json:"ready"`
+	CallerAddress    string `json:"front"`
+	ReadinessAddress string `json:"ready"`
 	// PeerPorts is the first and the last port for messages between instances.
 	PeerPorts   []int `json:"peer-ports"`
 	MetricsPort int   `json:"metrics-port"`
-	// Store is the address of the shared store.
-	Store string `json:"store"`
+	// StoreAddress is the address of the shared store.
+	StoreAddress string `json:"store"`
 	// EntrySeconds is the interval in which a backend server writes its entry to the store. Zero
 	// means one second.
 	EntrySeconds float64 `json:"entry-seconds"`
@@ -54,9 +54,9 @@
 	c := checks{file: file}
 	c.required("name", s.Name)
 	c.required("domain", s.Domain)
-	c.address("front", s.Front)
-	c.address("ready", s.Ready)
-	c.address("store", s.Store)
+	c.address("front", s.CallerAddress)
+	c.address("ready", s.ReadinessAddress)
+	c.address("store", s.StoreAddress)
 	if len(s.PeerPorts) != 2 || s.PeerPorts[0] <= 0 || s.PeerPorts[1] < s.PeerPorts[0] {
 		c.fail("peer-ports", "no range of ports", "give the first and the last port, such as [7200, 7215]")
 	}
--- a/internal/duty/pause.go
+++ b/internal/duty/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause sleeps for d and returns true, or returns false as soon as the context ends.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep sleeps for d and returns true, or returns false as soon as the context ends.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -236,7 +236,7 @@
 // awaitBalancer reports the instance as not ready and waits for balancerDelay.
 func (e *Entry) awaitBalancer(ctx context.Context) {
 	e.front.Refuse()
-	duty.Pause(ctx, balancerDelay)
+	duty.Sleep(ctx, balancerDelay)
 }
 
 func (e *Entry) startWorkers(group *duty.Group, l *listeners) {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -24,9 +24,9 @@
 
 // The classes.
 const (
-	// Belief is a change of the instance's state or view. Such events are rare, so that the rate
+	// StateChange is a change of the instance's state or view. Such events are rare, so that the rate
 	// limit normally drops none.
-	Belief Class = iota
+	StateChange Class = iota
 	// Failure is a request that failed.
 	Failure
 	// Success is a request that succeeded.
@@ -88,9 +88,9 @@
 	return l
 }
 
-// Note queues one event without blocking, or drops it. Pairs are keys and values in turn.
+// Record queues one event without blocking, or drops it. Pairs are keys and values in turn.
 // Dropped events are counted too, both by name and by class.
-func (l *Log) Note(c Class, name string, pairs ...any) {
+func (l *Log) Record(c Class, name string, pairs ...any) {
 	l.counts.Add(name, 1)
 	if !l.limits[c].Allow() {
 		l.dropped[c].Add(1)
@@ -124,7 +124,7 @@
 	for {
 		select {
 		case n := <-l.queue:
-			if l.write(n); !duty.Pause(ctx, batchDelay) {
+			if l.write(n); !duty.Sleep(ctx, batchDelay) {
 				return ctx.Err()
 			}
 			l.drain()
--- a/internal/stand/settings.go
+++ b/internal/stand/settings.go
@@ -70,7 +70,7 @@
 // Check implements config.Checker and fills in what is unstated.
 func (s *Settings) Check(file string) error {
 	if field, found, mend := s.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
+		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
 	}
 	return nil
 }
