--- a/internal/cmds/bundle.go
+++ b/internal/cmds/bundle.go
@@ -24,8 +24,9 @@
 	ExitFailed = 1
 	// ExitInput means that a file, key or flag is invalid. Nothing was appended to the log.
 	ExitInput = 2
-	// ExitUncertain means that the log did not answer, so that the record may have been appended
-	// or not. Repeating the same command is safe.
+	// ExitUncertain means that the command ended without knowing its outcome: the log did not
+	// answer, so that the record may have been appended or not, or a watched roll did not reach all
+	// domains in time. Repeating the same command is safe.
 	ExitUncertain = 3
 )
 
--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -151,8 +151,8 @@
 	return last, offset
 }
 
-// submit appends a record unless its statement has already taken effect, reads the log up to it, and
-// returns the result of folding the record and its offset.
+// submit appends a record unless its statement has already taken effect, reads the log up to the
+// record, and returns the result of folding it and its offset.
 //
 // After a lost answer of the log, submit retries or the operator repeats the command, so that the
 // record may be appended twice. The ID of the statement is the same each time, and the fold lets the
--- a/internal/cmds/bundleshow.go
+++ b/internal/cmds/bundleshow.go
@@ -198,7 +198,7 @@
 }
 
 // actionReturn is the action of a record that restores the bundle in force in a log that has lost
-// the records of it.
+// the bundle's records.
 const actionReturn = "return"
 
 // statementIn returns the statement of a bundle record and its action, which is the role of its
--- a/internal/cmds/bundlesign.go
+++ b/internal/cmds/bundlesign.go
@@ -28,8 +28,8 @@
 	return readKey(f.Key)
 }
 
-// submitResult is the result of publish, approve and roll. Winner is the earlier record that a
-// refused one conflicts with, if any.
+// submitResult is the result of publish, approve and roll. Winner is the earlier record with
+// which a refused one conflicts, if any.
 type submitResult struct {
 	Action  string       `json:"action"`
 	Version uint64       `json:"version"`
--- a/internal/cmds/certs.go
+++ b/internal/cmds/certs.go
@@ -21,8 +21,8 @@
 	Instances []string `arg:"" help:"Names of instances."`
 }
 
-// Run writes the certificate and key of the authority, unless they exist already, and those of each
-// instance, which replace existing ones.
+// Run writes the certificate and key of the authority, unless they exist already, and a certificate
+// and key for each instance, which replace existing ones.
 func (c *CertsCmd) Run() error {
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return fmt.Errorf("cmds: %w", err)
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// authority reads the authority from the directory, or generates it and writes it there.
+// authority reads the authority from the directory, or generates one and writes it there if the
+// certificate can't be read.
 func (c *CertsCmd) authority() (certs.Pair, error) {
 	certificate, err := os.ReadFile(filepath.Join(c.Dir, authorityCertFile))
 	if err == nil {
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -108,9 +108,9 @@
 }
 
 // fail records a fault, unless there is an earlier one.
-func (c *checks) fail(field, found, mend string) {
+func (c *checks) fail(field, found, fix string) {
 	if c.fault == nil {
-		c.fault = &Error{File: c.file, Field: field, Found: found, Fix: mend}
+		c.fault = &Error{File: c.file, Field: field, Found: found, Fix: fix}
 	}
 }
 
@@ -123,6 +123,7 @@
 	return c.fault
 }
 
+// required requires a value that is not empty.
 func (c *checks) required(field, value string) {
 	if value == "" {
 		c.fail(field, "nothing", "give a value")
@@ -137,12 +138,14 @@
 	}
 }
 
+// positive requires a number above zero.
 func (c *checks) positive(field string, value int64) {
 	if value <= 0 {
 		c.fail(field, "a number below one", "give a positive number")
 	}
 }
 
+// oneOf requires one of the allowed values.
 func (c *checks) oneOf(field, value string, allowed ...string) {
 	for _, a := range allowed {
 		if value == a {
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -6,15 +6,16 @@
 	// Name is the name of the instance. Domain is its failure domain.
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
-	// IP is the address for messages between instances.
+	// IP is the address for messages between instances and for metrics.
 	IP string `json:"ip"`
-	// CallerAddress is the address for callers. Ready is the address of the readiness check for the load
-	// balancer of the platform.
+	// CallerAddress is where the instance listens for requests of callers. ReadinessAddress is where
+	// it answers the readiness checks of the platform's load balancer.
 	CallerAddress    string `json:"front"`
 	ReadinessAddress string `json:"ready"`
 	// PeerPorts is the first and the last port for messages between instances.
-	PeerPorts   []int `json:"peer-ports"`
-	MetricsPort int   `json:"metrics-port"`
+	PeerPorts []int `json:"peer-ports"`
+	// MetricsPort is the port at which metrics are served.
+	MetricsPort int `json:"metrics-port"`
 	// StoreAddress is the address of the shared store.
 	StoreAddress string `json:"store"`
 	// EntrySeconds is the interval in which a backend server writes its entry to the store. Zero
@@ -49,7 +50,8 @@
 	RetrySlack         float64 `json:"retry-slack"`
 }
 
-// Check implements Checker.
+// Check implements Checker. Which fault it returns among several numbers that are not positive is
+// random.
 func (s *Serve) Check(file string) error {
 	c := checks{file: file}
 	c.required("name", s.Name)
--- a/internal/config/serve_test.go
+++ b/internal/config/serve_test.go
@@ -21,14 +21,14 @@
 
 func TestServe(t *testing.T) {
 	tests := map[string]struct{ from, to, field string }{
-		"as the platform writes them": {"", "", ""},
-		"no name":                     {`"name": "i0"`, `"name": null`, "name"},
-		"no address":                  {`"store": "127.0.0.1:3"`, `"store": ""`, "store"},
-		"no ports":                    {`[7200, 7215]`, `[]`, "peer-ports"},
-		"ports in the wrong order":    {`[7200, 7215]`, `[7215, 7200]`, "peer-ports"},
-		"no processor":                {`"cpu-share": 0.5`, `"cpu-share": 0`, "cpu-share"},
-		"unknown field":               {`"name"`, `"colour": 1, "name"`, "colour"},
-		"wrong type":                  {`"memory-mb": 200`, `"memory-mb": "much"`, "memory-mb"},
+		"valid":                    {"", "", ""},
+		"no name":                  {`"name": "i0"`, `"name": null`, "name"},
+		"no address":               {`"store": "127.0.0.1:3"`, `"store": ""`, "store"},
+		"no ports":                 {`[7200, 7215]`, `[]`, "peer-ports"},
+		"ports in the wrong order": {`[7200, 7215]`, `[7215, 7200]`, "peer-ports"},
+		"no CPU share":             {`"cpu-share": 0.5`, `"cpu-share": 0`, "cpu-share"},
+		"unknown field":            {`"name"`, `"colour": 1, "name"`, "colour"},
+		"wrong type":               {`"memory-mb": 200`, `"memory-mb": "much"`, "memory-mb"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -24,8 +24,8 @@
 
 // The classes.
 const (
-	// StateChange is a change of the instance's state or view. Such events are rare, so that the rate
-	// limit normally drops none.
+	// StateChange is a change of the instance's state or view. These events are rare, so that the
+	// rate limit normally drops none.
 	StateChange Class = iota
 	// Failure is a request that failed.
 	Failure
@@ -50,7 +50,7 @@
 	writeBufferSize = 32 << 10
 )
 
-// line is an event that waits to be written. Pairs are keys and values in turn.
+// line is an event that waits to be written. Pairs are alternating keys and values.
 type line struct {
 	level log.Level
 	name  string
@@ -88,8 +88,8 @@
 	return l
 }
 
-// Record queues one event without blocking, or drops it. Pairs are keys and values in turn.
-// Dropped events are counted too, both by name and by class.
+// Record queues one event without blocking, or drops it. Pairs are alternating keys and
+// values. Dropped events are counted too, both by name and by class.
 func (l *Log) Record(c Class, name string, pairs ...any) {
 	l.counts.Add(name, 1)
 	if !l.limits[c].Allow() {
