--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,7 +44,7 @@
 }
 
 // Load reads settings of type T from a JSON file and validates them. Unknown fields are faults.
-// Every fault is an *Error, also that the file can't be read.
+// Every fault, including an unreadable file, is returned as an *Error.
 func Load[T any, P interface {
 	*T
 	Checker
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -6,7 +6,7 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// Run is the settings of an entry instance, for the command "run".
+// Run holds the settings of an entry instance, for the command "run".
 type Run struct {
 	// Name is unique among all instances. Domain is the failure domain of the instance.
 	Name   string `json:"name"`
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -1,6 +1,6 @@
 package config
 
-// Serve is the settings of an instance on the users' platform, for the command "serve". The
+// Serve holds the settings of an instance on the users' platform, for the command "serve". The
 // platform writes the file.
 type Serve struct {
 	// Name is the name of the instance. Domain is its failure domain.
@@ -50,8 +50,8 @@
 	RetrySlack         float64 `json:"retry-slack"`
 }
 
-// Check implements Checker. Which fault it returns among several numbers that are not positive is
-// random.
+// Check implements Checker. If several numbers are not positive, it returns the fault of any one of
+// them.
 func (s *Serve) Check(file string) error {
 	c := checks{file: file}
 	c.required("name", s.Name)
@@ -68,7 +68,7 @@
 		"bounds.retry-window-seconds": s.Bounds.RetryWindowSeconds,
 	} {
 		if value <= 0 {
-			c.fail(field, "nothing or less", "give a number above zero")
+			c.fail(field, "no number above zero", "give a number above zero")
 		}
 	}
 	return c.err()
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -33,9 +33,9 @@
 	Success
 )
 
-// Limits of what is written. The rates are lines per second of one class, of which burstSeconds
-// worth may come at once. A line costs about 5 microseconds of processor time, so that the three
-// rates together use less than 1% of a core.
+// Limits of what is written. Each rate is in lines per second, and a burst may have the lines of
+// burstSeconds. A line costs about 5 microseconds of processor time, so that the three rates
+// together use less than 1% of a core.
 const (
 	queueSize       = 1024
 	stateChangeRate = 400
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -64,7 +64,7 @@
 }
 
 // Under load, lines are dropped and counted, those of successful requests first. Recording never
-// blocks, also when writing fails.
+// blocks, even if writing fails.
 func TestLinesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
