--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -76,7 +76,7 @@
 
 // isTransient reports whether a call to the log that failed with this error may succeed later.
 func isTransient(err error) bool {
-	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrLimited) || errors.Is(err, logcl.ErrUncertain)
+	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrRateLimited) || errors.Is(err, logcl.ErrUncertain)
 }
 
 // catchUp reads and folds the log up to its end, and at least up to the offset upTo.
