--- a/internal/listcl/list.go
+++ b/internal/listcl/list.go
@@ -1,5 +1,5 @@
 // Package listcl is the client of the platform's list of live and leaving instances and
-// servers. The list lags: what it shows was so a while ago.
+// servers. The list lags: it shows a past state, so an entry may already be outdated.
 package listcl
 
 import (
@@ -12,7 +12,7 @@
 	"net/http"
 )
 
-// The paths of the service. A List is got from ListPath and an Instance is posted to the others.
+// Paths of the list service. GET ListPath returns a List; the other paths take a POST of an Instance.
 const (
 	ListPath     = "/instances"
 	RegisterPath = "/instances/register"
@@ -20,19 +20,19 @@
 	GonePath     = "/instances/gone"
 )
 
-// maxAnswer bounds the bytes taken from one answer.
-const maxAnswer = 16 << 20
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 16 << 20
 
-// ErrUnavailable says that the list could not be read or changed.
+// ErrUnavailable is wrapped by every error of a Client: the list could not be read or changed.
 var ErrUnavailable = errors.New("listcl: instance list unavailable")
 
-// List is what the platform calls live.
+// List holds the instances and servers that the platform considers live or leaving.
 type List struct {
 	Instances []Instance `json:"instances"`
 	Servers   []Server   `json:"servers"`
 }
 
-// Instance is a listed entry instance.
+// Instance describes one process of the router to the platform.
 type Instance struct {
 	Name           string `json:"name"`
 	Domain         string `json:"domain"`
@@ -42,7 +42,7 @@
 	Leaving        bool   `json:"leaving,omitempty"`
 }
 
-// Server is a listed backend server.
+// Server describes one backend server of a service.
 type Server struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -50,18 +50,18 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// Client speaks HTTP and JSON to the list service.
+// Client calls the list service with JSON over HTTP.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// New returns a Client of the service at a base URL such as "http://127.0.0.1:7001".
+// New returns a Client of the list service at baseURL, such as "http://127.0.0.1:7001".
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{base: baseURL, http: client}
 }
 
-// List returns the list as the platform shows it now.
+// List fetches the list as the platform shows it now, which may lag behind recent changes.
 func (c *Client) List(ctx context.Context) (List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+ListPath, nil)
 	if err != nil {
@@ -76,24 +76,24 @@
 		return List{}, fmt.Errorf("%w: %s", ErrUnavailable, resp.Status)
 	}
 	var list List
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&list); err != nil {
 		return List{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	return list, nil
 }
 
-// Register tells the platform that an instance is live.
+// Register reports that an instance is live.
 func (c *Client) Register(ctx context.Context, i Instance) error {
 	return c.post(ctx, RegisterPath, i)
 }
 
-// Leave tells the platform that an instance is leaving. It stays listed as such.
+// Leave reports that an instance is leaving. The platform keeps it on the list, marked as leaving.
 func (c *Client) Leave(ctx context.Context, i Instance) error {
 	return c.post(ctx, LeavePath, i)
 }
 
-// Gone tells the platform that the process of an instance has ended for certain.
-func (c *Client) Gone(ctx context.Context, i Instance) error {
+// ReportEnded reports that the process of an instance has certainly ended.
+func (c *Client) ReportEnded(ctx context.Context, i Instance) error {
 	return c.post(ctx, GonePath, i)
 }
 
--- a/internal/meter/control.go
+++ b/internal/meter/control.go
@@ -1,43 +1,44 @@
-// Package meter counts what an instance does, as expvar variables.
+// Package meter counts the control-plane operations of an instance in expvar variables.
 package meter
 
 import "expvar"
 
-// Control counts the traffic by which instances lead, agree and learn. The names of the
-// variables are those of the fields in kebab case.
+// Control counts control-plane operations: leadership, the shared log and calls between
+// instances. Each variable is named after its field in kebab case.
 type Control struct {
 	all *expvar.Map
 
-	// ExchangesSent and ExchangesFailed count exchanges with servers and gates, ExchangeBytes
-	// their bodies in both directions.
+	// ExchangesSent and ExchangesFailed count exchanges with servers and gates, and
+	// ExchangeBytes the bytes of their bodies in both directions.
 	ExchangesSent   *expvar.Int
 	ExchangesFailed *expvar.Int
 	ExchangeBytes   *expvar.Int
 	// CallsSent and CallsFailed count calls to other instances.
 	CallsSent   *expvar.Int
 	CallsFailed *expvar.Int
-	// PeerBytesOut and PeerBytesIn count plain bytes of calls to other instances.
+	// PeerBytesOut and PeerBytesIn count bytes of calls to other instances, before
+	// encryption.
 	PeerBytesOut *expvar.Int
 	PeerBytesIn  *expvar.Int
-	// LogAppends, LogAppendsFailed and LogReads count calls of the log.
+	// LogAppends, LogAppendsFailed, LogReads and LogReadsFailed count calls to the log service.
 	LogAppends       *expvar.Int
 	LogAppendsFailed *expvar.Int
 	LogReads         *expvar.Int
 	LogReadsFailed   *expvar.Int
-	// RecordsRefused counts records that the fold refused.
+	// RecordsRefused counts log records that this instance rejected instead of applying them.
 	RecordsRefused *expvar.Int
-	// TermsBegun and TermsEnded count the terms of this instance as leader.
+	// TermsBegun and TermsEnded count the terms in which this instance became and ceased to be leader.
 	TermsBegun *expvar.Int
 	TermsEnded *expvar.Int
-	// TablesTaken counts newer routing tables.
+	// TablesTaken counts routing tables that replaced an older one.
 	TablesTaken *expvar.Int
-	// BundleVersion is the version in force.
+	// BundleVersion is the version of the bundle in force.
 	BundleVersion *expvar.Int
-	// EventsDropped counts what did not fit into a ring.
+	// EventsDropped counts exchanges and appends that were dropped because their queue was full.
 	EventsDropped *expvar.Int
 }
 
-// NewControl returns counters at zero, not published yet.
+// NewControl returns counters at zero. Var returns the variable to publish.
 func NewControl() *Control {
 	c := &Control{all: new(expvar.Map).Init()}
 	for name, into := range c.fields() {
@@ -47,7 +48,7 @@
 	return c
 }
 
-// Var returns the counters as one variable.
+// Var returns a map of all counters by name.
 func (c *Control) Var() expvar.Var {
 	return c.all
 }
--- a/internal/stand/fault.go
+++ b/internal/stand/fault.go
@@ -9,75 +9,78 @@
 	"time"
 )
 
-// ServerFault are the fault switches of a backend server. A POST replaces them all.
+// ServerFault holds the fault switches of a backend server. A POST replaces all of them.
 type ServerFault struct {
-	// FreezeUntil, in Unix milliseconds, stops the whole server until then: it accepts
-	// connections, answers nothing, and goes on afterwards as if nothing had happened.
+	// FreezeUntil, in Unix milliseconds, stops the whole server until then. It accepts
+	// connections but answers nothing, and continues afterwards as a paused process does.
 	FreezeUntil int64 `json:"freeze-until,omitempty"`
 	// DropConnections closes the connections that are open now.
 	DropConnections bool `json:"drop-connections,omitempty"`
-	// SilenceConnections makes the connections that are open now silent for good: requests
-	// on them do not arrive and answers do not leave. New connections work.
+	// SilenceConnections makes the connections that are open now lose all requests and answers
+	// from now on, without closing them. New connections work.
 	SilenceConnections bool `json:"silence-connections,omitempty"`
-	// HalfAnswers cuts this many answers in the middle and closes their connections.
+	// HalfAnswers truncates this many answers in the middle and closes their connections.
 	HalfAnswers int `json:"half-answers,omitempty"`
 	// WrongLengths gives this many answers a Content-Length below that of their body, so
-	// that a careless reader takes the rest for the next answer.
+	// that a client that reuses the connection may read the rest as the next answer.
 	WrongLengths int `json:"wrong-lengths,omitempty"`
-	// Poison is the key or request ID whose request crashes the server in the middle.
+	// Poison is a key or request ID. A request with it crashes the server while it runs.
 	Poison string `json:"poison,omitempty"`
 	// Crash ends the server now.
 	Crash bool `json:"crash,omitempty"`
-	// RestartMillis is for how long a crashed server stays down, 1000 if unstated.
+	// RestartMillis is how long a crashed server stays down, 1000 if zero.
 	RestartMillis int64 `json:"restart-ms,omitempty"`
-	// Shed refuses each request before it runs.
+	// Shed makes the server reject each request before it runs.
 	Shed bool `json:"shed,omitempty"`
-	// ColdUntil, in Unix milliseconds, is until when each request takes ten times as long.
+	// ColdUntil, in Unix milliseconds, is the end of a cold start, during which each request
+	// takes ten times as long.
 	ColdUntil int64 `json:"cold-until,omitempty"`
-	// Health is what the health endpoint says whatever the truth: "up" or "down".
+	// Health is what the health endpoint reports, whatever the state of the server: "down", or
+	// "up" for any other value.
 	Health string `json:"health,omitempty"`
 }
 
-const defaultRestart = 1000
+// defaultRestartMillis applies when ServerFault.RestartMillis is not set.
+const defaultRestartMillis = 1000
 
-// faults holds the switches of one server.
+// faults holds the fault switches of one server and counts down the limited ones.
 type faults struct {
-	mu  sync.Mutex
-	now ServerFault
+	mu      sync.Mutex
+	current ServerFault
 }
 
 func (f *faults) get() ServerFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
 func (f *faults) set(s ServerFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.DropConnections, s.SilenceConnections, s.Crash = false, false, false
-	f.now = s
+	f.current = s
 }
 
-// spoil counts one answer and says how to spoil it.
-func (f *faults) spoil() (half, wrongLength bool) {
+// corruptAnswer decides how to corrupt the next answer, if at all, and counts that down.
+func (f *faults) corruptAnswer() (half, wrongLength bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.now.HalfAnswers > 0:
-		f.now.HalfAnswers--
+	case f.current.HalfAnswers > 0:
+		f.current.HalfAnswers--
 		return true, false
-	case f.now.WrongLengths > 0:
-		f.now.WrongLengths--
+	case f.current.WrongLengths > 0:
+		f.current.WrongLengths--
 		return false, true
 	default:
 		return false, false
 	}
 }
 
-// thaw waits while the server is frozen and reports whether it was. It returns even when the
-// peer has gone: a frozen process does not know.
-func (f *faults) thaw() (frozen bool) {
+// waitWhileFrozen waits until the server is not frozen and reports whether it was. It waits even if
+// the client has disconnected, because a frozen process does not notice.
+func (f *faults) waitWhileFrozen() (frozen bool) {
 	for {
 		wait := time.Until(time.UnixMilli(f.get().FreezeUntil))
 		if wait <= 0 {
@@ -88,24 +91,27 @@
 	}
 }
 
-// connections knows the open connections of one server.
+// connections tracks the open connections of one server.
 type connections struct {
 	mu   sync.Mutex
 	open map[net.Conn]*connection
 }
 
+// connection is the state of one open connection.
 type connection struct {
+	// silent makes the connection lose requests and answers.
 	silent atomic.Bool
 }
 
+// connectionKey is the context key of the *connection that a request came in on.
 type connectionKey struct{}
 
 func newConnections() *connections {
 	return &connections{open: make(map[net.Conn]*connection)}
 }
 
-// begin is the ConnContext of an http.Server.
-func (c *connections) begin(ctx context.Context, conn net.Conn) context.Context {
+// opened is the ConnContext callback of an http.Server.
+func (c *connections) opened(ctx context.Context, conn net.Conn) context.Context {
 	state := &connection{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +119,8 @@
 	return context.WithValue(ctx, connectionKey{}, state)
 }
 
-// changed is the ConnState of an http.Server.
-func (c *connections) changed(conn net.Conn, state http.ConnState) {
+// stateChanged is the ConnState callback of an http.Server. It forgets closed connections.
+func (c *connections) stateChanged(conn net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
@@ -129,7 +135,7 @@
 	return len(c.open)
 }
 
-// drop closes all connections but the one that ctx belongs to.
+// drop closes all connections except the one that ctx belongs to.
 func (c *connections) drop(ctx context.Context) {
 	own, _ := ctx.Value(connectionKey{}).(*connection)
 	c.mu.Lock()
@@ -141,6 +147,7 @@
 	}
 }
 
+// silence makes all connections that are open now silent.
 func (c *connections) silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,8 +156,9 @@
 	}
 }
 
-// pass waits for good on a silent connection, until its peer gives it up.
-func pass(ctx context.Context) bool {
+// waitIfSilent returns true at once unless the connection of the request is silent. If it is,
+// waitIfSilent waits until the client gives up and returns false.
+func waitIfSilent(ctx context.Context) bool {
 	state, ok := ctx.Value(connectionKey{}).(*connection)
 	if !ok || !state.silent.Load() {
 		return true
--- a/internal/stand/guard_test.go
+++ b/internal/stand/grants_test.go
@@ -39,9 +39,8 @@
 	return answer, json.NewDecoder(resp.Body).Decode(&answer)
 }
 
-// A server that checks grants gets a request for a key that it does not own, then the grant,
-// then the same request, then crashes. The first is refused as not run, the second runs, and
-// after the crash nothing of the grant is left.
+// A server that checks grants refuses a request without a grant as not run, runs one after it has
+// received a grant for all keys, and after a crash starts with a new incarnation and no grant.
 func TestServerObeysGrant(t *testing.T) {
 	is := is.New(t)
 	base, client := start(t, stand.ServerSettings{ChecksGrants: true})
@@ -64,7 +63,7 @@
 	is.Equal(got.outcome, caller.Ran)
 
 	setFault(t, base, stand.ServerFault{Crash: true, RestartMillis: 1})
-	// The old process may answer once more, and between the two nobody does.
+	// The old process may answer once more, and until the new one starts the exchange fails.
 	after := grant.Answer{Incarnation: before.Incarnation}
 	for err != nil || after.Incarnation == before.Incarnation {
 		after, err = tryExchange(base, grant.Exchange{Term: term})
--- a/internal/stand/instances.go
+++ b/internal/stand/instances.go
@@ -9,16 +9,18 @@
 	"example.org/mustardring/internal/listcl"
 )
 
-// ListFault are the fault switches of the instance list. A POST replaces them all.
+// ListFault holds the fault switches of the instance list. A POST replaces all of them.
 type ListFault struct {
-	// Down refuses each call.
+	// Down makes reads and changes fail with status 503.
 	Down bool `json:"down,omitempty"`
-	// LagMillis replaces the lag of the settings when it is above zero.
+	// LagMillis replaces the current lag if it is above zero.
 	LagMillis int64 `json:"lag-ms,omitempty"`
 }
 
-// InstanceList is an http.Handler that stands in for the platform's lagging list. It never
-// drops an instance because of silence: what is listed no more is gone for certain.
+// InstanceList is an http.Handler that stands in for the platform's lagging list of instances
+// and servers. It has no timeout: an instance leaves the list only when its end is reported or a
+// process with a later incarnation replaces it, so one that is no longer listed has certainly
+// ended.
 type InstanceList struct {
 	mux *http.ServeMux
 
@@ -28,13 +30,14 @@
 	versions []listVersion
 }
 
+// listVersion is the list after one change.
 type listVersion struct {
-	// shownAt is when readers begin to see the list.
-	shownAt time.Time
-	list    listcl.List
+	// visibleFrom is when readers begin to see the version.
+	visibleFrom time.Time
+	list        listcl.List
 }
 
-// NewInstanceList returns a list that shows the instances of the settings and the servers.
+// NewInstanceList returns a list that starts with the instances of s and with servers.
 func NewInstanceList(s ListSettings, servers []listcl.Server) *InstanceList {
 	l := &InstanceList{
 		mux: http.NewServeMux(),
@@ -45,17 +48,18 @@
 		}}},
 	}
 	l.mux.HandleFunc("GET "+listcl.ListPath, l.handleList)
-	l.mux.HandleFunc("POST "+listcl.RegisterPath, l.handleChange(register))
-	l.mux.HandleFunc("POST "+listcl.LeavePath, l.handleChange(leave))
-	l.mux.HandleFunc("POST "+listcl.GonePath, l.handleChange(gone))
-	l.mux.HandleFunc("POST "+serverPath, l.handleServer)
+	l.mux.HandleFunc("POST "+listcl.RegisterPath, l.handleChange(addInstance))
+	l.mux.HandleFunc("POST "+listcl.LeavePath, l.handleChange(markLeaving))
+	l.mux.HandleFunc("POST "+listcl.GonePath, l.handleChange(removeInstance))
+	l.mux.HandleFunc("POST "+serversPath, l.handleServer)
 	l.mux.HandleFunc("POST "+FaultPath, l.handleFault)
 	return l
 }
 
-// serverPath takes a listcl.Server that joins or changes, and serverGoneQuery one that went.
+// A POST of a listcl.Server to serversPath adds or replaces the server of that name. With the
+// query parameter serverGoneQuery it removes the server.
 const (
-	serverPath      = "/.stand-in/servers"
+	serversPath     = "/.stand-in/servers"
 	serverGoneQuery = "gone"
 )
 
@@ -66,7 +70,7 @@
 
 func (l *InstanceList) handleList(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
-	down, list := l.fault.Down, l.shown(time.Now())
+	down, list := l.fault.Down, l.visible(time.Now())
 	l.mu.Unlock()
 	if down {
 		http.Error(w, "list down", http.StatusServiceUnavailable)
@@ -75,11 +79,12 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// shown returns the newest list that readers see and forgets those before it.
-func (l *InstanceList) shown(now time.Time) listcl.List {
+// visible returns the newest version that readers see and drops those before it. The caller holds
+// l.mu.
+func (l *InstanceList) visible(now time.Time) listcl.List {
 	newest := 0
 	for i, v := range l.versions {
-		if !v.shownAt.After(now) {
+		if !v.visibleFrom.After(now) {
 			newest = i
 		}
 	}
@@ -87,6 +92,7 @@
 	return l.versions[0].list
 }
 
+// change applies a posted instance to the list.
 type change func(list *listcl.List, i listcl.Instance)
 
 func (l *InstanceList) handleChange(f change) http.HandlerFunc {
@@ -96,7 +102,7 @@
 			return
 		}
 		ok := l.change(func(list *listcl.List) { f(list, i) })
-		writeChange(w, ok)
+		writeChangeResult(w, ok)
 	}
 }
 
@@ -112,10 +118,10 @@
 			list.Servers = append(list.Servers, s)
 		}
 	})
-	writeChange(w, ok)
+	writeChangeResult(w, ok)
 }
 
-func writeChange(w http.ResponseWriter, ok bool) {
+func writeChangeResult(w http.ResponseWriter, ok bool) {
 	if !ok {
 		http.Error(w, "list down", http.StatusServiceUnavailable)
 		return
@@ -123,7 +129,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// change makes a new version of the list, shown after the lag.
+// change adds a version of the list with f applied, which readers see after the lag. It returns
+// false if the list is down.
 func (l *InstanceList) change(f func(*listcl.List)) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,12 +141,13 @@
 	newest := l.versions[len(l.versions)-1].list
 	list := listcl.List{Instances: slices.Clone(newest.Instances), Servers: slices.Clone(newest.Servers)}
 	f(&list)
-	l.versions = append(l.versions, listVersion{shownAt: now.Add(l.lag), list: list})
-	l.shown(now)
+	l.versions = append(l.versions, listVersion{visibleFrom: now.Add(l.lag), list: list})
+	l.visible(now)
 	return true
 }
 
-func register(list *listcl.List, i listcl.Instance) {
+// addInstance adds i in place of processes of the same name with the same or an older incarnation.
+func addInstance(list *listcl.List, i listcl.Instance) {
 	i.Leaving = false
 	list.Instances = slices.DeleteFunc(list.Instances, func(o listcl.Instance) bool {
 		return o.Name == i.Name && o.Incarnation <= i.Incarnation
@@ -147,21 +155,21 @@
 	list.Instances = append(list.Instances, i)
 }
 
-func leave(list *listcl.List, i listcl.Instance) {
+func markLeaving(list *listcl.List, i listcl.Instance) {
 	for n := range list.Instances {
-		if same(list.Instances[n], i) {
+		if matches(list.Instances[n], i) {
 			list.Instances[n].Leaving = true
 		}
 	}
 }
 
-func gone(list *listcl.List, i listcl.Instance) {
-	list.Instances = slices.DeleteFunc(list.Instances, func(o listcl.Instance) bool { return same(o, i) })
+func removeInstance(list *listcl.List, i listcl.Instance) {
+	list.Instances = slices.DeleteFunc(list.Instances, func(o listcl.Instance) bool { return matches(o, i) })
 }
 
-// same matches by name, and by incarnation where i states one, so that the late leaving of
-// a replaced process does not remove the one that replaced it.
-func same(o, i listcl.Instance) bool {
+// matches compares names, and also incarnations if i states one, so that a late message of a
+// replaced process does not change the entry of its successor.
+func matches(o, i listcl.Instance) bool {
 	return o.Name == i.Name && (i.Incarnation == 0 || o.Incarnation == i.Incarnation)
 }
 
--- a/internal/stand/instances_test.go
+++ b/internal/stand/instances_test.go
@@ -12,8 +12,8 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// An instance is replaced: same name, next incarnation. The platform's list shows it after
-// the lag, and the late farewell of the old process does not remove the new one.
+// A process replaces another of the same name. The list shows it only after the lag, and the late
+// report that the old process has ended does not remove the new one.
 func TestInstanceListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -22,7 +22,7 @@
 		service := stand.NewInstanceList(stand.ListSettings{LagMillis: 3000, Instances: []listcl.Instance{first}}, nil)
 		client := listcl.New("http://list", &http.Client{Transport: stand.Direct{Handler: service}})
 		is.NoErr(client.Register(t.Context(), second))
-		is.NoErr(client.Gone(t.Context(), first))
+		is.NoErr(client.ReportEnded(t.Context(), first))
 		time.Sleep(3*time.Second - time.Nanosecond)
 		list, err := client.List(t.Context())
 		is.NoErr(err)
--- a/internal/stand/logservice.go
+++ b/internal/stand/logservice.go
@@ -15,31 +15,31 @@
 	"example.org/mustardring/internal/record"
 )
 
-// FaultPath takes the fault switches of a stand-in by POST and shows them by GET.
+// FaultPath is the path of each stand-in that takes its fault switches as a POST of JSON.
 const FaultPath = "/.stand-in/fault"
 
-// maxWait bounds how long the log service holds back an empty answer.
-const maxWait = 30 * time.Second
+// maxReadWait limits how long a read waits for new entries.
+const maxReadWait = 30 * time.Second
 
-// maxAppend bounds the bytes of one append.
-const maxAppend = 64 << 20
+// maxBodyBytes limits the JSON body of a request to a stand-in, such as an append.
+const maxBodyBytes = 64 << 20
 
-// LogFault are the fault switches of the log service. A POST replaces them all.
+// LogFault holds the fault switches of the log service. A POST replaces all of them.
 type LogFault struct {
-	// Down refuses each call before it takes effect.
+	// Down makes appends and reads fail with status 503, without effect.
 	Down bool `json:"down,omitempty"`
-	// SlowMillis holds back each answer. An append takes effect before the wait.
+	// SlowMillis delays each answer. An append takes effect before the delay.
 	SlowMillis int64 `json:"slow-ms,omitempty"`
-	// LoseAnswers breaks the connection of this many appends after they took effect.
+	// LoseAnswers makes this many appends take effect and then breaks their connections.
 	LoseAnswers int `json:"lose-answers,omitempty"`
-	// StartAnew forgets everything at once and takes a new identity.
+	// StartAnew drops all records at once, restarts offsets at zero and changes the identity.
 	StartAnew bool `json:"start-anew,omitempty"`
-	// ForgetBelow forgets the records with lower offsets at once.
+	// ForgetBelow drops the records with lower offsets at once.
 	ForgetBelow uint64 `json:"forget-below,omitempty"`
 }
 
-// LogService is an http.Handler that stands in for the platform's log. It writes a repeated
-// append again: the log of the platform is not said to know repetitions.
+// LogService is an http.Handler that stands in for the platform's log. It does not deduplicate
+// appends by ID, because the platform's log does not promise to.
 type LogService struct {
 	settings LogSettings
 	limiter  *rate.Limiter
@@ -47,20 +47,22 @@
 
 	mu       sync.Mutex
 	fault    LogFault
-	entries  []kept
+	entries  []retained
 	next     uint64
 	identity uint64
 	changed  chan struct{}
 	appends  int
 }
 
-type kept struct {
+// retained is a log record with its expiry.
+type retained struct {
 	entry record.Entry
-	// until is when the record is forgotten, zero for never.
-	until time.Time
+	// expiresAt is when the record is dropped, or zero for never.
+	expiresAt time.Time
 }
 
-// NewLogService returns an empty log.
+// NewLogService returns an empty log. The burst of its append limit is a quarter of a second's
+// appends, at least one.
 func NewLogService(s LogSettings) *LogService {
 	if s.AppendRate == 0 {
 		s.AppendRate = defaultAppendRate
@@ -84,7 +86,7 @@
 	l.mux.ServeHTTP(w, r)
 }
 
-// Appends returns the number of appends that took effect.
+// Appends returns the number of appends that took effect, including those of dropped records.
 func (l *LogService) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +100,7 @@
 	if f.StartAnew {
 		l.entries, l.next = nil, 0
 		l.identity++
-		l.wake()
+		l.notifyReaders()
 	}
 	if f.ForgetBelow > 0 {
 		l.forgetBelow(f.ForgetBelow)
@@ -140,24 +142,24 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// add appends and reports what the fault switches do to the answer.
+// add appends a record. It returns the answer, how long to delay it, and whether to lose it.
 func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendAnswer, slow time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := kept{entry: record.Entry{Offset: l.next, ID: req.ID, Data: req.Data}}
+	k := retained{entry: record.Entry{Offset: l.next, ID: req.ID, Data: req.Data}}
 	if l.settings.RetainMillis > 0 {
-		k.until = time.Now().Add(time.Duration(l.settings.RetainMillis) * time.Millisecond)
+		k.expiresAt = time.Now().Add(time.Duration(l.settings.RetainMillis) * time.Millisecond)
 	}
 	l.entries = append(l.entries, k)
 	l.next++
 	l.appends++
-	l.retain(time.Now())
-	l.wake()
+	l.dropExpired(time.Now())
+	l.notifyReaders()
 	if l.fault.LoseAnswers > 0 {
 		l.fault.LoseAnswers--
 		lost = true
 	}
-	answer = logcl.AppendAnswer{Offset: k.entry.Offset, Identity: l.name()}
+	answer = logcl.AppendAnswer{Offset: k.entry.Offset, Identity: l.identityText()}
 	return answer, time.Duration(l.fault.SlowMillis) * time.Millisecond, lost
 }
 
@@ -172,8 +174,8 @@
 		http.Error(w, "log down", http.StatusServiceUnavailable)
 		return
 	}
-	batch, ok := l.await(r, from, limit)
-	if !ok || !sleep(r, l.slow()) {
+	batch, ok := l.waitForBatch(r, from, limit)
+	if !ok || !sleep(r, l.answerDelay()) {
 		return
 	}
 	if from < batch.Oldest {
@@ -183,9 +185,10 @@
 	writeJSON(w, http.StatusOK, batch)
 }
 
-// await returns the batch as soon as it has entries or a gap, the log starts anew, or the
-// stated time is over. It returns false when the reader has gone.
-func (l *LogService) await(r *http.Request, from uint64, limit int) (logcl.Batch, bool) {
+// waitForBatch returns a batch as soon as there are entries at from, from is not the next offset
+// (a gap or a log that started anew), or the time that the request states is over. It returns false
+// if the client disconnects.
+func (l *LogService) waitForBatch(r *http.Request, from uint64, limit int) (logcl.Batch, bool) {
 	timer := time.NewTimer(time.Until(waitUntil(r)))
 	defer timer.Stop()
 	for {
@@ -203,6 +206,8 @@
 	}
 }
 
+// waitUntil returns until when a read may wait: the time that it states, at most maxReadWait from
+// now, or now if it states none.
 func waitUntil(r *http.Request) time.Time {
 	now := time.Now()
 	millis, err := strconv.ParseInt(r.URL.Query().Get(logcl.QueryWaitUntil), 10, 64)
@@ -210,18 +215,19 @@
 		return now
 	}
 	until := time.UnixMilli(millis)
-	if bound := now.Add(maxWait); until.After(bound) {
+	if bound := now.Add(maxReadWait); until.After(bound) {
 		return bound
 	}
 	return until
 }
 
+// batch returns the entries at from, at most limit, and a channel that is closed at the next change.
 func (l *LogService) batch(from uint64, limit int) (logcl.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.retain(time.Now())
+	l.dropExpired(time.Now())
 	oldest := l.next - uint64(len(l.entries))
-	batch := logcl.Batch{Entries: []record.Entry{}, Oldest: oldest, Next: l.next, Identity: l.name()}
+	batch := logcl.Batch{Entries: []record.Entry{}, Oldest: oldest, Next: l.next, Identity: l.identityText()}
 	if from >= oldest && from < l.next {
 		part := l.entries[from-oldest:]
 		for _, k := range part[:min(limit, len(part))] {
@@ -231,13 +237,14 @@
 	return batch, l.changed
 }
 
-func (l *LogService) retain(now time.Time) {
+// dropExpired drops the records beyond RetainCount and RetainMillis.
+func (l *LogService) dropExpired(now time.Time) {
 	if n := l.settings.RetainCount; n > 0 && len(l.entries) > n {
 		l.forgetBelow(l.next - uint64(n))
 	}
 	forgotten := 0
 	for _, k := range l.entries {
-		if k.until.IsZero() || k.until.After(now) {
+		if k.expiresAt.IsZero() || k.expiresAt.After(now) {
 			break
 		}
 		forgotten++
@@ -253,12 +260,13 @@
 	l.entries = slices.Delete(l.entries, 0, int(min(offset, l.next)-oldest))
 }
 
-func (l *LogService) wake() {
+// notifyReaders ends the wait of all reads that wait for a change.
+func (l *LogService) notifyReaders() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (l *LogService) name() string {
+func (l *LogService) identityText() string {
 	return fmt.Sprintf("%016x", l.identity)
 }
 
@@ -268,13 +276,13 @@
 	return l.fault.Down
 }
 
-func (l *LogService) slow() time.Duration {
+func (l *LogService) answerDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.fault.SlowMillis) * time.Millisecond
 }
 
-// sleep waits and returns false when the peer has gone before.
+// sleep waits for d. It returns false if the client disconnects before.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -289,8 +297,9 @@
 	}
 }
 
+// readJSON decodes the body into value. On an error it answers with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAppend))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(value); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/stand/logservice_test.go
+++ b/internal/stand/logservice_test.go
@@ -24,7 +24,7 @@
 		from       uint64
 		wantRead   error
 	}{
-		"well":            {appends: 3, wantCount: 3},
+		"no fault":        {appends: 3, wantCount: 3},
 		"down":            {fault: stand.LogFault{Down: true}, appends: 1, wantAppend: logcl.ErrUnavailable, wantRead: logcl.ErrUnavailable},
 		"answer lost":     {fault: stand.LogFault{LoseAnswers: 1}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1},
 		"slow":            {fault: stand.LogFault{SlowMillis: 60_000}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1, from: 1, wantRead: logcl.ErrUnavailable},
@@ -54,8 +54,8 @@
 	}
 }
 
-// A user sees a change seconds after it was made, though nothing polls fast: the reader
-// waits at the log, another instance appends, and the wait ends with the record.
+// A read that waits at the end of the log returns as soon as a record is appended, so that changes
+// arrive quickly without frequent polling.
 func TestLogServiceReadWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,8 +71,8 @@
 	})
 }
 
-// Operators replace the log service, and the new one counts from zero. A reader that waits
-// at offset 2 is told so at once by the identity, not left waiting for offset 2 to return.
+// The log service is replaced by one with offsets from zero while a read waits at offset 2. The
+// read returns at once with the new identity instead of waiting until offset 2 exists again.
 func TestLogServiceStartsAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/stand/request.go
+++ b/internal/stand/request.go
@@ -17,34 +17,38 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// QueryBytes asks a backend server to add this many bytes after the JSON of its answer, as
-// for the download of a volume.
+// QueryBytes is the query parameter that asks a backend server to add this many bytes (spaces)
+// after the JSON of its answer, to simulate a large download.
 const QueryBytes = "bytes"
 
-// fillChunk is the unit in which added bytes are written.
-const fillChunk = 32 << 10
+// fillChunkBytes is the size of the writes that add bytes to an answer, and of the buffers for
+// reading bodies.
+const fillChunkBytes = 32 << 10
 
-// Reply is what a backend server answers to a request that ran.
+// Reply is the JSON answer of a backend server to a request that ran.
 type Reply struct {
 	Server    string `json:"server"`
 	Service   string `json:"service"`
 	Key       string `json:"key,omitempty"`
 	RequestID string `json:"request-id,omitempty"`
 	Epoch     string `json:"epoch,omitempty"`
-	// BodyBytes and BodyHash (XXH64, hexadecimal) tell what arrived.
+	// BodyBytes and BodyHash (XXH64, hexadecimal) describe the request body that arrived.
 	BodyBytes int64  `json:"body-bytes"`
 	BodyHash  string `json:"body-hash"`
 }
 
-var errCrashed = errors.New("stand: crashed")
+// errCrashed ends a request that crashed its server.
+var errCrashed = errors.New("stand: server crashed")
 
-// buffers are for reading bodies. The stand-in must cost little beside what it measures.
-var buffers = sync.Pool{New: func() any {
-	buffer := make([]byte, fillChunk)
+// bodyBuffers holds buffers for reading bodies. They are reused because the stand-in has to cost
+// little in comparison with the system that it helps to measure.
+var bodyBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, fillChunkBytes)
 	return &buffer
 }}
 
-// handleRun takes a request through shedding, slot, grant and run to its answer.
+// handleRun rejects a request if the queue is full, waits for a slot, checks the grant, runs the
+// request and answers it.
 func (s *Server) handleRun(w http.ResponseWriter, r *http.Request, p *process) {
 	present := s.runs.arrive(s.connections.count())
 	defer s.runs.leave()
@@ -55,9 +59,9 @@
 		return
 	}
 	hash := xxhash.New()
-	buffer := buffers.Get().(*[]byte)
+	buffer := bodyBuffers.Get().(*[]byte)
 	size, err := io.CopyBuffer(hash, r.Body, *buffer)
-	buffers.Put(buffer)
+	bodyBuffers.Put(buffer)
 	if err != nil {
 		s.refuse(w, http.StatusBadRequest, "body cut")
 		return
@@ -81,8 +85,8 @@
 	if err := s.run(ctx, r, p); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	s.faults.thaw()
-	if !pass(r.Context()) {
+	s.faults.waitWhileFrozen()
+	if !waitIfSilent(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	s.reply(w, r, Reply{
@@ -96,14 +100,14 @@
 	})
 }
 
-// admit asks the guard, and asks again right before the effect. A server may be frozen in
-// between: it shows as a grant that has lapsed by the time of the second question.
+// admit checks the request against the grant, and again right before it takes effect: the server
+// may be frozen in between, and the grant may expire meanwhile.
 func (s *Server) admit(r *http.Request, p *process) (work, error) {
-	w, err := p.guard.begin(keys.Hash(s.settings.Service, r.Header.Get(caller.HeaderKey)))
+	w, err := p.checker.begin(keys.Hash(s.settings.Service, r.Header.Get(caller.HeaderKey)))
 	if err != nil {
 		return nil, err
 	}
-	s.faults.thaw()
+	s.faults.waitWhileFrozen()
 	if err := w.Check(); err != nil {
 		w.End()
 		return nil, err
@@ -111,7 +115,8 @@
 	return w, nil
 }
 
-// deadlineContext ends when the caller goes or its stated deadline passes.
+// deadlineContext returns a context that ends when the client disconnects or the deadline in the
+// request header passes.
 func deadlineContext(r *http.Request) (context.Context, context.CancelFunc) {
 	millis, err := strconv.ParseInt(r.Header.Get(caller.HeaderDeadline), 10, 64)
 	if err != nil {
@@ -120,8 +125,9 @@
 	return context.WithDeadline(r.Context(), time.UnixMilli(millis))
 }
 
-// run takes effect at once and then takes the stated time. It ends early, with an error, when the request is cancelled
-// or crashes the server.
+// run records the run, which is the effect of the request, and then takes the configured time. It
+// returns early with an error if the request is cancelled, passes its deadline or crashes the
+// server.
 func (s *Server) run(ctx context.Context, r *http.Request, p *process) error {
 	place := s.runs.begin(r)
 	f := s.faults.get()
@@ -142,14 +148,15 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		s.runs.end(place, false, s.faults.thaw())
+		s.runs.end(place, false, s.faults.waitWhileFrozen())
 		return nil
 	case <-ctx.Done():
-		s.runs.end(place, true, s.faults.thaw())
+		s.runs.end(place, true, s.faults.waitWhileFrozen())
 		return ctx.Err()
 	}
 }
 
+// isPoison reports whether the request crashes the server.
 func (f ServerFault) isPoison(r *http.Request) bool {
 	if f.Poison == "" {
 		return false
@@ -157,14 +164,14 @@
 	return r.Header.Get(caller.HeaderKey) == f.Poison || r.Header.Get(caller.HeaderRequestID) == f.Poison
 }
 
-// reply writes the answer, spoilt if the fault switches say so.
+// reply writes the answer, corrupted if the fault switches say so.
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, reply Reply) {
 	body, err := json.Marshal(reply)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	fill, _ := strconv.ParseInt(r.URL.Query().Get(QueryBytes), 10, 64)
-	half, wrongLength := s.faults.spoil()
+	half, wrongLength := s.faults.corruptAnswer()
 	if wrongLength {
 		writeWrongLength(w, s.settings.Name, body)
 		return
@@ -182,11 +189,12 @@
 	writeFill(w, fill)
 }
 
+// writeFill writes n spaces, which JSON allows after a value.
 func writeFill(w io.Writer, n int64) {
 	if n <= 0 {
 		return
 	}
-	chunk := make([]byte, min(n, fillChunk))
+	chunk := make([]byte, min(n, fillChunkBytes))
 	for i := range chunk {
 		chunk[i] = ' '
 	}
@@ -199,7 +207,7 @@
 	}
 }
 
-// writeWrongLength states half the length of the body and sends all of it.
+// writeWrongLength states half the length of the body as Content-Length and sends the whole body.
 func writeWrongLength(w http.ResponseWriter, name string, body []byte) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/stand/runs.go
+++ b/internal/stand/runs.go
@@ -9,90 +9,94 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// RunsPath shows, as a RunsPage, what a backend server really ran. The query parameters
-// "from" and "limit" choose a part.
+// RunsPath returns, as a RunsPage, the requests that a backend server really ran. The query
+// parameters "from" (an index) and "limit" (a count) select a page.
 const RunsPath = "/.stand-in/runs"
 
-// maxRuns bounds the runs that one server remembers.
-const maxRuns = 2_000_000
+// maxRecordedRuns limits the runs that one server records.
+const maxRecordedRuns = 2_000_000
 
-// defaultPage is the number of runs in a page whose limit is unstated.
-const defaultPage = 100_000
+// defaultPageRuns is the greatest number of runs in a page if the query has no limit.
+const defaultPageRuns = 100_000
 
-// Run is one request that a backend server began to run. Times are in Unix microseconds.
+// Run records one run of a request at a backend server. Times are in Unix microseconds.
 type Run struct {
 	RequestID string `json:"request-id"`
 	Key       string `json:"key,omitempty"`
 	Epoch     string `json:"epoch,omitempty"`
 	Start     int64  `json:"start"`
-	// End is zero while the request runs, and for ever if the server crashed.
+	// End is zero while the request runs, and stays zero if the request crashed the server.
 	End int64 `json:"end"`
-	// Stopped says that the caller cancelled it, or its deadline passed, before its end.
+	// Stopped says that the caller cancelled the request or its deadline passed before the run
+	// was over.
 	Stopped bool `json:"stopped,omitempty"`
-	// Frozen says that the server was frozen while it ran.
+	// Frozen says that the server was frozen at the time when the run was to end.
 	Frozen bool `json:"frozen,omitempty"`
-	// Crashed says that the request was one that crashes servers.
+	// Crashed says that the request crashed the server.
 	Crashed bool `json:"crashed,omitempty"`
-	// Incarnation counts the processes that ran at the server's place, from 1.
+	// Incarnation is the number of the server process that ran it. It is 1 for the first process
+	// and increases with each crash.
 	Incarnation int `json:"incarnation"`
 }
 
-// RunsPage is a part of the runs of one server.
+// RunsPage is a page of the runs of one server, with totals over all of its processes.
 type RunsPage struct {
 	Server string `json:"server"`
 	Runs   []Run  `json:"runs"`
-	// Total is the number of runs, and Forgotten those beyond what the server remembers.
+	// Total is the number of all runs. Forgotten of them were not recorded, because the server
+	// already had the most that it records.
 	Total     int `json:"total"`
 	Forgotten int `json:"forgotten"`
-	// Doubled has each request ID that ran more than once at this server, with its count.
+	// Doubled maps each request ID that ran more than once at this server to its number of runs.
 	Doubled map[string]int `json:"doubled"`
-	// Shed and Refused count requests that did not run: for want of a slot, and of a grant.
+	// Shed and Refused count requests that did not run. Shed ones found the queue full or the
+	// Shed fault set, and Refused ones were not covered by a grant.
 	Shed    int `json:"shed"`
 	Refused int `json:"refused"`
-	// MostArrived is the greatest number of requests present at once, running or waiting.
-	MostArrived int `json:"most-arrived"`
-	// MostConnections is the greatest number of connections seen open by a request.
-	MostConnections int `json:"most-connections"`
+	// MaxPresent is the greatest number of requests at the server at once, running or queued.
+	MaxPresent int `json:"most-arrived"`
+	// MaxConnections is the greatest number of open connections at the arrival of a request.
+	MaxConnections int `json:"most-connections"`
 }
 
-// runs remembers what one server ran. It outlives the crashes of the server.
+// runs records what one server ran. It survives crashes of the server.
 type runs struct {
-	mu              sync.Mutex
-	list            []Run
-	counts          map[string]int
-	forgotten       int
-	shed            int
-	refused         int
-	arrived         int
-	mostArrived     int
-	mostConnections int
-	incarnation     int
+	mu             sync.Mutex
+	list           []Run
+	counts         map[string]int
+	forgotten      int
+	shed           int
+	refused        int
+	presentCount   int
+	maxPresent     int
+	maxConnections int
+	incarnation    int
 }
 
 func newRuns() *runs {
 	return &runs{counts: make(map[string]int), incarnation: 1}
 }
 
-// arrive notes a request and returns how many are present, it included.
+// arrive counts a new request and returns the number of requests at the server, including it.
 func (r *runs) arrive(connections int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrived++
-	r.mostArrived = max(r.mostArrived, r.arrived)
-	r.mostConnections = max(r.mostConnections, connections)
-	return r.arrived
+	r.presentCount++
+	r.maxPresent = max(r.maxPresent, r.presentCount)
+	r.maxConnections = max(r.maxConnections, connections)
+	return r.presentCount
 }
 
 func (r *runs) leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrived--
+	r.presentCount--
 }
 
 func (r *runs) present() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.arrived
+	return r.presentCount
 }
 
 func (r *runs) countShed() {
@@ -107,13 +111,13 @@
 	r.refused++
 }
 
-func (r *runs) restart() {
+func (r *runs) countRestart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.incarnation++
 }
 
-// begin remembers a run and returns its place, or -1 beyond the bound.
+// begin records a run and returns its index, or -1 if no more runs are recorded.
 func (r *runs) begin(req *http.Request) int {
 	run := Run{
 		RequestID: req.Header.Get(caller.HeaderRequestID),
@@ -124,7 +128,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Incarnation = r.incarnation
-	if len(r.list) >= maxRuns {
+	if len(r.list) >= maxRecordedRuns {
 		r.forgotten++
 		return -1
 	}
@@ -136,16 +140,17 @@
 }
 
 func (r *runs) end(place int, stopped, frozen bool) {
-	r.change(place, func(run *Run) {
+	r.update(place, func(run *Run) {
 		run.End, run.Stopped, run.Frozen = time.Now().UnixMicro(), stopped, frozen
 	})
 }
 
 func (r *runs) crash(place int) {
-	r.change(place, func(run *Run) { run.Crashed = true })
+	r.update(place, func(run *Run) { run.Crashed = true })
 }
 
-func (r *runs) change(place int, f func(*Run)) {
+// update changes the run at an index from begin. It ignores -1.
+func (r *runs) update(place int, f func(*Run)) {
 	if place < 0 {
 		return
 	}
@@ -154,19 +159,19 @@
 	f(&r.list[place])
 }
 
-// page returns the runs from a place on.
+// page returns at most limit runs from an index on, with the totals. It leaves Server empty.
 func (r *runs) page(from, limit int) RunsPage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	page := RunsPage{
-		Runs:            []Run{},
-		Total:           len(r.list) + r.forgotten,
-		Forgotten:       r.forgotten,
-		Doubled:         make(map[string]int),
-		Shed:            r.shed,
-		Refused:         r.refused,
-		MostArrived:     r.mostArrived,
-		MostConnections: r.mostConnections,
+		Runs:           []Run{},
+		Total:          len(r.list) + r.forgotten,
+		Forgotten:      r.forgotten,
+		Doubled:        make(map[string]int),
+		Shed:           r.shed,
+		Refused:        r.refused,
+		MaxPresent:     r.maxPresent,
+		MaxConnections: r.maxConnections,
 	}
 	if from < len(r.list) {
 		part := r.list[from:]
@@ -184,7 +189,7 @@
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	limit, err := strconv.Atoi(r.URL.Query().Get("limit"))
 	if err != nil {
-		limit = defaultPage
+		limit = defaultPageRuns
 	}
 	page := s.runs.page(max(0, from), max(0, limit))
 	page.Server = s.settings.Name
--- a/internal/stand/server.go
+++ b/internal/stand/server.go
@@ -12,41 +12,42 @@
 	"example.org/mustardring/pkg/grant"
 )
 
-// The paths of a backend server besides those of package grant. Any other path runs a request.
+// Paths of a backend server besides those of package grant, RunsPath and FaultPath. All other
+// paths match runPattern and run a request.
 const (
 	HealthPath = "/healthz"
-	allPaths   = "/"
+	runPattern = "/"
 )
 
-// coldFactor is how much longer a request takes during a cold start.
+// coldFactor is how many times as long a request takes during a cold start.
 const coldFactor = 10
 
-// Server stands in for one backend server.
+// Server is a stand-in for one backend server. It survives crashes, which replace its process.
 type Server struct {
 	settings    ServerSettings
 	runs        *runs
 	faults      *faults
 	connections *connections
-	newGuard    func() guard
+	newChecker  func() grantChecker
 
-	// mu guards what a crash replaces, and the load shown.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	process *process
 	address string
-	// load is what the load endpoint shows until loadUntil.
-	load      Load
-	loadUntil time.Time
+	// load is what the load endpoint reports until loadValidUntil.
+	load           Load
+	loadValidUntil time.Time
 }
 
-// process is what a crash of the server ends.
+// process is the state of a server that a crash discards.
 type process struct {
-	guard guard
-	slots chan struct{}
-	http  *http.Server
-	ended chan struct{}
+	checker grantChecker
+	slots   chan struct{}
+	http    *http.Server
+	ended   chan struct{}
 }
 
-// NewServer returns a server that has not started.
+// NewServer returns a server that has not started yet.
 func NewServer(s ServerSettings) *Server {
 	_, _, _ = s.check()
 	return &Server{
@@ -54,19 +55,21 @@
 		runs:        newRuns(),
 		faults:      &faults{},
 		connections: newConnections(),
-		newGuard:    func() guard { return newGuard(s) },
+		newChecker:  func() grantChecker { return newGrantChecker(s) },
 		address:     s.Address,
 	}
 }
 
-// Address returns the IP number and port at which the server listens.
+// Address returns the IP address and port at which the server listens. It is the configured address
+// until the server has started.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Start listens and serves until ctx ends. The channel it returns is closed afterwards.
+// Start listens and serves until ctx ends. It returns a channel that is closed when the server has
+// stopped.
 func (s *Server) Start(ctx context.Context) (<-chan struct{}, error) {
 	ended := make(chan struct{})
 	if s.settings.ColdMillis > 0 {
@@ -90,7 +93,7 @@
 	return ended, nil
 }
 
-// listen starts a process at the server's place, with no grant and no fence.
+// listen starts a new process of the server, which has no grant and no fence yet.
 func (s *Server) listen(ctx context.Context) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.Address())
@@ -98,14 +101,14 @@
 		return fmt.Errorf("stand: server %s: %w", s.settings.Name, err)
 	}
 	p := &process{
-		guard: s.newGuard(),
-		slots: make(chan struct{}, s.settings.Slots),
-		ended: make(chan struct{}),
+		checker: s.newChecker(),
+		slots:   make(chan struct{}, s.settings.Slots),
+		ended:   make(chan struct{}),
 	}
 	p.http = &http.Server{
 		Handler:     s.handler(p),
-		ConnContext: s.connections.begin,
-		ConnState:   s.connections.changed,
+		ConnContext: s.connections.opened,
+		ConnState:   s.connections.stateChanged,
 	}
 	s.mu.Lock()
 	s.process = p
@@ -118,7 +121,8 @@
 	return nil
 }
 
-// crash ends the process and starts another one after the stated time.
+// crash ends process p, unless it has already ended, and starts another one after the restart delay
+// of the fault switches.
 func (s *Server) crash(ctx context.Context, p *process) {
 	s.mu.Lock()
 	if s.process != p {
@@ -129,13 +133,14 @@
 	s.mu.Unlock()
 	restart := time.Duration(s.faults.get().RestartMillis) * time.Millisecond
 	if restart <= 0 {
-		restart = defaultRestart * time.Millisecond
+		restart = defaultRestartMillis * time.Millisecond
 	}
-	s.runs.restart()
-	go s.revive(ctx, p, time.Now().Add(restart))
+	s.runs.countRestart()
+	go s.restartAt(ctx, p, time.Now().Add(restart))
 }
 
-func (s *Server) revive(ctx context.Context, p *process, at time.Time) {
+// restartAt waits until p has ended and starts a new process at the given time.
+func (s *Server) restartAt(ctx context.Context, p *process, at time.Time) {
 	_ = p.http.Close()
 	<-p.ended
 	timer := time.NewTimer(time.Until(at))
@@ -151,20 +156,21 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+RunsPath, s.handleRuns)
 	mux.HandleFunc("POST "+FaultPath, func(w http.ResponseWriter, r *http.Request) { s.handleFault(w, r, p) })
-	mux.HandleFunc("POST "+grant.ExchangePath, s.mortal(func(w http.ResponseWriter, r *http.Request) { s.handleExchange(w, r, p) }))
-	mux.HandleFunc("GET "+grant.LoadPath, s.mortal(s.handleLoad))
-	mux.HandleFunc("GET "+HealthPath, s.mortal(s.handleHealth))
-	mux.HandleFunc(allPaths, s.mortal(func(w http.ResponseWriter, r *http.Request) { s.handleRun(w, r, p) }))
+	mux.HandleFunc("POST "+grant.ExchangePath, s.withFaults(func(w http.ResponseWriter, r *http.Request) { s.handleExchange(w, r, p) }))
+	mux.HandleFunc("GET "+grant.LoadPath, s.withFaults(s.handleLoad))
+	mux.HandleFunc("GET "+HealthPath, s.withFaults(s.handleHealth))
+	mux.HandleFunc(runPattern, s.withFaults(func(w http.ResponseWriter, r *http.Request) { s.handleRun(w, r, p) }))
 	return mux
 }
 
-// mortal makes a handler subject to frozen servers and silent connections.
-func (s *Server) mortal(h http.HandlerFunc) http.HandlerFunc {
+// withFaults makes a handler wait while the server is frozen and never answer on a silent
+// connection. Handlers of the stand-in itself, such as for fault switches, go without.
+func (s *Server) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !pass(r.Context()) {
+		if !waitIfSilent(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
-		s.faults.thaw()
+		s.faults.waitWhileFrozen()
 		h(w, r)
 	}
 }
@@ -194,43 +200,43 @@
 	if !readJSON(w, r, &x) {
 		return
 	}
-	answer := p.guard.exchange(x)
-	s.faults.thaw()
-	if !pass(r.Context()) {
+	answer := p.checker.exchange(x)
+	s.faults.waitWhileFrozen()
+	if !waitIfSilent(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// Load is what a server says of its own load at grant.LoadPath.
+// Load is the JSON answer at grant.LoadPath: the load that a server reports of itself.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 	// Cold says that the server is in its cold start.
 	Cold bool `json:"cold,omitempty"`
-	// Shedding says that the server refuses work.
+	// Shedding says that the server rejects all requests.
 	Shedding bool `json:"shedding,omitempty"`
 }
 
 func (s *Server) handleLoad(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.shownLoad(time.Now()))
+	writeJSON(w, http.StatusOK, s.reportedLoad(time.Now()))
 }
 
-// shownLoad returns the load as of up to the stated lag ago: an endpoint that lags shows a
-// server as free when it is full, and the reverse.
-func (s *Server) shownLoad(now time.Time) Load {
+// reportedLoad returns the load as of at most LoadLagMillis ago. An endpoint that lags may report
+// a full server as free, and the reverse.
+func (s *Server) reportedLoad(now time.Time) Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.loadUntil) {
+	if now.Before(s.loadValidUntil) {
 		return s.load
 	}
-	s.load = s.presentLoad(now)
-	s.loadUntil = now.Add(time.Duration(s.settings.LoadLagMillis) * time.Millisecond)
+	s.load = s.currentLoad(now)
+	s.loadValidUntil = now.Add(time.Duration(s.settings.LoadLagMillis) * time.Millisecond)
 	return s.load
 }
 
-func (s *Server) presentLoad(now time.Time) Load {
+func (s *Server) currentLoad(now time.Time) Load {
 	f := s.faults.get()
 	present := s.runs.present()
 	running := min(present, s.settings.Slots)
@@ -256,7 +262,7 @@
 	return now.UnixMilli() < f.ColdUntil
 }
 
-// refuse answers a request that did not run.
+// refuse answers a request that did not run, with the outcome not-run in the header.
 func (s *Server) refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(caller.HeaderOutcome, string(caller.NotRun))
 	w.Header().Set(caller.HeaderServer, s.settings.Name)
--- a/internal/stand/server_test.go
+++ b/internal/stand/server_test.go
@@ -33,7 +33,7 @@
 	return "http://" + server.Address(), client
 }
 
-// answer is what a request got. Body may be cut.
+// answer is the answer to a request. The body may be truncated.
 type answer struct {
 	outcome caller.Outcome
 	status  int
@@ -45,8 +45,8 @@
 	if err != nil {
 		return answer{}, err
 	}
-	// net/http sends a request with an Idempotency-Key again by itself, when a connection
-	// breaks, if it can get the body anew. That would double runs unseen.
+	// net/http retries a request with an Idempotency-Key when a connection breaks, if it can get
+	// the body again. A request would then run twice without the test noticing.
 	req.GetBody = nil
 	req.Header.Set(caller.HeaderRequestID, id)
 	req.Header.Set(caller.HeaderKey, "key")
@@ -59,7 +59,8 @@
 	return answer{outcome: caller.Outcome(resp.Header.Get(caller.HeaderOutcome)), status: resp.StatusCode, body: body}, err
 }
 
-// admin uses a new connection for each call, so that no fault of another call meets it.
+// admin uses a new connection for each call, so that connection faults of other calls do not affect
+// it.
 var admin = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func setFault(t *testing.T, base string, f stand.ServerFault) {
@@ -99,7 +100,7 @@
 		cut     bool
 		ran     int
 	}{
-		"well":         {outcome: caller.Ran, ran: 1},
+		"no fault":     {outcome: caller.Ran, ran: 1},
 		"shed":         {fault: stand.ServerFault{Shed: true}, outcome: caller.NotRun},
 		"half answer":  {fault: stand.ServerFault{HalfAnswers: 1}, outcome: caller.Ran, cut: true, ran: 1},
 		"wrong length": {fault: stand.ServerFault{WrongLengths: 1}, outcome: caller.Ran, ran: 1},
@@ -114,14 +115,14 @@
 			is.Equal(got.outcome, test.outcome)
 			var reply stand.Reply
 			whole := json.Unmarshal(got.body, &reply) == nil && reply.RequestID == "a"
-			is.Equal(whole, name == "well")
+			is.Equal(whole, name == "no fault")
 			is.Equal(runsOf(t, base).Total, test.ran)
 		})
 	}
 }
 
-// A request crashes the server that runs it, and its caller sends it again. The stand-in
-// keeps both runs over the crash, so a test can count how many servers one request killed.
+// A request crashes the server that runs it, and its caller sends it again. The stand-in records
+// both runs across the crashes, so that a test can count how many processes a request crashed.
 func TestServerCrashesOnPoison(t *testing.T) {
 	is := is.New(t)
 	base, client := start(t, stand.ServerSettings{})
@@ -144,8 +145,8 @@
 	is.Equal(page.Doubled["bad"], 2)
 }
 
-// A connection goes silent for good while new ones work: the request sent on it neither
-// runs nor is answered, and the same request on a new connection runs.
+// A request on a silent connection neither runs nor is answered, while a request on a new connection
+// runs.
 func TestServerSilentConnection(t *testing.T) {
 	is := is.New(t)
 	base, client := start(t, stand.ServerSettings{})
--- a/internal/stand/settings.go
+++ b/internal/stand/settings.go
@@ -1,6 +1,7 @@
-// Package stand has small stand-ins for what the platform gives: the log service, the
-// list of live instances and backend servers. Tests and examples use them in one process.
-// Each has fault switches and keeps what a test needs to judge what really happened.
+// Package stand provides stand-ins for the platform, which are the log service and the list of
+// instances and servers, and for backend servers. Tests and examples run them in one process. Each
+// stand-in has fault switches. The log counts the appends that took effect, and the servers record
+// the requests that they really ran, so that a test can compare that with what callers saw.
 package stand
 
 import (
@@ -12,62 +13,66 @@
 	"example.org/mustardring/internal/listcl"
 )
 
-// Settings says which stand-ins one process runs. Times are in milliseconds.
+// Settings configures the stand-ins of one process. Fields that end in Millis are in milliseconds.
 type Settings struct {
 	Log     *LogSettings     `json:"log,omitempty"`
 	List    *ListSettings    `json:"list,omitempty"`
 	Servers []ServerSettings `json:"servers,omitempty"`
 }
 
-// LogSettings are those of the log service.
+// LogSettings configures the log service.
 type LogSettings struct {
 	Address string `json:"address"`
-	// AppendRate is the number of appends a second that the service takes, 400 if unstated.
+	// AppendRate is the number of appends that the service accepts per second, 400 if zero.
 	AppendRate float64 `json:"append-rate,omitempty"`
-	// RetainCount and RetainMillis bound what the service keeps. Zero means no bound.
+	// RetainCount and RetainMillis limit the number and the age of the records that the service
+	// keeps. Zero means no limit.
 	RetainCount  int   `json:"retain-count,omitempty"`
 	RetainMillis int64 `json:"retain-ms,omitempty"`
 }
 
-// ListSettings are those of the instance list.
+// ListSettings configures the instance list.
 type ListSettings struct {
 	Address string `json:"address"`
-	// LagMillis is for how long the list goes on showing what was so before a change.
+	// LagMillis is how long a change of the list takes to become visible.
 	LagMillis int64             `json:"lag-ms,omitempty"`
 	Instances []listcl.Instance `json:"instances,omitempty"`
 }
 
-// ServerSettings are those of one backend server. Listed servers are those of the process.
+// ServerSettings configures one backend server. The instance list of the same process starts with
+// these servers.
 type ServerSettings struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Domain  string `json:"domain"`
 	Address string `json:"address"`
-	// ChecksGrants says that the server refuses what its grant does not cover.
+	// ChecksGrants makes the server refuse requests that its grant does not cover.
 	ChecksGrants bool `json:"checks-grants,omitempty"`
-	// Slots is the number of requests that run at once, 2 if unstated.
+	// Slots is the greatest number of requests that run at once, 2 if zero.
 	Slots int `json:"slots,omitempty"`
-	// Queue is the number of requests that wait for a slot, 8 if unstated. Any more are shed.
+	// Queue is the greatest number of requests that wait for a slot, 8 if zero. Further requests
+	// are rejected before they run.
 	Queue int `json:"queue,omitempty"`
-	// RunMillis is how long a request runs, and less than a millisecond may be stated.
+	// RunMillis is how long a request runs. It may be a fraction of a millisecond.
 	RunMillis float64 `json:"run-ms,omitempty"`
-	// ColdMillis is for how long after the start each request takes ten times as long.
+	// ColdMillis is the duration of the cold start after Start, during which each request takes
+	// ten times as long.
 	ColdMillis int64 `json:"cold-ms,omitempty"`
-	// LoadLagMillis is how old what the load endpoint shows may be.
+	// LoadLagMillis is the greatest age of the load that the load endpoint reports.
 	LoadLagMillis int64 `json:"load-lag-ms,omitempty"`
-	// LeaseMaxMillis is the farthest grant deadline that the server accepts, 10000 if unstated.
+	// LeaseMaxMillis is how far in the future a grant deadline may be, 10000 if zero.
 	LeaseMaxMillis int64 `json:"lease-max-ms,omitempty"`
 }
 
-// The values of what is left unstated.
+// Values of fields that are zero.
 const (
-	defaultAppendRate = 400
-	defaultSlots      = 2
-	defaultQueue      = 8
-	defaultLeaseMax   = 10_000
+	defaultAppendRate     = 400
+	defaultSlots          = 2
+	defaultQueue          = 8
+	defaultMaxLeaseMillis = 10_000
 )
 
-// Check implements config.Checker and fills in what is unstated.
+// Check implements config.Checker. It also sets fields that are zero to their defaults.
 func (s *Settings) Check(file string) error {
 	if field, found, mend := s.check(); mend != "" {
 		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
@@ -75,7 +80,8 @@
 	return nil
 }
 
-// check returns the first wrong field, what it holds and its mend.
+// check returns the first invalid field, the value found and how to correct it. It returns empty
+// strings if there is none. It also sets defaults.
 func (s *Settings) check() (field, found, mend string) {
 	if s.Log == nil && s.List == nil && len(s.Servers) == 0 {
 		return "servers", "nothing", "name a log, a list or servers to run"
@@ -98,6 +104,7 @@
 	return s.checkServers(taken)
 }
 
+// checkServers does the work of check for the servers.
 func (s *Settings) checkServers(taken map[string]string) (field, found, mend string) {
 	for i := range s.Servers {
 		server := &s.Servers[i]
@@ -125,11 +132,13 @@
 	}
 	s.Slots = cmp.Or(s.Slots, defaultSlots)
 	s.Queue = cmp.Or(s.Queue, defaultQueue)
-	s.LeaseMaxMillis = cmp.Or(s.LeaseMaxMillis, defaultLeaseMax)
+	s.LeaseMaxMillis = cmp.Or(s.LeaseMaxMillis, defaultMaxLeaseMillis)
 	return "", "", ""
 }
 
-// checkAddress accepts only loopback addresses: a stand-in is for tests on one machine.
+// checkAddress returns how to correct an address, or an empty string if it is valid, and adds it to
+// taken, the fields by address. It accepts only loopback addresses: a stand-in is for tests on one
+// machine.
 func checkAddress(address, field string, taken map[string]string) string {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -11,8 +11,8 @@
 	"example.org/mustardring/internal/listcl"
 )
 
-// Stand runs the stand-ins of one process.
-type Stand struct {
+// StandIns runs the stand-ins of one process. Log and List are nil if the settings have none.
+type StandIns struct {
 	Log     *LogService
 	List    *InstanceList
 	Servers []*Server
@@ -20,9 +20,9 @@
 	settings Settings
 }
 
-// New returns the stand-ins that the settings name. Nothing has started.
-func New(s Settings) *Stand {
-	stand := &Stand{settings: s}
+// New returns the stand-ins that the settings name, not started yet.
+func New(s Settings) *StandIns {
+	stand := &StandIns{settings: s}
 	if s.Log != nil {
 		stand.Log = NewLogService(*s.Log)
 	}
@@ -37,8 +37,9 @@
 	return stand
 }
 
-// Run serves until ctx ends or a listener fails. It starts everything or nothing.
-func (s *Stand) Run(ctx context.Context) error {
+// Run starts all stand-ins and serves until ctx ends or one of them fails. If one cannot start, it
+// stops those that did and returns the error.
+func (s *StandIns) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	group := duty.New(ctx, len(s.Servers)+4)
 	err := s.start(ctx, group)
@@ -54,7 +55,7 @@
 	return errors.Join(err, group.Wait(taken))
 }
 
-func (s *Stand) start(ctx context.Context, group *duty.Group) error {
+func (s *StandIns) start(ctx context.Context, group *duty.Group) error {
 	if s.Log != nil {
 		if err := serve(ctx, group, "log", s.settings.Log.Address, s.Log); err != nil {
 			return err
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// serve listens at the address and serves the handler until the context of the group ends.
 func serve(ctx context.Context, group *duty.Group, name, address string, handler http.Handler) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
--- a/internal/stand/direct.go
+++ b/internal/stand/transport.go
@@ -6,11 +6,11 @@
 	"net/http/httptest"
 )
 
-// errBroken is what the caller of an aborted handler sees.
-var errBroken = errors.New("stand: connection broken")
+// errAborted is the transport error for a handler that panics, as with http.ErrAbortHandler.
+var errAborted = errors.New("stand: handler aborted the response")
 
 // Direct is an http.RoundTripper that calls a handler without sockets, so that a test can run
-// on a fake clock. An aborted handler is a broken connection.
+// on a fake clock. A handler that panics looks like a broken connection.
 type Direct struct {
 	Handler http.Handler
 }
@@ -20,7 +20,7 @@
 	recorder := httptest.NewRecorder()
 	defer func() {
 		if p := recover(); p != nil {
-			resp, err = nil, errBroken
+			resp, err = nil, errAborted
 		}
 	}()
 	d.Handler.ServeHTTP(recorder, r)
