--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -14,56 +14,58 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// ErrBroken says that a promise to callers was broken.
-var ErrBroken = errors.New("load: promises were broken")
+// ErrViolations says that the audit found violations of the guarantees to callers.
+var ErrViolations = errors.New("load: the audit found violations")
 
-// ErrAudit says that the servers could not be asked what they ran.
-var ErrAudit = errors.New("load: servers cannot be asked what they ran")
+// ErrAudit says that the audit could not fetch the runs of a server.
+var ErrAudit = errors.New("load: cannot fetch the runs of a server")
 
-// ran is one run of a request of this load at a server.
-type ran struct {
+// serverRun is one run of a request, with the name of the server that ran it.
+type serverRun struct {
 	stand.Run
 	server string
 }
 
-// Audit compares what callers were told with what servers ran.
+// Audit compares the answers to callers with the requests that servers ran.
 type Audit struct {
-	// Complete says that every server told all its runs. The other fields hold nothing for
-	// those that did not.
+	// Complete says that every server still had all of its runs. If it is false, the other fields
+	// do not include runs that a server did not record.
 	Complete bool `json:"complete"`
-	// Requests, by what their callers know after all resends: at least one answer said ran;
-	// all said not-run; anything else.
+	// Ran, NotRun and Unknown count requests by what the caller knows after all submissions. Ran:
+	// at least one answer said ran. NotRun: every submission was answered not-run or was not sent.
+	// Unknown: all others.
 	Ran     int `json:"ran"`
 	NotRun  int `json:"not-run"`
 	Unknown int `json:"unknown"`
-	// UnknownRan and UnknownNotRun divide Unknown by what servers really did.
+	// UnknownRan and UnknownNotRun divide Unknown by whether a server ran the request.
 	UnknownRan    int `json:"unknown-ran"`
 	UnknownNotRun int `json:"unknown-not-run"`
-	// NotRunButRan, Lost and Doubled are violations: told not-run, but it ran; told ran, but no
-	// server ran it; ran more than once though it must not.
+	// NotRunButRan, Lost and Doubled count violations. NotRunButRan: the caller was told not-run, but
+	// a server ran the request. Lost: the caller was told ran, but no server ran it. Doubled: a
+	// non-idempotent request ran more than once.
 	NotRunButRan int `json:"not-run-but-ran"`
 	Lost         int `json:"lost"`
 	Doubled      int `json:"doubled"`
-	// Overlaps are pairs of runs of one key that two servers ran at the same time.
+	// Overlaps counts runs that began while another server ran a request for the same key.
 	Overlaps int `json:"overlaps"`
-	// Crossed are answers that belong to another request, and Cut those that broke off.
+	// Crossed counts answers that belong to another request, and Cut truncated answers.
 	Crossed int `json:"crossed"`
 	Cut     int `json:"cut"`
-	// Repeated are requests that may run more than once and did.
+	// Repeated counts idempotent requests that ran more than once, which is allowed.
 	Repeated int `json:"repeated"`
-	// Examples has a few request IDs of each violation.
+	// Examples has a few request IDs for each kind of violation, and keys for overlaps.
 	Examples map[string][]string `json:"examples,omitempty"`
 }
 
-// maxExamples bounds the examples of each violation.
+// maxExamples limits the examples of each kind of violation.
 const maxExamples = 5
 
-// Violations counts the promises that were broken.
+// Violations returns the number of violations. Truncated answers and allowed repetitions are none.
 func (a *Audit) Violations() int {
 	return a.NotRunButRan + a.Lost + a.Doubled + a.Overlaps + a.Crossed
 }
 
-func (a *Audit) example(kind, id string) {
+func (a *Audit) addExample(kind, id string) {
 	if a.Examples == nil {
 		a.Examples = make(map[string][]string)
 	}
@@ -72,58 +74,61 @@
 	}
 }
 
-// told is what the caller of a request knows after all its sendings.
-type told struct {
-	once   bool
-	ran    bool
-	notRun bool
-	others bool
+// callerView is what the caller of a request knows after all submissions.
+type callerView struct {
+	nonIdempotent bool
+	ran           bool
+	notRun        bool
+	uncertain     bool
 }
 
-// audit judges the records of one run.
-func audit(records []record, runs []ran, prefix string) *Audit {
+// audit compares the records of a load run with the server runs. Request IDs consist of the prefix and
+// the number of the request.
+func audit(records []record, runs []serverRun, prefix string) *Audit {
 	a := &Audit{}
-	byID := make(map[int]*told)
+	byID := make(map[int]*callerView)
 	for i := range records {
 		r := &records[i]
-		t := byID[r.id]
-		if t == nil {
-			t = &told{once: r.once}
-			byID[r.id] = t
+		v := byID[r.id]
+		if v == nil {
+			v = &callerView{nonIdempotent: r.nonIdempotent}
+			byID[r.id] = v
 		}
 		switch r.result {
 		case ResultRan:
-			t.ran = true
+			v.ran = true
 		case ResultNotRun, ResultUnreached:
-			t.notRun = true
+			v.notRun = true
 		default:
-			t.others = true
+			v.uncertain = true
 		}
 		if r.crossed {
 			a.Crossed++
-			a.example("crossed", prefix+strconv.Itoa(r.id))
+			a.addExample("crossed", prefix+strconv.Itoa(r.id))
 		}
 		if r.cut {
 			a.Cut++
 		}
 	}
-	a.countRuns(byID, countByID(runs, prefix), prefix)
-	a.countOverlaps(throughEntries(records, runs, prefix))
+	a.compareRuns(byID, countByID(runs, prefix), prefix)
+	a.countOverlaps(excludeDirect(records, runs, prefix))
 	return a
 }
 
-// throughEntries leaves out the runs of direct requests, which go to any server.
-func throughEntries(records []record, runs []ran, prefix string) []ran {
+// excludeDirect returns the runs without those of direct requests. These go to any server, so runs of
+// one key may overlap.
+func excludeDirect(records []record, runs []serverRun, prefix string) []serverRun {
 	direct := make(map[string]bool)
 	for i := range records {
 		if records[i].direct {
 			direct[prefix+strconv.Itoa(records[i].id)] = true
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(runs), func(r ran) bool { return direct[r.RequestID] })
+	return slices.DeleteFunc(slices.Clone(runs), func(r serverRun) bool { return direct[r.RequestID] })
 }
 
-func countByID(runs []ran, prefix string) map[int]int {
+// countByID returns the number of runs of each request by its number.
+func countByID(runs []serverRun, prefix string) map[int]int {
 	counts := make(map[int]int)
 	for _, run := range runs {
 		number, found := strings.CutPrefix(run.RequestID, prefix)
@@ -134,22 +139,23 @@
 	return counts
 }
 
-func (a *Audit) countRuns(byID map[int]*told, counts map[int]int, prefix string) {
-	for id, t := range byID {
+// compareRuns compares what the caller of each request knows with how often the request ran.
+func (a *Audit) compareRuns(byID map[int]*callerView, counts map[int]int, prefix string) {
+	for id, v := range byID {
 		n := counts[id]
 		name := prefix + strconv.Itoa(id)
 		switch {
-		case t.ran:
+		case v.ran:
 			a.Ran++
 			if n == 0 {
 				a.Lost++
-				a.example("lost", name)
+				a.addExample("lost", name)
 			}
-		case t.notRun && !t.others:
+		case v.notRun && !v.uncertain:
 			a.NotRun++
 			if n > 0 {
 				a.NotRunButRan++
-				a.example("not-run-but-ran", name)
+				a.addExample("not-run-but-ran", name)
 			}
 		default:
 			a.Unknown++
@@ -159,33 +165,33 @@
 				a.UnknownNotRun++
 			}
 		}
-		if n > 1 && t.once {
+		if n > 1 && v.nonIdempotent {
 			a.Doubled++
-			a.example("doubled", name)
+			a.addExample("doubled", name)
 		}
-		if n > 1 && !t.once {
+		if n > 1 && !v.nonIdempotent {
 			a.Repeated++
 		}
 	}
 }
 
-// countOverlaps finds runs of one key at two servers at one time. It leaves out runs that never
-// ended, since their server crashed, and those during which their server was frozen: they took
-// effect before, and what they still do when the server returns is nothing.
-func (a *Audit) countOverlaps(runs []ran) {
-	byKey := make(map[string][]ran)
+// countOverlaps counts runs of one key at two servers at the same time. It excludes runs that never
+// ended because their server crashed, and runs whose server was frozen: a run takes effect at its
+// start and does nothing more when the server continues.
+func (a *Audit) countOverlaps(runs []serverRun) {
+	byKey := make(map[string][]serverRun)
 	for _, run := range runs {
 		if run.Key != "" && run.End != 0 && !run.Frozen {
 			byKey[run.Key] = append(byKey[run.Key], run)
 		}
 	}
 	for key, list := range byKey {
-		slices.SortFunc(list, func(x, y ran) int { return cmp.Compare(x.Start, y.Start) })
+		slices.SortFunc(list, func(x, y serverRun) int { return cmp.Compare(x.Start, y.Start) })
 		last := list[0]
 		for _, run := range list[1:] {
 			if run.server != last.server && run.Start < last.End {
 				a.Overlaps++
-				a.example("overlaps", key)
+				a.addExample("overlaps", key)
 			}
 			if run.End > last.End {
 				last = run
@@ -194,25 +200,28 @@
 	}
 }
 
-// fetchRuns asks each server for all its runs.
-func fetchRuns(ctx context.Context, client *http.Client, servers []string) (runs []ran, complete bool, err error) {
+// fetchRuns fetches the runs of all servers. The result complete is false if a server did not record
+// all of its runs.
+func fetchRuns(ctx context.Context, client *http.Client, servers []string) (runs []serverRun, complete bool, err error) {
 	complete = true
 	for _, address := range servers {
-		got, whole, err := fetchServer(ctx, client, address)
+		got, all, err := fetchServerRuns(ctx, client, address)
 		if err != nil {
 			return nil, false, fmt.Errorf("%w: %s: %w", ErrAudit, address, err)
 		}
 		runs = append(runs, got...)
-		complete = complete && whole
+		complete = complete && all
 	}
 	return runs, complete, nil
 }
 
-const runsPage = 50_000
+// maxRunsPerPage is the number of runs that one request to a server asks for.
+const maxRunsPerPage = 50_000
 
-func fetchServer(ctx context.Context, client *http.Client, address string) (runs []ran, whole bool, err error) {
+// fetchServerRuns fetches all runs of the server at an address, page by page.
+func fetchServerRuns(ctx context.Context, client *http.Client, address string) (runs []serverRun, all bool, err error) {
 	for {
-		url := fmt.Sprintf("http://%s%s?from=%d&limit=%d", address, stand.RunsPath, len(runs), runsPage)
+		url := fmt.Sprintf("http://%s%s?from=%d&limit=%d", address, stand.RunsPath, len(runs), maxRunsPerPage)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
 			return nil, false, err
@@ -228,9 +237,9 @@
 			return nil, false, err
 		}
 		for _, run := range page.Runs {
-			runs = append(runs, ran{Run: run, server: page.Server})
+			runs = append(runs, serverRun{Run: run, server: page.Server})
 		}
-		if len(page.Runs) < runsPage {
+		if len(page.Runs) < maxRunsPerPage {
 			return runs, page.Forgotten == 0, nil
 		}
 	}
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -9,9 +9,9 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// BenchmarkStandInServer measures the most requests a second that this tool gets out of one
-// stand-in server without an entry instance between. No measurement through an entry instance
-// can go beyond it. Set -cpu to the cores of both together.
+// BenchmarkStandInServer measures how many requests per second the load tool gets from one stand-in
+// server without an entry instance in between, which is an upper limit for measurements through an
+// entry instance. Set -cpu to the number of cores for the tool and the server together.
 func BenchmarkStandInServer(b *testing.B) {
 	server := stand.NewServer(stand.ServerSettings{
 		Name: "s1", Service: "oddaja", Address: "127.0.0.1:0", Slots: 1024, Queue: 1024,
@@ -33,7 +33,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			r := record{planned: planned{id: int(id.Add(1)), direct: true, key: "oddaja-1"}, start: time.Since(s.started)}
-			s.once(ctx, &r)
+			s.sendOnce(ctx, &r)
 			if r.result != ResultRan {
 				failed.Add(1)
 			}
@@ -48,10 +48,10 @@
 	}
 }
 
-// BenchmarkPlan measures what it costs to choose one request.
+// BenchmarkPlan measures the cost of planning one request.
 func BenchmarkPlan(b *testing.B) {
 	p := profile(func(p *Profile) {
-		p.Rate, p.DurationMillis = 1, maxSeconds*1000
+		p.Rate, p.DurationMillis = 1, maxDurationSeconds*1000
 		p.Services[0] = Service{Name: "arhiv", Share: 1, Keys: 100_000, HotKeys: 10, HotShare: 0.5, ShiftMillis: 1000}
 	})
 	l := newPlan(p)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,39 +13,40 @@
 	"github.com/google/uuid"
 )
 
-// settle is how long after the last answer the servers are asked: requests that were given
-// up may run until then.
-const settle = 500 * time.Millisecond
+// settleDelay is the wait between the last answer and the audit, because requests that the sender
+// gave up on may still run.
+const settleDelay = 500 * time.Millisecond
 
-// Run sends the load of a checked profile, waits for all answers and asks the servers what
-// they ran. The error wraps ErrAudit if they could not be asked; the report then has no audit.
+// Run sends the load of a profile that has passed Check, waits for all answers and audits them
+// against the runs of the servers. The error wraps ErrAudit if the runs could not be fetched, in
+// which case the report has no audit, and ErrViolations if the audit found violations.
 func Run(ctx context.Context, p *Profile) (*Report, error) {
-	run := uuid.NewString()
-	s := newSender(p, run)
+	runID := uuid.NewString()
+	s := newSender(p, runID)
 	records := s.runAll(ctx)
 	took := time.Since(s.started)
 	slices.SortFunc(records, func(x, y record) int { return cmp.Compare(x.start, y.start) })
-	report := summarise(p, records, took)
+	report := newReport(p, records, took)
 	report.Late = latencyOf(s.late)
 	if len(p.Servers) == 0 {
 		return report, nil
 	}
-	duty.Pause(ctx, settle)
+	duty.Pause(ctx, settleDelay)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	runs, complete, err := fetchRuns(ctx, client, p.Servers)
 	if err != nil {
 		return report, err
 	}
-	mine := runs[:0]
+	own := runs[:0]
 	for _, r := range runs {
-		if len(r.RequestID) > len(run) && r.RequestID[:len(run)] == run {
-			mine = append(mine, r)
+		if len(r.RequestID) > len(runID) && r.RequestID[:len(runID)] == runID {
+			own = append(own, r)
 		}
 	}
-	report.Audit = audit(records, mine, run+"-")
+	report.Audit = audit(records, own, runID+"-")
 	report.Audit.Complete = complete
 	if n := report.Audit.Violations(); n > 0 {
-		return report, fmt.Errorf("%w: %d times", ErrBroken, n)
+		return report, fmt.Errorf("%w: %d", ErrViolations, n)
 	}
 	return report, nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -17,11 +17,12 @@
 	"example.org/mustardring/pkg/caller"
 )
 
+// profile returns a checked profile with even starts and a change applied to it.
 func profile(change func(*Profile)) *Profile {
 	p := &Profile{
 		Entries: []string{"127.0.0.1:1", "127.0.0.1:2"}, Servers: []string{"127.0.0.1:3"},
 		Rate: 100, DurationMillis: 2000, Spread: SpreadEven, Seed: 7,
-		Services: []Service{{Name: "oddaja", Share: 1, Keys: 100, OnceShare: 0.5}},
+		Services: []Service{{Name: "oddaja", Share: 1, Keys: 100, NonIdempotentShare: 0.5}},
 	}
 	if change != nil {
 		change(p)
@@ -37,12 +38,12 @@
 		change func(*Profile)
 		field  string
 	}{
-		"well":             {change: func(*Profile) {}},
-		"another machine":  {change: func(p *Profile) { p.Entries[1] = "10.0.0.1:80" }, field: "entries"},
-		"name for address": {change: func(p *Profile) { p.Servers[0] = "localhost:80" }, field: "servers"},
-		"endless":          {change: func(p *Profile) { p.DurationMillis = 4_000_000 }, field: "duration-ms"},
-		"too many":         {change: func(p *Profile) { p.Rate = 1e7 }, field: "rate"},
-		"share":            {change: func(p *Profile) { p.Services[0].OnceShare = 2 }, field: "services[0].once-share"},
+		"valid":             {change: func(*Profile) {}},
+		"not loopback":      {change: func(p *Profile) { p.Entries[1] = "10.0.0.1:80" }, field: "entries"},
+		"host name":         {change: func(p *Profile) { p.Servers[0] = "localhost:80" }, field: "servers"},
+		"too long":          {change: func(p *Profile) { p.DurationMillis = 4_000_000 }, field: "duration-ms"},
+		"too many requests": {change: func(p *Profile) { p.Rate = 1e7 }, field: "rate"},
+		"share above one":   {change: func(p *Profile) { p.Services[0].NonIdempotentShare = 2 }, field: "services[0].once-share"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +60,7 @@
 	is := is.New(t)
 	p := profile(func(p *Profile) {
 		p.Rate, p.Spread = 5000, SpreadRandom
-		p.Services[0] = Service{Name: "arhiv", Share: 1, Keys: 100_000, HotKeys: 10, HotShare: 0.5, ShiftMillis: 1000, OnceShare: 0.25}
+		p.Services[0] = Service{Name: "arhiv", Share: 1, Keys: 100_000, HotKeys: 10, HotShare: 0.5, ShiftMillis: 1000, NonIdempotentShare: 0.25}
 		p.Resend.TwinShare = 0.1
 	})
 	a, b := newPlan(p), newPlan(p)
@@ -76,7 +77,7 @@
 		switch {
 		case r.id == last:
 			twins++
-		case r.once:
+		case r.nonIdempotent:
 			once++
 		}
 		last = r.id
@@ -84,7 +85,7 @@
 	}
 	share := func(n int) int { return (100*n + last/2) / last }
 	is.Equal([]int{share(once), share(twins)}, []int{25, 10}) // fixed by the seed
-	most := func(m map[string]int) (best string) {
+	mostFrequent := func(m map[string]int) (best string) {
 		for key, n := range m {
 			if n > m[best] {
 				best = key
@@ -92,17 +93,18 @@
 		}
 		return best
 	}
-	is.True(hot[0][most(hot[0])] > 100)
-	is.True(hot[1][most(hot[0])] < 10) // the hot set has shifted
+	is.True(hot[0][mostFrequent(hot[0])] > 100)
+	is.True(hot[1][mostFrequent(hot[0])] < 10) // the hot set has shifted
 }
 
-// roundTrip is an http.RoundTripper made of a function.
+// roundTrip adapts a function to an http.RoundTripper.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) {
 	return f(r)
 }
 
+// answer returns an answer to r as a stand-in server gives it, with the given outcome.
 func answer(r *http.Request, outcome caller.Outcome) *http.Response {
 	body := fmt.Sprintf(`{"request-id":%q}`, r.Header.Get(caller.HeaderRequestID))
 	return &http.Response{
@@ -112,9 +114,9 @@
 	}
 }
 
-// The entry instance stands still for a second, and the one connection of the load with it.
-// Requests that were to start meanwhile start late; a tool that measures from when they were
-// written would show one slow request in place of a hundred.
+// The only connection stalls for a second. Requests that were to start meanwhile start late, and
+// their latency counts from the intended start. If it counted from when they were written, one slow
+// request would show instead of a hundred.
 func TestLatencyCountsFromIntendedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -127,7 +129,7 @@
 			}
 			return answer(r, caller.Ran), nil
 		})}
-		report := summarise(p, s.runAll(t.Context()), time.Since(s.started))
+		report := newReport(p, s.runAll(t.Context()), time.Since(s.started))
 		is.Equal(sent, 199)
 		is.Equal(report.Lanes[0].Latency.Count, int64(199))
 		slow := 0
@@ -140,8 +142,9 @@
 	})
 }
 
-// A caller gets no answer, sends again through the other entry instance, and is told that it
-// ran. Each sending is counted, under one request ID, and none is sent by the client library.
+// A caller resends a request, alternating between the entry instances, until the answer is that it
+// ran. Each submission is recorded, and net/http cannot retry one by itself because the request has
+// no GetBody.
 func TestResend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,37 +182,37 @@
 }
 
 func TestAudit(t *testing.T) {
-	sending := func(result Result, once bool) record {
-		return record{planned: planned{id: 1, once: once}, result: result}
+	submission := func(result Result, once bool) record {
+		return record{planned: planned{id: 1, nonIdempotent: once}, result: result}
 	}
-	runAt := func(server string, start, end int64) ran {
-		return ran{server: server, Run: stand.Run{RequestID: "run-1", Key: "k", Start: start, End: end}}
+	runAt := func(server string, start, end int64) serverRun {
+		return serverRun{server: server, Run: stand.Run{RequestID: "run-1", Key: "k", Start: start, End: end}}
 	}
-	one := []ran{runAt("a", 1, 2)}
-	two := []ran{runAt("a", 1, 2), runAt("a", 3, 4)}
+	one := []serverRun{runAt("a", 1, 2)}
+	two := []serverRun{runAt("a", 1, 2), runAt("a", 3, 4)}
 	tests := map[string]struct {
 		records []record
-		runs    []ran
+		runs    []serverRun
 		want    Audit
 	}{
-		"ran":              {records: []record{sending(ResultRan, true)}, runs: one, want: Audit{Ran: 1}},
-		"lost":             {records: []record{sending(ResultRan, true)}, want: Audit{Ran: 1, Lost: 1}},
-		"not run":          {records: []record{sending(ResultNotRun, true)}, want: Audit{NotRun: 1}},
-		"not run but ran":  {records: []record{sending(ResultNotRun, true)}, runs: one, want: Audit{NotRun: 1, NotRunButRan: 1}},
-		"unreached, ran":   {records: []record{sending(ResultUnreached, true)}, runs: one, want: Audit{NotRun: 1, NotRunButRan: 1}},
-		"unknown, ran":     {records: []record{sending(ResultUnknown, true)}, runs: one, want: Audit{Unknown: 1, UnknownRan: 1}},
-		"unknown, not run": {records: []record{sending(ResultNoAnswer, true)}, want: Audit{Unknown: 1, UnknownNotRun: 1}},
+		"ran":              {records: []record{submission(ResultRan, true)}, runs: one, want: Audit{Ran: 1}},
+		"lost":             {records: []record{submission(ResultRan, true)}, want: Audit{Ran: 1, Lost: 1}},
+		"not run":          {records: []record{submission(ResultNotRun, true)}, want: Audit{NotRun: 1}},
+		"not run but ran":  {records: []record{submission(ResultNotRun, true)}, runs: one, want: Audit{NotRun: 1, NotRunButRan: 1}},
+		"unreached, ran":   {records: []record{submission(ResultUnreached, true)}, runs: one, want: Audit{NotRun: 1, NotRunButRan: 1}},
+		"unknown, ran":     {records: []record{submission(ResultUnknown, true)}, runs: one, want: Audit{Unknown: 1, UnknownRan: 1}},
+		"unknown, not run": {records: []record{submission(ResultNoAnswer, true)}, want: Audit{Unknown: 1, UnknownNotRun: 1}},
 		"unknown then not run": {
-			records: []record{sending(ResultUnknown, true), sending(ResultNotRun, true)}, runs: one,
+			records: []record{submission(ResultUnknown, true), submission(ResultNotRun, true)}, runs: one,
 			want: Audit{Unknown: 1, UnknownRan: 1},
 		},
 		"not run then ran": {
-			records: []record{sending(ResultNotRun, true), sending(ResultRan, true)}, runs: one, want: Audit{Ran: 1},
+			records: []record{submission(ResultNotRun, true), submission(ResultRan, true)}, runs: one, want: Audit{Ran: 1},
 		},
-		"doubled":       {records: []record{sending(ResultRan, true)}, runs: two, want: Audit{Ran: 1, Doubled: 1}},
-		"repeated":      {records: []record{sending(ResultRan, false)}, runs: two, want: Audit{Ran: 1, Repeated: 1}},
-		"two owners":    {records: []record{sending(ResultRan, false)}, runs: []ran{runAt("a", 1, 5), runAt("b", 4, 9)}, want: Audit{Ran: 1, Repeated: 1, Overlaps: 1}},
-		"owner changed": {records: []record{sending(ResultRan, false)}, runs: []ran{runAt("a", 1, 5), runAt("b", 5, 9)}, want: Audit{Ran: 1, Repeated: 1}},
+		"doubled":       {records: []record{submission(ResultRan, true)}, runs: two, want: Audit{Ran: 1, Doubled: 1}},
+		"repeated":      {records: []record{submission(ResultRan, false)}, runs: two, want: Audit{Ran: 1, Repeated: 1}},
+		"two owners":    {records: []record{submission(ResultRan, false)}, runs: []serverRun{runAt("a", 1, 5), runAt("b", 4, 9)}, want: Audit{Ran: 1, Repeated: 1, Overlaps: 1}},
+		"owner changed": {records: []record{submission(ResultRan, false)}, runs: []serverRun{runAt("a", 1, 5), runAt("b", 5, 9)}, want: Audit{Ran: 1, Repeated: 1}},
 		"crossed":       {records: []record{{planned: planned{id: 1}, crossed: true}}, runs: one, want: Audit{Ran: 1, Crossed: 1}},
 	}
 	for name, test := range tests {
@@ -222,8 +225,8 @@
 	}
 }
 
-// Two keys fail at different times and serve again; a third never does. Each counts once,
-// from the first request that failed to the end of the first that ran.
+// Two keys are unavailable at different times and recover, and a third never does. Each counts once,
+// from the start of its first failed submission to the end of the next one that ran.
 func TestUnavailableTime(t *testing.T) {
 	is := is.New(t)
 	at := func(key string, start, end time.Duration, result Result) record {
@@ -241,5 +244,5 @@
 	}, func(*record) bool { return true })
 	is.Equal(lane.Unavailable.Count, int64(3))
 	is.Equal(lane.Unavailable.P50, int64(101_055))   // 101 ms within the precision
-	is.Equal(lane.Unavailable.Max, int64(1_000_447)) // c: 1000 ms to the end
+	is.Equal(lane.Unavailable.Max, int64(1_000_447)) // c: 1000 ms, to the last submission
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -10,14 +10,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 5 * vg.Inch
 )
 
-// WritePlot writes the latency of each lane by percentile to an image file. The kind of the
-// image follows from the name.
+// WritePlot plots the latency of each lane by percentile to an image file. The extension of the file
+// name determines the image format.
 func (r *Report) WritePlot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("latency from the intended start, %.0f requests/s offered", r.Offered)
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("load: nothing ran, so there is nothing to plot")
+		return fmt.Errorf("load: no lane has enough completed requests to plot")
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return fmt.Errorf("load: plot: %w", err)
@@ -44,11 +44,12 @@
 	return nil
 }
 
-// points has the latency at 0, 0.1, 0.2, ... nines: 1 is 90 %, 2 is 99 %.
+// points returns the latency in milliseconds at 0, 0.1, 0.2, ... nines: 1 nine is 90 %,
+// 2 nines are 99 %. It ends at the percentile that the number of recorded latencies resolves.
 func (l *Lane) points() plotter.XYs {
 	var points plotter.XYs
-	most := math.Log10(float64(l.latencies.TotalCount()))
-	for nines := 0.0; nines <= most; nines += 0.1 {
+	maxNines := math.Log10(float64(l.latencies.TotalCount()))
+	for nines := 0.0; nines <= maxNines; nines += 0.1 {
 		quantile := 100 * (1 - math.Pow(10, -nines))
 		micros := l.latencies.ValueAtQuantile(quantile)
 		points = append(points, plotter.XY{X: nines, Y: float64(max(micros, 1)) / 1000})
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,6 +1,9 @@
-// Package load sends open-loop load to entry instances, measures latency from the moment at
-// which each request was to start, and checks what the answers said against what the stand-in
-// servers really ran. It targets loopback addresses only.
+// Package load sends open-loop load to entry instances, measures latency from the intended start of
+// each request, and audits the answers against the requests that the stand-in servers really ran.
+// It sends to loopback addresses only.
+//
+// A request may be submitted several times under one request ID: sequentially after a failure, or
+// twice at once as a pair of twins.
 package load
 
 import (
@@ -10,30 +13,35 @@
 	"example.org/mustardring/internal/config"
 )
 
-// maxRequests bounds the requests of one profile.
+// maxRequests limits the requests of one profile.
 const maxRequests = 5_000_000
 
-// maxSeconds bounds the time of one profile.
-const maxSeconds = 3600
+// maxDurationSeconds limits the duration of one profile.
+const maxDurationSeconds = 3600
 
-// Profile is a load profile. Times are in milliseconds.
+// Profile configures a load run. Fields that end in Millis are in milliseconds.
 type Profile struct {
-	// Entries are the addresses of entry instances. Each request goes to one of them.
+	// Entries are the addresses of entry instances. Each request that is not direct goes to a
+	// random one of them.
 	Entries []string `json:"entries"`
-	// Servers are the addresses of the stand-in servers that are asked what they ran.
+	// Servers are the addresses of the stand-in servers whose runs are fetched for the audit.
+	// Without any, the report has no audit.
 	Servers []string `json:"servers"`
-	// Rate is the number of requests a second, over DurationMillis.
+	// Rate is the number of requests per second, for DurationMillis.
 	Rate           float64 `json:"rate"`
 	DurationMillis int64   `json:"duration-ms"`
-	// Spread is SpreadEven or SpreadRandom, which is the default.
+	// Spread is how the starts of requests are spread over time: SpreadEven or SpreadRandom, the
+	// default.
 	Spread string `json:"spread,omitempty"`
-	// Seed chooses keys, entries and starts. The same seed gives the same requests.
+	// Seed determines services, keys, targets and start times. The same seed gives the same
+	// requests.
 	Seed uint64 `json:"seed"`
-	// Precise starts requests on time at the price of a core.
+	// Precise makes requests start on time, at the cost of a busy CPU core.
 	Precise bool `json:"precise,omitempty"`
-	// InFlight bounds the requests under way, 512 if unstated. Others wait, and their wait counts.
+	// InFlight limits the requests in flight, 512 if zero. Further requests wait, and the wait
+	// counts as latency.
 	InFlight int `json:"in-flight,omitempty"`
-	// DeadlineMillis is the deadline of each request after its start, 2000 if unstated.
+	// DeadlineMillis is the time from the start of a request to its deadline, 2000 if zero.
 	DeadlineMillis int64     `json:"deadline-ms,omitempty"`
 	Services       []Service `json:"services"`
 	Resend         Resend    `json:"resend"`
@@ -42,47 +50,48 @@
 	DirectShare float64 `json:"direct-share,omitempty"`
 }
 
-// Service is the load on one service.
+// Service configures the load on one service.
 type Service struct {
 	Name string `json:"name"`
-	// Share is relative to the sum of the shares.
+	// Share is the weight of the service, relative to the sum over all services.
 	Share float64 `json:"share"`
-	// Keys is the number of keys. Zero sends no key.
+	// Keys is the number of keys. If it is zero, requests have no key.
 	Keys int `json:"keys"`
-	// HotKeys is the size of the hot set, which gets HotShare of the requests. A new hot set is
-	// chosen every ShiftMillis.
+	// HotKeys is the size of the hot set, the keys that get HotShare of the requests. A new hot set
+	// is chosen every ShiftMillis, or never if that is zero.
 	HotKeys     int     `json:"hot-keys,omitempty"`
 	HotShare    float64 `json:"hot-share,omitempty"`
 	ShiftMillis int64   `json:"shift-ms,omitempty"`
-	// OnceShare is the share of requests that must not run twice.
-	OnceShare float64 `json:"once-share"`
-	BodyBytes int     `json:"body-bytes,omitempty"`
-	// AnswerBytes is what a server adds to its answer.
+	// NonIdempotentShare is the share of requests that are non-idempotent: they must not run twice.
+	NonIdempotentShare float64 `json:"once-share"`
+	BodyBytes          int     `json:"body-bytes,omitempty"`
+	// AnswerBytes is the number of bytes that a server adds to its answer.
 	AnswerBytes int `json:"answer-bytes,omitempty"`
 }
 
-// Resend says how callers send requests again, under the same ID.
+// Resend configures how callers submit requests again, under the same request ID.
 type Resend struct {
-	// Tries is the number of resends after an answer other than ran, WaitMillis apart. Each
-	// goes to the next entry instance.
+	// Tries is the greatest number of resends of a request. A resend follows WaitMillis after any
+	// result but ResultRan and goes to the next entry instance. Direct requests are not resent.
 	Tries      int   `json:"tries,omitempty"`
 	WaitMillis int64 `json:"wait-ms,omitempty"`
-	// TwinShare is the share of requests that are sent twice at once, over two entries.
+	// TwinShare is the share of requests that are submitted twice at once, to two entry instances.
 	TwinShare float64 `json:"twin-share,omitempty"`
 }
 
-// How starts are spread.
+// Values of Profile.Spread: equal or exponentially distributed intervals between starts.
 const (
 	SpreadEven   = "even"
 	SpreadRandom = "random"
 )
 
+// Values of fields that are zero.
 const (
-	defaultInFlight = 512
-	defaultDeadline = 2000
+	defaultInFlight       = 512
+	defaultDeadlineMillis = 2000
 )
 
-// Check implements config.Checker and fills in what is unstated.
+// Check implements config.Checker. It also sets fields that are zero to their defaults.
 func (p *Profile) Check(file string) error {
 	if field, found, mend := p.check(); mend != "" {
 		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
@@ -90,12 +99,14 @@
 	return nil
 }
 
+// check returns the first invalid field, the value found and how to correct it. It returns empty
+// strings if there is none. It also sets defaults.
 func (p *Profile) check() (field, found, mend string) {
 	if p.InFlight == 0 {
 		p.InFlight = defaultInFlight
 	}
 	if p.DeadlineMillis == 0 {
-		p.DeadlineMillis = defaultDeadline
+		p.DeadlineMillis = defaultDeadlineMillis
 	}
 	if p.Spread == "" {
 		p.Spread = SpreadRandom
@@ -105,8 +116,8 @@
 		return "entries", "nothing", "give the addresses of entry instances"
 	case p.Rate <= 0:
 		return "rate", fmt.Sprint(p.Rate), "give a number above zero"
-	case p.DurationMillis <= 0 || p.DurationMillis > maxSeconds*1000:
-		return "duration-ms", fmt.Sprint(p.DurationMillis), fmt.Sprintf("give a number from 1 to %d", maxSeconds*1000)
+	case p.DurationMillis <= 0 || p.DurationMillis > maxDurationSeconds*1000:
+		return "duration-ms", fmt.Sprint(p.DurationMillis), fmt.Sprintf("give a number from 1 to %d", maxDurationSeconds*1000)
 	case p.Rate*float64(p.DurationMillis)/1000 > maxRequests:
 		return "rate", fmt.Sprint(p.Rate), fmt.Sprintf("send no more than %d requests in all", maxRequests)
 	case p.Spread != SpreadEven && p.Spread != SpreadRandom:
@@ -124,6 +135,7 @@
 	return p.checkAddresses()
 }
 
+// checkShares does the work of check for the services and all shares.
 func (p *Profile) checkShares() (field, found, mend string) {
 	if len(p.Services) == 0 {
 		return "services", "nothing", "give at least one"
@@ -135,7 +147,7 @@
 			return place[:len(place)-1], s.Name, "give a name, a share above zero and no more hot keys than keys"
 		}
 		shares[place+"hot-share"] = s.HotShare
-		shares[place+"once-share"] = s.OnceShare
+		shares[place+"once-share"] = s.NonIdempotentShare
 	}
 	for field, share := range shares {
 		if share < 0 || share > 1 {
@@ -145,7 +157,7 @@
 	return "", "", ""
 }
 
-// checkAddresses refuses anything but loopback: load is sent to this machine only.
+// checkAddresses accepts only loopback addresses, so that load goes to no other machine.
 func (p *Profile) checkAddresses() (field, found, mend string) {
 	for field, addresses := range map[string][]string{"entries": p.Entries, "servers": p.Servers} {
 		for _, address := range addresses {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// Result is what a sending came to, as its caller sees it.
+// Result is the result of a submission as its caller sees it.
 type Result uint8
 
-// The results.
+// Values of Result.
 const (
-	// ResultRan, ResultNotRun and ResultUnknown are what the answer said.
+	// ResultRan, ResultNotRun and ResultUnknown are the outcomes that an answer states.
 	ResultRan Result = iota
 	ResultNotRun
 	ResultUnknown
-	// ResultNoAnswer says that the connection broke or the time was over without an answer
-	// that states an outcome.
+	// ResultNoAnswer says that no answer with an outcome arrived before the connection broke or the
+	// time was over, or that the answer states none.
 	ResultNoAnswer
-	// ResultUnreached says that no connection could be made.
+	// ResultUnreached says that the request was not sent, mostly because no connection could be
+	// made.
 	ResultUnreached
 	resultCount
 )
 
-// String returns the name of the result.
+// String returns the name of the result in reports.
 func (r Result) String() string {
 	return [...]string{"ran", "not-run", "unknown", "no-answer", "unreached"}[r]
 }
 
-// record is one sending that has ended. A request may have several.
+// record is one submission that has ended. A request may have several.
 type record struct {
 	planned
 	result Result
-	// attempt counts the sendings of a request after one another, from 1.
+	// attempt is 1 for the first submission and increases with each resend. It starts at 1 for
+	// each of two twins.
 	attempt int
-	// start is when the sending was to start, and end when its answer was whole or given up,
-	// both after the start of the run.
+	// start is the intended start, and end the time at which the answer was complete or the sender
+	// gave up, both relative to the start of the load run.
 	start time.Duration
 	end   time.Duration
-	// cut says that the answer broke off, and crossed that it belongs to another request.
+	// cut says that the answer is truncated, and crossed that it belongs to another request.
 	cut     bool
 	crossed bool
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -6,43 +6,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range and precision of latencies, in microseconds.
+// Range and precision of the recorded latencies. The range is in microseconds.
 const (
-	leastLatency = 1
-	mostLatency  = int64(time.Hour / time.Microsecond)
-	digits       = 3
+	minLatency        = 1
+	maxLatency        = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-// Report is what a run came to. Latencies and times are in microseconds.
+// Report is the result of a load run. Fields of type Latency are in microseconds.
 type Report struct {
-	// Offered is the planned rate, and Achieved that of answers which said ran, per second.
+	// Offered is the rate of the profile, and Achieved the rate of submissions that were answered
+	// ran, both per second.
 	Offered  float64 `json:"offered-rate"`
 	Achieved float64 `json:"achieved-rate"`
-	// Seconds is how long the run took.
+	// Seconds is the duration of the load run.
 	Seconds float64 `json:"seconds"`
-	// Late is how late the tool itself handed requests over. Latencies include it.
+	// Late is how late the load tool itself dispatched submissions. Latencies include it.
 	Late  Latency `json:"late"`
 	Lanes []Lane  `json:"lanes"`
 	Audit *Audit  `json:"audit,omitempty"`
-	// Timeline has counts by result for each tenth of a second.
+	// Timeline has the counts of submissions for each tenth of a second.
 	Timeline []Tick `json:"timeline"`
 }
 
-// Lane is one kind of requests: those to a service, or those sent to servers directly.
+// Lane has the figures for one class of requests: those to one service through entry instances, or
+// all direct ones.
 type Lane struct {
-	Name     string         `json:"name"`
-	Sendings map[string]int `json:"sendings"`
-	// Latency is that of sendings whose answer said ran, from the time at which they were to
-	// start.
+	Name        string         `json:"name"`
+	Submissions map[string]int `json:"sendings"`
+	// Latency is the distribution over the submissions that were answered ran, from the intended
+	// start to the end of the answer.
 	Latency Latency `json:"latency"`
-	// Unavailable is, over the keys that ever failed, the time from the start of the first
-	// request that did not run to the end of the next one that did.
+	// Unavailable is the distribution of the times for which keys were unavailable: from the
+	// intended start of the first submission for a key that was not answered ran to the end of the
+	// next one that was, or to the start of the last submission of the load run.
 	Unavailable Latency `json:"unavailable"`
 
 	latencies *hdrhistogram.Histogram
 }
 
-// Latency has the percentiles of a distribution, in microseconds.
+// Latency has percentiles of a distribution of times, in microseconds.
 type Latency struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -52,17 +55,19 @@
 	Max   int64 `json:"max"`
 }
 
-// Tick counts the sendings that were to start within a tenth of a second.
+// Tick counts the submissions whose intended start lies within one tenth of a second. NotRun includes
+// submissions that were not sent.
 type Tick struct {
 	Ran    int `json:"ran"`
 	NotRun int `json:"not-run"`
 	Other  int `json:"other"`
 }
 
-const tick = 100 * time.Millisecond
+// tickLength is the duration that one Tick covers.
+const tickLength = 100 * time.Millisecond
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastLatency, mostLatency, digits)
+	return hdrhistogram.New(minLatency, maxLatency, significantDigits)
 }
 
 func latencyOf(h *hdrhistogram.Histogram) Latency {
@@ -76,14 +81,16 @@
 	}
 }
 
-func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), leastLatency), mostLatency))
+// recordLatency adds d to h. Times outside the range are recorded as its nearest bound.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatency), maxLatency))
 }
 
-const directLane = "direct"
+// directLaneName is the name of the Lane of direct requests.
+const directLaneName = "direct"
 
-// summarise counts records that are sorted by their start.
-func summarise(p *Profile, records []record, took time.Duration) *Report {
+// newReport returns the report, without Late and Audit, on records that are sorted by their start.
+func newReport(p *Profile, records []record, took time.Duration) *Report {
 	report := &Report{Offered: p.Rate, Seconds: took.Seconds()}
 	ran := 0
 	for i := range records {
@@ -93,32 +100,33 @@
 	}
 	report.Achieved = float64(ran) / max(took.Seconds(), 1e-9)
 	for i, s := range p.Services {
-		mine := func(r *record) bool { return r.service == i && !r.direct }
-		report.Lanes = append(report.Lanes, newLane(s.Name, records, mine))
+		isOfService := func(r *record) bool { return r.service == i && !r.direct }
+		report.Lanes = append(report.Lanes, newLane(s.Name, records, isOfService))
 	}
 	if p.DirectShare > 0 {
-		report.Lanes = append(report.Lanes, newLane(directLane, records, func(r *record) bool { return r.direct }))
+		report.Lanes = append(report.Lanes, newLane(directLaneName, records, func(r *record) bool { return r.direct }))
 	}
 	report.Timeline = timeline(records)
 	return report
 }
 
-func newLane(name string, records []record, mine func(*record) bool) Lane {
-	lane := Lane{Name: name, Sendings: make(map[string]int), latencies: newHistogram()}
-	gaps := newHistogram()
+// newLane returns the Lane of the records that belong to it.
+func newLane(name string, records []record, belongs func(*record) bool) Lane {
+	lane := Lane{Name: name, Submissions: make(map[string]int), latencies: newHistogram()}
+	outages := newHistogram()
 	failedAt := make(map[string]time.Duration)
 	for i := range records {
 		r := &records[i]
-		if !mine(r) {
+		if !belongs(r) {
 			continue
 		}
-		lane.Sendings[r.result.String()]++
+		lane.Submissions[r.result.String()]++
 		since, failing := failedAt[r.key]
 		switch {
 		case r.result == ResultRan:
-			observe(lane.latencies, r.latency())
+			recordLatency(lane.latencies, r.latency())
 			if failing {
-				observe(gaps, r.end-since)
+				recordLatency(outages, r.end-since)
 				delete(failedAt, r.key)
 			}
 		case !failing:
@@ -126,16 +134,17 @@
 		}
 	}
 	for _, since := range failedAt {
-		observe(gaps, records[len(records)-1].start-since)
+		recordLatency(outages, records[len(records)-1].start-since)
 	}
-	lane.Latency, lane.Unavailable = latencyOf(lane.latencies), latencyOf(gaps)
+	lane.Latency, lane.Unavailable = latencyOf(lane.latencies), latencyOf(outages)
 	return lane
 }
 
+// timeline counts the records by the tenth of a second of their start.
 func timeline(records []record) []Tick {
 	var ticks []Tick
 	for i := range records {
-		at := int(records[i].start / tick)
+		at := int(records[i].start / tickLength)
 		for len(ticks) <= at {
 			ticks = append(ticks, Tick{})
 		}
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -21,46 +21,48 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// grace is how long after its deadline a request is given up. An honest answer that the
-// deadline has passed comes within it.
-const grace = 250 * time.Millisecond
+// deadlineGrace is how long the sender waits beyond the deadline of a request, so that the answer
+// that reports a passed deadline can still arrive.
+const deadlineGrace = 250 * time.Millisecond
 
-// spin is how long before its time a request is waited for without a timer.
-const spin = 300 * time.Microsecond
+// spinTime is the part of the wait before a request that polls the clock instead of using a timer,
+// if the profile is precise.
+const spinTime = 300 * time.Microsecond
 
-// headBytes bounds what is kept of an answer, enough for the JSON of a stand-in server.
-const headBytes = 4096
+// maxHeadBytes limits how much of an answer is kept in memory. The JSON of a stand-in server fits.
+const maxHeadBytes = 4096
 
-// sender sends requests over kept connections.
+// sender sends the requests of a profile and keeps connections open between them.
 type sender struct {
 	profile *Profile
-	run     string
+	runID   string
 	started time.Time
 	client  *http.Client
 	bodies  [][]byte
-	// late has how late requests were handed over.
+	// late is the distribution of how late requests were dispatched to workers.
 	late *hdrhistogram.Histogram
 }
 
-func newSender(p *Profile, run string) *sender {
-	s := &sender{profile: p, run: run, late: newHistogram()}
-	s.client = &http.Client{Transport: newWire(time.Duration(p.DeadlineMillis) * time.Millisecond)}
+func newSender(p *Profile, runID string) *sender {
+	s := &sender{profile: p, runID: runID, late: newHistogram()}
+	s.client = &http.Client{Transport: newTransport(time.Duration(p.DeadlineMillis) * time.Millisecond)}
 	for _, service := range p.Services {
 		s.bodies = append(s.bodies, bytes.Repeat([]byte{'x'}, service.BodyBytes))
 	}
 	return s
 }
 
-func (s *sender) id(n int) string {
-	return s.run + "-" + strconv.Itoa(n)
+// requestID returns the request ID for the number of a request. It is unique among load runs.
+func (s *sender) requestID(n int) string {
+	return s.runID + "-" + strconv.Itoa(n)
 }
 
-// send sends a planned request and its resends, and appends a record for each.
+// send makes a planned submission and its resends, and appends a record of each to the slice to.
 func (s *sender) send(ctx context.Context, p planned, to []record) []record {
 	start := p.at
 	for attempt := 1; ; attempt++ {
 		r := record{planned: p, attempt: attempt, start: start}
-		s.once(ctx, &r)
+		s.sendOnce(ctx, &r)
 		r.end = time.Since(s.started)
 		to = append(to, r)
 		if r.result == ResultRan || attempt > s.profile.Resend.Tries || p.direct || ctx.Err() != nil {
@@ -72,10 +74,10 @@
 	}
 }
 
-// once sends one request and fills in its result.
-func (s *sender) once(ctx context.Context, r *record) {
+// sendOnce makes one submission and sets its result.
+func (s *sender) sendOnce(ctx context.Context, r *record) {
 	deadline := s.started.Add(r.start + time.Duration(s.profile.DeadlineMillis)*time.Millisecond)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(deadlineGrace))
 	defer cancel()
 	req, err := s.request(ctx, r, deadline)
 	if err != nil {
@@ -84,13 +86,14 @@
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
-		r.result = resultOf(err)
+		r.result = resultOfError(err)
 		return
 	}
 	defer resp.Body.Close()
-	s.judge(resp, r)
+	s.readAnswer(resp, r)
 }
 
+// request returns the HTTP request of a submission.
 func (s *sender) request(ctx context.Context, r *record, deadline time.Time) (*http.Request, error) {
 	service := s.profile.Services[r.service]
 	address := ""
@@ -109,7 +112,7 @@
 		return nil, fmt.Errorf("load: %w", err)
 	}
 	req.ContentLength = int64(len(body))
-	req.Header.Set(caller.HeaderRequestID, s.id(r.id))
+	req.Header.Set(caller.HeaderRequestID, s.requestID(r.id))
 	req.Header.Set(caller.HeaderDeadline, strconv.FormatInt(deadline.UnixMilli(), 10))
 	if r.attempt > 1 {
 		req.Header.Set(caller.HeaderAttempt, strconv.Itoa(r.attempt))
@@ -117,14 +120,14 @@
 	if r.key != "" {
 		req.Header.Set(caller.HeaderKey, r.key)
 	}
-	if !r.once {
+	if !r.nonIdempotent {
 		req.Header.Set(caller.HeaderIdempotent, "true")
 	}
 	return req, nil
 }
 
-// resultOf tells a connection that was never made from one that broke.
-func resultOf(err error) Result {
+// resultOfError distinguishes a connection that could not be made from one that broke.
+func resultOfError(err error) Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ResultUnreached
@@ -132,8 +135,9 @@
 	return ResultNoAnswer
 }
 
-// judge reads the whole answer and compares it with the request.
-func (s *sender) judge(resp *http.Response, r *record) {
+// readAnswer reads the whole answer, sets the result and checks that the answer is complete and
+// belongs to the request.
+func (s *sender) readAnswer(resp *http.Response, r *record) {
 	switch caller.Outcome(resp.Header.Get(caller.HeaderOutcome)) {
 	case caller.Ran:
 		r.result = ResultRan
@@ -145,7 +149,7 @@
 		r.result = ResultNoAnswer
 	}
 	var head bytes.Buffer
-	_, err := io.CopyN(&head, resp.Body, headBytes)
+	_, err := io.CopyN(&head, resp.Body, maxHeadBytes)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
@@ -154,49 +158,49 @@
 		return
 	}
 	id, found, whole := replyID(head.Bytes())
-	r.crossed = found && whole && id != s.id(r.id)
+	r.crossed = found && whole && id != s.requestID(r.id)
 	r.cut = found && !whole
 }
 
-// replyID returns the request ID in the JSON of a stand.Reply, and whether it is whole: a
-// server that states a length below that of its answer cuts it without a sign.
+// replyID returns the request ID in the JSON of a stand.Reply. The result whole is false if the
+// JSON ends within the ID: an answer with a wrong Content-Length is truncated without a read error.
 func replyID(head []byte) (id string, found, whole bool) {
 	_, rest, found := bytes.Cut(head, []byte(`"request-id":"`))
 	before, _, whole := bytes.Cut(rest, []byte(`"`))
 	return string(before), found, whole
 }
 
-// runAll sends all requests of the plan and returns the records. It ends with the plan, or
-// early with ctx.
+// runAll makes all submissions of the plan and returns their records. It ends early if ctx ends.
 func (s *sender) runAll(ctx context.Context) []record {
-	todo := make(chan planned, s.profile.InFlight)
-	kept := make([][]record, s.profile.InFlight)
+	work := make(chan planned, s.profile.InFlight)
+	recordsOf := make([][]record, s.profile.InFlight)
 	var workers sync.WaitGroup
 	s.started = time.Now()
-	for i := range kept {
+	for i := range recordsOf {
 		workers.Go(func() {
-			for p := range todo {
-				kept[i] = s.send(ctx, p, kept[i])
+			for p := range work {
+				recordsOf[i] = s.send(ctx, p, recordsOf[i])
 			}
 		})
 	}
-	s.dispatch(ctx, todo)
-	close(todo)
+	s.dispatch(ctx, work)
+	close(work)
 	workers.Wait()
 	s.client.CloseIdleConnections()
 	var all []record
-	for _, part := range kept {
+	for _, part := range recordsOf {
 		all = append(all, part...)
 	}
 	return all
 }
 
-// await waits until a time after the start. A timer alone wakes up to a millisecond late on a
-// busy machine, which would count as latency; Precise spends a core on the last part of the wait.
-func (s *sender) await(at time.Duration) {
+// waitUntil waits until a time relative to the start. A timer alone wakes up to a millisecond late on
+// a busy machine, which would count as latency. If the profile is precise, the last part of the wait
+// is a busy loop, which takes a CPU core.
+func (s *sender) waitUntil(at time.Duration) {
 	early := time.Duration(0)
 	if s.profile.Precise {
-		early = spin
+		early = spinTime
 	}
 	if wait := at - time.Since(s.started) - early; wait > 0 {
 		time.Sleep(wait)
@@ -206,19 +210,19 @@
 	}
 }
 
-// dispatch hands each request over when it is due. When all workers are busy it falls behind,
-// and the requests keep the times at which they were to start, so that the wait counts.
-func (s *sender) dispatch(ctx context.Context, todo chan<- planned) {
+// dispatch sends each planned submission to the workers when it is due. If all workers are busy it
+// falls behind, but the submissions keep their intended starts, so that the wait counts as latency.
+func (s *sender) dispatch(ctx context.Context, work chan<- planned) {
 	plan := newPlan(s.profile)
 	for {
 		p, ok := plan.next()
 		if !ok {
 			return
 		}
-		s.await(p.at)
-		observe(s.late, time.Since(s.started)-p.at)
+		s.waitUntil(p.at)
+		recordLatency(s.late, time.Since(s.started)-p.at)
 		select {
-		case todo <- p:
+		case work <- p:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/load/wire_test.go
+++ b/internal/load/transport_test.go
@@ -13,7 +13,7 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// startServer runs a stand-in server that checks nothing, until the test ends.
+// startServer runs a stand-in server that ignores grants until the test ends.
 func startServer(t *testing.T, s stand.ServerSettings) string {
 	t.Helper()
 	s.Name, s.Service, s.Address, s.Slots, s.Queue = "s1", "oddaja", "127.0.0.1:0", 64, 64
@@ -30,12 +30,12 @@
 	return server.Address()
 }
 
-// The whole tool against a server without an entry instance: each request runs once, its
-// answer is its own and whole, and the connections are kept.
+// The load tool runs against a server without an entry instance. Each request runs once and gets its
+// own complete answer.
 func TestRunAgainstServer(t *testing.T) {
 	tests := map[string]Service{
-		"bodies":       {Name: "oddaja", Share: 1, Keys: 50, OnceShare: 1, BodyBytes: 300},
-		"empty bodies": {Name: "oddaja", Share: 1, Keys: 50, OnceShare: 1},
+		"bodies":       {Name: "oddaja", Share: 1, Keys: 50, NonIdempotentShare: 1, BodyBytes: 300},
+		"empty bodies": {Name: "oddaja", Share: 1, Keys: 50, NonIdempotentShare: 1},
 		"long answers": {Name: "arhiv", Share: 1, Keys: 50, AnswerBytes: 300_000},
 	}
 	for name, service := range tests {
@@ -49,15 +49,15 @@
 			})
 			report, err := Run(t.Context(), p)
 			is.NoErr(err)
-			is.Equal(report.Lanes[1].Sendings["ran"], 199)
+			is.Equal(report.Lanes[1].Submissions["ran"], 199)
 			is.Equal(*report.Audit, Audit{Complete: true, Ran: 199})
 		})
 	}
 }
 
-// The server closes connections while they are idle, cuts an answer and states wrong lengths.
-// No request is written twice because of that: each is counted as what it is, once.
-func TestWireSendsOnce(t *testing.T) {
+// The server closes idle connections, truncates an answer and states a wrong length. The transport
+// does not write a request twice because of that, and each request is counted once.
+func TestTransportSendsOnce(t *testing.T) {
 	is := is.New(t)
 	address := startServer(t, stand.ServerSettings{})
 	p := profile(func(p *Profile) {
@@ -74,7 +74,7 @@
 		if n == 10 {
 			postFault(t, address, stand.ServerFault{HalfAnswers: 1, WrongLengths: 1})
 		}
-		all = s.send(t.Context(), planned{id: n, direct: true, once: true}, all)
+		all = s.send(t.Context(), planned{id: n, direct: true, nonIdempotent: true}, all)
 	}
 	runs, complete, err := fetchRuns(t.Context(), plainClient(), []string{address})
 	is.NoErr(err)
@@ -89,6 +89,7 @@
 	is.Equal(got.UnknownNotRun, 1)
 }
 
+// plainClient returns a client that uses a new connection for each request.
 func plainClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -11,8 +11,8 @@
 	"example.org/mustardring/internal/listcl"
 )
 
-// StandIns runs the stand-ins of one process. Log and List are nil if the settings have none.
-type StandIns struct {
+// Set runs the stand-ins of one process. Log and List are nil if the settings have none.
+type Set struct {
 	Log     *LogService
 	List    *InstanceList
 	Servers []*Server
@@ -21,25 +21,25 @@
 }
 
 // New returns the stand-ins that the settings name, not started yet.
-func New(s Settings) *StandIns {
-	stand := &StandIns{settings: s}
+func New(s Settings) *Set {
+	set := &Set{settings: s}
 	if s.Log != nil {
-		stand.Log = NewLogService(*s.Log)
+		set.Log = NewLogService(*s.Log)
 	}
 	listed := make([]listcl.Server, 0, len(s.Servers))
 	for _, server := range s.Servers {
-		stand.Servers = append(stand.Servers, NewServer(server))
+		set.Servers = append(set.Servers, NewServer(server))
 		listed = append(listed, listcl.Server{Name: server.Name, Service: server.Service, Domain: server.Domain})
 	}
 	if s.List != nil {
-		stand.List = NewInstanceList(*s.List, listed)
+		set.List = NewInstanceList(*s.List, listed)
 	}
-	return stand
+	return set
 }
 
 // Run starts all stand-ins and serves until ctx ends or one of them fails. If one cannot start, it
 // stops those that did and returns the error.
-func (s *StandIns) Run(ctx context.Context) error {
+func (s *Set) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	group := duty.New(ctx, len(s.Servers)+4)
 	err := s.start(ctx, group)
@@ -55,7 +55,7 @@
 	return errors.Join(err, group.Wait(taken))
 }
 
-func (s *StandIns) start(ctx context.Context, group *duty.Group) error {
+func (s *Set) start(ctx context.Context, group *duty.Group) error {
 	if s.Log != nil {
 		if err := serve(ctx, group, "log", s.settings.Log.Address, s.Log); err != nil {
 			return err
