--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -79,7 +79,7 @@
 	gateGains  *gateGains
 	replaced   *replacedProcesses
 	gateLease  *gateLease
-	meter      *meter.Control
+	meter      *meter.Counters
 	loads      *loadCounter
 	reports    *loadReports
 	list       listTracker
@@ -113,7 +113,7 @@
 	}
 	lc := leader.DefaultConfig(d.Settings.Domain, d.Settings.Name, d.Incarnation)
 	e.leaderCore = leader.New(lc, d.Placer)
-	e.meter = meter.NewControl()
+	e.meter = meter.NewCounters()
 	e.homesCore = homes.New(homesConfig(lc))
 	e.peers = newPeers(d.Settings, d.Incarnation, d.TLS, e.meter)
 	e.holders = newGrantHolders(d.Incarnation, e.grantNow)
@@ -157,7 +157,7 @@
 
 // ControlCounters returns the counters of this instance's traffic with the log, other instances and
 // servers, apart from requests.
-func (e *Entry) ControlCounters() *meter.Control {
+func (e *Entry) ControlCounters() *meter.Counters {
 	return e.meter
 }
 
--- a/internal/meter/control.go
+++ b/internal/meter/control.go
@@ -3,9 +3,9 @@
 
 import "expvar"
 
-// Control counts control-plane operations: leadership, the shared log and calls between
+// Counters counts control-plane operations: leadership, the shared log and calls between
 // instances. Each variable is named after its field in kebab case.
-type Control struct {
+type Counters struct {
 	all *expvar.Map
 
 	// ExchangesSent and ExchangesFailed count exchanges with servers and gates, and
@@ -38,9 +38,9 @@
 	EventsDropped *expvar.Int
 }
 
-// NewControl returns counters at zero. Var returns the variable to publish.
-func NewControl() *Control {
-	c := &Control{all: new(expvar.Map).Init()}
+// NewCounters returns counters at zero. Var returns the variable to publish.
+func NewCounters() *Counters {
+	c := &Counters{all: new(expvar.Map).Init()}
 	for name, into := range c.fields() {
 		*into = new(expvar.Int)
 		c.all.Set(name, *into)
@@ -49,11 +49,11 @@
 }
 
 // Var returns a map of all counters by name.
-func (c *Control) Var() expvar.Var {
+func (c *Counters) Var() expvar.Var {
 	return c.all
 }
 
-func (c *Control) fields() map[string]**expvar.Int {
+func (c *Counters) fields() map[string]**expvar.Int {
 	return map[string]**expvar.Int{
 		"exchanges-sent":     &c.ExchangesSent,
 		"exchanges-failed":   &c.ExchangesFailed,
--- a/internal/stand/grants.go
+++ b/internal/stand/grants.go
@@ -65,6 +65,6 @@
 		Server:      s.Name,
 		Incarnation: rand.Uint64() | 1,
 		Clock:       grant.NewClock(),
-		MaxLease:    time.Duration(s.LeaseMaxMillis) * time.Millisecond,
+		MaxLease:    time.Duration(s.MaxLeaseMillis) * time.Millisecond,
 	})}
 }
--- a/internal/stand/settings.go
+++ b/internal/stand/settings.go
@@ -60,8 +60,8 @@
 	ColdMillis int64 `json:"cold-ms,omitempty"`
 	// LoadLagMillis is the greatest age of the load that the load endpoint reports.
 	LoadLagMillis int64 `json:"load-lag-ms,omitempty"`
-	// LeaseMaxMillis is how far in the future a grant deadline may be, 10000 if zero.
-	LeaseMaxMillis int64 `json:"lease-max-ms,omitempty"`
+	// MaxLeaseMillis is how far in the future a grant deadline may be, 10000 if zero.
+	MaxLeaseMillis int64 `json:"lease-max-ms,omitempty"`
 }
 
 // Values of fields that are zero.
@@ -132,7 +132,7 @@
 	}
 	s.Slots = cmp.Or(s.Slots, defaultSlots)
 	s.Queue = cmp.Or(s.Queue, defaultQueue)
-	s.LeaseMaxMillis = cmp.Or(s.LeaseMaxMillis, defaultMaxLeaseMillis)
+	s.MaxLeaseMillis = cmp.Or(s.MaxLeaseMillis, defaultMaxLeaseMillis)
 	return "", "", ""
 }
 
--- a/internal/stand/transport.go
+++ b/internal/stand/transport.go
@@ -9,14 +9,14 @@
 // errAborted is the transport error for a handler that panics, as with http.ErrAbortHandler.
 var errAborted = errors.New("stand: handler aborted the response")
 
-// Direct is an http.RoundTripper that calls a handler without sockets, so that a test can run
+// HandlerTransport is an http.RoundTripper that calls a handler without sockets, so that a test can run
 // on a fake clock. A handler that panics looks like a broken connection.
-type Direct struct {
+type HandlerTransport struct {
 	Handler http.Handler
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d Direct) RoundTrip(r *http.Request) (resp *http.Response, err error) {
+func (d HandlerTransport) RoundTrip(r *http.Request) (resp *http.Response, err error) {
 	recorder := httptest.NewRecorder()
 	defer func() {
 		if p := recover(); p != nil {
