--- a/internal/listcl/list.go
+++ b/internal/listcl/list.go
@@ -32,7 +32,7 @@
 	Servers   []Server   `json:"servers"`
 }
 
-// Instance describes one process of the router to the platform.
+// Instance is a listed instance, which is one process of this system.
 type Instance struct {
 	Name           string `json:"name"`
 	Domain         string `json:"domain"`
@@ -42,7 +42,7 @@
 	Leaving        bool   `json:"leaving,omitempty"`
 }
 
-// Server describes one backend server of a service.
+// Server is a listed backend server.
 type Server struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -142,12 +142,12 @@
 	}
 	shares := map[string]float64{"direct-share": p.DirectShare, "resend.twin-share": p.Resend.TwinShare}
 	for i, s := range p.Services {
-		place := fmt.Sprintf("services[%d].", i)
+		prefix := fmt.Sprintf("services[%d].", i)
 		if s.Name == "" || s.Share <= 0 || s.Keys < 0 || s.HotKeys < 0 || s.HotKeys > s.Keys {
-			return place[:len(place)-1], s.Name, "give a name, a share above zero and no more hot keys than keys"
+			return prefix[:len(prefix)-1], s.Name, "give a name, a share above zero and no more hot keys than keys"
 		}
-		shares[place+"hot-share"] = s.HotShare
-		shares[place+"once-share"] = s.NonIdempotentShare
+		shares[prefix+"hot-share"] = s.HotShare
+		shares[prefix+"once-share"] = s.NonIdempotentShare
 	}
 	for field, share := range shares {
 		if share < 0 || share > 1 {
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -39,7 +39,8 @@
 	started time.Time
 	client  *http.Client
 	bodies  [][]byte
-	// late is the distribution of how late requests were dispatched to workers.
+	// late is the distribution of the delays between the due time of a submission and its dispatch
+	// to a worker.
 	late *hdrhistogram.Histogram
 }
 
--- a/internal/meter/control.go
+++ b/internal/meter/counters.go
@@ -27,7 +27,7 @@
 	LogReadsFailed   *expvar.Int
 	// RecordsRefused counts log records that this instance rejected instead of applying them.
 	RecordsRefused *expvar.Int
-	// TermsBegun and TermsEnded count the terms in which this instance became and ceased to be leader.
+	// TermsBegun and TermsEnded count how often this instance became and ceased to be leader.
 	TermsBegun *expvar.Int
 	TermsEnded *expvar.Int
 	// TablesTaken counts routing tables that replaced an older one.
--- a/internal/stand/grants.go
+++ b/internal/stand/grants.go
@@ -54,8 +54,8 @@
 	return c.holder.Begin(hash)
 }
 
-// newGrantChecker returns the grantChecker of a new server process. Its incarnation is random and not zero,
-// because a process keeps nothing from the one before it.
+// newGrantChecker returns the grantChecker of a new server process. Its incarnation is random,
+// because a process keeps nothing from the one before it, and not zero.
 func newGrantChecker(s ServerSettings) grantChecker {
 	if !s.ChecksGrants {
 		return noChecks{}
--- a/internal/stand/logservice.go
+++ b/internal/stand/logservice.go
@@ -185,9 +185,9 @@
 	writeJSON(w, http.StatusOK, batch)
 }
 
-// waitForBatch returns a batch as soon as there are entries at from, from is not the next offset
-// (a gap or a log that started anew), or the time that the request states is over. It returns false
-// if the client disconnects.
+// waitForBatch returns a batch as soon as the log has entries from the offset from on, the offset is
+// not the next one (after a gap or a restart of the log), or the wait time of the request is over. It
+// returns false if the client disconnects.
 func (l *LogService) waitForBatch(r *http.Request, from uint64, limit int) (logcl.Batch, bool) {
 	timer := time.NewTimer(time.Until(waitUntil(r)))
 	defer timer.Stop()
@@ -206,8 +206,8 @@
 	}
 }
 
-// waitUntil returns until when a read may wait: the time that it states, at most maxReadWait from
-// now, or now if it states none.
+// waitUntil returns the time until which a read waits for entries: the one in its query, but at most
+// maxReadWait from now, or now if the query has none.
 func waitUntil(r *http.Request) time.Time {
 	now := time.Now()
 	millis, err := strconv.ParseInt(r.URL.Query().Get(logcl.QueryWaitUntil), 10, 64)
--- a/internal/stand/logservice_test.go
+++ b/internal/stand/logservice_test.go
@@ -46,9 +46,9 @@
 				}
 				is.True(errors.Is(err, test.wantAppend))    // answer of the last append
 				is.Equal(service.Appends(), test.wantCount) // appends that took effect
-				_, err = client.Read(ctx, test.from, 10)    // whole log, unless stated
+				_, err = client.Read(ctx, test.from, 10)    // the whole log if from is zero
 				is.True(errors.Is(err, test.wantRead))      // answer of the read
-				is.Equal(err == nil, test.wantRead == nil)  // errors.Is(nil, nil) aside
+				is.Equal(err == nil, test.wantRead == nil)  // fails exactly if wantRead is set
 			})
 		})
 	}
--- a/internal/stand/request.go
+++ b/internal/stand/request.go
@@ -129,10 +129,10 @@
 // returns early with an error if the request is cancelled, passes its deadline or crashes the
 // server.
 func (s *Server) run(ctx context.Context, r *http.Request, p *process) error {
-	place := s.runs.begin(r)
+	index := s.runs.begin(r)
 	f := s.faults.get()
 	if f.isPoison(r) {
-		s.runs.crash(place)
+		s.runs.crash(index)
 		s.crash(context.WithoutCancel(r.Context()), p)
 		return errCrashed
 	}
@@ -141,17 +141,17 @@
 		duration *= coldFactor
 	}
 	if duration <= 0 {
-		s.runs.end(place, false, false)
+		s.runs.end(index, false, false)
 		return nil
 	}
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		s.runs.end(place, false, s.faults.waitWhileFrozen())
+		s.runs.end(index, false, s.faults.waitWhileFrozen())
 		return nil
 	case <-ctx.Done():
-		s.runs.end(place, true, s.faults.waitWhileFrozen())
+		s.runs.end(index, true, s.faults.waitWhileFrozen())
 		return ctx.Err()
 	}
 }
--- a/internal/stand/runs.go
+++ b/internal/stand/runs.go
@@ -43,14 +43,14 @@
 type RunsPage struct {
 	Server string `json:"server"`
 	Runs   []Run  `json:"runs"`
-	// Total is the number of all runs. Forgotten of them were not recorded, because the server
-	// already had the most that it records.
+	// Total is the number of all runs. Forgotten is the number of those that were not recorded
+	// because the server had reached its limit of recorded runs.
 	Total     int `json:"total"`
 	Forgotten int `json:"forgotten"`
 	// Doubled maps each request ID that ran more than once at this server to its number of runs.
 	Doubled map[string]int `json:"doubled"`
-	// Shed and Refused count requests that did not run. Shed ones found the queue full or the
-	// Shed fault set, and Refused ones were not covered by a grant.
+	// Shed and Refused count requests that did not run. Shed: the queue was full or the fault
+	// switch Shed was set. Refused: no grant covered the request.
 	Shed    int `json:"shed"`
 	Refused int `json:"refused"`
 	// MaxPresent is the greatest number of requests at the server at once, running or queued.
@@ -139,24 +139,24 @@
 	return len(r.list) - 1
 }
 
-func (r *runs) end(place int, stopped, frozen bool) {
-	r.update(place, func(run *Run) {
+func (r *runs) end(index int, stopped, frozen bool) {
+	r.update(index, func(run *Run) {
 		run.End, run.Stopped, run.Frozen = time.Now().UnixMicro(), stopped, frozen
 	})
 }
 
-func (r *runs) crash(place int) {
-	r.update(place, func(run *Run) { run.Crashed = true })
+func (r *runs) crash(index int) {
+	r.update(index, func(run *Run) { run.Crashed = true })
 }
 
 // update changes the run at an index from begin. It ignores -1.
-func (r *runs) update(place int, f func(*Run)) {
-	if place < 0 {
+func (r *runs) update(index int, f func(*Run)) {
+	if index < 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.list[place])
+	f(&r.list[index])
 }
 
 // page returns at most limit runs from an index on, with the totals. It leaves Server empty.
--- a/internal/stand/server.go
+++ b/internal/stand/server.go
@@ -30,7 +30,7 @@
 	connections *connections
 	newChecker  func() grantChecker
 
-	// mu guards the fields below.
+	// mu guards the fields below. A crash replaces process, and a restart sets address again.
 	mu      sync.Mutex
 	process *process
 	address string
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// crash ends process p, unless it has already ended, and starts another one after the restart delay
-// of the fault switches.
+// crash ends process p and starts another one after the restart delay of the fault switches. It does
+// nothing if p is no longer the current process.
 func (s *Server) crash(ctx context.Context, p *process) {
 	s.mu.Lock()
 	if s.process != p {
@@ -139,7 +139,7 @@
 	go s.restartAt(ctx, p, time.Now().Add(restart))
 }
 
-// restartAt waits until p has ended and starts a new process at the given time.
+// restartAt closes p, waits until it has ended and starts a new process at the given time.
 func (s *Server) restartAt(ctx context.Context, p *process, at time.Time) {
 	_ = p.http.Close()
 	<-p.ended
--- a/internal/stand/settings.go
+++ b/internal/stand/settings.go
@@ -108,12 +108,12 @@
 func (s *Settings) checkServers(taken map[string]string) (field, found, mend string) {
 	for i := range s.Servers {
 		server := &s.Servers[i]
-		place := fmt.Sprintf("servers[%d].", i)
-		if mend := checkAddress(server.Address, place+"address", taken); mend != "" {
-			return place + "address", server.Address, mend
+		prefix := fmt.Sprintf("servers[%d].", i)
+		if mend := checkAddress(server.Address, prefix+"address", taken); mend != "" {
+			return prefix + "address", server.Address, mend
 		}
 		if name, found, mend := server.check(); mend != "" {
-			return place + name, found, mend
+			return prefix + name, found, mend
 		}
 	}
 	return "", "", ""
--- a/internal/stand/transport.go
+++ b/internal/stand/transport.go
@@ -9,13 +9,14 @@
 // errAborted is the transport error for a handler that panics, as with http.ErrAbortHandler.
 var errAborted = errors.New("stand: handler aborted the response")
 
-// HandlerTransport is an http.RoundTripper that calls a handler without sockets, so that a test can run
-// on a fake clock. A handler that panics looks like a broken connection.
+// HandlerTransport is an http.RoundTripper that calls a handler without sockets, so that a test can
+// run on a fake clock. A handler that panics looks like a broken connection.
 type HandlerTransport struct {
 	Handler http.Handler
 }
 
-// RoundTrip implements http.RoundTripper.
+// RoundTrip implements http.RoundTripper. It returns the error of the request context if the context
+// has ended by the time that the handler returns.
 func (d HandlerTransport) RoundTrip(r *http.Request) (resp *http.Response, err error) {
 	recorder := httptest.NewRecorder()
 	defer func() {
