--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -124,24 +124,24 @@
 	e.replaced = newReplacedProcesses()
 	e.replicator = newReplicator(e.peers, e.gateGains, e.replaced, e.state, d.Logger)
 	f, err := front.New(front.Deps{
-		Instance:      d.Settings.Name,
-		Domain:        d.Settings.Domain,
-		Finder:        e.state.directory,
-		Right:         gateChecker{holders: e.holders, gateLease: e.gateLease, now: e.now},
-		Witness:       e.replicator,
-		Ran:           e.countRequest,
-		Home:          e.state.directory.FindHome,
-		Forward:       newForwardTransport(d.TLS),
-		ForwardScheme: "https",
-		Tracer:        d.Tracer,
-		Log:           d.Logger,
+		Instance:         d.Settings.Name,
+		Domain:           d.Settings.Domain,
+		Finder:           e.state.directory,
+		Authorizer:       gateChecker{holders: e.holders, gateLease: e.gateLease, now: e.now},
+		Replicator:       e.replicator,
+		ObserveRun:       e.countRequest,
+		FindHome:         e.state.directory.FindHome,
+		ForwardTransport: newForwardTransport(d.TLS),
+		ForwardScheme:    "https",
+		Tracer:           d.Tracer,
+		Log:              d.Logger,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("entry: %w", err)
 	}
 	e.front = f
-	e.callerServer = newServer(f.Callers())
-	e.forwardServer = newServer(f.Forwards())
+	e.callerServer = newServer(f.CallerHandler())
+	e.forwardServer = newServer(f.ForwardHandler())
 	return e, nil
 }
 
@@ -235,8 +235,8 @@
 
 // awaitBalancer reports the instance as not ready and waits for balancerDelay.
 func (e *Entry) awaitBalancer(ctx context.Context) {
-	e.front.Refuse()
-	duty.Pause(ctx, balancerDelay)
+	e.front.SetNotReady()
+	duty.Sleep(ctx, balancerDelay)
 }
 
 func (e *Entry) startWorkers(group *duty.Group, l *listeners) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -31,7 +31,7 @@
 	if len(p.Servers) == 0 {
 		return report, nil
 	}
-	duty.Pause(ctx, settleDelay)
+	duty.Sleep(ctx, settleDelay)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	runs, complete, err := fetchRuns(ctx, client, p.Servers)
 	if err != nil {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -94,7 +94,7 @@
 // Check implements config.Checker. It also sets fields that are zero to their defaults.
 func (p *Profile) Check(file string) error {
 	if field, found, mend := p.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
+		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
 	}
 	return nil
 }
--- a/internal/logcl/fuzz_test.go
+++ b/internal/logcl/fuzz_test.go
@@ -20,9 +20,9 @@
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		r := newReader()
 		batch := logcl.Batch{Next: 2, Identity: "i", Entries: []record.Entry{{ID: "a", Data: first}, {Offset: 1, ID: "b", Data: second}}}
-		effects, _ := r.Handle(0, logcl.Fetched{Fetch: r.Start(0), Batch: batch})
-		if r.State().Next != 2 || count[logcl.Folded](effects) != 2 {
-			t.Fatalf("stopped at %d with %d verdicts", r.State().Next, count[logcl.Folded](effects))
+		effects, _ := r.Handle(0, logcl.FetchResult{Fetch: r.Start(0), Batch: batch})
+		if r.State().Next != 2 || count[logcl.EntryApplied](effects) != 2 {
+			t.Fatalf("stopped at %d with %d verdicts", r.State().Next, count[logcl.EntryApplied](effects))
 		}
 	})
 }
--- a/internal/stand/logservice.go
+++ b/internal/stand/logservice.go
@@ -143,7 +143,7 @@
 }
 
 // add appends a record. It returns the answer, how long to delay it, and whether to lose it.
-func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendAnswer, slow time.Duration, lost bool) {
+func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendResponse, slow time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := retained{entry: record.Entry{Offset: l.next, ID: req.ID, Data: req.Data}}
@@ -159,7 +159,7 @@
 		l.fault.LoseAnswers--
 		lost = true
 	}
-	answer = logcl.AppendAnswer{Offset: k.entry.Offset, Identity: l.identityText()}
+	answer = logcl.AppendResponse{Offset: k.entry.Offset, Identity: l.identityText()}
 	return answer, time.Duration(l.fault.SlowMillis) * time.Millisecond, lost
 }
 
--- a/internal/stand/logservice_test.go
+++ b/internal/stand/logservice_test.go
@@ -28,7 +28,7 @@
 		"down":            {fault: stand.LogFault{Down: true}, appends: 1, wantAppend: logcl.ErrUnavailable, wantRead: logcl.ErrUnavailable},
 		"answer lost":     {fault: stand.LogFault{LoseAnswers: 1}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1},
 		"slow":            {fault: stand.LogFault{SlowMillis: 60_000}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1, from: 1, wantRead: logcl.ErrUnavailable},
-		"beyond the rate": {settings: stand.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrLimited, wantCount: 2},
+		"beyond the rate": {settings: stand.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrRateLimited, wantCount: 2},
 		"count retained":  {settings: stand.LogSettings{RetainCount: 2}, appends: 3, wantCount: 3, wantRead: logcl.ErrGap},
 	}
 	for name, test := range tests {
