--- a/internal/naive/naive.go
+++ b/internal/naive/naive.go
@@ -31,15 +31,15 @@
 // Rendezvous takes the server with the highest score of key and server, weighted by slots.
 type Rendezvous struct{}
 
-// Bounded is Rendezvous, but a server takes no key that lifts its load above Factor times
+// BoundedRendezvous is Rendezvous, but a server takes no key that lifts its load above Factor times
 // the mean of its slots, so that the key goes to the next score.
-type Bounded struct {
+type BoundedRendezvous struct {
 	Factor float64
 }
 
-func (Modulo) isMethod()     {}
-func (Rendezvous) isMethod() {}
-func (Bounded) isMethod()    {}
+func (Modulo) isMethod()            {}
+func (Rendezvous) isMethod()        {}
+func (BoundedRendezvous) isMethod() {}
 
 // Owners returns for each key the index of its server. Servers are taken in the order of
 // their names, whatever the order of the list.
@@ -54,8 +54,8 @@
 		return modulo(keys, servers, order)
 	case Rendezvous:
 		return rendezvous(keys, servers, order)
-	case Bounded:
-		return bounded(keys, servers, order, m.Factor)
+	case BoundedRendezvous:
+		return boundedRendezvous(keys, servers, order, m.Factor)
 	default:
 		return nil
 	}
@@ -76,7 +76,7 @@
 }
 
 func rendezvous(keys []Key, servers []Server, order []int) []int {
-	seeds := seeds(servers)
+	seeds := serverSeeds(servers)
 	owners := make([]int, len(keys))
 	for k := range keys {
 		best := math.Inf(-1)
@@ -89,7 +89,7 @@
 	return owners
 }
 
-func bounded(keys []Key, servers []Server, order []int, factor float64) []int {
+func boundedRendezvous(keys []Key, servers []Server, order []int, factor float64) []int {
 	total, slots := 0.0, 0
 	for _, k := range keys {
 		total += k.Load
@@ -97,7 +97,7 @@
 	for _, s := range servers {
 		slots += s.Slots
 	}
-	seeds := seeds(servers)
+	seeds := serverSeeds(servers)
 	loads := make([]float64, len(servers))
 	owners := make([]int, len(keys))
 	for k := range keys {
@@ -118,8 +118,8 @@
 	return owners
 }
 
-// seeds returns a hash of each server's name.
-func seeds(servers []Server) []uint64 {
+// serverSeeds returns a hash of each server's name.
+func serverSeeds(servers []Server) []uint64 {
 	list := make([]uint64, len(servers))
 	for i, s := range servers {
 		h := uint64(14695981039346656037)
--- a/internal/naive/naive_test.go
+++ b/internal/naive/naive_test.go
@@ -31,7 +31,7 @@
 	}{
 		"modulo":     {method: Modulo{}, most: 1.10, moved: 20},
 		"rendezvous": {method: Rendezvous{}, most: 1.10, moved: 1},
-		"bounded":    {method: Bounded{Factor: 1.02}, most: 1.0201, moved: 3},
+		"bounded":    {method: BoundedRendezvous{Factor: 1.02}, most: 1.0201, moved: 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	keys, servers := fixed(4)
 	turned := []Server{servers[2], servers[0], servers[3], servers[1]}
-	for _, m := range []Method{Modulo{}, Rendezvous{}, Bounded{Factor: 1.1}} {
+	for _, m := range []Method{Modulo{}, Rendezvous{}, BoundedRendezvous{Factor: 1.1}} {
 		a, b := Owners(m, keys, servers), Owners(m, keys, turned)
 		for k := range keys {
 			is.Equal(servers[a[k]].Name, turned[b[k]].Name)
--- a/internal/naive/choice.go
+++ b/internal/naive/random.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Random chooses a server of an undivided service by slots alone.
-func Random(random *rand.Rand, servers []Server) int {
+// WeightedRandom chooses a server of an undivided service by slots alone.
+func WeightedRandom(random *rand.Rand, servers []Server) int {
 	slots := 0
 	for _, s := range servers {
 		slots += s.Slots
--- a/internal/replay/codec.go
+++ b/internal/replay/codec.go
@@ -22,15 +22,15 @@
 
 // line is one line of a trace: a time and exactly one event.
 type line struct {
-	At       Time      `json:"at-ms"`
-	Header   *Header   `json:"header,omitempty"`
-	Bundled  *Bundled  `json:"bundled,omitempty"`
-	Requests *Requests `json:"requests,omitempty"`
-	Server   *Server   `json:"server,omitempty"`
-	Instance *Instance `json:"instance,omitempty"`
-	Domain   *Domain   `json:"domain,omitempty"`
-	Log      *Log      `json:"log,omitempty"`
-	Ended    *Ended    `json:"ended,omitempty"`
+	At       Time            `json:"at-ms"`
+	Header   *Header         `json:"header,omitempty"`
+	Bundled  *BundleInForce  `json:"bundled,omitempty"`
+	Requests *Requests       `json:"requests,omitempty"`
+	Server   *ServerChange   `json:"server,omitempty"`
+	Instance *InstanceChange `json:"instance,omitempty"`
+	Domain   *DomainChange   `json:"domain,omitempty"`
+	Log      *LogChange      `json:"log,omitempty"`
+	Ended    *Ended          `json:"ended,omitempty"`
 }
 
 // Read reads a trace of JSON lines. It checks that the header comes first, that time does
@@ -56,11 +56,11 @@
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrTrace, err)
 	}
-	return trace, check(trace)
+	return trace, checkTrace(trace)
 }
 
-// check looks at what holds for a trace as a whole.
-func check(trace []Stamped) error {
+// checkTrace looks at what holds for a trace as a whole.
+func checkTrace(trace []Stamped) error {
 	if len(trace) == 0 {
 		return fmt.Errorf("%w: empty", ErrTrace)
 	}
@@ -114,17 +114,17 @@
 	switch ev := s.Event.(type) {
 	case Header:
 		l.Header = &ev
-	case Bundled:
+	case BundleInForce:
 		l.Bundled = &ev
 	case Requests:
 		l.Requests = &ev
-	case Server:
+	case ServerChange:
 		l.Server = &ev
-	case Instance:
+	case InstanceChange:
 		l.Instance = &ev
-	case Domain:
+	case DomainChange:
 		l.Domain = &ev
-	case Log:
+	case LogChange:
 		l.Log = &ev
 	case Ended:
 		l.Ended = &ev
--- a/internal/replay/costs.go
+++ b/internal/replay/costs.go
@@ -1,76 +1,83 @@
 package replay
 
-// Costs is the model of how long keys cannot be served when ownership changes. All are in
-// milliseconds. Placement decides how many keys pay which; it does not change the costs.
+// Costs is a model of how long a key cannot be served when its owner changes. All values are in
+// milliseconds. The placement determines how many keys have which cost, but not the costs.
 type Costs struct {
-	// RoundTrip is twice the delay between failure domains of the deployment, taken for the
-	// way from the leader to a server although that is within one domain.
+	// RoundTrip is the round-trip time between a leader and a server. The time between failure
+	// domains is taken for it, although a leader and its servers are in one domain.
 	RoundTrip float64 `json:"round-trip"`
-	// Lease is for how long a server may serve after its last renewal.
-	Lease float64 `json:"lease"`
-	// Exchange is the time between renewals.
-	Exchange float64 `json:"exchange"`
-	// Placing bounds the time from a change of servers to the placement that follows.
-	Placing float64 `json:"placing"`
-	// Takeover and TakeoverLogDown are from the loss of a leader to the first majority of
-	// its successor, with and without the log.
+	// LeaseDuration is how long a server may serve its ranges after the last renewal.
+	LeaseDuration float64 `json:"lease"`
+	// ExchangeInterval is the interval between renewals.
+	ExchangeInterval float64 `json:"exchange"`
+	// PlacementDelay is the maximum time from a change of a server to the next placement.
+	PlacementDelay float64 `json:"placing"`
+	// Takeover and TakeoverLogDown are the times from the loss of a leader until a majority of the
+	// voters has answered its successor, while the log is up and while it is down.
 	Takeover        float64 `json:"takeover"`
 	TakeoverLogDown float64 `json:"takeover-log-down"`
 }
 
-// Defaults of the ownership protocol: the settings of package leader and what follows.
+// Default times of the ownership protocol. They follow from the settings of package leader.
 const (
-	leaseMillis    = 1000 // leader.Config Lease
-	exchangeMillis = 150  // leader.Config Exchange
-	placingMillis  = 50   // least time between placements in package leader
-	// A peer counts as gone after some heartbeats; then the claim goes through the log, or
-	// after ClaimWait without it, and a majority of voters answers an exchange.
-	takeoverMillis        = 300 + exchangeMillis
-	takeoverLogDownMillis = 300 + 300 + exchangeMillis
+	leaseMillis            = 1000 // leader.Config.LeaseDuration
+	exchangeIntervalMillis = 150  // leader.Config.ExchangeInterval
+	placementDelayMillis   = 50   // minimum time between placements in package leader
+
+	// A leader counts as failed after 3 missed heartbeats, 300 ms. Its successor then claims the
+	// term in the log, or waits leader.Config.ClaimTimeout, 300 ms, if the log is down. At last a
+	// majority of the voters answers an exchange.
+	takeoverMillis        = 300 + exchangeIntervalMillis
+	takeoverLogDownMillis = 300 + 300 + exchangeIntervalMillis
 )
 
-// DefaultCosts returns the costs for a deployment with the given delay between domains.
+// DefaultCosts returns the costs for a deployment with the given one-way delay between failure
+// domains.
 func DefaultCosts(oneWayMicros int64) Costs {
 	return Costs{
-		RoundTrip:       2 * float64(oneWayMicros) / 1000,
-		Lease:           leaseMillis,
-		Exchange:        exchangeMillis,
-		Placing:         placingMillis,
-		Takeover:        takeoverMillis,
-		TakeoverLogDown: takeoverLogDownMillis,
+		RoundTrip:        2 * float64(oneWayMicros) / 1000,
+		LeaseDuration:    leaseMillis,
+		ExchangeInterval: exchangeIntervalMillis,
+		PlacementDelay:   placementDelayMillis,
+		Takeover:         takeoverMillis,
+		TakeoverLogDown:  takeoverLogDownMillis,
 	}
 }
 
-// planned is the cost of a move between two live servers: the revocation and the grant, one
-// round trip each.
-func (c Costs) planned() float64 {
+// plannedMove returns the cost of a move between two live servers: one round trip for the revocation
+// and one for the grant.
+func (c Costs) plannedMove() float64 {
 	return 2 * c.RoundTrip
 }
 
-// lapse is the cost of the same move if nobody revoked: the old lease has to run out.
-func (c Costs) lapse() float64 {
-	return c.Lease + c.RoundTrip
+// moveWithoutRevocation returns the cost of a move between two live servers in a protocol that waits
+// until the old lease expires instead of revoking it.
+func (c Costs) moveWithoutRevocation() float64 {
+	return c.LeaseDuration + c.RoundTrip
 }
 
-// lost is the cost of the loss of a server at the worst moment, right after a renewal: the
-// lease, a majority asked after it, the placement, and the grant.
-func (c Costs) lost() float64 {
-	return c.Lease + c.Exchange + c.Placing + 2*c.RoundTrip
+// serverLost returns the cost of the loss of a server at the worst time, just after a renewal: the
+// rest of the lease, an exchange with a majority of the voters after it, the placement and the grant.
+func (c Costs) serverLost() float64 {
+	return c.LeaseDuration + c.ExchangeInterval + c.PlacementDelay + 2*c.RoundTrip
 }
 
-// lostWithLeader is the cost when the leader was lost with the server: the successor grants
-// what nobody answers for only a lease after its own majority.
-func (c Costs) lostWithLeader(logDown bool) float64 {
-	return c.takeover(logDown) + c.Lease + c.Placing + 2*c.RoundTrip
+// serverLostWithLeader returns the cost of the loss of a server together with the leader. The next
+// leader does not know what the server owned. It grants ranges that no server reports as its own only
+// one lease after a majority of the voters has answered it.
+func (c Costs) serverLostWithLeader(logDown bool) float64 {
+	return c.takeoverTime(logDown) + c.LeaseDuration + c.PlacementDelay + 2*c.RoundTrip
 }
 
-// leaderLost is the cost for the ranges of live servers: what passes between the end of
-// their leases and the first exchange of the successor.
+// leaderLost returns the cost of the loss of a leader for the ranges of live servers: the time between
+// the end of their leases and the first exchange of the next leader. It is zero if the leases last
+// longer.
 func (c Costs) leaderLost(logDown bool) float64 {
-	return max(0, c.takeover(logDown)+c.RoundTrip-(c.Lease-c.Exchange))
+	return max(0, c.takeoverTime(logDown)+c.RoundTrip-(c.LeaseDuration-c.ExchangeInterval))
 }
 
-func (c Costs) takeover(logDown bool) float64 {
+// takeoverTime returns the takeover time for the current state of the log.
+func (c Costs) takeoverTime(logDown bool) float64 {
 	if logDown {
 		return c.TakeoverLogDown
 	}
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -17,16 +17,16 @@
 
 // workload is a service with its usual requests.
 type workload struct {
-	name      string
-	servers   int
-	slots     int
-	divided   bool
-	prefix    string
-	keys      int
-	perSecond int
-	runMillis float64
-	// hotPrefix names the keys of which some are hot at a time.
-	hotPrefix string
+	name        string
+	servers     int
+	slots       int
+	divided     bool
+	keyPrefix   string
+	keyCount    int
+	requestRate int
+	runMillis   float64
+	// hotKeyPrefix names the keys of which some are hot at a time.
+	hotKeyPrefix string
 }
 
 // rokopisna is the Central Transcription Gateway.
@@ -37,9 +37,9 @@
 		domains:      []string{"dvorana-a", "dvorana-b", "klet", "podstresje"},
 		weights:      bundle.Weights{Imbalance: 1, Churn: 4, Unavailable: 1},
 		services: []workload{
-			{name: "pregled", servers: 15, slots: 2, divided: true, prefix: "page-", keys: 12_000, perSecond: 600, runMillis: 20, hotPrefix: "volume-"},
-			{name: "oddaja", servers: 8, slots: 2, perSecond: 60, runMillis: 150},
-			{name: "arhiv", servers: 8, slots: 2, perSecond: 12, runMillis: 800},
+			{name: "pregled", servers: 15, slots: 2, divided: true, keyPrefix: "page-", keyCount: 12_000, requestRate: 600, runMillis: 20, hotKeyPrefix: "volume-"},
+			{name: "oddaja", servers: 8, slots: 2, requestRate: 60, runMillis: 150},
+			{name: "arhiv", servers: 8, slots: 2, requestRate: 12, runMillis: 800},
 		},
 	}
 }
@@ -52,9 +52,9 @@
 		domains:      []string{"badulla-hall", "bandarawela-hall", "welimada-hall"},
 		weights:      bundle.Weights{Imbalance: 1, Churn: 1, Unavailable: 4},
 		services: []workload{
-			{name: "stockbook", servers: 18, slots: 4, divided: true, prefix: "lot-", keys: 12_000, perSecond: 1800, runMillis: 15, hotPrefix: "cheese-"},
-			{name: "payroll-milk", servers: 9, slots: 4, perSecond: 90, runMillis: 200},
-			{name: "depot-desk", servers: 6, slots: 4, perSecond: 80, runMillis: 150},
+			{name: "stockbook", servers: 18, slots: 4, divided: true, keyPrefix: "lot-", keyCount: 12_000, requestRate: 1800, runMillis: 15, hotKeyPrefix: "cheese-"},
+			{name: "payroll-milk", servers: 9, slots: 4, requestRate: 90, runMillis: 200},
+			{name: "depot-desk", servers: 6, slots: 4, requestRate: 80, runMillis: 150},
 		},
 	}
 }
--- a/internal/replay/event.go
+++ b/internal/replay/event.go
@@ -23,8 +23,8 @@
 	OneWayMicros int64 `json:"one-way-us"`
 }
 
-// Bundled says that a bundle came into force.
-type Bundled struct {
+// BundleInForce says that a bundle came into force.
+type BundleInForce struct {
 	Bundle bundle.Bundle `json:"bundle"`
 }
 
@@ -34,14 +34,14 @@
 	Service    string `json:"service"`
 	SpanMillis Time   `json:"span-ms"`
 	// Counts is the number of requests by key, Others the rest.
-	Counts map[string]int `json:"counts,omitempty"`
-	Others *Others        `json:"others,omitempty"`
+	Counts  map[string]int   `json:"counts,omitempty"`
+	Uniform *UniformRequests `json:"others,omitempty"`
 	// RunMillis is how long one request runs on average.
 	RunMillis float64 `json:"run-ms"`
 }
 
-// Others are requests spread evenly over many keys: Prefix followed by a number from zero.
-type Others struct {
+// UniformRequests are requests spread evenly over many keys: Prefix followed by a number from zero.
+type UniformRequests struct {
 	Prefix   string `json:"prefix"`
 	Keys     int    `json:"keys"`
 	Requests int    `json:"requests"`
@@ -61,16 +61,16 @@
 	StateDown    State = "down"
 )
 
-// Server says that a backend server changed its state.
-type Server struct {
+// ServerChange says that a backend server changed its state.
+type ServerChange struct {
 	Name  string `json:"name"`
 	State State  `json:"state"`
 	// WarmMillis is how long the cold start of a server that came up takes.
 	WarmMillis Time `json:"warm-ms,omitempty"`
 }
 
-// Instance says that an entry instance changed its state.
-type Instance struct {
+// InstanceChange says that an entry instance changed its state.
+type InstanceChange struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	State  State  `json:"state"`
@@ -78,25 +78,25 @@
 	Leading bool `json:"leading,omitempty"`
 }
 
-// Domain says that a failure domain was cut off or joined again.
-type Domain struct {
+// DomainChange says that a failure domain was cut off or joined again.
+type DomainChange struct {
 	Name  string `json:"name"`
 	State State  `json:"state"`
 }
 
-// Log says that the log went down or came up.
-type Log struct {
+// LogChange says that the log went down or came up.
+type LogChange struct {
 	State State `json:"state"`
 }
 
 // Ended says that the trace is over.
 type Ended struct{}
 
-func (Header) isEvent()   {}
-func (Bundled) isEvent()  {}
-func (Requests) isEvent() {}
-func (Server) isEvent()   {}
-func (Instance) isEvent() {}
-func (Domain) isEvent()   {}
-func (Log) isEvent()      {}
-func (Ended) isEvent()    {}
+func (Header) isEvent()         {}
+func (BundleInForce) isEvent()  {}
+func (Requests) isEvent()       {}
+func (ServerChange) isEvent()   {}
+func (InstanceChange) isEvent() {}
+func (DomainChange) isEvent()   {}
+func (LogChange) isEvent()      {}
+func (Ended) isEvent()          {}
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -9,64 +9,66 @@
 	"example.org/mustardring/pkg/keys"
 )
 
-// tick is the time between placements that no event asks for.
-const tick = Time(10_000)
+// placementInterval is the interval of the placements that no event triggers.
+const placementInterval = Time(10_000)
 
-// placing is the time between placements for a short while after loads were recorded: a
-// leader places each second, and the loads of ranges that were just cut are known by then.
+// For shortIntervalPeriod after loads were recorded, placements follow at shortPlacementInterval: a
+// leader places keys each second, and by the next placement it knows the loads of ranges that were
+// just split.
 const (
-	placing = Time(1000)
-	soon    = 3 * placing
+	shortPlacementInterval = Time(1000)
+	shortIntervalPeriod    = 3 * shortPlacementInterval
 )
 
-// player plays one trace.
+// player replays one trace with all methods at once.
 type player struct {
 	header  Header
 	costs   Costs
 	methods []Method
 	now     Time
-	parts   []*part
-	// subjects are by part, in the order of methods.
-	subjects [][]*subject
-	tallies  map[string][]*tally
-	services []string
-	smallest map[string]float64
-	keyCount map[string]int
-	names    map[string]map[uint64]string
-	// soonUntil is until when placements follow each other quickly.
-	soonUntil Time
-	logDown   bool
-	leaderAt  map[string]Time
-	undivided map[string]*crowd
-	others    map[others][]uint64
-	samples   []Sample
+	parts   []*domainPart
+	// methodStates is indexed by part and method.
+	methodStates [][]*methodState
+	// totals has the totals of each method, by service.
+	totals       map[string][]*totals
+	services     []string
+	minKeysMoved map[string]float64
+	keyCount     map[string]int
+	keyNames     map[string]map[uint64]string
+	// shortIntervalUntil is when the use of shortPlacementInterval ends.
+	shortIntervalUntil Time
+	logDown            bool
+	leaderLostAt       map[string]Time
+	undivided          map[string]*undividedService
+	uniformHashes      map[uniformKeySet][]uint64
+	samples            []Sample
 }
 
-// Run plays a trace and returns the report.
+// Run replays a trace with the given methods and returns the report.
 func Run(trace []Stamped, methods []Method) (Report, error) {
 	p := &player{
-		methods:   methods,
-		tallies:   map[string][]*tally{},
-		smallest:  map[string]float64{},
-		keyCount:  map[string]int{},
-		names:     namesOf(trace),
-		leaderAt:  map[string]Time{},
-		undivided: map[string]*crowd{},
-		others:    map[others][]uint64{},
+		methods:       methods,
+		totals:        map[string][]*totals{},
+		minKeysMoved:  map[string]float64{},
+		keyCount:      map[string]int{},
+		keyNames:      keyNamesOf(trace),
+		leaderLostAt:  map[string]Time{},
+		undivided:     map[string]*undividedService{},
+		uniformHashes: map[uniformKeySet][]uint64{},
 	}
 	for _, s := range trace {
 		p.advance(s.At)
-		if err := p.handle(s.Event); err != nil {
+		if err := p.applyEvent(s.Event); err != nil {
 			return Report{}, fmt.Errorf("replay: at %d ms: %w", s.At, err)
 		}
 	}
 	return p.report(), nil
 }
 
-// namesOf returns the keys of each service in a trace by hash.
-func namesOf(trace []Stamped) map[string]map[uint64]string {
+// keyNamesOf returns the names of all keys in a trace, by service and hash.
+func keyNamesOf(trace []Stamped) map[string]map[uint64]string {
 	names := map[string]map[uint64]string{}
-	seen := map[others]bool{}
+	seen := map[uniformKeySet]bool{}
 	for _, s := range trace {
 		r, ok := s.Event.(Requests)
 		if !ok {
@@ -78,139 +80,143 @@
 		for key := range r.Counts {
 			names[r.Service][keys.Hash(r.Service, key)] = key
 		}
-		if r.Others == nil {
+		if r.Uniform == nil {
 			continue
 		}
-		id := others{service: r.Service, prefix: r.Others.Prefix, keys: r.Others.Keys}
+		id := uniformKeySet{service: r.Service, prefix: r.Uniform.Prefix, keys: r.Uniform.Keys}
 		if seen[id] {
 			continue
 		}
 		seen[id] = true
-		for i := range r.Others.Keys {
-			key := r.Others.key(i)
+		for i := range r.Uniform.Keys {
+			key := r.Uniform.keyName(i)
 			names[r.Service][keys.Hash(r.Service, key)] = key
 		}
 	}
 	return names
 }
 
-// key returns the name of one of the keys.
-func (o *Others) key(i int) string {
+// keyName returns the name of key i, counted from zero.
+func (o *UniformRequests) keyName(i int) string {
 	return fmt.Sprintf("%s%d", o.Prefix, i)
 }
 
-// handle applies an event.
-func (p *player) handle(ev Event) error {
+// applyEvent applies an event that happens now.
+func (p *player) applyEvent(ev Event) error {
 	switch ev := ev.(type) {
 	case Header:
 		p.header = ev
 		p.costs = DefaultCosts(ev.OneWayMicros)
-	case Bundled:
-		return p.bundled(&ev.Bundle)
+	case BundleInForce:
+		return p.applyBundle(&ev.Bundle)
 	case Requests:
-		p.requests(&ev)
-	case Server:
-		return p.server(ev)
-	case Instance:
-		p.instance(ev)
-	case Log:
+		p.applyRequests(&ev)
+	case ServerChange:
+		return p.applyServerChange(ev)
+	case InstanceChange:
+		p.applyInstanceChange(ev)
+	case LogChange:
 		p.logDown = ev.State == StateDown
-	case Domain, Ended:
-		// A domain that is cut off keeps its ranges and its own leader: nothing moves.
+	case DomainChange, Ended:
+		// A failure domain that is cut off keeps its ranges and its leader, so no key moves.
 	}
 	return nil
 }
 
-// advance lets time pass up to an event, with a placement at each tick.
+// advance advances the clock to the time of an event, with the placements that are due before it.
 func (p *player) advance(to Time) {
-	for next := p.next(); next < to; next = p.next() {
-		p.pass(next)
+	for next := p.nextPlacement(); next < to; next = p.nextPlacement() {
+		p.advanceClock(next)
 		for i := range p.parts {
-			p.place(i, causeTick)
+			p.place(i, triggerInterval)
 		}
 	}
-	p.pass(to)
+	p.advanceClock(to)
 }
 
-// next returns when the next placement is due that no event asks for.
-func (p *player) next() Time {
-	next := p.now - p.now%tick + tick
-	if p.now < p.soonUntil {
-		next = min(next, p.now+placing)
+// nextPlacement returns the time of the next placement that no event triggers.
+func (p *player) nextPlacement() Time {
+	next := p.now - p.now%placementInterval + placementInterval
+	if p.now < p.shortIntervalUntil {
+		next = min(next, p.now+shortPlacementInterval)
 	}
 	return next
 }
 
-// pass notes the spread that held until now.
-func (p *player) pass(to Time) {
+// advanceClock sets the clock, and adds the imbalance of the time in between to the totals and to the
+// samples.
+func (p *player) advanceClock(to Time) {
 	millis := float64(to - p.now)
 	if millis > 0 {
 		for i, part := range p.parts {
-			for j, s := range p.subjects[i] {
-				if s.stale {
-					s.now, s.stale = spreadOf(part, s.owners, p.now), false
+			for j, s := range p.methodStates[i] {
+				if s.imbalanceStale {
+					s.imbalance, s.imbalanceStale = imbalanceOf(part, s.owners, p.now), false
 				}
-				p.tallies[part.service][j].hold(s.now, millis)
+				p.totals[part.service][j].addImbalance(s.imbalance, millis)
 			}
 		}
-		p.sample()
+		p.addSample()
 	}
-	p.warm(to)
+	p.markWarmedUp(to)
 	p.now = to
 }
 
-// warm marks what changes when a cold start ends.
-func (p *player) warm(to Time) {
+// markWarmedUp marks the imbalance of each part as stale in which a cold start ends after now, up to
+// the given time.
+func (p *player) markWarmedUp(to Time) {
 	for i, part := range p.parts {
-		for _, m := range part.members {
-			if p.now < m.warmAt && m.warmAt <= to {
-				p.mark(i)
+		for _, b := range part.servers {
+			if p.now < b.warmAt && b.warmAt <= to {
+				p.markStale(i)
 			}
 		}
 	}
 }
 
-// mark says that the spread of a part has changed.
-func (p *player) mark(i int) {
-	for _, s := range p.subjects[i] {
-		s.stale = true
+// markStale marks the imbalance of part i as stale.
+func (p *player) markStale(i int) {
+	for _, s := range p.methodStates[i] {
+		s.imbalanceStale = true
 	}
 }
 
-// bundled takes the first bundle: services, servers and homes.
-func (p *player) bundled(b *bundle.Bundle) error {
+// applyBundle creates the services, servers and homes of a bundle and places the keys for the first
+// time. A trace has only one bundle.
+func (p *player) applyBundle(b *bundle.Bundle) error {
 	if len(p.parts) > 0 {
-		return fmt.Errorf("%w: a second bundle; servers come and go by server events", ErrTrace)
+		return fmt.Errorf("%w: more than one bundle; servers are changed by server events", ErrTrace)
 	}
 	for i := range b.Services {
 		s := &b.Services[i]
 		if !s.Divided {
-			p.undivided[s.Name] = newCrowd(s, p.header.Seed)
+			p.undivided[s.Name] = newUndividedService(s, p.header.Seed)
 			continue
 		}
 		p.services = append(p.services, s.Name)
-		p.keyCount[s.Name] = len(p.names[s.Name])
+		p.keyCount[s.Name] = len(p.keyNames[s.Name])
 		for range p.methods {
-			p.tallies[s.Name] = append(p.tallies[s.Name], &tally{byKey: map[string]float64{}})
+			p.totals[s.Name] = append(p.totals[s.Name], &totals{millisByKey: map[string]float64{}})
 		}
 		for domain, homes := range homesOf(s) {
-			p.parts = append(p.parts, newPart(s, s.Homes[domain].Domain, homes, p.names[s.Name]))
+			p.parts = append(p.parts, newDomainPart(s, s.Homes[domain].Domain, homes, p.keyNames[s.Name]))
 		}
 	}
 	for _, part := range p.parts {
-		var subjects []*subject
+		var subjects []*methodState
 		for _, m := range p.methods {
-			subjects = append(subjects, newSubject(m, part))
+			subjects = append(subjects, newMethodState(m, part))
 		}
-		p.subjects = append(p.subjects, subjects)
+		p.methodStates = append(p.methodStates, subjects)
 	}
 	for i := range p.parts {
-		p.place(i, causeServers)
+		p.place(i, triggerServers)
 	}
 	return nil
 }
 
-// homesOf divides the hash space between the homes of a service, in their order.
+// homesOf divides the hash space among the homes of a service in proportion to their shares, in the
+// order of the homes.
 func homesOf(s *bundle.Service) [][]keys.Range {
 	shares := 0
 	for _, h := range s.Homes {
@@ -227,19 +233,20 @@
 	return homes
 }
 
-// requests spreads a record of requests over the keys.
-func (p *player) requests(r *Requests) {
-	if c := p.undivided[r.Service]; c != nil {
-		c.play(p.now, r)
+// applyRequests applies a record of requests: it simulates them if the service is undivided, and sets
+// the loads of the keys otherwise.
+func (p *player) applyRequests(r *Requests) {
+	if u := p.undivided[r.Service]; u != nil {
+		u.play(p.now, r)
 		return
 	}
-	p.soonUntil = p.now + soon
+	p.shortIntervalUntil = p.now + shortIntervalPeriod
 	seconds := float64(r.SpanMillis) / 1000
-	loads := make(map[uint64]float64, len(p.names[r.Service]))
-	if r.Others != nil {
-		each := float64(r.Others.Requests) / float64(r.Others.Keys) / seconds
-		for _, hash := range p.hashes(r) {
-			loads[hash] = each
+	loads := make(map[uint64]float64, len(p.keyNames[r.Service]))
+	if r.Uniform != nil {
+		perKey := float64(r.Uniform.Requests) / float64(r.Uniform.Keys) / seconds
+		for _, hash := range p.hashesOf(r) {
+			loads[hash] = perKey
 		}
 	}
 	for key, count := range r.Counts {
@@ -247,95 +254,95 @@
 	}
 	for i, part := range p.parts {
 		if part.service == r.Service {
-			part.measure(p.now, loads)
-			p.mark(i)
-			p.place(i, causeLoad)
+			part.setLoads(p.now, loads)
+			p.markStale(i)
+			p.place(i, triggerLoad)
 		}
 	}
 }
 
-// others identifies a set of keys that share requests.
-type others struct {
+// uniformKeySet identifies the set of keys of a UniformRequests.
+type uniformKeySet struct {
 	service string
 	prefix  string
 	keys    int
 }
 
-// hashes returns the hashes of the other keys of a record. They are kept, since most records
-// have the same.
-func (p *player) hashes(r *Requests) []uint64 {
-	id := others{service: r.Service, prefix: r.Others.Prefix, keys: r.Others.Keys}
-	if list, found := p.others[id]; found {
+// hashesOf returns the hashes of the keys of r.Uniform. It caches them, since most records have the
+// same set of keys.
+func (p *player) hashesOf(r *Requests) []uint64 {
+	id := uniformKeySet{service: r.Service, prefix: r.Uniform.Prefix, keys: r.Uniform.Keys}
+	if list, found := p.uniformHashes[id]; found {
 		return list
 	}
-	list := make([]uint64, r.Others.Keys)
+	list := make([]uint64, r.Uniform.Keys)
 	for i := range list {
-		list[i] = keys.Hash(r.Service, r.Others.key(i))
+		list[i] = keys.Hash(r.Service, r.Uniform.keyName(i))
 	}
-	p.others[id] = list
+	p.uniformHashes[id] = list
 	return list
 }
 
-// server applies a change of a backend server.
-func (p *player) server(ev Server) error {
-	for _, c := range p.undivided {
-		if c.server(p.now, ev) {
+// applyServerChange applies a change of state of a backend server.
+func (p *player) applyServerChange(ev ServerChange) error {
+	for _, u := range p.undivided {
+		if u.setServerState(p.now, ev) {
 			return nil
 		}
 	}
 	for i, part := range p.parts {
-		at := part.find(ev.Name)
+		at := part.serverIndex(ev.Name)
 		if at < 0 {
 			continue
 		}
-		m := &part.members[at]
-		m.state = ev.State
+		b := &part.servers[at]
+		b.state = ev.State
 		if ev.State == StateUp {
-			m.warmAt = p.now + ev.WarmMillis
+			b.warmAt = p.now + ev.WarmMillis
 		}
-		p.smallest[part.service] += part.reshare() * float64(len(part.hashes))
-		p.mark(i)
-		p.place(i, causeServers)
+		p.minKeysMoved[part.service] += part.updateSlotShares() * float64(len(part.hashes))
+		p.markStale(i)
+		p.place(i, triggerServers)
 		return nil
 	}
-	return fmt.Errorf("%w: no server %q", ErrTrace, ev.Name)
+	return fmt.Errorf("%w: unknown server %q", ErrTrace, ev.Name)
 }
 
-// cause is why a placement is due.
-type cause int
+// trigger is the reason for a placement.
+type trigger int
 
 const (
-	causeTick cause = iota
-	causeLoad
-	causeServers
+	triggerInterval trigger = iota
+	triggerLoad
+	triggerServers
 )
 
-// heeds reports whether a method places for a cause. Naive ones place when servers change,
-// and the one that looks at loads also when loads do.
-func heeds(m Method, c cause) bool {
-	plain, ok := m.(Plain)
-	if !ok || c == causeServers {
+// reactsTo reports whether a method places keys on a trigger. A naive method does so when servers
+// change, and if it uses loads, also when loads change.
+func reactsTo(m Method, t trigger) bool {
+	nm, ok := m.(NaiveMethod)
+	if !ok || t == triggerServers {
 		return true
 	}
-	_, bounded := plain.Method.(naive.Bounded)
-	return bounded && c == causeLoad
+	_, bounded := nm.Method.(naive.BoundedRendezvous)
+	return bounded && t == triggerLoad
 }
 
-// place lets each method place a part.
-func (p *player) place(i int, c cause) {
+// place places the keys of part i with each method that reacts to the trigger.
+func (p *player) place(i int, tr trigger) {
 	part := p.parts[i]
-	for j, s := range p.subjects[i] {
-		if !heeds(s.method, c) {
+	for j, s := range p.methodStates[i] {
+		if !reactsTo(s.method, tr) {
 			continue
 		}
-		owners := s.wanted(part, p.now)
+		owners := s.wantedOwners(part, p.now)
 		if slices.Equal(owners, s.owners) {
 			continue
 		}
-		t := p.tallies[part.service][j]
+		t := p.totals[part.service][j]
 		if p.now > 0 && owners != nil {
-			t.least += part.least(s.owners, owners, p.now)
+			t.minKeysMoved += part.minKeysMoved(s.owners, owners, p.now)
 		}
-		p.change(part, s, t, owners)
+		p.applyOwners(part, s, t, owners)
 	}
 }
--- a/internal/replay/plot.go
+++ b/internal/replay/plot.go
@@ -38,8 +38,8 @@
 				continue
 			}
 			minutes := float64(s.At) / 60_000
-			loads = append(loads, plotter.XY{X: minutes, Y: s.Load[j]})
-			counts = append(counts, plotter.XY{X: minutes, Y: float64(s.Moved[j])})
+			loads = append(loads, plotter.XY{X: minutes, Y: s.LoadMaxOverMean[j]})
+			counts = append(counts, plotter.XY{X: minutes, Y: float64(s.KeysMoved[j])})
 		}
 		if err := addLine(load, j, "", loads); err != nil {
 			return err
--- a/internal/replay/recipe.go
+++ b/internal/replay/recipe.go
@@ -17,7 +17,7 @@
 	Story string
 	// Deployments are those that the recipe is made for.
 	Deployments []string
-	make        func(m *maker)
+	make        func(m *generator)
 }
 
 const (
@@ -61,54 +61,54 @@
 	if deployed == "uva" {
 		d = uva()
 	}
-	m := &maker{deployment: d, random: rand.New(rand.NewPCG(seed, uint64(at)))}
+	m := &generator{deployment: d, random: rand.New(rand.NewPCG(seed, uint64(at)))}
 	m.add(0, Header{Deployment: d.name, Recipe: recipe, Seed: seed, OneWayMicros: d.oneWayMicros})
-	m.add(0, Bundled{Bundle: d.bundle()})
+	m.add(0, BundleInForce{Bundle: d.bundle()})
 	r.make(m)
 	slices.SortStableFunc(m.trace, func(a, b Stamped) int { return int(a.At - b.At) })
 	return m.trace, nil
 }
 
-// maker collects the events of a trace. They are sorted by time at the end.
-type maker struct {
+// generator collects the events of a trace. They are sorted by time at the end.
+type generator struct {
 	deployment deployment
 	random     *rand.Rand
 	trace      []Stamped
 }
 
-func (m *maker) add(at Time, ev Event) {
+func (m *generator) add(at Time, ev Event) {
 	m.trace = append(m.trace, Stamped{At: at, Event: ev})
 }
 
 // hotKey is a hot key with its part of all requests of its service.
 type hotKey struct {
-	name string
-	part float64
+	name  string
+	share float64
 }
 
-// hotSet draws hot keys. Together they bring the given part of all requests, the hottest at
+// drawHotKeys draws hot keys. Together they bring the given part of all requests, the hottest at
 // most a third of what one server's equal share is.
-func (m *maker) hotSet(w workload, n int, part float64) []hotKey {
+func (m *generator) drawHotKeys(w workload, n int, part float64) []hotKey {
 	set := make([]hotKey, n)
 	sum := 0.0
 	for i := range set {
-		set[i] = hotKey{name: fmt.Sprintf("%s%d", w.hotPrefix, m.random.IntN(1_000_000)), part: 0.5 + m.random.Float64()}
-		sum += set[i].part
+		set[i] = hotKey{name: fmt.Sprintf("%s%d", w.hotKeyPrefix, m.random.IntN(1_000_000)), share: 0.5 + m.random.Float64()}
+		sum += set[i].share
 	}
 	for i := range set {
-		set[i].part = min(set[i].part*part/sum, 1.0/3/float64(w.servers))
+		set[i].share = min(set[i].share*part/sum, 1.0/3/float64(w.servers))
 	}
 	return set
 }
 
-// requests adds records of one workload from a time on for a span: the usual rate times a
+// addRequests adds records of one workload from a time on for a span: the usual rate times a
 // factor, with some hot keys.
-func (m *maker) requests(w workload, at, span Time, factor float64, hot []hotKey) {
-	total := float64(w.perSecond) * float64(span) / 1000 * factor
+func (m *generator) addRequests(w workload, at, span Time, factor float64, hot []hotKey) {
+	total := float64(w.requestRate) * float64(span) / 1000 * factor
 	r := Requests{Service: w.name, SpanMillis: span, RunMillis: w.runMillis}
 	rest := total
 	for _, h := range hot {
-		if n := int(total * h.part); n > 0 {
+		if n := int(total * h.share); n > 0 {
 			if r.Counts == nil {
 				r.Counts = map[string]int{}
 			}
@@ -116,26 +116,26 @@
 			rest -= float64(n)
 		}
 	}
-	r.Others = &Others{Prefix: w.prefix, Keys: max(w.keys, 1), Requests: int(rest * (0.95 + 0.1*m.random.Float64()))}
+	r.Uniform = &UniformRequests{Prefix: w.keyPrefix, Keys: max(w.keyCount, 1), Requests: int(rest * (0.95 + 0.1*m.random.Float64()))}
 	m.add(at, r)
 }
 
-// usual adds records of all workloads over the length of a trace. Hot keys of divided
+// addWorkloads adds records of all workloads over the length of a trace. Hot keys of divided
 // services stay the same.
-func (m *maker) usual(length, span Time, factor func(at Time) float64) {
+func (m *generator) addWorkloads(length, span Time, factor func(at Time) float64) {
 	for _, w := range m.deployment.services {
 		var hot []hotKey
 		if w.divided {
-			hot = m.hotSet(w, 12, 0.1)
+			hot = m.drawHotKeys(w, 12, 0.1)
 		}
 		for at := Time(0); at < length; at += span {
-			m.requests(w, at, span, factor(at), hot)
+			m.addRequests(w, at, span, factor(at), hot)
 		}
 	}
 	m.add(length, Ended{})
 }
 
-// steady is a factor that does not change.
-func steady(Time) float64 {
+// constantRate is a factor that does not change.
+func constantRate(Time) float64 {
 	return 1
 }
--- a/internal/replay/recipes.go
+++ b/internal/replay/recipes.go
@@ -2,56 +2,56 @@
 
 import "math"
 
-// coldStart is how long a server that came up takes a reduced share.
-const coldStart = minute
+// coldStartTime is how long a server that came up takes a reduced share.
+const coldStartTime = minute
 
 // busyVolume makes the pages of one volume hot, with a rise and a fall.
-func busyVolume(m *maker) {
+func busyVolume(m *generator) {
 	for _, w := range m.deployment.services {
 		var pages []hotKey
 		if w.divided {
-			pages = m.hotSet(w, 40, 0.33)
+			pages = m.drawHotKeys(w, 40, 0.33)
 		}
 		for at := Time(0); at < hour; at += 20 * second {
 			rise := math.Sin(math.Pi * float64(at) / float64(hour))
 			now := make([]hotKey, len(pages))
 			for i, p := range pages {
-				now[i] = hotKey{name: p.name, part: p.part * rise}
+				now[i] = hotKey{name: p.name, share: p.share * rise}
 			}
-			m.requests(w, at, 20*second, 1+0.5*rise, now)
+			m.addRequests(w, at, 20*second, 1+0.5*rise, now)
 		}
 	}
 	m.add(hour, Ended{})
 }
 
 // hotelSeason makes requests rise and a few keys hot for good.
-func hotelSeason(m *maker) {
+func hotelSeason(m *generator) {
 	const length = 4 * hour
 	for _, w := range m.deployment.services {
 		var cheeses []hotKey
 		if w.divided {
-			cheeses = m.hotSet(w, 30, 0.3)
+			cheeses = m.drawHotKeys(w, 30, 0.3)
 		}
 		for at := Time(0); at < length; at += minute {
 			rise := min(1, 2*float64(at)/float64(length))
 			now := make([]hotKey, len(cheeses))
 			for i, c := range cheeses {
-				now[i] = hotKey{name: c.name, part: c.part * rise}
+				now[i] = hotKey{name: c.name, share: c.share * rise}
 			}
 			factor := 0.5 + rise
 			if !w.divided {
 				factor = 0.4 + 0.6*rise
 			}
-			m.requests(w, at, minute, factor, now)
+			m.addRequests(w, at, minute, factor, now)
 		}
 	}
 	m.add(length, Ended{})
 }
 
 // comingAndGoing stops each server three times at random moments of a day.
-func comingAndGoing(m *maker) {
+func comingAndGoing(m *generator) {
 	const length, stops = 24 * hour, 3
-	m.usual(length, 10*minute, func(at Time) float64 {
+	m.addWorkloads(length, 10*minute, func(at Time) float64 {
 		return 0.7 + 0.3*math.Sin(2*math.Pi*float64(at)/float64(length))
 	})
 	for _, w := range m.deployment.services {
@@ -63,59 +63,59 @@
 				if m.random.IntN(2) == 0 {
 					state = StateLeaving
 				}
-				m.add(at, Server{Name: w.serverName(i), State: state})
+				m.add(at, ServerChange{Name: w.serverName(i), State: state})
 				back := at + 20*second + Time(m.random.Int64N(int64(5*minute)))
-				m.add(back, Server{Name: w.serverName(i), State: StateUp, WarmMillis: coldStart})
+				m.add(back, ServerChange{Name: w.serverName(i), State: StateUp, WarmMillis: coldStartTime})
 			}
 		}
 	}
 }
 
 // rollingReplacement stops one server after the other, announced.
-func rollingReplacement(m *maker) {
+func rollingReplacement(m *generator) {
 	const each, away = 4 * minute, 30 * second
 	at := 5 * minute
 	for _, w := range m.deployment.services {
 		for i := range w.servers {
-			m.add(at, Server{Name: w.serverName(i), State: StateLeaving})
-			m.add(at+away, Server{Name: w.serverName(i), State: StateUp, WarmMillis: coldStart})
+			m.add(at, ServerChange{Name: w.serverName(i), State: StateLeaving})
+			m.add(at+away, ServerChange{Name: w.serverName(i), State: StateUp, WarmMillis: coldStartTime})
 			at += each
 		}
 	}
-	m.usual(at+5*minute, minute, steady)
+	m.addWorkloads(at+5*minute, minute, constantRate)
 }
 
 // domainCut cuts the first domain off for two hours. A server in it is lost meanwhile.
-func domainCut(m *maker) {
-	m.usual(3*hour, minute, steady)
+func domainCut(m *generator) {
+	m.addWorkloads(3*hour, minute, constantRate)
 	domain, divided := m.deployment.domains[0], m.deployment.services[0]
-	m.add(30*minute, Domain{Name: domain, State: StateCut})
-	m.add(70*minute, Server{Name: divided.serverName(0), State: StateLost})
-	m.add(85*minute, Server{Name: divided.serverName(0), State: StateUp, WarmMillis: coldStart})
-	m.add(150*minute, Domain{Name: domain, State: StateJoined})
+	m.add(30*minute, DomainChange{Name: domain, State: StateCut})
+	m.add(70*minute, ServerChange{Name: divided.serverName(0), State: StateLost})
+	m.add(85*minute, ServerChange{Name: divided.serverName(0), State: StateUp, WarmMillis: coldStartTime})
+	m.add(150*minute, DomainChange{Name: domain, State: StateJoined})
 }
 
 // logDown takes the log away for an hour, and in it a leader with a server of its domain.
-func logDown(m *maker) {
-	m.usual(2*hour, minute, steady)
+func logDown(m *generator) {
+	m.addWorkloads(2*hour, minute, constantRate)
 	domain, divided := m.deployment.domains[1], m.deployment.services[0]
-	m.add(30*minute, Log{State: StateDown})
-	m.add(50*minute, Instance{Name: domain + "-entry-0", Domain: domain, State: StateLost, Leading: true})
-	m.add(50*minute, Server{Name: divided.serverName(1), State: StateLost})
-	m.add(65*minute, Server{Name: divided.serverName(1), State: StateUp, WarmMillis: coldStart})
-	m.add(90*minute, Log{State: StateUp})
+	m.add(30*minute, LogChange{State: StateDown})
+	m.add(50*minute, InstanceChange{Name: domain + "-entry-0", Domain: domain, State: StateLost, Leading: true})
+	m.add(50*minute, ServerChange{Name: divided.serverName(1), State: StateLost})
+	m.add(65*minute, ServerChange{Name: divided.serverName(1), State: StateUp, WarmMillis: coldStartTime})
+	m.add(90*minute, LogChange{State: StateUp})
 }
 
 // hotShift replaces the whole hot set each four minutes.
-func hotShift(m *maker) {
+func hotShift(m *generator) {
 	const length, shift = 2 * hour, 4 * minute
 	for _, w := range m.deployment.services {
 		var hot []hotKey
 		for at := Time(0); at < length; at += 30 * second {
 			if w.divided && at%shift == 0 {
-				hot = m.hotSet(w, 24, 0.25)
+				hot = m.drawHotKeys(w, 24, 0.25)
 			}
-			m.requests(w, at, 30*second, 1, hot)
+			m.addRequests(w, at, 30*second, 1, hot)
 		}
 	}
 	m.add(length, Ended{})
