--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -45,7 +45,7 @@
 }
 
 // Run replays a trace with the given methods and returns the report.
-func Run(trace []Stamped, methods []Method) (Report, error) {
+func Run(trace []TimedEvent, methods []Method) (Report, error) {
 	p := &player{
 		methods:       methods,
 		totals:        map[string][]*totals{},
@@ -66,7 +66,7 @@
 }
 
 // keyNamesOf returns the names of all keys in a trace, by service and hash.
-func keyNamesOf(trace []Stamped) map[string]map[uint64]string {
+func keyNamesOf(trace []TimedEvent) map[string]map[uint64]string {
 	names := map[string]map[uint64]string{}
 	seen := map[uniformKeySet]bool{}
 	for _, s := range trace {
