--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -71,7 +71,7 @@
 
 // passing reports whether an error of the log may go away.
 func passing(err error) bool {
-	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrLimited) || errors.Is(err, logcl.ErrUncertain)
+	return errors.Is(err, logcl.ErrUnavailable) || errors.Is(err, logcl.ErrRateLimited) || errors.Is(err, logcl.ErrUncertain)
 }
 
 // catchUp reads to the end of the log, and at least up to an offset.
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -44,7 +44,7 @@
 	if view.Table != nil {
 		s.TableTerm, s.TableSerial = view.Table.Term, view.Table.Serial
 	}
-	s.Blocks = e.front.Blocks()
+	s.Blocks = e.front.CrashRecords()
 	slices.SortFunc(s.Blocks, compareBlocks)
 	if core := e.leadership.heartbeat.Load(); core != nil {
 		s.Leading, s.Term = core.Leading, core.Term
@@ -89,13 +89,13 @@
 
 // memberBeat returns the heartbeat of a sender with state s as an input of the membership core. self
 // is the process of the receiver.
-func (h Heartbeat) memberBeat(s InstanceState, self member.Process) member.Beat {
-	b := member.Beat{
+func (h Heartbeat) memberBeat(s InstanceState, self member.Process) member.Heartbeat {
+	b := member.Heartbeat{
 		Instance: s.memberInstance(),
 		Count:    h.Count,
 		Leaving:  s.Stopping,
 		Term:     s.Term,
-		Hearsay:  h.Hearsay,
+		Gossip:   h.Hearsay,
 	}
 	if s.Leading {
 		b.Leader = b.Process
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -45,8 +45,8 @@
 	appender     *logcl.Appender
 	reader       *logcl.Reader
 	checkpointer *logcl.Checkpointer
-	written      chan logcl.Written
-	fetched      chan logcl.Fetched
+	written      chan logcl.WriteResult
+	fetched      chan logcl.FetchResult
 	// oldest is the offset of the oldest entry that the log retains, as of the last read.
 	oldest uint64
 	// current says that the last read reached the end of the log.
@@ -60,17 +60,17 @@
 	return &logWorker{
 		entry: e,
 		appender: logcl.NewAppender(logcl.AppenderConfig{
-			PerSecond: appendsPerSecond, Burst: appendBurst, Queue: appendQueue, Calls: maxAppendCalls, Random: random,
+			PerSecond: appendsPerSecond, Burst: appendBurst, MaxQueued: appendQueue, MaxCalls: maxAppendCalls, Random: random,
 		}),
 		reader: logcl.NewReader(logcl.ReaderConfig{
-			Anchors: e.deps.Settings.Roots, Limit: maxReadEntries, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
+			Anchors: e.deps.Settings.Roots, MaxEntries: maxReadEntries, PerSecond: readsPerSecond, Burst: readBurst, Random: random,
 		}),
 		checkpointer: logcl.NewCheckpointer(logcl.CheckpointerConfig{
 			Instance: e.deps.Settings.Name, Incarnation: e.deps.Incarnation,
-			Records: checkpointRecords, Interval: checkpointInterval, Grace: checkpointGrace,
+			MaxRecords: checkpointRecords, Interval: checkpointInterval, RankDelay: checkpointGrace,
 		}),
-		written: make(chan logcl.Written, maxAppendCalls),
-		fetched: make(chan logcl.Fetched, 1),
+		written: make(chan logcl.WriteResult, maxAppendCalls),
+		fetched: make(chan logcl.FetchResult, 1),
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // append passes an event to the appender and performs its effects.
 func (w *logWorker) append(ctx context.Context, ev logcl.AppendEvent) {
-	if wr, is := ev.(logcl.Written); is && wr.Err != nil {
+	if wr, is := ev.(logcl.WriteResult); is && wr.Err != nil {
 		w.entry.meter.LogAppendsFailed.Add(1)
 		w.entry.deps.Logger.Warn("append-failed", "id", wr.ID, "error", wr.Err)
 		w.entry.notifyLeaderCore(ctx, leader.LogFailed{})
@@ -124,15 +124,15 @@
 	w.entry.meter.LogAppends.Add(1)
 	offset, err := w.entry.deps.Log.Append(bounded, wr.ID, wr.Data)
 	select {
-	case w.written <- logcl.Written{ID: wr.ID, Offset: offset, Err: err}:
+	case w.written <- logcl.WriteResult{ID: wr.ID, Offset: offset, Err: err}:
 	case <-ctx.Done():
 	}
 }
 
 // fetch waits until a read is due, makes it and sends the result to fetched.
 func (w *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
-	duty.Pause(ctx, time.Duration(f.At-w.entry.now()))
-	result := logcl.Fetched{Fetch: f, AskedAt: w.entry.now()}
+	duty.Sleep(ctx, time.Duration(f.At-w.entry.now()))
+	result := logcl.FetchResult{Fetch: f, AskedAt: w.entry.now()}
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	w.entry.meter.LogReads.Add(1)
@@ -145,18 +145,18 @@
 
 // handleRead passes the result of a read to the reader, performs its effects and starts the next
 // read.
-func (w *logWorker) handleRead(ctx context.Context, f logcl.Fetched) {
+func (w *logWorker) handleRead(ctx context.Context, f logcl.FetchResult) {
 	w.oldest = f.Batch.Oldest
 	w.current = false
 	effects, next := w.reader.Handle(w.entry.now(), f)
 	for _, effect := range effects {
 		w.performReadEffect(ctx, effect)
 	}
-	w.checkpoint(ctx, logcl.Progressed{
-		Next:   w.reader.State().Next,
-		Oldest: w.oldest,
-		Rank:   w.entry.rank(),
-		Able:   w.current && w.reader.State().MayLead(),
+	w.checkpoint(ctx, logcl.ReadProgress{
+		Next:     w.reader.State().Next,
+		Oldest:   w.oldest,
+		Rank:     w.entry.rank(),
+		CanWrite: w.current && w.reader.State().MayLead(),
 	})
 	go w.fetch(ctx, next)
 }
@@ -164,17 +164,17 @@
 func (w *logWorker) performReadEffect(ctx context.Context, effect logcl.ReadEffect) {
 	logger := w.entry.deps.Logger
 	switch f := effect.(type) {
-	case logcl.Folded:
+	case logcl.EntryApplied:
 		w.handleFolded(ctx, f)
-	case logcl.Current:
+	case logcl.CaughtUp:
 		w.current = true
 		w.publish(ctx, f.AskedAt)
-	case logcl.Gapped:
+	case logcl.GapFound:
 		logger.Warn("log-gap", "wanted", f.Wanted, "oldest", f.Oldest)
-	case logcl.Restarted:
+	case logcl.StateReset:
 		logger.Warn("log-started-anew", "identity", f.Identity)
-		w.append(ctx, logcl.LogRestarted{})
-	case logcl.Unread:
+		w.append(ctx, logcl.LogReplaced{})
+	case logcl.ReadFailed:
 		w.entry.meter.LogReadsFailed.Add(1)
 		logger.Warn("log-unavailable", "error", f.Err)
 		w.entry.notifyLeaderCore(ctx, leader.LogFailed{})
@@ -182,20 +182,20 @@
 }
 
 // handleFolded handles one log entry that the reader has applied to its state or refused.
-func (w *logWorker) handleFolded(ctx context.Context, f logcl.Folded) {
-	if v, refused := f.Verdict.(fold.Rejected); refused {
+func (w *logWorker) handleFolded(ctx context.Context, f logcl.EntryApplied) {
+	if v, refused := f.Result.(fold.Rejected); refused {
 		w.entry.meter.RecordsRefused.Add(1)
 		w.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
-	w.append(ctx, logcl.Seen{ID: f.Entry.ID, Offset: f.Entry.Offset})
-	if _, accepted := f.Verdict.(fold.Accepted); !accepted {
+	w.append(ctx, logcl.EntryRead{ID: f.Entry.ID, Offset: f.Entry.Offset})
+	if _, accepted := f.Result.(fold.Accepted); !accepted {
 		return
 	}
 	r, err := record.Decode(f.Entry.Data)
 	if err != nil {
 		return
 	}
-	w.checkpoint(ctx, logcl.Met{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
+	w.checkpoint(ctx, logcl.RecordAccepted{ID: f.Entry.ID, Offset: f.Entry.Offset, Record: r})
 }
 
 // checkpoint passes an event to the checkpointer and performs its effects.
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -20,7 +20,7 @@
 func (p *peers) markBusy(effects []member.Effect) []*remote {
 	var all []*remote
 	for _, effect := range effects {
-		send, is := effect.(member.Send)
+		send, is := effect.(member.SendHeartbeat)
 		if !is {
 			continue
 		}
@@ -43,7 +43,7 @@
 func (p *peers) setLeading(now member.Time, s InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ev := member.LedBy{Term: s.Term}
+	ev := member.LeaderReported{Term: s.Term}
 	if s.Leading {
 		ev.Leader = p.process
 	}
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	removed := false
-	for _, effect := range p.membership.Handle(now, member.Listed{Instances: listed}) {
+	for _, effect := range p.membership.Handle(now, member.InstancesListed{Instances: listed}) {
 		_, is := effect.(member.Removed)
 		removed = removed || is
 	}
@@ -99,8 +99,8 @@
 
 // newHeartbeat returns a heartbeat with all its fields.
 func (p *peers) newHeartbeat(now member.Time, to string, own InstanceState) Heartbeat {
-	b := p.membership.Beat(now)
-	h := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Hearsay, NotHearing: true}
+	b := p.membership.NextHeartbeat(now)
+	h := Heartbeat{Name: own.Name, Count: b.Count, StateID: stateID(own), State: &own, Hearsay: b.Gossip, NotHearing: true}
 	r := p.known[to]
 	if r == nil {
 		return h
@@ -126,8 +126,8 @@
 	if !found {
 		return s, false, false
 	}
-	p.membership.Handle(now, member.Heard{Beat: h.memberBeat(s, p.process), Answered: isAnswer})
-	if !p.membership.Holds(s.memberInstance().Process) {
+	p.membership.Handle(now, member.HeartbeatReceived{Heartbeat: h.memberBeat(s, p.process), IsReply: isAnswer})
+	if !p.membership.IsCurrent(s.memberInstance().Process) {
 		return s, false, false
 	}
 	if h.State != nil {
--- a/internal/entry/message.go
+++ b/internal/entry/message.go
@@ -38,7 +38,7 @@
 	NotHearing bool           `json:"deaf,omitempty"`
 	State      *InstanceState `json:"heartbeat,omitempty"`
 	// Hearsay has the newest heartbeat counts of other instances that the sender knows.
-	Hearsay []member.Count `json:"hearsay,omitempty"`
+	Hearsay []member.HeartbeatCount `json:"hearsay,omitempty"`
 }
 
 // InstanceState is the state of an instance that it reports to the other instances.
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -24,7 +24,7 @@
 	// self are the settings of this instance, and process its current process.
 	self      config.Run
 	tlsConfig *tls.Config
-	meter     *meter.Control
+	meter     *meter.Counters
 
 	mu         sync.Mutex
 	membership *member.Core
@@ -52,19 +52,19 @@
 	fetching atomic.Bool
 }
 
-func newPeers(self config.Run, incarnation uint64, tlsConfig *tls.Config, m *meter.Control) *peers {
+func newPeers(self config.Run, incarnation uint64, tlsConfig *tls.Config, m *meter.Counters) *peers {
 	own := member.Process{Name: self.Name, Incarnation: incarnation}
 	p := &peers{self: self, tlsConfig: tlsConfig, meter: m, process: own, known: make(map[string]*remote)}
 	p.membership = member.New(member.Config{
-		Self:           member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
-		Period:         heartbeatInterval,
-		PeriodOutside:  heartbeatIntervalOutside,
-		Silence:        unreachableAfter,
-		SilenceOutside: unreachableAfterOutside,
-		All:            maxFullMesh,
-		Delegates:      maxDelegates,
-		Patience:       listedNameTimeout,
-		Hearsay:        maxHearsay,
+		Self:                member.Instance{Process: own, Domain: self.Domain, Address: self.PeerAddress},
+		HeartbeatInterval:   heartbeatInterval,
+		CrossDomainInterval: heartbeatIntervalOutside,
+		HeartbeatTimeout:    unreachableAfter,
+		CrossDomainTimeout:  unreachableAfterOutside,
+		MaxFullMesh:         maxFullMesh,
+		ContactsPerDomain:   maxDelegates,
+		ReplaceDelay:        listedNameTimeout,
+		MaxGossip:           maxHearsay,
 	})
 	for _, seed := range self.Peers {
 		p.add(seed)
@@ -93,7 +93,7 @@
 		go old.client.Close()
 	}
 	p.known[found.Name] = &remote{Peer: found, client: peer.NewClient(found.PeerAddress, p.tlsConfig, p.countBytes)}
-	p.membership.Handle(0, member.Learned{Instance: member.Instance{
+	p.membership.Handle(0, member.Discovered{Instance: member.Instance{
 		Process: member.Process{Name: found.Name},
 		Domain:  found.Domain,
 		Address: found.PeerAddress,
@@ -146,7 +146,7 @@
 // acceptsWork reports whether work may be sent to an instance: it is not leaving, and heartbeats with
 // it succeed in both directions. LinkNone is accepted as well: in a large domain most instances are
 // not in direct contact and are known to be live by hearsay only.
-func acceptsWork(l member.Live) bool {
+func acceptsWork(l member.LiveInstance) bool {
 	return !l.Leaving && (l.Link == member.LinkBoth || l.Link == member.LinkNone)
 }
 
--- a/internal/logcl/appender.go
+++ b/internal/logcl/appender.go
@@ -13,10 +13,10 @@
 	// PerSecond and Burst bound the calls. All instances share the rate of the log.
 	PerSecond float64
 	Burst     int
-	// Queue bounds the records that wait.
-	Queue int
-	// Calls bounds the calls that are out at once.
-	Calls int
+	// MaxQueued bounds the records that wait.
+	MaxQueued int
+	// MaxCalls bounds the calls that are out at once.
+	MaxCalls int
 	// Random spreads retries.
 	Random *rand.Rand
 }
@@ -37,8 +37,8 @@
 	return &Appender{config: config, pace: newPace(config.PerSecond, config.Burst, config.Random)}
 }
 
-// Waiting returns the number of records that are not acknowledged.
-func (a *Appender) Waiting() int {
+// Pending returns the number of records that are not acknowledged.
+func (a *Appender) Pending() int {
 	return len(a.queue)
 }
 
@@ -48,11 +48,11 @@
 	switch e := event.(type) {
 	case Submitted:
 		effects = a.submit(e)
-	case Written:
+	case WriteResult:
 		effects = a.written(now, e)
-	case Seen:
+	case EntryRead:
 		effects = a.acknowledge(e.ID, e.Offset)
-	case LogRestarted:
+	case LogReplaced:
 		for _, i := range a.queue {
 			i.stale = i.calling
 		}
@@ -71,7 +71,7 @@
 		}
 	}
 	effects := a.replace(e.Record)
-	if len(a.queue) >= a.config.Queue {
+	if len(a.queue) >= a.config.MaxQueued {
 		return append(effects, Dropped{ID: e.ID, Reason: DropFull})
 	}
 	a.queue = append(a.queue, newItem(e.ID, e.Record))
@@ -115,7 +115,7 @@
 	return effects
 }
 
-func (a *Appender) written(now Time, e Written) []AppendEffect {
+func (a *Appender) written(now Time, e WriteResult) []AppendEffect {
 	a.calls--
 	stale := a.answered(e.ID)
 	switch {
@@ -173,7 +173,7 @@
 
 // send starts as many calls as pace and bounds allow.
 func (a *Appender) send(now Time, effects []AppendEffect) []AppendEffect {
-	for a.calls < a.config.Calls {
+	for a.calls < a.config.MaxCalls {
 		next := a.next()
 		if next == nil {
 			return effects
--- a/internal/logcl/appender_test.go
+++ b/internal/logcl/appender_test.go
@@ -12,7 +12,7 @@
 )
 
 func newAppender(queue int) *logcl.Appender {
-	return logcl.NewAppender(logcl.AppenderConfig{PerSecond: 10, Burst: 10, Queue: queue, Calls: 1, Random: seeded(1)})
+	return logcl.NewAppender(logcl.AppenderConfig{PerSecond: 10, Burst: 10, MaxQueued: queue, MaxCalls: 1, Random: seeded(1)})
 }
 
 func made(server string, sequence uint64) record.AssignmentMade {
@@ -47,17 +47,17 @@
 	}
 	is.Equal(replaced, 9_997)
 	a.Handle(now, logcl.Submitted{ID: "claim", Record: record.TermClaimed{Domain: domainName}})
-	is.Equal(a.Waiting(), 3)
-	a.Handle(now, logcl.Written{ID: "first", Err: logcl.ErrUnavailable})
+	is.Equal(a.Pending(), 3)
+	a.Handle(now, logcl.WriteResult{ID: "first", Err: logcl.ErrUnavailable})
 	now += 3600 * second
 	is.Equal(writesOf(a.Handle(now, logcl.Ticked{})), []string{"claim"})
-	is.Equal(writesOf(a.Handle(now, logcl.Written{ID: "claim", Offset: 0})), []string{"first"})
-	effects := a.Handle(now, logcl.Written{ID: "first", Offset: 1})
+	is.Equal(writesOf(a.Handle(now, logcl.WriteResult{ID: "claim", Offset: 0})), []string{"first"})
+	effects := a.Handle(now, logcl.WriteResult{ID: "first", Offset: 1})
 	write := effects[len(effects)-1].(logcl.Write)
 	r, err := record.Decode(write.Data)
 	is.NoErr(err)
 	is.Equal(r.(record.AssignmentMade).Assignments, []record.Assignment{assignment("s0", 9_999), assignment("s1", 9_997), assignment("s2", 9_998)})
-	is.Equal(a.Handle(now, logcl.Written{ID: write.ID, Offset: 2}), []logcl.AppendEffect{
+	is.Equal(a.Handle(now, logcl.WriteResult{ID: write.ID, Offset: 2}), []logcl.AppendEffect{
 		logcl.Acknowledged{ID: "move-9997", Offset: 2},
 		logcl.Acknowledged{ID: "move-9998", Offset: 2},
 		logcl.Acknowledged{ID: "move-9999", Offset: 2},
@@ -70,8 +70,8 @@
 	is := is.New(t)
 	a := newAppender(8)
 	a.Handle(second, logcl.Submitted{ID: "a", Record: made("s0", 1)})
-	a.Handle(second, logcl.Written{ID: "a", Err: logcl.ErrUncertain})
-	is.Equal(a.Handle(second, logcl.Seen{ID: "a", Offset: 4}), []logcl.AppendEffect{logcl.Acknowledged{ID: "a", Offset: 4}})
+	a.Handle(second, logcl.WriteResult{ID: "a", Err: logcl.ErrUncertain})
+	is.Equal(a.Handle(second, logcl.EntryRead{ID: "a", Offset: 4}), []logcl.AppendEffect{logcl.Acknowledged{ID: "a", Offset: 4}})
 	is.Equal(len(a.Handle(100*second, logcl.Ticked{})), 0)
 }
 
@@ -81,7 +81,7 @@
 		dropped bool
 	}{
 		"unavailable": {err: logcl.ErrUnavailable},
-		"limited":     {err: logcl.ErrLimited},
+		"limited":     {err: logcl.ErrRateLimited},
 		"uncertain":   {err: fmt.Errorf("%w: %w", logcl.ErrUncertain, errors.New("reset"))},
 		"refused":     {err: logcl.ErrRefused, dropped: true},
 	}
@@ -90,7 +90,7 @@
 			is := is.New(t)
 			a := newAppender(8)
 			first := a.Handle(second, logcl.Submitted{ID: "a", Record: made("s0", 1)})[0].(logcl.Write)
-			effects := a.Handle(second, logcl.Written{ID: "a", Err: test.err})
+			effects := a.Handle(second, logcl.WriteResult{ID: "a", Err: test.err})
 			if test.dropped {
 				is.Equal(effects, []logcl.AppendEffect{logcl.Dropped{ID: "a", Reason: logcl.DropRefused}})
 				return
@@ -111,5 +111,5 @@
 	a.Handle(second, logcl.Submitted{ID: "b", Record: record.BundleApproved{}})
 	is.Equal(a.Handle(second, logcl.Submitted{ID: "c", Record: record.BundleApproved{}}),
 		[]logcl.AppendEffect{logcl.Dropped{ID: "c", Reason: logcl.DropFull}})
-	is.Equal(a.Waiting(), 2)
+	is.Equal(a.Pending(), 2)
 }
--- a/internal/logcl/bench_test.go
+++ b/internal/logcl/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkAppend measures one record from its submission to its acknowledgement.
 func BenchmarkAppend(b *testing.B) {
-	a := logcl.NewAppender(logcl.AppenderConfig{PerSecond: 1e12, Burst: 1 << 30, Queue: 8, Calls: 1, Random: seeded(1)})
+	a := logcl.NewAppender(logcl.AppenderConfig{PerSecond: 1e12, Burst: 1 << 30, MaxQueued: 8, MaxCalls: 1, Random: seeded(1)})
 	r := made("s0", 1)
 	now, bytes := second, 0
 	for n := 0; b.Loop(); n++ {
@@ -18,7 +18,7 @@
 		for _, effect := range a.Handle(now, logcl.Submitted{ID: id, Record: r}) {
 			bytes = len(effect.(logcl.Write).Data)
 		}
-		a.Handle(now, logcl.Written{ID: id, Offset: uint64(n)})
+		a.Handle(now, logcl.WriteResult{ID: id, Offset: uint64(n)})
 		now++
 	}
 	b.ReportMetric(float64(bytes), "bytes/record")
@@ -56,10 +56,10 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r := logcl.NewReader(logcl.ReaderConfig{Limit: batch, PerSecond: 1e9, Burst: 1000, Random: seeded(1)})
+		r := logcl.NewReader(logcl.ReaderConfig{MaxEntries: batch, PerSecond: 1e9, Burst: 1000, Random: seeded(1)})
 		fetch := r.Start(second)
 		got, err := log.read(fetch.From, fetch.Limit)
-		r.Handle(second, logcl.Fetched{Fetch: fetch, Batch: got, Err: err})
+		r.Handle(second, logcl.FetchResult{Fetch: fetch, Batch: got, Err: err})
 		if r.State().Next != batch {
 			b.Fatal("not read")
 		}
--- a/internal/logcl/checkpoint.go
+++ b/internal/logcl/checkpoint.go
@@ -13,12 +13,12 @@
 	// Instance and Incarnation make the IDs.
 	Instance    string
 	Incarnation uint64
-	// Records is the number of records after a checkpoint that makes the next one due.
-	Records uint64
+	// MaxRecords is the number of records after a checkpoint that makes the next one due.
+	MaxRecords uint64
 	// Interval is the time after a checkpoint that makes the next one due.
 	Interval time.Duration
-	// Grace is how much longer each instance waits than the one ranked before it.
-	Grace time.Duration
+	// RankDelay is how much longer each instance waits than the one ranked before it.
+	RankDelay time.Duration
 }
 
 // CheckpointEvent is an input of a Checkpointer. The set is sealed.
@@ -26,25 +26,25 @@
 	isCheckpointEvent()
 }
 
-// Progressed says how far this instance has read.
-type Progressed struct {
+// ReadProgress says how far this instance has read.
+type ReadProgress struct {
 	Next   uint64
 	Oldest uint64
 	// Rank is the number of live instances before this one in the order of their names.
 	Rank int
-	// Able says that the state is current and may be written down.
-	Able bool
+	// CanWrite says that the state is current and may be written down.
+	CanWrite bool
 }
 
-// Met says that a CheckpointMarked or Checkpoint was accepted by the fold.
-type Met struct {
+// RecordAccepted says that a CheckpointMarked or Checkpoint was accepted by the fold.
+type RecordAccepted struct {
 	ID     string
 	Offset uint64
 	Record record.Record
 }
 
-func (Progressed) isCheckpointEvent() {}
-func (Met) isCheckpointEvent()        {}
+func (ReadProgress) isCheckpointEvent()   {}
+func (RecordAccepted) isCheckpointEvent() {}
 
 // CheckpointEffect is an output of a Checkpointer. The set is sealed.
 type CheckpointEffect interface {
@@ -90,15 +90,15 @@
 // Handle takes one event. The time never goes back.
 func (c *Checkpointer) Handle(now Time, event CheckpointEvent) []CheckpointEffect {
 	switch e := event.(type) {
-	case Progressed:
+	case ReadProgress:
 		return c.progressed(now, e)
-	case Met:
+	case RecordAccepted:
 		return c.met(now, e)
 	}
 	return nil
 }
 
-func (c *Checkpointer) progressed(now Time, e Progressed) []CheckpointEffect {
+func (c *Checkpointer) progressed(now Time, e ReadProgress) []CheckpointEffect {
 	if e.Next == 0 {
 		return nil
 	}
@@ -111,12 +111,12 @@
 	if c.startAt == 0 {
 		c.startAt = now
 	}
-	if !e.Able || now < c.startAt+Time(e.Rank)*Time(c.config.Grace) {
+	if !e.CanWrite || now < c.startAt+Time(e.Rank)*Time(c.config.RankDelay) {
 		return nil
 	}
 	// The mark or the checkpoint of this attempt may be lost with its writer: every other
 	// instance then finds the checkpoint still due when its own wait is over.
-	c.startAt = now + Time(c.config.Grace)
+	c.startAt = now + Time(c.config.RankDelay)
 	c.serial++
 	c.markID = fmt.Sprintf("mark-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.serial)
 	return []CheckpointEffect{SubmitMark{ID: c.markID}}
@@ -124,13 +124,13 @@
 
 // isDue looks at time, at records, and at what the log keeps: the newest checkpoint stands in
 // its oldest quarter, or there are forgotten records and no checkpoint at all.
-func (c *Checkpointer) isDue(now Time, e Progressed) bool {
+func (c *Checkpointer) isDue(now Time, e ReadProgress) bool {
 	switch {
 	case now >= c.dueAt:
 		return true
 	case !c.known:
-		return e.Next >= c.config.Records || e.Oldest > 0
-	case e.Next-min(e.Next, c.last) >= c.config.Records:
+		return e.Next >= c.config.MaxRecords || e.Oldest > 0
+	case e.Next-min(e.Next, c.last) >= c.config.MaxRecords:
 		return true
 	default:
 		kept := e.Next - e.Oldest
@@ -138,14 +138,14 @@
 	}
 }
 
-func (c *Checkpointer) met(now Time, e Met) []CheckpointEffect {
+func (c *Checkpointer) met(now Time, e RecordAccepted) []CheckpointEffect {
 	switch e.Record.(type) {
 	case record.CheckpointMarked:
 		if e.ID == c.markID {
 			c.markID = ""
 			return []CheckpointEffect{SubmitCheckpoint{ID: fmt.Sprintf("checkpoint-%s-%x-%d", c.config.Instance, c.config.Incarnation, c.serial)}}
 		}
-		c.startAt = now + Time(c.config.Grace)
+		c.startAt = now + Time(c.config.RankDelay)
 	case record.Checkpoint:
 		c.last, c.known = e.Offset, true
 		c.dueAt = now + Time(c.config.Interval)
--- a/internal/logcl/client.go
+++ b/internal/logcl/client.go
@@ -70,7 +70,7 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return 0, fmt.Errorf("%w: %s", ErrLimited, resp.Status)
+		return 0, fmt.Errorf("%w: %s", ErrRateLimited, resp.Status)
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return 0, fmt.Errorf("%w: %s", ErrUnavailable, resp.Status)
 	case resp.StatusCode < http.StatusInternalServerError:
--- a/internal/logcl/events.go
+++ b/internal/logcl/events.go
@@ -19,32 +19,32 @@
 	Record record.Record
 }
 
-// Written is the answer of Log.Append to a Write.
-type Written struct {
+// WriteResult is the answer of Log.Append to a Write.
+type WriteResult struct {
 	ID     string
 	Offset uint64
 	// Err is nil, or one that wraps an error of this package.
 	Err error
 }
 
-// Seen says that the reader met an entry with the ID in the log.
-type Seen struct {
+// EntryRead says that the reader met an entry with the ID in the log.
+type EntryRead struct {
 	ID     string
 	Offset uint64
 }
 
-// LogRestarted says that the reader met a log that started anew. An answer to a call that was
+// LogReplaced says that the reader met a log that started anew. An answer to a call that was
 // out by then may come from the log before, and acknowledges nothing.
-type LogRestarted struct{}
+type LogReplaced struct{}
 
 // Ticked says that time has passed.
 type Ticked struct{}
 
-func (Submitted) isAppendEvent()    {}
-func (Written) isAppendEvent()      {}
-func (Seen) isAppendEvent()         {}
-func (LogRestarted) isAppendEvent() {}
-func (Ticked) isAppendEvent()       {}
+func (Submitted) isAppendEvent()   {}
+func (WriteResult) isAppendEvent() {}
+func (EntryRead) isAppendEvent()   {}
+func (LogReplaced) isAppendEvent() {}
+func (Ticked) isAppendEvent()      {}
 
 // AppendEffect is an output of an Appender. The set is sealed.
 type AppendEffect interface {
--- a/internal/logcl/fuzz_test.go
+++ b/internal/logcl/fuzz_test.go
@@ -20,9 +20,9 @@
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		r := newReader()
 		batch := logcl.Batch{Next: 2, Identity: "i", Entries: []record.Entry{{ID: "a", Data: first}, {Offset: 1, ID: "b", Data: second}}}
-		effects, _ := r.Handle(0, logcl.Fetched{Fetch: r.Start(0), Batch: batch})
-		if r.State().Next != 2 || count[logcl.Folded](effects) != 2 {
-			t.Fatalf("stopped at %d with %d verdicts", r.State().Next, count[logcl.Folded](effects))
+		effects, _ := r.Handle(0, logcl.FetchResult{Fetch: r.Start(0), Batch: batch})
+		if r.State().Next != 2 || count[logcl.EntryApplied](effects) != 2 {
+			t.Fatalf("stopped at %d with %d verdicts", r.State().Next, count[logcl.EntryApplied](effects))
 		}
 	})
 }
@@ -38,7 +38,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) })
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: handler}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: handler}})
 		var members map[string]any
 		_ = json.NewDecoder(bytes.NewReader(answer)).Decode(&members)
 		if _, err := client.Append(t.Context(), "id", nil); err == nil && len(members) == 0 {
--- a/internal/logcl/log.go
+++ b/internal/logcl/log.go
@@ -14,8 +14,8 @@
 var (
 	// ErrUnavailable says that the log did not take the call: nothing was written.
 	ErrUnavailable = errors.New("logcl: log unavailable")
-	// ErrLimited says that the log refused an append because of its rate limit.
-	ErrLimited = errors.New("logcl: append rate limit")
+	// ErrRateLimited says that the log refused an append because of its rate limit.
+	ErrRateLimited = errors.New("logcl: append rate limit")
 	// ErrUncertain says that an append was sent but no answer came: it may stand in the log.
 	ErrUncertain = errors.New("logcl: append uncertain")
 	// ErrRefused says that the log will never take this call as it stands.
--- a/internal/logcl/reader.go
+++ b/internal/logcl/reader.go
@@ -13,8 +13,8 @@
 type ReaderConfig struct {
 	// Anchors are the signers that the fold trusts at first.
 	Anchors []bundle.Signer
-	// Limit bounds the entries of one read.
-	Limit int
+	// MaxEntries bounds the entries of one read.
+	MaxEntries int
 	// PerSecond and Burst bound the calls: a log that does not wait with empty answers, or
 	// whose clock is ahead, would be read without pause.
 	PerSecond float64
@@ -31,8 +31,8 @@
 	At Time
 }
 
-// Fetched is the answer of Log.Read to a Fetch that left at AskedAt.
-type Fetched struct {
+// FetchResult is the answer of Log.Read to a Fetch that left at AskedAt.
+type FetchResult struct {
 	Fetch   Fetch
 	AskedAt Time
 	Batch   Batch
@@ -45,41 +45,41 @@
 	isReadEffect()
 }
 
-// Folded is one entry that the reader met, and what the fold made of it. The shell reports
+// EntryApplied is one entry that the reader met, and what the fold made of it. The shell reports
 // a fold.Refused with offset and reason, and tells the Appender that the ID was Seen.
-type Folded struct {
-	Entry   record.Entry
-	Verdict fold.Result
+type EntryApplied struct {
+	Entry  record.Entry
+	Result fold.Result
 }
 
-// Current says that the state holds all that stood in the log at AskedAt.
-type Current struct {
+// CaughtUp says that the state holds all that stood in the log at AskedAt.
+type CaughtUp struct {
 	AskedAt Time
 }
 
-// Gapped says that the log has forgotten records which the reader needs. It goes on at the
+// GapFound says that the log has forgotten records which the reader needs. It goes on at the
 // next checkpoint, and without one from Oldest with what is left.
-type Gapped struct {
+type GapFound struct {
 	Wanted uint64
 	Oldest uint64
 }
 
-// Restarted says that the log started anew. The state is that of an empty log, and what the
+// StateReset says that the log started anew. The state is that of an empty log, and what the
 // instance holds must be appended again: the bundle in force, its assignments, its term.
-type Restarted struct {
+type StateReset struct {
 	Identity string
 }
 
-// Unread says that the log could not be read.
-type Unread struct {
+// ReadFailed says that the log could not be read.
+type ReadFailed struct {
 	Err error
 }
 
-func (Folded) isReadEffect()    {}
-func (Current) isReadEffect()   {}
-func (Gapped) isReadEffect()    {}
-func (Restarted) isReadEffect() {}
-func (Unread) isReadEffect()    {}
+func (EntryApplied) isReadEffect() {}
+func (CaughtUp) isReadEffect()     {}
+func (GapFound) isReadEffect()     {}
+func (StateReset) isReadEffect()   {}
+func (ReadFailed) isReadEffect()   {}
 
 // Reader follows the log and folds it. It has no input or output: Start gives the first
 // Fetch, and Handle takes the answer of each and gives effects and the next.
@@ -118,11 +118,11 @@
 }
 
 // Handle takes the answer to a Fetch. The time never goes back.
-func (r *Reader) Handle(now Time, e Fetched) ([]ReadEffect, Fetch) {
+func (r *Reader) Handle(now Time, e FetchResult) ([]ReadEffect, Fetch) {
 	if e.Err != nil && !errors.Is(e.Err, ErrGap) {
 		r.pace.failed(now)
 		r.recheck = true
-		return []ReadEffect{Unread{Err: e.Err}}, r.next(now)
+		return []ReadEffect{ReadFailed{Err: e.Err}}, r.next(now)
 	}
 	r.pace.succeeded()
 	var effects []ReadEffect
@@ -149,12 +149,12 @@
 	r.identity = b.Identity
 	r.state = fold.New(r.config.Anchors)
 	r.scanning, r.recheck = false, false
-	return []ReadEffect{Restarted{Identity: b.Identity}}
+	return []ReadEffect{StateReset{Identity: b.Identity}}
 }
 
 // gap starts the search for a checkpoint. Where the search itself meets a gap, the log has
 // forgotten more meanwhile, and it goes on from there.
-func (r *Reader) gap(e Fetched) []ReadEffect {
+func (r *Reader) gap(e FetchResult) []ReadEffect {
 	r.identity = e.Batch.Identity
 	if e.Fetch.From+1 == r.state.Next && e.Batch.Oldest == r.state.Next {
 		// Only the entry to be read once more is forgotten.
@@ -163,10 +163,10 @@
 	}
 	r.scanning, r.recheck = true, false
 	r.scan = e.Batch.Oldest
-	return []ReadEffect{Gapped{Wanted: e.Fetch.From, Oldest: e.Batch.Oldest}}
+	return []ReadEffect{GapFound{Wanted: e.Fetch.From, Oldest: e.Batch.Oldest}}
 }
 
-func (r *Reader) fold(e Fetched) []ReadEffect {
+func (r *Reader) fold(e FetchResult) []ReadEffect {
 	r.identity = e.Batch.Identity
 	r.recheck = false
 	var effects []ReadEffect
@@ -181,7 +181,7 @@
 		case fold.Gap:
 			continue
 		}
-		effects = append(effects, Folded{Entry: entry, Verdict: verdict})
+		effects = append(effects, EntryApplied{Entry: entry, Result: verdict})
 		r.scanning = false
 		if r.state.Next <= entry.Offset {
 			// A checkpoint was taken over: the records after its mark are read next.
@@ -195,13 +195,13 @@
 		return effects
 	}
 	if !r.scanning && r.state.Next >= e.Batch.Next {
-		effects = append(effects, Current{AskedAt: e.AskedAt})
+		effects = append(effects, CaughtUp{AskedAt: e.AskedAt})
 	}
 	return effects
 }
 
 func (r *Reader) next(now Time) Fetch {
-	fetch := Fetch{From: r.state.Next, Limit: r.config.Limit}
+	fetch := Fetch{From: r.state.Next, Limit: r.config.MaxEntries}
 	switch {
 	case r.scanning:
 		fetch.From = r.scan
--- a/internal/logcl/reader_test.go
+++ b/internal/logcl/reader_test.go
@@ -20,19 +20,19 @@
 		batch, err := t.read(fetch.From, fetch.Limit)
 		var effects []logcl.ReadEffect
 		now := fetch.At
-		effects, fetch = r.Handle(now, logcl.Fetched{Fetch: fetch, AskedAt: now, Batch: batch, Err: err})
+		effects, fetch = r.Handle(now, logcl.FetchResult{Fetch: fetch, AskedAt: now, Batch: batch, Err: err})
 		all = append(all, effects...)
 		if len(effects) > 0 {
-			if _, current := effects[len(effects)-1].(logcl.Current); current {
+			if _, current := effects[len(effects)-1].(logcl.CaughtUp); current {
 				return all, fetch
 			}
 		}
 	}
-	return append(all, logcl.Unread{Err: errors.New("never current")}), fetch
+	return append(all, logcl.ReadFailed{Err: errors.New("never current")}), fetch
 }
 
 func newReader() *logcl.Reader {
-	return logcl.NewReader(logcl.ReaderConfig{Limit: 4, PerSecond: 100, Burst: 4, Random: seeded(1)})
+	return logcl.NewReader(logcl.ReaderConfig{MaxEntries: 4, PerSecond: 100, Burst: 4, Random: seeded(1)})
 }
 
 func (t *tape) addClaims(domain string, n int) {
@@ -76,11 +76,11 @@
 			log.addClaims("klet", 5)
 			r := newReader()
 			effects, fetch := readAll(log, r, r.Start(second))
-			is.Equal(count[logcl.Restarted](effects), 0)
+			is.Equal(count[logcl.StateReset](effects), 0)
 			log.startAnew()
 			log.addClaims("dvorana-a", test.grown)
 			effects, _ = readAll(log, r, fetch)
-			is.Equal(count[logcl.Restarted](effects), 1)
+			is.Equal(count[logcl.StateReset](effects), 1)
 			is.Equal(r.State().Terms["klet"], fold.Term{})
 			is.Equal(r.State().Terms["dvorana-a"].Log, uint64(test.grown))
 		})
@@ -97,7 +97,7 @@
 	_, fetch := readAll(log, r, r.Start(second))
 	log.addClaims("podstresje", 8)
 	effects, _ := readAll(log, r, fetch)
-	is.Equal(effects[0], logcl.Gapped{Wanted: 2, Oldest: 7})
+	is.Equal(effects[0], logcl.GapFound{Wanted: 2, Oldest: 7})
 	is.Equal(r.State().Next, uint64(10))
 	is.Equal(r.State().StartOffset, uint64(7))
 }
@@ -123,7 +123,7 @@
 	log.addClaims("badulla-hall", 1)
 	r := newReader()
 	effects, _ := readAll(log, r, r.Start(second))
-	is.Equal(count[logcl.Gapped](effects), 1)
+	is.Equal(count[logcl.GapFound](effects), 1)
 	is.Equal(r.State().Terms["klet"].Log, uint64(8))
 	is.Equal(r.State().Terms["podstresje"].Log, uint64(2))
 	is.Equal(r.State().Terms["badulla-hall"].Log, uint64(1))
@@ -139,7 +139,7 @@
 	log.addClaims("klet", 1)
 	r := newReader()
 	effects, _ := readAll(log, r, r.Start(second))
-	refused := effects[0].(logcl.Folded).Verdict.(fold.Rejected)
+	refused := effects[0].(logcl.EntryApplied).Result.(fold.Rejected)
 	is.Equal(refused.Offset, uint64(0))
 	is.True(refused.Reason != "")
 	is.Equal(r.State().Terms["klet"].Log, uint64(1))
@@ -153,35 +153,35 @@
 	fetch := r.Start(second)
 	now, waits := second, 0
 	for now < 3600*second {
-		_, fetch = r.Handle(now, logcl.Fetched{Fetch: fetch, Err: logcl.ErrUnavailable})
+		_, fetch = r.Handle(now, logcl.FetchResult{Fetch: fetch, Err: logcl.ErrUnavailable})
 		is.True(fetch.At > now)
 		is.True(fetch.At-now <= 5*second)
 		now = fetch.At
 		waits++
 	}
 	is.True(waits < 1500) // one call each 2.5 s or more on the log
-	_, fetch = r.Handle(now, logcl.Fetched{Fetch: fetch})
+	_, fetch = r.Handle(now, logcl.FetchResult{Fetch: fetch})
 	is.Equal(fetch.At, now)
 }
 
 func TestCheckpointIsDue(t *testing.T) {
-	config := logcl.CheckpointerConfig{Instance: "a", Records: 100, Interval: 10 * time.Minute, Grace: 5 * time.Second}
-	met := []logcl.CheckpointEvent{logcl.Met{Offset: 50, Record: record.Checkpoint{}}}
+	config := logcl.CheckpointerConfig{Instance: "a", MaxRecords: 100, Interval: 10 * time.Minute, RankDelay: 5 * time.Second}
+	met := []logcl.CheckpointEvent{logcl.RecordAccepted{Offset: 50, Record: record.Checkpoint{}}}
 	tests := map[string]struct {
 		before []logcl.CheckpointEvent
-		event  logcl.Progressed
+		event  logcl.ReadProgress
 		after  logcl.Time
 		due    bool
 	}{
-		"empty log":             {event: logcl.Progressed{Able: true}, after: 3600 * second},
-		"young log":             {event: logcl.Progressed{Next: 10, Able: true}},
-		"many records":          {event: logcl.Progressed{Next: 100, Able: true}, due: true},
-		"forgotten records":     {event: logcl.Progressed{Next: 10, Oldest: 1, Able: true}, due: true},
-		"not able":              {event: logcl.Progressed{Next: 100}},
-		"second in rank":        {event: logcl.Progressed{Next: 100, Rank: 1, Able: true}},
-		"fresh checkpoint":      {before: met, event: logcl.Progressed{Next: 100, Oldest: 20, Able: true}},
-		"checkpoint at the end": {before: met, event: logcl.Progressed{Next: 100, Oldest: 40, Able: true}, due: true},
-		"old checkpoint":        {before: met, event: logcl.Progressed{Next: 60, Able: true}, after: 600 * second, due: true},
+		"empty log":             {event: logcl.ReadProgress{CanWrite: true}, after: 3600 * second},
+		"young log":             {event: logcl.ReadProgress{Next: 10, CanWrite: true}},
+		"many records":          {event: logcl.ReadProgress{Next: 100, CanWrite: true}, due: true},
+		"forgotten records":     {event: logcl.ReadProgress{Next: 10, Oldest: 1, CanWrite: true}, due: true},
+		"not able":              {event: logcl.ReadProgress{Next: 100}},
+		"second in rank":        {event: logcl.ReadProgress{Next: 100, Rank: 1, CanWrite: true}},
+		"fresh checkpoint":      {before: met, event: logcl.ReadProgress{Next: 100, Oldest: 20, CanWrite: true}},
+		"checkpoint at the end": {before: met, event: logcl.ReadProgress{Next: 100, Oldest: 40, CanWrite: true}, due: true},
+		"old checkpoint":        {before: met, event: logcl.ReadProgress{Next: 60, CanWrite: true}, after: 600 * second, due: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -199,12 +199,12 @@
 // announces its own after its wait, and nobody does so while the first may still be at it.
 func TestLostCheckpointWriterIsReplaced(t *testing.T) {
 	is := is.New(t)
-	c := logcl.NewCheckpointer(logcl.CheckpointerConfig{Instance: "b", Records: 10, Interval: time.Hour, Grace: 5 * time.Second})
-	due := logcl.Progressed{Next: 20, Rank: 1, Able: true}
+	c := logcl.NewCheckpointer(logcl.CheckpointerConfig{Instance: "b", MaxRecords: 10, Interval: time.Hour, RankDelay: 5 * time.Second})
+	due := logcl.ReadProgress{Next: 20, Rank: 1, CanWrite: true}
 	is.Equal(len(c.Handle(second, due)), 0)
-	c.Handle(2*second, logcl.Met{ID: "mark-a", Record: record.CheckpointMarked{Instance: "a"}})
+	c.Handle(2*second, logcl.RecordAccepted{ID: "mark-a", Record: record.CheckpointMarked{Instance: "a"}})
 	is.Equal(len(c.Handle(11*second, due)), 0)
 	mark := c.Handle(12*second, due)[0].(logcl.SubmitMark)
-	is.Equal(len(c.Handle(12*second, logcl.Met{ID: "other", Record: record.CheckpointMarked{}})), 0)
-	is.Equal(len(c.Handle(13*second, logcl.Met{ID: mark.ID, Record: record.CheckpointMarked{}})), 1)
+	is.Equal(len(c.Handle(12*second, logcl.RecordAccepted{ID: "other", Record: record.CheckpointMarked{}})), 0)
+	is.Equal(len(c.Handle(13*second, logcl.RecordAccepted{ID: mark.ID, Record: record.CheckpointMarked{}})), 1)
 }
--- a/internal/logcl/schedule_test.go
+++ b/internal/logcl/schedule_test.go
@@ -77,10 +77,10 @@
 
 func (s *schedule) newMember(rank int, incarnation uint64) *member {
 	m := &member{name: fmt.Sprintf("i%d-%d", rank, incarnation), rank: rank, leads: rank == 0, decided: make(map[string]uint64)}
-	m.appender = logcl.NewAppender(logcl.AppenderConfig{PerSecond: perSecond, Burst: burst, Queue: 64, Calls: 3, Random: s.random})
-	m.reader = logcl.NewReader(logcl.ReaderConfig{Limit: 8, PerSecond: 50, Burst: 10, Random: s.random})
+	m.appender = logcl.NewAppender(logcl.AppenderConfig{PerSecond: perSecond, Burst: burst, MaxQueued: 64, MaxCalls: 3, Random: s.random})
+	m.reader = logcl.NewReader(logcl.ReaderConfig{MaxEntries: 8, PerSecond: 50, Burst: 10, Random: s.random})
 	m.writer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
-		Instance: m.name, Incarnation: incarnation, Records: 10, Interval: 30 * time.Second, Grace: 2 * time.Second,
+		Instance: m.name, Incarnation: incarnation, MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
 	})
 	m.fetch = m.reader.Start(s.now)
 	return m
@@ -117,7 +117,7 @@
 	}
 	state := m.reader.State()
 	able := m.current && state.MayLead()
-	for _, e := range m.writer.Handle(s.now, logcl.Progressed{Next: state.Next, Oldest: s.tape.oldest, Rank: m.rank, Able: able}) {
+	for _, e := range m.writer.Handle(s.now, logcl.ReadProgress{Next: state.Next, Oldest: s.tape.oldest, Rank: m.rank, CanWrite: able}) {
 		if mark, ok := e.(logcl.SubmitMark); ok {
 			s.take(m, m.appender.Handle(s.now, logcl.Submitted{ID: mark.ID, Record: record.CheckpointMarked{Instance: m.name}}))
 		}
@@ -183,7 +183,7 @@
 	}
 	m.calls = left
 	for _, c := range done {
-		written := logcl.Written{ID: c.write.ID, Offset: c.offset}
+		written := logcl.WriteResult{ID: c.write.ID, Offset: c.offset}
 		switch {
 		case !c.arrived:
 			written.Err = logcl.ErrUnavailable
@@ -195,7 +195,7 @@
 }
 
 func (s *schedule) read(m *member) {
-	answer := logcl.Fetched{Fetch: m.fetch, AskedAt: s.now, Err: logcl.ErrUnavailable}
+	answer := logcl.FetchResult{Fetch: m.fetch, AskedAt: s.now, Err: logcl.ErrUnavailable}
 	if s.now >= s.downTo {
 		answer.Batch, answer.Err = s.tape.read(m.fetch.From, m.fetch.Limit)
 	}
@@ -207,15 +207,15 @@
 	m.fetch = fetch
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case logcl.Folded:
+		case logcl.EntryApplied:
 			s.folded(m, e)
-		case logcl.Current:
+		case logcl.CaughtUp:
 			m.current = true
-		case logcl.Restarted:
+		case logcl.StateReset:
 			m.restarts = s.tape.started
-			s.take(m, m.appender.Handle(s.now, logcl.LogRestarted{}))
+			s.take(m, m.appender.Handle(s.now, logcl.LogReplaced{}))
 			m.writer = logcl.NewCheckpointer(logcl.CheckpointerConfig{
-				Instance: m.name, Incarnation: uint64(s.now), Records: 10, Interval: 30 * time.Second, Grace: 2 * time.Second,
+				Instance: m.name, Incarnation: uint64(s.now), MaxRecords: 10, Interval: 30 * time.Second, RankDelay: 2 * time.Second,
 			})
 			s.repeat(m)
 		}
@@ -231,16 +231,16 @@
 	}
 }
 
-func (s *schedule) folded(m *member, e logcl.Folded) {
-	s.take(m, m.appender.Handle(s.now, logcl.Seen{ID: e.Entry.ID, Offset: e.Entry.Offset}))
-	if _, accepted := e.Verdict.(fold.Accepted); !accepted {
+func (s *schedule) folded(m *member, e logcl.EntryApplied) {
+	s.take(m, m.appender.Handle(s.now, logcl.EntryRead{ID: e.Entry.ID, Offset: e.Entry.Offset}))
+	if _, accepted := e.Result.(fold.Accepted); !accepted {
 		return
 	}
 	r, err := record.Decode(e.Entry.Data)
 	if err != nil {
 		return
 	}
-	for _, effect := range m.writer.Handle(s.now, logcl.Met{ID: e.Entry.ID, Offset: e.Entry.Offset, Record: r}) {
+	for _, effect := range m.writer.Handle(s.now, logcl.RecordAccepted{ID: e.Entry.ID, Offset: e.Entry.Offset, Record: r}) {
 		submit, ok := effect.(logcl.SubmitCheckpoint)
 		if !ok {
 			continue
@@ -257,7 +257,7 @@
 // settled reports whether nothing waits and everybody has read the whole log.
 func (s *schedule) settled() bool {
 	for _, m := range s.members {
-		if m.appender.Waiting() > 0 || len(m.calls) > 0 || m.reader.State().Next != s.tape.next() || m.leads && m.restarts != s.tape.started {
+		if m.appender.Pending() > 0 || len(m.calls) > 0 || m.reader.State().Next != s.tape.next() || m.leads && m.restarts != s.tape.started {
 			return false
 		}
 	}
--- a/internal/logcl/wire.go
+++ b/internal/logcl/wire.go
@@ -15,8 +15,8 @@
 	Data []byte `json:"data"`
 }
 
-// AppendAnswer is the answer to an AppendRequest. The answer to a read is a Batch.
-type AppendAnswer struct {
+// AppendResponse is the answer to an AppendRequest. The answer to a read is a Batch.
+type AppendResponse struct {
 	Offset   uint64 `json:"offset"`
 	Identity string `json:"identity"`
 }
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -18,13 +18,13 @@
 			cores, sent := group(size)
 			from, to := cores[0], cores[1]
 			now := 10 * second
-			data, err := json.Marshal(from.Beat(now))
+			data, err := json.Marshal(from.NextHeartbeat(now))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
 				now += millisecond
-				to.Handle(now, member.Heard{Beat: from.Beat(now)})
+				to.Handle(now, member.HeartbeatReceived{Heartbeat: from.NextHeartbeat(now)})
 			}
 			b.ReportMetric(float64(len(data)), "bytes/beat")
 			b.ReportMetric(float64(sent), "beats/period")
@@ -35,19 +35,19 @@
 // hearAll makes a core know everybody, as in a group that has run for a while: the contacts
 // directly, the others by hearsay.
 func hearAll(c *member.Core, all []member.Instance) {
-	var counts []member.Count
+	var counts []member.HeartbeatCount
 	for _, other := range all {
-		c.Handle(second, member.Learned{Instance: other})
-		counts = append(counts, member.Count{Process: other.Process, Count: 1})
+		c.Handle(second, member.Discovered{Instance: other})
+		counts = append(counts, member.HeartbeatCount{Process: other.Process, Count: 1})
 	}
 	direct := []member.Instance{all[0]}
 	for _, effect := range c.Handle(second, member.Ticked{}) {
-		if send, ok := effect.(member.Send); ok {
+		if send, ok := effect.(member.SendHeartbeat); ok {
 			direct = append(direct, send.To)
 		}
 	}
 	for _, other := range direct {
-		c.Handle(second, member.Heard{Beat: member.Beat{Instance: other, Count: 1, Hearsay: counts}, Answered: true})
+		c.Handle(second, member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: other, Count: 1, Gossip: counts}, IsReply: true})
 	}
 }
 
@@ -63,14 +63,14 @@
 	}
 	for _, self := range all[:2] {
 		c := member.New(member.Config{
-			Self: self, Period: 100 * time.Millisecond, PeriodOutside: time.Second,
-			Silence: time.Hour, SilenceOutside: time.Hour, All: 16, Delegates: 3, Hearsay: 64,
+			Self: self, HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
+			HeartbeatTimeout: time.Hour, CrossDomainTimeout: time.Hour, MaxFullMesh: 16, ContactsPerDomain: 3, MaxGossip: 64,
 		})
 		hearAll(c, all)
 		cores = append(cores, c)
 	}
 	for _, effect := range cores[0].Handle(2*second, member.Ticked{}) {
-		if _, ok := effect.(member.Send); ok {
+		if _, ok := effect.(member.SendHeartbeat); ok {
 			sent++
 		}
 	}
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -10,23 +10,23 @@
 // Config says who this instance is and how often it sends.
 type Config struct {
 	Self Instance
-	// Period is the time between heartbeats within the domain, and PeriodOutside to other
+	// HeartbeatInterval is the time between heartbeats within the domain, and PeriodOutside to other
 	// domains.
-	Period        time.Duration
-	PeriodOutside time.Duration
-	// Silence is the time without a sign of life after which an instance of the domain counts
+	HeartbeatInterval   time.Duration
+	CrossDomainInterval time.Duration
+	// HeartbeatTimeout is the time without a sign of life after which an instance of the domain counts
 	// as dead, and SilenceOutside that for others. Hearsay takes a Period for each hop.
-	Silence        time.Duration
-	SilenceOutside time.Duration
-	// All is the size up to which everybody in a group sends to everybody.
-	All int
-	// Delegates is the number of instances of another domain that are contacted.
-	Delegates int
-	// Patience is for how long after its silence began a process that the platform's list shows
+	HeartbeatTimeout   time.Duration
+	CrossDomainTimeout time.Duration
+	// MaxFullMesh is the size up to which everybody in a group sends to everybody.
+	MaxFullMesh int
+	// ContactsPerDomain is the number of instances of another domain that are contacted.
+	ContactsPerDomain int
+	// ReplaceDelay is for how long after its silence began a process that the platform's list shows
 	// keeps its name against another one. Zero means as long as the list shows it.
-	Patience time.Duration
-	// Hearsay bounds the counters passed on in one heartbeat.
-	Hearsay int
+	ReplaceDelay time.Duration
+	// MaxGossip bounds the counters passed on in one heartbeat.
+	MaxGossip int
 }
 
 // maxFormer bounds the processes that are remembered as replaced, for each name.
@@ -104,13 +104,13 @@
 	case Ticked:
 		effects = c.tick(now)
 		c.stale = true
-	case Learned:
+	case Discovered:
 		c.learn(e.Instance)
-	case Heard:
+	case HeartbeatReceived:
 		c.hear(now, e)
-	case Listed:
+	case InstancesListed:
 		effects = c.list(now, e)
-	case LedBy:
+	case LeaderReported:
 		c.ledBy(e)
 	case Stopping:
 		c.leaving, c.stale = true, true
@@ -144,23 +144,23 @@
 }
 
 // hear takes a heartbeat, unless its process was replaced or is gone for certain.
-func (c *Core) hear(now Time, e Heard) {
-	k := c.learn(e.Beat.Instance)
-	if k == nil || !c.admit(now, k, e.Beat.Instance) {
+func (c *Core) hear(now Time, e HeartbeatReceived) {
+	k := c.learn(e.Heartbeat.Instance)
+	if k == nil || !c.admit(now, k, e.Heartbeat.Instance) {
 		return
 	}
 	wasLive, link, leaving := now < k.liveUntil, k.link(now), k.leaving
 	silence := c.silence(k)
-	isNew := e.Beat.Count > k.count
-	if !e.Answered {
+	isNew := e.Heartbeat.Count > k.count
+	if !e.IsReply {
 		k.calledUntil = now + c.period(k) + c.period(k)/2
 	}
 	if isNew {
-		k.count = e.Beat.Count
-		k.leaving = e.Beat.Leaving
+		k.count = e.Heartbeat.Count
+		k.leaving = e.Heartbeat.Leaving
 		k.liveUntil, k.heardUntil = now+silence, now+silence
 	}
-	if e.Answered || c.hearsMe(e.Beat) {
+	if e.IsReply || c.hearsMe(e.Heartbeat) {
 		k.hearsUntil = now + silence
 	}
 	if !wasLive || link != k.link(now) || leaving != k.leaving {
@@ -169,13 +169,13 @@
 	if k.Domain != c.config.Self.Domain || !isNew {
 		return
 	}
-	for _, h := range e.Beat.Hearsay {
+	for _, h := range e.Heartbeat.Gossip {
 		c.hearsay(now, h)
 	}
-	c.hearLeader(e.Beat)
+	c.hearLeader(e.Heartbeat)
 }
 
-func (c *Core) hearLeader(b Beat) {
+func (c *Core) hearLeader(b Heartbeat) {
 	if b.Leader.Name == "" && b.Process == c.leader {
 		c.end()
 		return
@@ -189,7 +189,7 @@
 }
 
 // ledBy takes what the own leader core says.
-func (c *Core) ledBy(e LedBy) {
+func (c *Core) ledBy(e LeaderReported) {
 	if e.Leader.Name == "" && c.leader == c.config.Self.Process {
 		c.end()
 		return
@@ -228,11 +228,11 @@
 // its name though the list does not say so yet. Without it an instance that is replaced while
 // the list can't be read would stay unknown for as long.
 func (c *Core) isOverdue(now Time, k *known) bool {
-	return c.config.Patience > 0 && now >= k.liveUntil+Time(c.config.Patience)
+	return c.config.ReplaceDelay > 0 && now >= k.liveUntil+Time(c.config.ReplaceDelay)
 }
 
-// Holds reports whether a process has its name now and is not known to be gone.
-func (c *Core) Holds(p Process) bool {
+// IsCurrent reports whether a process has its name now and is not known to be gone.
+func (c *Core) IsCurrent(p Process) bool {
 	k := c.known[p.Name]
 	return k != nil && k.Process == p && !k.gone
 }
@@ -267,7 +267,7 @@
 	k.former = k.former[max(0, len(k.former)-maxFormer):]
 }
 
-func (c *Core) hearsMe(b Beat) bool {
+func (c *Core) hearsMe(b Heartbeat) bool {
 	for _, p := range b.Direct {
 		if p == c.config.Self.Process {
 			return true
@@ -278,7 +278,7 @@
 
 // hearsay takes a counter that came over another instance. It shows that the process lives
 // though the link to it is cut, and passes a large group in steps.
-func (c *Core) hearsay(now Time, h Count) {
+func (c *Core) hearsay(now Time, h HeartbeatCount) {
 	k := c.known[h.Name]
 	if k == nil || k.gone || k.Incarnation != h.Incarnation || h.Count <= k.count {
 		return
@@ -291,17 +291,17 @@
 func (c *Core) period(k *known) Time {
 	switch {
 	case k.Domain != c.config.Self.Domain:
-		return Time(c.config.PeriodOutside)
+		return Time(c.config.CrossDomainInterval)
 	case c.isSparse(k):
-		return sparsePeriods * Time(c.config.Period)
+		return sparsePeriods * Time(c.config.HeartbeatInterval)
 	default:
-		return Time(c.config.Period)
+		return Time(c.config.HeartbeatInterval)
 	}
 }
 
 func (c *Core) silence(k *known) Time {
 	if k.Domain == c.config.Self.Domain {
-		return Time(c.config.Silence)
+		return Time(c.config.HeartbeatTimeout)
 	}
-	return Time(c.config.SilenceOutside)
+	return Time(c.config.CrossDomainTimeout)
 }
--- a/internal/member/core_test.go
+++ b/internal/member/core_test.go
@@ -17,20 +17,20 @@
 
 func newCore(all int) *member.Core {
 	return member.New(member.Config{
-		Self: instance("a", 1), Period: 100 * time.Millisecond, PeriodOutside: time.Second,
-		Silence: 500 * time.Millisecond, SilenceOutside: 2 * time.Second, All: all, Delegates: 2, Hearsay: 8,
+		Self: instance("a", 1), HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
+		HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: all, ContactsPerDomain: 2, MaxGossip: 8,
 	})
 }
 
-func hear(i member.Instance, count uint64, change func(*member.Beat)) member.Heard {
-	h := member.Heard{Beat: member.Beat{Instance: i, Count: count}}
+func hear(i member.Instance, count uint64, change func(*member.Heartbeat)) member.HeartbeatReceived {
+	h := member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: i, Count: count}}
 	if change != nil {
-		change(&h.Beat)
+		change(&h.Heartbeat)
 	}
 	return h
 }
 
-func hearsA(b *member.Beat) {
+func hearsA(b *member.Heartbeat) {
 	b.Direct = []member.Process{{Name: "a", Incarnation: 1}}
 }
 
@@ -39,21 +39,21 @@
 func TestLinkCutOneWay(t *testing.T) {
 	b := instance("b", 7)
 	tests := map[string]struct {
-		heard member.Heard
+		heard member.HeartbeatReceived
 		link  member.Link
 	}{
 		"both ways":        {heard: hear(b, 1, hearsA), link: member.LinkBoth},
 		"it does not hear": {heard: hear(b, 1, nil), link: member.LinkIn},
-		"it answered":      {heard: member.Heard{Beat: member.Beat{Instance: b, Count: 1}, Answered: true}, link: member.LinkBoth},
-		"by hearsay": {heard: hear(instance("c", 1), 1, func(beat *member.Beat) {
-			beat.Hearsay = []member.Count{{Process: b.Process, Count: 1}}
+		"it answered":      {heard: member.HeartbeatReceived{Heartbeat: member.Heartbeat{Instance: b, Count: 1}, IsReply: true}, link: member.LinkBoth},
+		"by hearsay": {heard: hear(instance("c", 1), 1, func(beat *member.Heartbeat) {
+			beat.Gossip = []member.HeartbeatCount{{Process: b.Process, Count: 1}}
 		}), link: member.LinkNone},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCore(8)
-			c.Handle(second, member.Learned{Instance: b})
+			c.Handle(second, member.Discovered{Instance: b})
 			c.Handle(second, test.heard)
 			links := make(map[string]member.Link)
 			for _, l := range c.View().Live {
@@ -85,10 +85,10 @@
 	c := newCore(8)
 	old, fresh := instance("b", 9), instance("b", 7)
 	c.Handle(second, hear(fresh, 1, hearsA))
-	c.Handle(second, member.Listed{Instances: []member.ListedInstance{{Instance: old}}})
+	c.Handle(second, member.InstancesListed{Instances: []member.ListedInstance{{Instance: old}}})
 	is.Equal(c.View().Live[1].Process, fresh.Process)
 	is.Equal(len(c.View().Gone), 0)
-	c.Handle(second, member.Listed{Instances: []member.ListedInstance{{Instance: fresh}}})
+	c.Handle(second, member.InstancesListed{Instances: []member.ListedInstance{{Instance: fresh}}})
 	is.Equal(c.View().Live[1].Process, fresh.Process)
 	is.Equal(c.View().Gone, []member.Process{old.Process})
 }
@@ -114,7 +114,7 @@
 			c := newCore(8)
 			told := 0
 			for n, list := range test.lists {
-				for _, e := range c.Handle(member.Time(n+1)*second, member.Listed{Instances: list}) {
+				for _, e := range c.Handle(member.Time(n+1)*second, member.InstancesListed{Instances: list}) {
 					if _, ok := e.(member.Removed); ok {
 						told++
 					}
@@ -131,8 +131,8 @@
 	is := is.New(t)
 	c := newCore(8)
 	b, d := instance("b", 7), instance("d", 9)
-	lead := func(i member.Instance, term uint64) func(*member.Beat) {
-		return func(beat *member.Beat) { beat.Leader, beat.Term = i.Process, grant.Term{Log: term} }
+	lead := func(i member.Instance, term uint64) func(*member.Heartbeat) {
+		return func(beat *member.Heartbeat) { beat.Leader, beat.Term = i.Process, grant.Term{Log: term} }
 	}
 	c.Handle(second, hear(b, 1, lead(b, 2)))
 	is.Equal(c.View().Leader, b.Process)
@@ -152,7 +152,7 @@
 	c := newCore(8)
 	effects := c.Handle(second, member.Ticked{})
 	is.Equal(len(effects), 1)
-	is.Equal(c.View().Live, []member.Live{{Instance: instance("a", 1), Link: member.LinkBoth}})
+	is.Equal(c.View().Live, []member.LiveInstance{{Instance: instance("a", 1), Link: member.LinkBoth}})
 	is.Equal(c.View().Rank("a"), 0)
 }
 
@@ -168,11 +168,11 @@
 	}
 	for _, self := range all {
 		c := member.New(member.Config{
-			Self: self, Period: 100 * time.Millisecond, PeriodOutside: time.Second,
-			Silence: 2 * time.Second, SilenceOutside: 4 * time.Second, All: 16, Delegates: 2, Hearsay: 64,
+			Self: self, HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
+			HeartbeatTimeout: 2 * time.Second, CrossDomainTimeout: 4 * time.Second, MaxFullMesh: 16, ContactsPerDomain: 2, MaxGossip: 64,
 		})
 		for _, other := range all {
-			c.Handle(second, member.Learned{Instance: other})
+			c.Handle(second, member.Discovered{Instance: other})
 		}
 		cores[self.Name] = c
 	}
@@ -180,14 +180,14 @@
 	for now := second; now < 4*second; now += 100 * millisecond {
 		for _, self := range all {
 			for _, effect := range cores[self.Name].Handle(now, member.Ticked{}) {
-				send, ok := effect.(member.Send)
+				send, ok := effect.(member.SendHeartbeat)
 				if !ok {
 					continue
 				}
 				sent++
 				to := cores[send.To.Name]
-				to.Handle(now, member.Heard{Beat: send.Beat})
-				cores[self.Name].Handle(now, member.Heard{Beat: to.Beat(now), Answered: true})
+				to.Handle(now, member.HeartbeatReceived{Heartbeat: send.Heartbeat})
+				cores[self.Name].Handle(now, member.HeartbeatReceived{Heartbeat: to.NextHeartbeat(now), IsReply: true})
 			}
 		}
 	}
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -3,7 +3,7 @@
 // list takes what the platform shows. A process that it showed and shows no more is gone for
 // certain, and so is one in whose place it shows another. The list may lag but must not go
 // back to what it showed before.
-func (c *Core) list(now Time, e Listed) []Effect {
+func (c *Core) list(now Time, e InstancesListed) []Effect {
 	c.stale = true
 	shown := make(map[string]Process, len(e.Instances))
 	for _, i := range e.Instances {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -30,14 +30,14 @@
 	Address string `json:"address"`
 }
 
-// Count says how far the heartbeat counter of a process has come.
-type Count struct {
+// HeartbeatCount says how far the heartbeat counter of a process has come.
+type HeartbeatCount struct {
 	Process
 	Count uint64 `json:"count"`
 }
 
-// Beat is a heartbeat: what an instance says of itself, and of others by hearsay.
-type Beat struct {
+// Heartbeat is a heartbeat: what an instance says of itself, and of others by hearsay.
+type Heartbeat struct {
 	Instance
 	// Count grows with each heartbeat of the process.
 	Count   uint64 `json:"count"`
@@ -47,8 +47,8 @@
 	Term   grant.Term `json:"term"`
 	// Direct are the processes that the sender has heard itself lately.
 	Direct []Process `json:"direct,omitempty"`
-	// Hearsay are the newest counters that the sender knows of others in its domain.
-	Hearsay []Count `json:"hearsay,omitempty"`
+	// Gossip are the newest counters that the sender knows of others in its domain.
+	Gossip []HeartbeatCount `json:"hearsay,omitempty"`
 }
 
 // Event is an input of the core. The set is sealed.
@@ -59,21 +59,21 @@
 // Ticked says that time has passed. It comes at least every Config.Period.
 type Ticked struct{}
 
-// Learned names an instance that settings, a bundle or another instance knows of. It proves
+// Discovered names an instance that settings, a bundle or another instance knows of. It proves
 // nothing about whether it lives.
-type Learned struct {
+type Discovered struct {
 	Instance Instance
 }
 
-// Heard is a heartbeat that arrived, either as a call or as the answer to one.
-type Heard struct {
-	Beat Beat
-	// Answered says that it answers a heartbeat of this process, which thus arrived.
-	Answered bool
+// HeartbeatReceived is a heartbeat that arrived, either as a call or as the answer to one.
+type HeartbeatReceived struct {
+	Heartbeat Heartbeat
+	// IsReply says that it answers a heartbeat of this process, which thus arrived.
+	IsReply bool
 }
 
-// Listed is what the platform's list shows.
-type Listed struct {
+// InstancesListed is what the platform's list shows.
+type InstancesListed struct {
 	Instances []ListedInstance
 }
 
@@ -84,9 +84,9 @@
 	Leaving bool
 }
 
-// LedBy says who leads this instance's domain as its own leader core sees it. An empty name
+// LeaderReported says who leads this instance's domain as its own leader core sees it. An empty name
 // means nobody.
-type LedBy struct {
+type LeaderReported struct {
 	Leader Process
 	Term   grant.Term
 }
@@ -94,22 +94,22 @@
 // Stopping says that this instance is leaving.
 type Stopping struct{}
 
-func (Ticked) isEvent()   {}
-func (Learned) isEvent()  {}
-func (Heard) isEvent()    {}
-func (Listed) isEvent()   {}
-func (LedBy) isEvent()    {}
-func (Stopping) isEvent() {}
+func (Ticked) isEvent()            {}
+func (Discovered) isEvent()        {}
+func (HeartbeatReceived) isEvent() {}
+func (InstancesListed) isEvent()   {}
+func (LeaderReported) isEvent()    {}
+func (Stopping) isEvent()          {}
 
 // Effect is an output of the core. The set is sealed.
 type Effect interface {
 	isEffect()
 }
 
-// Send asks for a heartbeat to be sent. Its answer, if any, comes back as Heard.
-type Send struct {
-	To   Instance
-	Beat Beat
+// SendHeartbeat asks for a heartbeat to be sent. Its answer, if any, comes back as Heard.
+type SendHeartbeat struct {
+	To        Instance
+	Heartbeat Heartbeat
 }
 
 // Changed says that the view is another one than before.
@@ -121,9 +121,9 @@
 // take it for gone for certain, so it must give up all its duties.
 type Removed struct{}
 
-func (Removed) isEffect() {}
-func (Send) isEffect()    {}
-func (Changed) isEffect() {}
+func (Removed) isEffect()       {}
+func (SendHeartbeat) isEffect() {}
+func (Changed) isEffect()       {}
 
 // Link says in which directions heartbeats between this instance and another pass.
 type Link string
@@ -140,8 +140,8 @@
 	LinkNone Link = "none"
 )
 
-// Live is an instance that gave a sign of life lately.
-type Live struct {
+// LiveInstance is an instance that gave a sign of life lately.
+type LiveInstance struct {
 	Instance
 	Link    Link
 	Leaving bool
@@ -150,7 +150,7 @@
 // View is what this instance believes.
 type View struct {
 	// Live are the live instances of the domain, this one included, sorted by name.
-	Live []Live
+	Live []LiveInstance
 	// Gone are the processes of the domain that are gone for certain, sorted by name.
 	Gone []Process
 	// Leader is the leader of the domain with the highest term, if it lives. Its name is empty
--- a/internal/member/report.go
+++ b/internal/member/report.go
@@ -22,8 +22,8 @@
 }
 
 func (c *Core) look(now Time) View {
-	self := Live{Instance: c.config.Self, Link: LinkBoth, Leaving: c.leaving}
-	v := View{Live: []Live{self}, Term: c.term}
+	self := LiveInstance{Instance: c.config.Self, Link: LinkBoth, Leaving: c.leaving}
+	v := View{Live: []LiveInstance{self}, Term: c.term}
 	domains := make(map[string][]Instance)
 	for _, k := range c.sorted() {
 		switch {
@@ -34,7 +34,7 @@
 			}
 			domains[k.Domain] = reachable
 		case now < k.liveUntil:
-			v.Live = append(v.Live, Live{Instance: k.Instance, Link: k.link(now), Leaving: k.leaving})
+			v.Live = append(v.Live, LiveInstance{Instance: k.Instance, Link: k.link(now), Leaving: k.leaving})
 		}
 		if k.Domain == c.config.Self.Domain {
 			for _, f := range k.former {
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	slices.SortFunc(v.Live, func(x, y Live) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(v.Live, func(x, y LiveInstance) int { return strings.Compare(x.Name, y.Name) })
 	for _, domain := range slices.Sorted(maps.Keys(domains)) {
 		v.Domains = append(v.Domains, Domain{Name: domain, Reachable: domains[domain]})
 	}
@@ -58,7 +58,7 @@
 }
 
 func (v View) isLive(p Process) bool {
-	return slices.ContainsFunc(v.Live, func(l Live) bool { return l.Process == p })
+	return slices.ContainsFunc(v.Live, func(l LiveInstance) bool { return l.Process == p })
 }
 
 func (k *known) link(now Time) Link {
--- a/internal/member/schedule_test.go
+++ b/internal/member/schedule_test.go
@@ -40,7 +40,7 @@
 type message struct {
 	to      string
 	at      member.Time
-	heard   member.Heard
+	heard   member.HeartbeatReceived
 	reply   bool
 	replyTo string
 }
@@ -86,7 +86,7 @@
 	}
 	for _, p := range w.processes {
 		for _, o := range w.processes {
-			p.core.Handle(w.now, member.Learned{Instance: member.Instance{Process: member.Process{Name: o.self.Name}, Domain: o.self.Domain}})
+			p.core.Handle(w.now, member.Discovered{Instance: member.Instance{Process: member.Process{Name: o.self.Name}, Domain: o.self.Domain}})
 		}
 	}
 	return w
@@ -100,9 +100,9 @@
 		naive: newNaive(),
 		gone:  make(map[member.Process]bool),
 		core: member.New(member.Config{
-			Self: self, Period: 100 * time.Millisecond, PeriodOutside: 500 * time.Millisecond,
-			Silence: 500 * time.Millisecond, SilenceOutside: 2 * time.Second,
-			All: 8, Delegates: 2, Hearsay: 8,
+			Self: self, HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: 500 * time.Millisecond,
+			HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second,
+			MaxFullMesh: 8, ContactsPerDomain: 2, MaxGossip: 8,
 		}),
 	}
 	w.list()
@@ -144,7 +144,7 @@
 		}
 		if w.now >= p.listAt {
 			p.listAt = w.now + listEvery
-			w.take(p, p.core.Handle(w.now, member.Listed{Instances: w.shown()}))
+			w.take(p, p.core.Handle(w.now, member.InstancesListed{Instances: w.shown()}))
 		}
 		w.take(p, p.core.Handle(w.now, member.Ticked{}))
 		w.check(p)
@@ -196,15 +196,15 @@
 		if p.ended {
 			continue
 		}
-		p.naive.hear(w.now, m.heard.Beat.Process)
+		p.naive.hear(w.now, m.heard.Heartbeat.Process)
 		w.take(p, p.core.Handle(w.now, m.heard))
 		if m.reply {
-			w.post(p.self.Name, m.replyTo, member.Heard{Beat: p.core.Beat(w.now), Answered: true}, false)
+			w.post(p.self.Name, m.replyTo, member.HeartbeatReceived{Heartbeat: p.core.NextHeartbeat(w.now), IsReply: true}, false)
 		}
 	}
 }
 
-func (w *world) post(from, to string, heard member.Heard, reply bool) {
+func (w *world) post(from, to string, heard member.HeartbeatReceived, reply bool) {
 	if w.now < w.cut[[2]string{from, to}] {
 		return
 	}
@@ -215,8 +215,8 @@
 func (w *world) take(p *process, effects []member.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case member.Send:
-			w.post(p.self.Name, e.To.Name, member.Heard{Beat: e.Beat}, true)
+		case member.SendHeartbeat:
+			w.post(p.self.Name, e.To.Name, member.HeartbeatReceived{Heartbeat: e.Heartbeat}, true)
 		case member.Changed:
 			p.view = e.View
 			w.checkView(p)
@@ -234,8 +234,8 @@
 			continue
 		}
 		for _, effect := range p.core.Handle(w.now, member.Ticked{}) {
-			if send, ok := effect.(member.Send); ok {
-				w.post(p.self.Name, send.To.Name, member.Heard{Beat: send.Beat}, true)
+			if send, ok := effect.(member.SendHeartbeat); ok {
+				w.post(p.self.Name, send.To.Name, member.HeartbeatReceived{Heartbeat: send.Heartbeat}, true)
 			}
 		}
 	}
@@ -324,7 +324,7 @@
 	return running
 }
 
-func processesOf(live []member.Live) []member.Process {
+func processesOf(live []member.LiveInstance) []member.Process {
 	var all []member.Process
 	for _, l := range live {
 		all = append(all, l.Process)
--- a/internal/member/send.go
+++ b/internal/member/send.go
@@ -9,13 +9,13 @@
 func (c *Core) tick(now Time) []Effect {
 	var targets []string
 	if now >= c.nextAt {
-		c.nextAt = nextAfter(now, c.nextAt, Time(c.config.Period))
+		c.nextAt = nextAfter(now, c.nextAt, Time(c.config.HeartbeatInterval))
 		c.round++
 		c.mates = c.countMates()
 		targets = c.inside()
 	}
 	if now >= c.nextOut {
-		c.nextOut = nextAfter(now, c.nextOut, Time(c.config.PeriodOutside))
+		c.nextOut = nextAfter(now, c.nextOut, Time(c.config.CrossDomainInterval))
 		targets = append(targets, c.outside(now)...)
 	}
 	var effects []Effect
@@ -24,7 +24,7 @@
 		if !c.leaving && (c.isSparse(k) && c.round%sparsePeriods != 0 || now < k.calledUntil && c.isCaller(k)) {
 			continue
 		}
-		effects = append(effects, Send{To: k.Instance, Beat: c.Beat(now)})
+		effects = append(effects, SendHeartbeat{To: k.Instance, Heartbeat: c.NextHeartbeat(now)})
 	}
 	return effects
 }
@@ -42,7 +42,7 @@
 // isSmall reports whether all instances of the domain are in direct contact, as of the last
 // tick.
 func (c *Core) isSmall() bool {
-	return c.mates < c.config.All
+	return c.mates < c.config.MaxFullMesh
 }
 
 // countMates returns the number of other instances of the domain.
@@ -75,10 +75,10 @@
 	}
 }
 
-// Beat returns the next heartbeat, to be sent or to answer one.
-func (c *Core) Beat(now Time) Beat {
+// NextHeartbeat returns the next heartbeat, to be sent or to answer one.
+func (c *Core) NextHeartbeat(now Time) Heartbeat {
 	c.count++
-	b := Beat{
+	b := Heartbeat{
 		Instance: c.config.Self,
 		Count:    c.count,
 		Leaving:  c.leaving,
@@ -91,26 +91,26 @@
 		}
 	}
 	if !c.isSmall() {
-		b.Hearsay = c.hearsayFor(now)
+		b.Gossip = c.hearsayFor(now)
 	}
 	return b
 }
 
 // hearsayFor goes on in the circle of names where the heartbeat before ended, so that a
 // bounded heartbeat passes on everybody's counter in turn.
-func (c *Core) hearsayFor(now Time) []Count {
+func (c *Core) hearsayFor(now Time) []HeartbeatCount {
 	order := c.sorted()
-	var counts []Count
+	var counts []HeartbeatCount
 	for n := range order {
 		k := order[(c.told+n)%len(order)]
 		if k.Domain != c.config.Self.Domain || now >= k.liveUntil {
 			continue
 		}
-		if len(counts) == c.config.Hearsay {
+		if len(counts) == c.config.MaxGossip {
 			c.told = (c.told + n) % len(order)
 			break
 		}
-		counts = append(counts, Count{Process: k.Process, Count: k.count})
+		counts = append(counts, HeartbeatCount{Process: k.Process, Count: k.count})
 	}
 	return counts
 }
@@ -130,7 +130,7 @@
 // them finds out that they have returned. What is gone for certain is left out. The leader is
 // among them in any case.
 func (c *Core) inside() []string {
-	names := contacts(c.namesOf(c.config.Self.Domain), c.config.Self.Name, c.config.All)
+	names := contacts(c.namesOf(c.config.Self.Domain), c.config.Self.Name, c.config.MaxFullMesh)
 	leader := c.known[c.leader.Name]
 	if leader != nil && !leader.gone && !slices.Contains(names, c.leader.Name) {
 		names = append(names, c.leader.Name)
@@ -148,7 +148,7 @@
 	}
 	slices.Sort(domains)
 	var targets []string
-	for _, domain := range contacts(domains, c.config.Self.Domain, c.config.All) {
+	for _, domain := range contacts(domains, c.config.Self.Domain, c.config.MaxFullMesh) {
 		targets = append(targets, c.delegatesOf(now, domain)...)
 	}
 	return targets
@@ -184,7 +184,7 @@
 	}
 	var chosen []string
 	place := slices.Index(c.namesOf(c.config.Self.Domain), c.config.Self.Name)
-	for n := range min(len(live), c.config.Delegates) {
+	for n := range min(len(live), c.config.ContactsPerDomain) {
 		chosen = append(chosen, live[(place+n)%len(live)])
 	}
 	if len(silent) > 0 {
--- a/internal/member/wired_test.go
+++ b/internal/member/wired_test.go
@@ -30,14 +30,14 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := member.New(member.Config{
-				Self: instance("a", 1), Period: 100 * time.Millisecond, PeriodOutside: time.Second,
-				Silence: 500 * time.Millisecond, SilenceOutside: 2 * time.Second, All: 8, Patience: 3 * time.Second,
+				Self: instance("a", 1), HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
+				HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: 8, ReplaceDelay: 3 * time.Second,
 			})
-			c.Handle(second, member.Listed{Instances: []member.ListedInstance{{Instance: old}}})
-			c.Handle(second, hear(old, 1, func(b *member.Beat) { b.Leaving = test.leaving }))
+			c.Handle(second, member.InstancesListed{Instances: []member.ListedInstance{{Instance: old}}})
+			c.Handle(second, hear(old, 1, func(b *member.Heartbeat) { b.Leaving = test.leaving }))
 			c.Handle(second+test.silent, hear(fresh, 1, nil))
-			is.Equal(c.Holds(fresh.Process), test.taken)
-			is.Equal(c.Holds(old.Process), !test.taken)
+			is.Equal(c.IsCurrent(fresh.Process), test.taken)
+			is.Equal(c.IsCurrent(old.Process), !test.taken)
 			is.Equal(len(c.View().Gone), 0) // silence proves nothing
 		})
 	}
@@ -50,7 +50,7 @@
 	c := newCore(8)
 	b := instance("b", 7)
 	c.Handle(second, hear(b, 2, nil))
-	c.Handle(second, hear(b, 1, func(beat *member.Beat) {
+	c.Handle(second, hear(b, 1, func(beat *member.Heartbeat) {
 		beat.Leader, beat.Term = b.Process, grant.Term{Log: 2}
 	}))
 	is.Equal(c.View().Leader, member.Process{})
@@ -64,25 +64,25 @@
 	names := []string{"a", "b", "c"}
 	for n, name := range names {
 		cores[name] = member.New(member.Config{
-			Self: instance(name, uint64(n+1)), Period: 100 * time.Millisecond, PeriodOutside: time.Second,
-			Silence: 500 * time.Millisecond, SilenceOutside: 2 * time.Second, All: 8,
+			Self: instance(name, uint64(n+1)), HeartbeatInterval: 100 * time.Millisecond, CrossDomainInterval: time.Second,
+			HeartbeatTimeout: 500 * time.Millisecond, CrossDomainTimeout: 2 * time.Second, MaxFullMesh: 8,
 		})
 		for m, other := range names {
-			cores[name].Handle(0, member.Learned{Instance: instance(other, uint64(m+1))})
+			cores[name].Handle(0, member.Discovered{Instance: instance(other, uint64(m+1))})
 		}
 	}
-	cores["b"].Handle(0, member.LedBy{Leader: instance("b", 2).Process, Term: grant.Term{Log: 1}})
+	cores["b"].Handle(0, member.LeaderReported{Leader: instance("b", 2).Process, Term: grant.Term{Log: 1}})
 	sent := make(map[string]int)
 	for now := second; now < 4*second; now += 50 * millisecond {
 		for _, name := range names {
 			for _, effect := range cores[name].Handle(now, member.Ticked{}) {
-				send, isSend := effect.(member.Send)
+				send, isSend := effect.(member.SendHeartbeat)
 				if !isSend {
 					continue
 				}
 				to := cores[send.To.Name]
-				to.Handle(now, member.Heard{Beat: send.Beat})
-				cores[name].Handle(now, member.Heard{Beat: to.Beat(now), Answered: true})
+				to.Handle(now, member.HeartbeatReceived{Heartbeat: send.Heartbeat})
+				cores[name].Handle(now, member.HeartbeatReceived{Heartbeat: to.NextHeartbeat(now), IsReply: true})
 				if now >= 2*second {
 					sent[name+send.To.Name]++
 				}
@@ -93,6 +93,6 @@
 	for _, name := range names {
 		live := cores[name].View().Live
 		is.Equal(len(live), 3)
-		is.True(!slices.ContainsFunc(live, func(l member.Live) bool { return l.Link != member.LinkBoth }))
+		is.True(!slices.ContainsFunc(live, func(l member.LiveInstance) bool { return l.Link != member.LinkBoth }))
 	}
 }
--- a/internal/stand/logservice.go
+++ b/internal/stand/logservice.go
@@ -141,7 +141,7 @@
 }
 
 // add appends and reports what the fault switches do to the answer.
-func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendAnswer, slow time.Duration, lost bool) {
+func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendResponse, slow time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := kept{entry: record.Entry{Offset: l.next, ID: req.ID, Data: req.Data}}
@@ -157,7 +157,7 @@
 		l.fault.LoseAnswers--
 		lost = true
 	}
-	answer = logcl.AppendAnswer{Offset: k.entry.Offset, Identity: l.name()}
+	answer = logcl.AppendResponse{Offset: k.entry.Offset, Identity: l.name()}
 	return answer, time.Duration(l.fault.SlowMillis) * time.Millisecond, lost
 }
 
--- a/internal/stand/logservice_test.go
+++ b/internal/stand/logservice_test.go
@@ -28,7 +28,7 @@
 		"down":            {fault: stand.LogFault{Down: true}, appends: 1, wantAppend: logcl.ErrUnavailable, wantRead: logcl.ErrUnavailable},
 		"answer lost":     {fault: stand.LogFault{LoseAnswers: 1}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1},
 		"slow":            {fault: stand.LogFault{SlowMillis: 60_000}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1, from: 1, wantRead: logcl.ErrUnavailable},
-		"beyond the rate": {settings: stand.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrLimited, wantCount: 2},
+		"beyond the rate": {settings: stand.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrRateLimited, wantCount: 2},
 		"count retained":  {settings: stand.LogSettings{RetainCount: 2}, appends: 3, wantCount: 3, wantRead: logcl.ErrGap},
 	}
 	for name, test := range tests {
@@ -37,7 +37,7 @@
 				is := is.New(t)
 				service := stand.NewLogService(test.settings)
 				service.SetFault(test.fault)
-				client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+				client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				var err error
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 		start := time.Now()
 		time.AfterFunc(time.Second, func() { _, _ = client.Append(context.Background(), "a", []byte("x")) })
 		batch, err := client.Read(t.Context(), 0, 10)
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 		for range 2 {
 			_, err := client.Append(t.Context(), "a", nil)
 			is.NoErr(err)
