--- a/internal/cmds/replay.go
+++ b/internal/cmds/replay.go
@@ -55,12 +55,12 @@
 }
 
 // trace reads the trace file or generates the trace of the recipe, whichever is given.
-func (c *ReplayCmd) trace() ([]replay.Stamped, error) {
+func (c *ReplayCmd) trace() ([]replay.TimedEvent, error) {
 	switch {
 	case c.Recipe != "" && c.Trace != "":
 		return nil, fmt.Errorf("%w: give either a trace or a recipe, not both", ErrReplay)
 	case c.Recipe != "":
-		return replay.Make(c.Recipe, c.Deployment, c.Seed)
+		return replay.Generate(c.Recipe, c.Deployment, c.Seed)
 	case c.Trace == "":
 		return nil, fmt.Errorf("%w: give a trace or a recipe", ErrReplay)
 	case c.Write != "":
@@ -75,7 +75,7 @@
 }
 
 // write writes a trace to the file that Write names.
-func (c *ReplayCmd) write(trace []replay.Stamped) error {
+func (c *ReplayCmd) write(trace []replay.TimedEvent) error {
 	file, err := os.Create(c.Write)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrReplay, err)
@@ -90,7 +90,7 @@
 // listRecipes prints the name, deployments and description of each recipe.
 func listRecipes() error {
 	for _, r := range replay.Recipes() {
-		if _, err := fmt.Printf("%s %v\n    %s\n", r.Name, r.Deployments, r.Story); err != nil {
+		if _, err := fmt.Printf("%s %v\n    %s\n", r.Name, r.Deployments, r.Description); err != nil {
 			return err
 		}
 	}
--- a/internal/naive/choice.go
+++ b/internal/naive/random.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// Random chooses a server of an undivided service by slots alone.
-func Random(random *rand.Rand, servers []Server) int {
+// WeightedRandom returns the index of a random server. The probability of a server is
+// proportional to its slots. There must be at least one slot.
+func WeightedRandom(random *rand.Rand, servers []Server) int {
 	slots := 0
 	for _, s := range servers {
 		slots += s.Slots
--- a/internal/replay/codec.go
+++ b/internal/replay/codec.go
@@ -8,37 +8,37 @@
 	"io"
 )
 
-// ErrTrace is returned for a trace that cannot be read.
+// ErrTrace is returned for a trace that cannot be read or replayed.
 var ErrTrace = errors.New("replay: malformed trace")
 
-// maxLine bounds the length of one line of a trace in bytes.
+// maxLine is the maximum length of one line of a trace in bytes.
 const maxLine = 1 << 20
 
-// Stamped is an event with its time.
-type Stamped struct {
+// TimedEvent is an event and the time at which it happened.
+type TimedEvent struct {
 	At    Time
 	Event Event
 }
 
-// line is one line of a trace: a time and exactly one event.
+// line is the JSON form of a TimedEvent. Exactly one of the pointers is set.
 type line struct {
-	At       Time      `json:"at-ms"`
-	Header   *Header   `json:"header,omitempty"`
-	Bundled  *Bundled  `json:"bundled,omitempty"`
-	Requests *Requests `json:"requests,omitempty"`
-	Server   *Server   `json:"server,omitempty"`
-	Instance *Instance `json:"instance,omitempty"`
-	Domain   *Domain   `json:"domain,omitempty"`
-	Log      *Log      `json:"log,omitempty"`
-	Ended    *Ended    `json:"ended,omitempty"`
+	At       Time            `json:"at-ms"`
+	Header   *Header         `json:"header,omitempty"`
+	Bundled  *BundleInForce  `json:"bundled,omitempty"`
+	Requests *Requests       `json:"requests,omitempty"`
+	Server   *ServerChange   `json:"server,omitempty"`
+	Instance *InstanceChange `json:"instance,omitempty"`
+	Domain   *DomainChange   `json:"domain,omitempty"`
+	Log      *LogChange      `json:"log,omitempty"`
+	Ended    *Ended          `json:"ended,omitempty"`
 }
 
-// Read reads a trace of JSON lines. It checks that the header comes first, that time does
-// not go back and that the trace ends.
-func Read(r io.Reader) ([]Stamped, error) {
+// Read reads a trace with one JSON object per line. The trace must begin with a Header and end
+// with Ended, and its events must be sorted by time; otherwise the error is an ErrTrace.
+func Read(r io.Reader) ([]TimedEvent, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 1<<16), maxLine)
-	var trace []Stamped
+	var trace []TimedEvent
 	for number := 1; lines.Scan(); number++ {
 		var l line
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
@@ -46,34 +46,34 @@
 		}
 		ev := l.event()
 		if ev == nil {
-			return nil, fmt.Errorf("%w: line %d: no known event", ErrTrace, number)
+			return nil, fmt.Errorf("%w: line %d: unknown event", ErrTrace, number)
 		}
 		if last := len(trace) - 1; last >= 0 && l.At < trace[last].At {
-			return nil, fmt.Errorf("%w: line %d: time goes back", ErrTrace, number)
+			return nil, fmt.Errorf("%w: line %d: time is before that of the previous line", ErrTrace, number)
 		}
-		trace = append(trace, Stamped{At: l.At, Event: ev})
+		trace = append(trace, TimedEvent{At: l.At, Event: ev})
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrTrace, err)
 	}
-	return trace, check(trace)
+	return trace, checkTrace(trace)
 }
 
-// check looks at what holds for a trace as a whole.
-func check(trace []Stamped) error {
+// checkTrace checks the first and the last event of a trace.
+func checkTrace(trace []TimedEvent) error {
 	if len(trace) == 0 {
-		return fmt.Errorf("%w: empty", ErrTrace)
+		return fmt.Errorf("%w: no events", ErrTrace)
 	}
 	if _, ok := trace[0].Event.(Header); !ok {
-		return fmt.Errorf("%w: the first line is no header", ErrTrace)
+		return fmt.Errorf("%w: first event is not the header", ErrTrace)
 	}
 	if _, ok := trace[len(trace)-1].Event.(Ended); !ok {
-		return fmt.Errorf("%w: the last line is no end", ErrTrace)
+		return fmt.Errorf("%w: last event is not the end of the trace", ErrTrace)
 	}
 	return nil
 }
 
-// event returns the event of a line, or nil.
+// event returns the event of a line, or nil if there is none of a known kind.
 func (l line) event() Event {
 	switch {
 	case l.Header != nil:
@@ -97,34 +97,34 @@
 	}
 }
 
-// Write writes a trace as JSON lines.
-func Write(w io.Writer, trace []Stamped) error {
+// Write writes a trace in the form that Read reads.
+func Write(w io.Writer, trace []TimedEvent) error {
 	encoder := json.NewEncoder(w)
-	for _, s := range trace {
-		if err := encoder.Encode(lineOf(s)); err != nil {
+	for _, e := range trace {
+		if err := encoder.Encode(lineOf(e)); err != nil {
 			return fmt.Errorf("replay: write trace: %w", err)
 		}
 	}
 	return nil
 }
 
-// lineOf returns the line of an event.
-func lineOf(s Stamped) line {
-	l := line{At: s.At}
-	switch ev := s.Event.(type) {
+// lineOf returns the JSON form of an event.
+func lineOf(e TimedEvent) line {
+	l := line{At: e.At}
+	switch ev := e.Event.(type) {
 	case Header:
 		l.Header = &ev
-	case Bundled:
+	case BundleInForce:
 		l.Bundled = &ev
 	case Requests:
 		l.Requests = &ev
-	case Server:
+	case ServerChange:
 		l.Server = &ev
-	case Instance:
+	case InstanceChange:
 		l.Instance = &ev
-	case Domain:
+	case DomainChange:
 		l.Domain = &ev
-	case Log:
+	case LogChange:
 		l.Log = &ev
 	case Ended:
 		l.Ended = &ev
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -6,30 +6,31 @@
 	"example.org/mustardring/pkg/bundle"
 )
 
-// deployment is one of the users' installations.
+// deployment describes the installation of a user, for which traces are generated.
 type deployment struct {
-	name         string
+	name string
+	// oneWayMicros is the one-way delay between failure domains in microseconds.
 	oneWayMicros int64
 	domains      []string
 	weights      bundle.Weights
 	services     []workload
 }
 
-// workload is a service with its usual requests.
+// workload is a service and its usual requests.
 type workload struct {
-	name      string
-	servers   int
-	slots     int
-	divided   bool
-	prefix    string
-	keys      int
-	perSecond int
-	runMillis float64
-	// hotPrefix names the keys of which some are hot at a time.
-	hotPrefix string
+	name        string
+	servers     int
+	slots       int // of each server
+	divided     bool
+	keyPrefix   string
+	keyCount    int
+	requestRate int     // in requests per second
+	runMillis   float64 // mean run time of a request
+	// hotKeyPrefix is the prefix of the names of hot keys.
+	hotKeyPrefix string
 }
 
-// rokopisna is the Central Transcription Gateway.
+// rokopisna returns the deployment of the Central Transcription Gateway.
 func rokopisna() deployment {
 	return deployment{
 		name:         "rokopisna",
@@ -37,14 +38,14 @@
 		domains:      []string{"dvorana-a", "dvorana-b", "klet", "podstresje"},
 		weights:      bundle.Weights{Imbalance: 1, Churn: 4, Unavailable: 1},
 		services: []workload{
-			{name: "pregled", servers: 15, slots: 2, divided: true, prefix: "page-", keys: 12_000, perSecond: 600, runMillis: 20, hotPrefix: "volume-"},
-			{name: "oddaja", servers: 8, slots: 2, perSecond: 60, runMillis: 150},
-			{name: "arhiv", servers: 8, slots: 2, perSecond: 12, runMillis: 800},
+			{name: "pregled", servers: 15, slots: 2, divided: true, keyPrefix: "page-", keyCount: 12_000, requestRate: 600, runMillis: 20, hotKeyPrefix: "volume-"},
+			{name: "oddaja", servers: 8, slots: 2, requestRate: 60, runMillis: 150},
+			{name: "arhiv", servers: 8, slots: 2, requestRate: 12, runMillis: 800},
 		},
 	}
 }
 
-// uva is the Co-operative Cheese Sales Gateway.
+// uva returns the deployment of the Co-operative Cheese Sales Gateway.
 func uva() deployment {
 	return deployment{
 		name:         "uva",
@@ -52,24 +53,26 @@
 		domains:      []string{"badulla-hall", "bandarawela-hall", "welimada-hall"},
 		weights:      bundle.Weights{Imbalance: 1, Churn: 1, Unavailable: 4},
 		services: []workload{
-			{name: "stockbook", servers: 18, slots: 4, divided: true, prefix: "lot-", keys: 12_000, perSecond: 1800, runMillis: 15, hotPrefix: "cheese-"},
-			{name: "payroll-milk", servers: 9, slots: 4, perSecond: 90, runMillis: 200},
-			{name: "depot-desk", servers: 6, slots: 4, perSecond: 80, runMillis: 150},
+			{name: "stockbook", servers: 18, slots: 4, divided: true, keyPrefix: "lot-", keyCount: 12_000, requestRate: 1800, runMillis: 15, hotKeyPrefix: "cheese-"},
+			{name: "payroll-milk", servers: 9, slots: 4, requestRate: 90, runMillis: 200},
+			{name: "depot-desk", servers: 6, slots: 4, requestRate: 80, runMillis: 150},
 		},
 	}
 }
 
-// serverName returns the name of a server of a service.
+// serverName returns the name of server i of the service.
 func (w workload) serverName(i int) string {
 	return fmt.Sprintf("%s-%02d", w.name, i)
 }
 
-// domainOf returns the domain of a server of a service. Servers go round the domains.
+// domainOf returns the failure domain of server i of a service. Servers are assigned to the
+// domains in turn.
 func (d deployment) domainOf(i int) string {
 	return d.domains[i%len(d.domains)]
 }
 
-// bundle returns the configuration. Homes follow slots.
+// bundle returns the bundle of the deployment. The home of a failure domain is proportional to
+// the slots of its servers.
 func (d deployment) bundle() bundle.Bundle {
 	b := bundle.Bundle{Format: bundle.FormatVersion, Version: 1}
 	for _, name := range d.domains {
