--- a/internal/gram/deflate.go
+++ b/internal/dgram/deflate.go
@@ -1,4 +1,4 @@
-package gram
+package dgram
 
 import (
 	"bytes"
--- a/internal/gram/gram.go
+++ b/internal/dgram/dgram.go
@@ -1,6 +1,6 @@
-// Package gram sends small messages between instances as UDP datagrams. A message may be lost,
+// Package dgram sends small messages between instances as UDP datagrams. A message may be lost,
 // duplicated or delayed; the messages are designed so that none of these does harm.
-package gram
+package dgram
 
 import (
 	"bytes"
@@ -165,7 +165,7 @@
 }
 
 // ErrMessage reports a datagram that does not hold a valid message.
-var ErrMessage = errors.New("gram: malformed message")
+var ErrMessage = errors.New("dgram: malformed message")
 
 // Encode returns the datagram of a message: its kind in one byte and the packed fields, compressed if large.
 func Encode(m Message) ([]byte, error) {
--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/roster"
 )
@@ -51,7 +51,7 @@
 // all admission requests for a request shared a number, a late decision of the first controller would be taken for
 // that of the second, which would keep an unused slot for up to four seconds.
 type admissionClient struct {
-	send func(to netip.AddrPort, m gram.Message)
+	send func(to netip.AddrPort, m dgram.Message)
 	// unreachable is called with the name of a controller that does not answer.
 	unreachable func(controller string)
 	// cpuShare is the part of a core that this instance has, slowLink says whether its link is below slowLinkMbps.
@@ -61,24 +61,24 @@
 	mu         sync.Mutex
 	lastSerial uint64
 	// decisions holds, by serial number, the channels of requests that wait for a decision or are admitted.
-	decisions map[uint64]chan gram.AdmissionDecision
+	decisions map[uint64]chan dgram.AdmissionDecision
 }
 
-func newAdmissionClient(send func(netip.AddrPort, gram.Message), unreachable func(string), cpuShare, linkMbps float64) *admissionClient {
+func newAdmissionClient(send func(netip.AddrPort, dgram.Message), unreachable func(string), cpuShare, linkMbps float64) *admissionClient {
 	return &admissionClient{
 		send: send, unreachable: unreachable, cpuShare: cpuShare, slowLink: linkMbps < slowLinkMbps,
 		// After a restart, the serial numbers of the previous incarnation must not be used again.
-		lastSerial: uint64(rand.Uint32()), decisions: map[uint64]chan gram.AdmissionDecision{},
+		lastSerial: uint64(rand.Uint32()), decisions: map[uint64]chan dgram.AdmissionDecision{},
 	}
 }
 
 // open returns a new serial number and the channel for its decisions. The number is in use until it is closed: after a
 // rejection, or at the end of the admission.
-func (c *admissionClient) open() (uint64, <-chan gram.AdmissionDecision) {
+func (c *admissionClient) open() (uint64, <-chan dgram.AdmissionDecision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastSerial++
-	decisions := make(chan gram.AdmissionDecision, 4)
+	decisions := make(chan dgram.AdmissionDecision, 4)
 	c.decisions[c.lastSerial] = decisions
 	return c.lastSerial, decisions
 }
@@ -91,7 +91,7 @@
 
 // handleDecision passes a decision to the request that waits for it. An admission that nobody waits for is cancelled
 // at once.
-func (c *admissionClient) handleDecision(from netip.AddrPort, m gram.AdmissionDecision) {
+func (c *admissionClient) handleDecision(from netip.AddrPort, m dgram.AdmissionDecision) {
 	c.mu.Lock()
 	decisions, known := c.decisions[m.Serial]
 	c.mu.Unlock()
@@ -103,23 +103,23 @@
 		return
 	}
 	if m.Server != "" && from.IsValid() {
-		c.send(from, gram.Cancel{Serial: m.Serial})
+		c.send(from, dgram.Cancel{Serial: m.Serial})
 	}
 }
 
 // handleCheck answers a controller that asks about an admission which is no longer in use: it cancels it.
-func (c *admissionClient) handleCheck(from netip.AddrPort, m gram.AdmissionCheck) {
+func (c *admissionClient) handleCheck(from netip.AddrPort, m dgram.AdmissionCheck) {
 	c.mu.Lock()
 	_, known := c.decisions[m.Serial]
 	c.mu.Unlock()
 	if !known {
-		c.send(from, gram.Cancel{Serial: m.Serial})
+		c.send(from, dgram.Cancel{Serial: m.Serial})
 	}
 }
 
 // request requests an admission from one controller and waits for the final decision, as long as the request is
 // queued there. It returns false if the controller does not answer or the context ends.
-func (c *admissionClient) request(ctx context.Context, r permit.Request, controller roster.Peer, to netip.AddrPort) (gram.AdmissionDecision, bool) {
+func (c *admissionClient) request(ctx context.Context, r permit.Request, controller roster.Peer, to netip.AddrPort) (dgram.AdmissionDecision, bool) {
 	serial, decisions := c.open()
 	r.ID = permit.ID{Serial: serial}
 	m, answered := c.requestUntilFinal(ctx, r, to, decisions, c.replyTimeoutFor(controller))
@@ -129,11 +129,11 @@
 	if answered {
 		return m, true
 	}
-	c.send(to, gram.Cancel{Serial: serial, Pool: r.Pool})
+	c.send(to, dgram.Cancel{Serial: serial, Pool: r.Pool})
 	if ctx.Err() == nil {
 		c.unreachable(controller.Name)
 	}
-	return gram.AdmissionDecision{}, false
+	return dgram.AdmissionDecision{}, false
 }
 
 // replyTimeoutFor returns how long a controller may take to reply. Both this instance and the controller may be
@@ -148,9 +148,9 @@
 
 // requestUntilFinal sends the request, again if necessary, until there is a final decision. It returns false if the
 // controller stops answering or the context ends.
-func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Request, to netip.AddrPort, decisions <-chan gram.AdmissionDecision, timeout time.Duration) (gram.AdmissionDecision, bool) {
+func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Request, to netip.AddrPort, decisions <-chan dgram.AdmissionDecision, timeout time.Duration) (dgram.AdmissionDecision, bool) {
 	for {
-		var m gram.AdmissionDecision
+		var m dgram.AdmissionDecision
 		answered := false
 		for left := timeout; left > 0 && !answered && ctx.Err() == nil; left -= resendInterval {
 			c.send(to, requestMessage(r))
@@ -174,7 +174,7 @@
 
 // awaitDecision waits up to d for a decision. If the timer fires so late that the instance must have been throttled,
 // it first reads what arrived meanwhile.
-func awaitDecision(ctx context.Context, decisions <-chan gram.AdmissionDecision, d time.Duration) (gram.AdmissionDecision, bool) {
+func awaitDecision(ctx context.Context, decisions <-chan dgram.AdmissionDecision, d time.Duration) (dgram.AdmissionDecision, bool) {
 	until := time.Now().Add(d)
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -184,7 +184,7 @@
 			return m, true
 		case <-timer.C:
 		case <-ctx.Done():
-			return gram.AdmissionDecision{}, false
+			return dgram.AdmissionDecision{}, false
 		}
 		if time.Since(until) < minStall {
 			break
@@ -195,15 +195,15 @@
 	case m := <-decisions:
 		return m, true
 	default:
-		return gram.AdmissionDecision{}, false
+		return dgram.AdmissionDecision{}, false
 	}
 }
 
 // isFinal reports whether a request is admitted or rejected, that is, not queued.
-func isFinal(m gram.AdmissionDecision) bool { return m.Server != "" || m.Reason != "" }
+func isFinal(m dgram.AdmissionDecision) bool { return m.Server != "" || m.Reason != "" }
 
-func requestMessage(r permit.Request) gram.AdmissionRequest {
-	return gram.AdmissionRequest{
+func requestMessage(r permit.Request) dgram.AdmissionRequest {
+	return dgram.AdmissionRequest{
 		Serial: r.Serial, Pool: r.Pool, Server: r.Server, Domain: r.Domain, Route: r.Route, Priority: r.Priority,
 		Returning: r.Returning, Avoid: r.Avoid, HasFallback: r.HasFallback,
 		TargetInMs: int(time.Until(r.TargetAt).Milliseconds()), DeadlineInMs: int(time.Until(r.Deadline).Milliseconds()),
--- a/internal/node/admission_client_test.go
+++ b/internal/node/admission_client_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/rules"
@@ -36,21 +36,21 @@
 	return rc
 }
 
-func (rc *remoteController) handle(m gram.Message) {
+func (rc *remoteController) handle(m dgram.Message) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	now := time.Now()
 	id := func(serial uint64) permit.ID { return permit.ID{From: "a", Serial: serial} }
 	var decisions []permit.Decision
 	switch m := m.(type) {
-	case gram.AdmissionRequest:
+	case dgram.AdmissionRequest:
 		decisions = []permit.Decision{rc.controller.Decide(now, permit.Request{
 			ID: id(m.Serial), Service: "books", Server: m.Server, Route: "read",
 			TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
 		})}
-	case gram.Cancel:
+	case dgram.Cancel:
 		decisions = rc.controller.Cancel(now, id(m.Serial))
-	case gram.Completion:
+	case dgram.Completion:
 		decisions = rc.controller.Complete(now, permit.Completion{ID: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
 	for _, v := range decisions {
@@ -59,8 +59,8 @@
 }
 
 // network returns a function that delivers messages to controllers by address.
-func network(controllers ...*remoteController) func(to netip.AddrPort, m gram.Message) {
-	return func(to netip.AddrPort, m gram.Message) {
+func network(controllers ...*remoteController) func(to netip.AddrPort, m dgram.Message) {
+	return func(to netip.AddrPort, m dgram.Message) {
 		for _, rc := range controllers {
 			if rc.address == to {
 				time.AfterFunc(rc.requestDelay, func() { rc.handle(m) })
@@ -103,8 +103,8 @@
 				client := newAdmissionClient(network(first, second), func(string) {}, 0.16, 1000)
 				first.client, second.client = client, client
 				// The server of the second controller is busy for a moment, so that the request is queued first.
-				second.handle(gram.AdmissionRequest{Serial: 99, Server: "s"})
-				time.AfterFunc(300*time.Millisecond, func() { second.handle(gram.Completion{Serial: 99}) })
+				second.handle(dgram.AdmissionRequest{Serial: 99, Server: "s"})
+				time.AfterFunc(300*time.Millisecond, func() { second.handle(dgram.Completion{Serial: 99}) })
 				request := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 				for _, rc := range []*remoteController{first, second} {
 					v, answered := client.request(t.Context(), request, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, rc.address)
@@ -113,7 +113,7 @@
 					}
 					is.Equal(v.Server, "s")
 					time.Sleep(100 * time.Millisecond)
-					client.send(rc.address, gram.Completion{Serial: v.Serial})
+					client.send(rc.address, dgram.Completion{Serial: v.Serial})
 					client.close(v.Serial)
 					break
 				}
@@ -138,7 +138,7 @@
 		defer leave()
 		_, answered := client.request(ctx, permit.Request{Service: "books", Server: "s", Deadline: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
 		is.True(!answered)
-		rc.handle(gram.Cancel{Serial: client.lastSerial})
+		rc.handle(dgram.Cancel{Serial: client.lastSerial})
 		time.Sleep(time.Second)
 		is.True(rc.hasFreeSlot(1))
 	})
@@ -164,11 +164,11 @@
 		is.Equal(len(rc.controller.LongRunning(time.Now())), 0) // not reported twice in a row
 		rc.mu.Unlock()
 		is.Equal(len(longRunning), 1)
-		client.handleCheck(rc.address, gram.AdmissionCheck{Serial: longRunning[0].Serial})
+		client.handleCheck(rc.address, dgram.AdmissionCheck{Serial: longRunning[0].Serial})
 		time.Sleep(time.Second)
 		is.True(!rc.hasFreeSlot(1)) // still in use
 		client.close(v.Serial)
-		client.handleCheck(rc.address, gram.AdmissionCheck{Serial: longRunning[0].Serial})
+		client.handleCheck(rc.address, dgram.AdmissionCheck{Serial: longRunning[0].Serial})
 		time.Sleep(time.Second)
 		is.True(rc.hasFreeSlot(2))
 	})
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/edge"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/permit"
 )
 
@@ -20,7 +20,7 @@
 	idleTickInterval = 50 * time.Millisecond
 )
 
-// slowdownScale is the value of gram.Completion.Slowdown that stands for the usual speed.
+// slowdownScale is the value of dgram.Completion.Slowdown that stands for the usual speed.
 const slowdownScale = 100
 
 // admissions requests admissions for the requests of this instance, and runs the controllers of the pools and servers
@@ -102,7 +102,7 @@
 		return
 	}
 	if to, err := netip.ParseAddrPort(id.From); err == nil {
-		ad.node.port.Send(to, gram.AdmissionCheck{Serial: id.Serial})
+		ad.node.port.Send(to, dgram.AdmissionCheck{Serial: id.Serial})
 	}
 }
 
@@ -154,8 +154,8 @@
 }
 
 // decisionMessage returns the message that states a decision.
-func decisionMessage(v permit.Decision) gram.AdmissionDecision {
-	m := gram.AdmissionDecision{Serial: permit.IDOf(v).Serial}
+func decisionMessage(v permit.Decision) dgram.AdmissionDecision {
+	m := dgram.AdmissionDecision{Serial: permit.IDOf(v).Serial}
 	switch v := v.(type) {
 	case permit.Admitted:
 		m.Server = v.Server
@@ -168,7 +168,7 @@
 }
 
 // handleRequest answers an admission request of another instance.
-func (ad *admissions) handleRequest(from netip.AddrPort, m gram.AdmissionRequest) {
+func (ad *admissions) handleRequest(from netip.AddrPort, m dgram.AdmissionRequest) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	now := time.Now()
@@ -188,7 +188,7 @@
 }
 
 // handleCompletion passes the completion of another instance's request to the controller.
-func (ad *admissions) handleCompletion(from netip.AddrPort, m gram.Completion) {
+func (ad *admissions) handleCompletion(from netip.AddrPort, m dgram.Completion) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	ad.deliver(ad.controller(m.Pool).Complete(time.Now(), permit.Completion{
@@ -201,7 +201,7 @@
 }
 
 // handleCancel cancels an admission of another instance, in all pools if the message names none.
-func (ad *admissions) handleCancel(from netip.AddrPort, m gram.Cancel) {
+func (ad *admissions) handleCancel(from netip.AddrPort, m dgram.Cancel) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	id := permit.ID{From: from.String(), Serial: m.Serial}
@@ -237,7 +237,7 @@
 		a.admissions.deliver(a.admissions.controller(a.pool).Complete(time.Now(), d))
 		return
 	}
-	m := gram.Completion{
+	m := dgram.Completion{
 		Serial: a.serial, Pool: a.pool, Server: a.server, Route: a.route, Outcome: d.Outcome,
 		DurationUs: int(d.Took.Microseconds()), AnswerBytes: d.Bytes,
 		Running: d.Load.Running, Waiting: d.Load.Waiting, LoadKnown: d.Load.Known,
@@ -308,7 +308,7 @@
 }
 
 // result converts a final decision to an admission or a rejection.
-func (ad *admissions) result(r permit.Request, m gram.AdmissionDecision, controller netip.AddrPort) (edge.Admission, *permit.Rejected) {
+func (ad *admissions) result(r permit.Request, m dgram.AdmissionDecision, controller netip.AddrPort) (edge.Admission, *permit.Rejected) {
 	if m.Server != "" {
 		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
 	}
@@ -322,7 +322,7 @@
 }
 
 // requestLocally requests an admission from this instance's own controller and waits for the final decision.
-func (ad *admissions) requestLocally(ctx context.Context, r permit.Request) gram.AdmissionDecision {
+func (ad *admissions) requestLocally(ctx context.Context, r permit.Request) dgram.AdmissionDecision {
 	serial, decisions := ad.client.open()
 	r.ID = permit.ID{Serial: serial}
 	ad.mu.Lock()
@@ -339,7 +339,7 @@
 			ad.mu.Lock()
 			ad.deliver(ad.controller(r.Pool).Cancel(time.Now(), r.ID))
 			ad.mu.Unlock()
-			m = gram.AdmissionDecision{Reason: string(permit.Overload)}
+			m = dgram.AdmissionDecision{Reason: string(permit.Overload)}
 		}
 	}
 	if m.Server == "" {
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -6,30 +6,30 @@
 	"time"
 
 	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/worker"
 )
 
 // broadcast sends a message to all other instances: directly to those of the own failure domain and of small ones,
 // and to those of other domains through a relay in each.
-func (n *Node) broadcast(m gram.Message) {
-	data, err := gram.Encode(m)
+func (n *Node) broadcast(m dgram.Message) {
+	data, err := dgram.Encode(m)
 	if err != nil {
 		n.events.Record(event.StateChange, "message-not-sent", "error", err)
 		return
 	}
 	direct, relays := n.roster.Relays(time.Now())
-	n.port.SendAll(addresses(relays), gram.Relay{Data: data})
+	n.port.SendAll(addresses(relays), dgram.Relay{Data: data})
 	n.port.SendData(addresses(direct), data)
 }
 
 // forward sends a relayed message to the other instances of this instance's failure domain, then handles it.
-func (n *Node) forward(from netip.AddrPort, m gram.Relay) {
-	inner, err := gram.Decode(m.Data)
-	if _, nested := inner.(gram.Relay); err != nil || nested {
+func (n *Node) forward(from netip.AddrPort, m dgram.Relay) {
+	inner, err := dgram.Decode(m.Data)
+	if _, nested := inner.(dgram.Relay); err != nil || nested {
 		n.events.Record(event.StateChange, "message-malformed", "from", from, "error", err)
 		return
 	}
@@ -40,7 +40,7 @@
 		}
 	}
 	n.port.SendData(addresses(peers), m.Data)
-	n.handleMessage(gram.Received{From: from, Message: inner})
+	n.handleMessage(dgram.Received{From: from, Message: inner})
 }
 
 // addresses returns the valid addresses of peers.
@@ -140,7 +140,7 @@
 		if i == len(parts)-1 {
 			update.Staleness = ageMillis(sentAt, u.CurrentAsOf)
 		}
-		n.broadcast(gram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), PeerUpdate: update})
+		n.broadcast(dgram.TopicUpdate{Topic: u.Topic, Sender: n.settings.Name, SentAt: int64(sentAt), PeerUpdate: update})
 		u.From = part.End
 		if i < len(parts)-1 {
 			// Without a pause, the next part would find the link full and be lost to all.
--- a/internal/node/broadcast_test.go
+++ b/internal/node/broadcast_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 
 	"example.org/mustardring/internal/config"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/worker"
@@ -57,7 +57,7 @@
 func TestPartsAreSentWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		port, err := gram.Listen("127.0.0.1:0")
+		port, err := dgram.Listen("127.0.0.1:0")
 		is.NoErr(err)
 		n := &Node{port: port, roster: roster.New("i0", "d0"), settings: config.Serve{LinkMbps: 20}}
 		for i := range 5 {
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -4,9 +4,9 @@
 	"net/netip"
 	"slices"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/holder"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/shard"
@@ -19,17 +19,17 @@
 	}
 	p, known := n.roster.Peer(name)
 	if to, ok := peerAddress(p); known && ok {
-		n.port.Send(to, gram.ViewRequest{End: n.leases.View().End})
+		n.port.Send(to, dgram.ViewRequest{End: n.leases.View().End})
 	}
 }
 
 // sendView answers a ViewRequest with the view of this instance if that is newer than the sender's.
-func (n *Node) sendView(from netip.AddrPort, m gram.ViewRequest) {
+func (n *Node) sendView(from netip.AddrPort, m dgram.ViewRequest) {
 	view := n.leases.View()
 	if view.End <= m.End {
 		return
 	}
-	snapshot := gram.ViewSnapshot{End: view.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
+	snapshot := dgram.ViewSnapshot{End: view.End, Maps: map[string][]byte{}, Instances: map[string][]byte{}}
 	for service, ranges := range view.Maps {
 		data, err := ranges.Encode()
 		if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // adoptView passes the view of a peer to the lease manager.
-func (n *Node) adoptView(m gram.ViewSnapshot) {
+func (n *Node) adoptView(m dgram.ViewSnapshot) {
 	view := &holder.View{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
@@ -81,13 +81,13 @@
 // broadcastRegister broadcasts records of the register of instances, in messages of limited size.
 func (n *Node) broadcastRegister(records []follow.Record) {
 	for part := range slices.Chunk(records, maxRegisterRecords) {
-		n.broadcast(gram.RegisterUpdate{Records: part})
+		n.broadcast(dgram.RegisterUpdate{Records: part})
 	}
 }
 
 // handleRegisterUpdate passes records of the register, which the leader broadcasts, to the lease manager. If its
 // queue is full, the topic is read from the store instead.
-func (n *Node) handleRegisterUpdate(m gram.RegisterUpdate) {
+func (n *Node) handleRegisterUpdate(m dgram.RegisterUpdate) {
 	select {
 	case n.leases.RegisterUpdates() <- m.Records:
 	default:
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/holder"
 	"example.org/mustardring/internal/rules"
 )
@@ -172,7 +172,7 @@
 }
 
 // markMovesComplete records that the moves of ranges are complete.
-func (c *clusterState) markMovesComplete(ranges []gram.MovedRange) {
+func (c *clusterState) markMovesComplete(ranges []dgram.MovedRange) {
 	c.mu.Lock()
 	for _, r := range ranges {
 		if len(c.completedMoves) >= maxRememberedMoves {
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/holder"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
@@ -143,7 +143,7 @@
 
 // handleTopicUpdate passes on what a peer has read to the watch of the topic. If its queue is full, the update is
 // dropped, and heartbeats show later that this instance is behind.
-func (n *Node) handleTopicUpdate(m gram.TopicUpdate) {
+func (n *Node) handleTopicUpdate(m dgram.TopicUpdate) {
 	update := m.PeerUpdate
 	if sentAt, dated := n.roster.EarliestSendTime(m.Sender, m.SentAt, clock.Boot{}.Now()); dated {
 		update.SentAt = sentAt
@@ -202,37 +202,37 @@
 }
 
 // handleMessage dispatches a message by its type.
-func (n *Node) handleMessage(r gram.Received) {
+func (n *Node) handleMessage(r dgram.Received) {
 	switch m := r.Message.(type) {
-	case gram.Relay:
+	case dgram.Relay:
 		n.forward(r.From, m)
-	case gram.Heartbeat:
+	case dgram.Heartbeat:
 		n.handleHeartbeat(m.Heartbeat)
-	case gram.AdmissionRequest:
+	case dgram.AdmissionRequest:
 		n.admissions.handleRequest(r.From, m)
-	case gram.AdmissionDecision:
+	case dgram.AdmissionDecision:
 		n.admissions.client.handleDecision(r.From, m)
-	case gram.Completion:
+	case dgram.Completion:
 		n.admissions.handleCompletion(r.From, m)
-	case gram.Cancel:
+	case dgram.Cancel:
 		n.admissions.handleCancel(r.From, m)
-	case gram.AdmissionCheck:
+	case dgram.AdmissionCheck:
 		n.admissions.client.handleCheck(r.From, m)
-	case gram.LoadReport:
+	case dgram.LoadReport:
 		n.loadTracker.add(m, time.Now())
-	case gram.OwnerChange:
+	case dgram.OwnerChange:
 		n.handleOwnerChange(m)
-	case gram.RegisterUpdate:
+	case dgram.RegisterUpdate:
 		n.handleRegisterUpdate(m)
-	case gram.ViewRequest:
+	case dgram.ViewRequest:
 		n.sendView(r.From, m)
-	case gram.ViewSnapshot:
+	case dgram.ViewSnapshot:
 		n.adoptView(m)
-	case gram.TopicUpdate:
+	case dgram.TopicUpdate:
 		n.handleTopicUpdate(m)
-	case gram.CompletedMoves:
+	case dgram.CompletedMoves:
 		n.cluster.markMovesComplete(m.Ranges)
-	case gram.CrashReport:
+	case dgram.CrashReport:
 		n.handleCrashReport(m)
 	}
 }
@@ -250,7 +250,7 @@
 
 // handleOwnerChange passes a record of owners that a peer wrote to the lease manager. If its queue is full, the topic
 // is read from the store instead.
-func (n *Node) handleOwnerChange(m gram.OwnerChange) {
+func (n *Node) handleOwnerChange(m dgram.OwnerChange) {
 	select {
 	case n.leases.OwnerChanges() <- holder.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
@@ -260,7 +260,7 @@
 
 // broadcastOwnerChange broadcasts a record of owners that this instance wrote.
 func (n *Node) broadcastOwnerChange(service string, offset int64, fence uint64, changes []shard.Range) {
-	n.broadcast(gram.OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes})
+	n.broadcast(dgram.OwnerChange{Service: service, Offset: offset, Fence: fence, Changes: changes})
 }
 
 // Config implements edge.Cluster. It returns nil before a configuration is known.
@@ -313,19 +313,19 @@
 		}
 		n.events.Record(event.StateChange, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
 		n.suspects.RecordCrash(print, s.ID, time.Now())
-		n.broadcast(gram.CrashReport{Fingerprint: print, Server: s.ID})
+		n.broadcast(dgram.CrashReport{Fingerprint: print, Server: s.ID})
 	}()
 }
 
 // ClearSuspicion implements edge.Cluster.
 func (n *Node) ClearSuspicion(print uint64) {
 	if n.suspects.Clear(print) {
-		n.broadcast(gram.CrashReport{Fingerprint: print, Cleared: true})
+		n.broadcast(dgram.CrashReport{Fingerprint: print, Cleared: true})
 	}
 }
 
 // handleCrashReport records what another instance has seen of a request that may crash servers.
-func (n *Node) handleCrashReport(m gram.CrashReport) {
+func (n *Node) handleCrashReport(m dgram.CrashReport) {
 	if m.Cleared {
 		n.suspects.Clear(m.Fingerprint)
 		return
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"example.org/mustardring/internal/clock"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/roster"
 )
 
@@ -111,7 +111,7 @@
 func (n *Node) sendHeartbeat(p roster.Peer, b roster.Heartbeat, ask bool) {
 	if to, ok := peerAddress(p); ok {
 		b.EchoAt, b.ReplyNow = p.Heartbeat.SentAt, ask
-		n.port.Send(to, gram.Heartbeat{Heartbeat: b})
+		n.port.Send(to, dgram.Heartbeat{Heartbeat: b})
 	}
 }
 
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/shard"
 )
 
@@ -103,12 +103,12 @@
 }
 
 // flush returns the counts since the last call by service, as reports of the named instance.
-func (l *loadTracker) flush(name string) map[string]gram.LoadReport {
+func (l *loadTracker) flush(name string) map[string]dgram.LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]gram.LoadReport, len(l.counts))
+	out := make(map[string]dgram.LoadReport, len(l.counts))
 	for service, counts := range l.counts {
-		m := gram.LoadReport{Name: name, Service: service}
+		m := dgram.LoadReport{Name: name, Service: service}
 		for key, count := range counts {
 			m.Keys = append(m.Keys, key)
 			m.Counts = append(m.Counts, count)
@@ -120,7 +120,7 @@
 }
 
 // add adds the report of an instance.
-func (l *loadTracker) add(m gram.LoadReport, now time.Time) {
+func (l *loadTracker) add(m dgram.LoadReport, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.services[m.Service]
@@ -204,7 +204,7 @@
 }
 
 // sendLoadReport sends a report to the leader, unless it is empty or no leader is known.
-func (n *Node) sendLoadReport(m gram.LoadReport) {
+func (n *Node) sendLoadReport(m dgram.LoadReport) {
 	leader, found := n.roster.Leader(time.Now())
 	if !found || len(m.Keys)+len(m.Servers) == 0 {
 		return
--- a/internal/node/loads_test.go
+++ b/internal/node/loads_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/dgram"
 )
 
 // Guards against a capacity that alternates between two estimates. The controller of a server had seen sixty answers,
@@ -18,14 +18,14 @@
 	l := newLoadTracker()
 	for range 20 {
 		now = now.Add(reportInterval)
-		l.add(gram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{12}, Answers: []uint16{6}}, now)
-		l.add(gram.LoadReport{Name: "b", Service: "books", Servers: []string{"s"}, Capacities: []float64{40}, Answers: []uint16{1}}, now)
+		l.add(dgram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{12}, Answers: []uint16{6}}, now)
+		l.add(dgram.LoadReport{Name: "b", Service: "books", Servers: []string{"s"}, Capacities: []float64{40}, Answers: []uint16{1}}, now)
 	}
 	rate, _ := l.services["books"].capacities["s"].rate(now)
 	is.True(rate > 11 && rate < 17)
 	// The server becomes five times slower, which shows at once.
 	now = now.Add(reportInterval)
-	l.add(gram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{2.4}, Answers: []uint16{2}}, now)
+	l.add(dgram.LoadReport{Name: "a", Service: "books", Servers: []string{"s"}, Capacities: []float64{2.4}, Answers: []uint16{2}}, now)
 	rate, _ = l.services["books"].capacities["s"].rate(now)
 	is.True(rate < 9)
 }
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"example.org/mustardring/internal/gram"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/worker"
 )
 
@@ -20,19 +20,19 @@
 // moveCompleted records that the move of a range to its new owner is complete, and queues it for the next broadcast.
 // If the queue is full, it broadcasts the move at once.
 func (n *Node) moveCompleted(service string, from uint16, fence uint64) {
-	r := gram.MovedRange{Service: service, From: from, Fence: fence}
-	n.cluster.markMovesComplete([]gram.MovedRange{r})
+	r := dgram.MovedRange{Service: service, From: from, Fence: fence}
+	n.cluster.markMovesComplete([]dgram.MovedRange{r})
 	select {
 	case n.completedMoves <- r:
 	default:
-		n.broadcast(gram.CompletedMoves{Ranges: []gram.MovedRange{r}})
+		n.broadcast(dgram.CompletedMoves{Ranges: []dgram.MovedRange{r}})
 	}
 }
 
 // broadcastMovesLoop broadcasts completed moves, in one message if they follow one another closely.
 func (n *Node) broadcastMovesLoop(ctx context.Context) error {
 	for {
-		var ranges []gram.MovedRange
+		var ranges []dgram.MovedRange
 		select {
 		case r := <-n.completedMoves:
 			ranges = append(ranges, r)
@@ -43,6 +43,6 @@
 		for len(n.completedMoves) > 0 && len(ranges) < maxCompletedMoves {
 			ranges = append(ranges, <-n.completedMoves)
 		}
-		n.broadcast(gram.CompletedMoves{Ranges: ranges})
+		n.broadcast(dgram.CompletedMoves{Ranges: ranges})
 	}
 }
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -9,8 +9,8 @@
 	"github.com/charmbracelet/log"
 	"github.com/matryer/is"
 
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/roster"
 )
 
@@ -18,9 +18,9 @@
 // instances separately: 59,000 messages from one instance within half a second.
 func TestCompletedMovesAreBatched(t *testing.T) {
 	is := is.New(t)
-	port, err := gram.Listen("127.0.0.1:0")
+	port, err := dgram.Listen("127.0.0.1:0")
 	is.NoErr(err)
-	other, err := gram.Listen("127.0.0.1:0")
+	other, err := dgram.Listen("127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
@@ -28,7 +28,7 @@
 	events := event.New(io.Discard, log.ErrorLevel)
 	n := &Node{
 		port: port, roster: roster.New("i0", "d0"), cluster: newClusterState(events, time.Second, time.Second), events: events,
-		completedMoves: make(chan gram.MovedRange, maxCompletedMoves),
+		completedMoves: make(chan dgram.MovedRange, maxCompletedMoves),
 	}
 	n.roster.Put("i1", roster.Entry{Address: other.Address(), Domain: "d0", Incarnation: 1}, time.Now())
 	for i := range 200 {
@@ -36,7 +36,7 @@
 	}
 	go func() { ended <- n.broadcastMovesLoop(ctx) }()
 	received := <-other.Messages()
-	is.Equal(len(received.Message.(gram.CompletedMoves).Ranges), 200)
+	is.Equal(len(received.Message.(dgram.CompletedMoves).Ranges), 200)
 	is.True(n.cluster.isMoveComplete("books", 199, 7))
 	cancel()
 	for range 2 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,10 +20,10 @@
 
 	"example.org/mustardring/internal/clock"
 	"example.org/mustardring/internal/config"
+	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/edge"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/gram"
 	"example.org/mustardring/internal/holder"
 	"example.org/mustardring/internal/inlet"
 	"example.org/mustardring/internal/roster"
@@ -65,7 +65,7 @@
 	events      *event.Log
 	cluster     *clusterState
 	roster      *roster.Roster
-	port        *gram.Port
+	port        *dgram.Port
 	admissions  *admissions
 	loadTracker *loadTracker
 	leases      *holder.Manager
@@ -91,7 +91,7 @@
 	unreachableMu       sync.Mutex
 	unreachableLoggedAt map[string]time.Time
 	// completedMoves holds ranges whose moves are complete and are to be broadcast.
-	completedMoves chan gram.MovedRange
+	completedMoves chan dgram.MovedRange
 	// heartbeatLeaderNow and heartbeatAllNow ask for a heartbeat at once.
 	heartbeatLeaderNow chan struct{}
 	heartbeatAllNow    chan struct{}
@@ -116,7 +116,7 @@
 
 // New returns an instance that listens for messages of its peers but is not started yet; see Run.
 func New(settings config.Serve, platform Platform, events *event.Log) (*Node, error) {
-	port, err := gram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
+	port, err := dgram.Listen(net.JoinHostPort(settings.IP, strconv.Itoa(settings.PeerPorts[0])))
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
@@ -126,7 +126,7 @@
 		meters: edge.NewMeters(), suspects: edge.NewCrashTracker(), incarnation: rand.Uint64() | 1,
 		unreachableLoggedAt: map[string]time.Time{}, storeCalls: new(expvar.Map).Init(), storeTimes: edge.NewLatencyHistograms(),
 		updates: make(chan follow.Update, 64), readRequests: map[string]chan struct{}{}, peerUpdates: map[string]chan follow.PeerUpdate{}, broadcasts: map[string]chan follow.Update{},
-		lag: map[string]*lagDetector{}, completedMoves: make(chan gram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
+		lag: map[string]*lagDetector{}, completedMoves: make(chan dgram.MovedRange, maxCompletedMoves), heartbeatLeaderNow: make(chan struct{}, 1), heartbeatAllNow: make(chan struct{}, 1), registered: make(chan struct{}), stopping: make(chan struct{}),
 	}
 	n.platform.Store = &instrumentedStore{Store: platform.Store, calls: n.storeCalls, times: n.storeTimes, events: events}
 	n.cluster = newClusterState(events, time.Duration(settings.Bounds.DrainSeconds*float64(time.Second))-drainReserve,
