--- a/internal/permit/permit.go
+++ b/internal/admit/admit.go
@@ -1,4 +1,4 @@
-// Package permit implements admission control for backend servers: it decides whether a request is
+// Package admit implements admission control for backend servers: it decides whether a request is
 // sent to a server at once, waits in a queue, or is rejected. It performs no I/O.
 //
 // A server runs a few requests at a time and resets connections when the short queue behind its
@@ -16,7 +16,7 @@
 //   - Servers are slow: their measured service times count.
 //   - Servers fail: they are ejected for some time, a few at most at the same time.
 //   - Others use the servers as well: the load that the servers report counts.
-package permit
+package admit
 
 import (
 	"time"
--- a/internal/permit/cluster_test.go
+++ b/internal/admit/cluster_test.go
@@ -1,4 +1,4 @@
-package permit_test
+package admit_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/permit"
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/rules"
 )
@@ -18,7 +18,7 @@
 type cluster struct {
 	random      *rand.Rand
 	rosters     []*roster.Roster
-	controllers []*permit.Controller
+	controllers []*admit.Controller
 	// isolated holds the instances that reach no other instance, dead those that have failed.
 	// Instances of the domain cutOff reach only instances of their own domain.
 	isolated map[int]bool
@@ -38,7 +38,7 @@
 		for j := range size {
 			r.Put(c.name(j), roster.Entry{Address: c.name(j), Domain: c.domain(j), Incarnation: 1, Share: 1}, start)
 		}
-		ctl := permit.New(rand.New(rand.NewPCG(seed, uint64(i))))
+		ctl := admit.New(rand.New(rand.NewPCG(seed, uint64(i))))
 		ctl.SetServers(start, servers)
 		c.rosters, c.controllers = append(c.rosters, r), append(c.controllers, ctl)
 	}
@@ -64,7 +64,7 @@
 
 // request asks the instances in charge of a server in turn, as instance i does, and returns the
 // index of the one that admitted the request, -1 if none did.
-func (c *cluster) request(i int, req permit.Request, now time.Time) int {
+func (c *cluster) request(i int, req admit.Request, now time.Time) int {
 	controller := i
 	for n, p := range c.rosters[i].Rank(req.Server, "d0", now) {
 		var j int
@@ -83,7 +83,7 @@
 		c.rosters[i].Suspect(p.Name, now)
 	}
 	req.NonExclusive = req.NonExclusive || !c.rosters[controller].MajorityAlive(now)
-	if _, admitted := c.controllers[controller].Decide(now, req).(permit.Admitted); !admitted {
+	if _, admitted := c.controllers[controller].Decide(now, req).(admit.Admitted); !admitted {
 		c.controllers[controller].Cancel(now, req.ID)
 		return -1
 	}
@@ -135,7 +135,7 @@
 				}
 				if controller := c.request(i, req, now); controller >= 0 {
 					sent = append(sent, now)
-					c.controllers[controller].Complete(now, permit.Completion{ID: req.ID, Server: "s", Route: "read", Took: 20 * time.Millisecond})
+					c.controllers[controller].Complete(now, admit.Completion{ID: req.ID, Server: "s", Route: "read", Took: 20 * time.Millisecond})
 				}
 			}
 			t.Logf("%d sent, %d in a second", len(sent), maxInASecond(sent))
--- a/internal/permit/cold_test.go
+++ b/internal/admit/cold_test.go
@@ -1,4 +1,4 @@
-package permit_test
+package admit_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/permit"
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/rules"
 )
 
@@ -40,19 +40,19 @@
 
 // flood asks for admission every 5 ms, for requests that take 20 ms, and returns when requests were
 // sent to each server. controllerAt returns the controller to ask at a given time.
-func flood(lasts time.Duration, keyed bool, controllerAt func(now time.Time) *permit.Controller) map[string][]time.Time {
+func flood(lasts time.Duration, keyed bool, controllerAt func(now time.Time) *admit.Controller) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	type running struct {
-		controller *permit.Controller
-		done       permit.Completion
+		controller *admit.Controller
+		done       admit.Completion
 		until      time.Time
 	}
 	var all []running
-	handle := func(c *permit.Controller, now time.Time, decisions []permit.Decision) {
+	handle := func(c *admit.Controller, now time.Time, decisions []admit.Decision) {
 		for _, d := range decisions {
-			if g, admitted := d.(permit.Admitted); admitted {
+			if g, admitted := d.(admit.Admitted); admitted {
 				out[g.Server] = append(out[g.Server], now)
-				all = append(all, running{c, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 20 * time.Millisecond}, now.Add(20 * time.Millisecond)})
+				all = append(all, running{c, admit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 20 * time.Millisecond}, now.Add(20 * time.Millisecond)})
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 		if keyed {
 			req.Server = "s0"
 		}
-		handle(c, now, []permit.Decision{c.Decide(now, req)})
+		handle(c, now, []admit.Decision{c.Decide(now, req)})
 	}
 	return out
 }
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newController(coldServer("s0"))
-			times := flood(coldTime, keyed, func(time.Time) *permit.Controller { return c })["s0"]
+			times := flood(coldTime, keyed, func(time.Time) *admit.Controller { return c })["s0"]
 			is.True(float64(maxInASecond(times)) <= coldRate)
 			// The server gets what it can handle, except in the first second, in which another
 			// controller may have sent requests to it.
@@ -94,7 +94,7 @@
 func TestColdServerAfterTakeover(t *testing.T) {
 	is := is.New(t)
 	one, two := newController(coldServer("s0")), newController(coldServer("s0"))
-	times := flood(coldTime, false, func(now time.Time) *permit.Controller {
+	times := flood(coldTime, false, func(now time.Time) *admit.Controller {
 		if now.Sub(start) < time.Second {
 			return one
 		}
@@ -108,7 +108,7 @@
 func TestServerWarmsUp(t *testing.T) {
 	is := is.New(t)
 	c := newController(coldServer("s0"))
-	times := flood(coldTime+2*time.Second, false, func(time.Time) *permit.Controller { return c })["s0"]
+	times := flood(coldTime+2*time.Second, false, func(time.Time) *admit.Controller { return c })["s0"]
 	after := 0
 	for _, at := range times {
 		if at.Sub(start) >= coldTime {
@@ -122,18 +122,18 @@
 func TestColdServerRejectsAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := newController(coldServer("s0"))
-	rejected := permit.Rejected{}
+	rejected := admit.Rejected{}
 	for i := range uint64(12) {
 		req := newRequest(i, start)
 		req.Server = "s0"
 		switch d := c.Decide(start, req).(type) {
-		case permit.Admitted:
-			c.Complete(start, permit.Completion{ID: d.ID, Server: d.Server, Route: "read", Took: 20 * time.Millisecond})
-		case permit.Rejected:
+		case admit.Admitted:
+			c.Complete(start, admit.Completion{ID: d.ID, Server: d.Server, Route: "read", Took: 20 * time.Millisecond})
+		case admit.Rejected:
 			rejected = d
 		}
 	}
-	is.Equal(rejected.Reason, permit.Overload)
+	is.Equal(rejected.Reason, admit.Overload)
 	is.True(rejected.RetryIn >= 250*time.Millisecond)
 }
 
@@ -158,9 +158,9 @@
 			req := newRequest(1, start)
 			req.NonExclusive, req.Server = true, test.server
 			switch d := c.Decide(start, req).(type) {
-			case permit.Admitted:
+			case admit.Admitted:
 				is.Equal(d.Server, test.want)
-			case permit.Rejected:
+			case admit.Rejected:
 				is.Equal(test.want, "")
 			default:
 				t.Fatal("the request is queued although no server may take it")
@@ -175,8 +175,8 @@
 	is := is.New(t)
 	c := newController(server("s0", "north", 1))
 	fill(is, c, "s0")
-	is.Equal(c.Decide(start, requestWithLongTarget(2, start)), permit.Queued{ID: newRequest(2, start).ID})
-	is.Equal(c.SetServers(start, nil), []permit.Decision{permit.Rejected{ID: newRequest(2, start).ID, Reason: permit.OwnerGone}})
+	is.Equal(c.Decide(start, requestWithLongTarget(2, start)), admit.Queued{ID: newRequest(2, start).ID})
+	is.Equal(c.SetServers(start, nil), []admit.Decision{admit.Rejected{ID: newRequest(2, start).ID, Reason: admit.OwnerGone}})
 }
 
 // A failure domain comes back after an evacuation under twice the usual load: 12 servers are cold
@@ -193,7 +193,7 @@
 		work[cold.ID], work[warm.ID] = 40*time.Millisecond, 40*time.Millisecond
 	}
 	s := newSimulator(4, work, 2)
-	s.controller = permit.New(rand.New(rand.NewPCG(4, 3)))
+	s.controller = admit.New(rand.New(rand.NewPCG(4, 3)))
 	s.controller.SetServers(start, servers)
 	s.sendTimes = map[string][]time.Time{}
 	s.addArrivals(workload{"read", 700, 1, 500 * time.Millisecond, 2 * time.Second}, 0, coldTime)
--- a/internal/permit/load_test.go
+++ b/internal/admit/load_test.go
@@ -1,4 +1,4 @@
-package permit_test
+package admit_test
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/permit"
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/rules"
 )
 
@@ -50,7 +50,7 @@
 
 // simulator runs workloads against a controller, or one controller per pool.
 type simulator struct {
-	controller   *permit.Controller
+	controller   *admit.Controller
 	random       *rand.Rand
 	queue        events
 	serviceTimes map[string]time.Duration // by server
@@ -60,7 +60,7 @@
 	// delay is how long a message or a request takes to arrive.
 	delay   time.Duration
 	tallies map[string]*tally
-	pending map[permit.ID]*simRequest
+	pending map[admit.ID]*simRequest
 	serial  uint64
 	domain  func() string
 	// byKey reports whether each request is for one particular server.
@@ -69,8 +69,8 @@
 	sendTimes map[string][]time.Time
 	// pools holds the controllers by pool, and pickers those of the instances of each domain, if
 	// there are several pools.
-	pools   map[string]*permit.Controller
-	pickers map[string]*permit.Picker
+	pools   map[string]*admit.Controller
+	pickers map[string]*admit.Picker
 }
 
 // simServer is what a server runs, and what waits there in order of arrival.
@@ -86,16 +86,16 @@
 	firstAt     time.Time
 	requestedAt time.Time
 	retry       bool
-	request     permit.Request
-	controller  *permit.Controller
+	request     admit.Request
+	controller  *admit.Controller
 }
 
 func newSimulator(seed uint64, serviceTimes map[string]time.Duration, slots int) *simulator {
 	s := &simulator{
-		random: rand.New(rand.NewPCG(seed, 2)), serviceTimes: serviceTimes, slots: slots, servers: map[string]*simServer{}, tallies: map[string]*tally{}, pending: map[permit.ID]*simRequest{},
+		random: rand.New(rand.NewPCG(seed, 2)), serviceTimes: serviceTimes, slots: slots, servers: map[string]*simServer{}, tallies: map[string]*tally{}, pending: map[admit.ID]*simRequest{},
 		domain: func() string { return "north" },
 	}
-	s.controller = permit.New(rand.New(rand.NewPCG(seed, 3)))
+	s.controller = admit.New(rand.New(rand.NewPCG(seed, 3)))
 	var servers []rules.Server
 	for id := range serviceTimes {
 		servers = append(servers, server(id, "north", slots))
@@ -125,8 +125,8 @@
 	}
 	s.serial++
 	req.requestedAt = now
-	req.request = permit.Request{
-		ID: permit.ID{Serial: s.serial}, Service: "books", Domain: s.domain(), Route: req.workload.name, Priority: req.workload.priority,
+	req.request = admit.Request{
+		ID: admit.ID{Serial: s.serial}, Service: "books", Domain: s.domain(), Route: req.workload.name, Priority: req.workload.priority,
 		Returning: req.retry, TargetAt: req.firstAt.Add(req.workload.target), Deadline: req.firstAt.Add(req.workload.limit),
 	}
 	s.pending[req.request.ID] = req
@@ -138,7 +138,7 @@
 	if s.byKey {
 		req.request.Server = fmt.Sprintf("s%d", s.random.IntN(len(s.serviceTimes)))
 	}
-	s.handle(now, []permit.Decision{s.controller.Decide(now, req.request)})
+	s.handle(now, []admit.Decision{s.controller.Decide(now, req.request)})
 }
 
 // requestFromPools asks the pools that an instance of the request's domain would ask.
@@ -148,24 +148,24 @@
 	for i, pool := range candidates {
 		req.controller, req.request.Domain, req.request.HasFallback = s.pools[pool.Name], pool.Domain, i < len(candidates)-1
 		d := req.controller.Decide(now, req.request)
-		if r, rejected := d.(permit.Rejected); rejected && r.Reason == permit.PoolBusy {
+		if r, rejected := d.(admit.Rejected); rejected && r.Reason == admit.PoolBusy {
 			picker.MarkBusy(pool.Name, r.Wait, now)
 			continue
 		}
-		s.handle(now, []permit.Decision{d})
+		s.handle(now, []admit.Decision{d})
 		return
 	}
 }
 
-func (s *simulator) handle(now time.Time, decisions []permit.Decision) {
+func (s *simulator) handle(now time.Time, decisions []admit.Decision) {
 	for _, d := range decisions {
-		req := s.pending[permit.IDOf(d)]
+		req := s.pending[admit.IDOf(d)]
 		switch d := d.(type) {
-		case permit.Admitted:
+		case admit.Admitted:
 			s.send(now, req, d.Server)
-		case permit.Rejected:
+		case admit.Rejected:
 			s.reject(now, req, d)
-		case permit.Queued:
+		case admit.Queued:
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	} else {
 		t.late++
 	}
-	done := permit.Completion{ID: req.request.ID, Server: server, Route: req.workload.name, Took: now.Sub(sentAt)}
+	done := admit.Completion{ID: req.request.ID, Server: server, Route: req.workload.name, Took: now.Sub(sentAt)}
 	s.after(now, s.delay, func(now time.Time) { s.handle(now, req.controller.Complete(now, done)) })
 }
 
@@ -228,7 +228,7 @@
 	s.schedule(now.Add(d), do)
 }
 
-func (s *simulator) reject(now time.Time, req *simRequest, rejected permit.Rejected) {
+func (s *simulator) reject(now time.Time, req *simRequest, rejected admit.Rejected) {
 	t := s.tallies[req.workload.name]
 	t.maxWait = max(t.maxWait, now.Sub(req.requestedAt))
 	if req.retry {
@@ -338,14 +338,14 @@
 	bad := 0
 	for i := range uint64(400) {
 		now = now.Add(20 * time.Millisecond)
-		g, admitted := c.Decide(now, newRequest(i, now)).(permit.Admitted)
+		g, admitted := c.Decide(now, newRequest(i, now)).(admit.Admitted)
 		if !admitted {
 			continue
 		}
-		d := permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 5 * time.Millisecond}
+		d := admit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 5 * time.Millisecond}
 		if g.Server == "bad" {
 			bad++
-			d.Outcome = permit.Failed
+			d.Outcome = admit.Failed
 		}
 		c.Complete(now, d)
 	}
@@ -361,9 +361,9 @@
 	now := start
 	for i := range uint64(200) {
 		now = now.Add(20 * time.Millisecond)
-		g, admitted := c.Decide(now, newRequest(i, now)).(permit.Admitted)
+		g, admitted := c.Decide(now, newRequest(i, now)).(admit.Admitted)
 		is.True(admitted)
-		c.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Failed})
+		c.Complete(now, admit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: admit.Failed})
 	}
 }
 
@@ -375,28 +375,28 @@
 	now := start
 	for i := range uint64(300) {
 		now = now.Add(300 * time.Millisecond)
-		g := c.Decide(now, newRequest(i, now)).(permit.Admitted)
+		g := c.Decide(now, newRequest(i, now)).(admit.Admitted)
 		is.Equal(g.Server, "near") // a free server of its own domain is preferred
-		c.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 100 * time.Millisecond, Bytes: 90 << 10})
+		c.Complete(now, admit.Completion{ID: g.ID, Server: g.Server, Route: "read", Took: 100 * time.Millisecond, Bytes: 90 << 10})
 	}
 	first, second, third := newRequest(1001, now), newRequest(1002, now), newRequest(1003, now)
-	is.Equal(c.Decide(now, first), permit.Admitted{ID: first.ID, Server: "near"})
-	is.Equal(c.Decide(now, second), permit.Queued{ID: second.ID})
+	is.Equal(c.Decide(now, first), admit.Admitted{ID: first.ID, Server: "near"})
+	is.Equal(c.Decide(now, second), admit.Queued{ID: second.ID})
 	is.Equal(c.Tick(now.Add(50*time.Millisecond)), nil)
-	is.Equal(c.Tick(now.Add(190*time.Millisecond)), []permit.Decision{permit.Admitted{ID: second.ID, Server: "far"}})
+	is.Equal(c.Tick(now.Add(190*time.Millisecond)), []admit.Decision{admit.Admitted{ID: second.ID, Server: "far"}})
 	third.Server = "near"
-	is.Equal(c.Decide(now, third), permit.Admitted{ID: third.ID, Server: "near"}) // a request with an owner goes nowhere else
+	is.Equal(c.Decide(now, third), admit.Admitted{ID: third.ID, Server: "near"}) // a request with an owner goes nowhere else
 }
 
 // An instance is killed while it holds an admission. The slot must become free again.
 func TestAdmissionOfKilledInstanceExpires(t *testing.T) {
 	is := is.New(t)
 	c := newController(server("s", "north", 1))
-	is.Equal(c.Decide(start, newRequest(1, start)), permit.Admitted{ID: newRequest(1, start).ID, Server: "s"})
+	is.Equal(c.Decide(start, newRequest(1, start)), admit.Admitted{ID: newRequest(1, start).ID, Server: "s"})
 	later := start.Add(2 * time.Second)
 	c.Tick(later)
 	is.Equal(c.Expired(), 1)
-	is.Equal(c.Decide(later, newRequest(2, later)), permit.Admitted{ID: newRequest(2, later).ID, Server: "s"})
+	is.Equal(c.Decide(later, newRequest(2, later)), admit.Admitted{ID: newRequest(2, later).ID, Server: "s"})
 }
 
 func TestOwnerGone(t *testing.T) {
@@ -404,13 +404,13 @@
 	c := newController(server("s", "north", 1))
 	req := newRequest(1, start)
 	req.Server = "other"
-	is.Equal(c.Decide(start, req), permit.Rejected{ID: req.ID, Reason: permit.OwnerGone})
-	is.Equal(c.Decide(start, newRequest(2, start)), permit.Admitted{ID: newRequest(2, start).ID, Server: "s"})
+	is.Equal(c.Decide(start, req), admit.Rejected{ID: req.ID, Reason: admit.OwnerGone})
+	is.Equal(c.Decide(start, newRequest(2, start)), admit.Admitted{ID: newRequest(2, start).ID, Server: "s"})
 	fill(is, c, "s")
 	queued := requestWithLongTarget(3, start)
 	queued.Server = "s"
-	is.Equal(c.Decide(start, queued), permit.Queued{ID: queued.ID})
-	is.Equal(c.SetServers(start, nil), []permit.Decision{permit.Rejected{ID: queued.ID, Reason: permit.OwnerGone}})
+	is.Equal(c.Decide(start, queued), admit.Queued{ID: queued.ID})
+	is.Equal(c.SetServers(start, nil), []admit.Decision{admit.Rejected{ID: queued.ID, Reason: admit.OwnerGone}})
 }
 
 // Guards against new connections for most requests. Forty instances send seven requests a second
@@ -430,7 +430,7 @@
 	usedAt := map[pair]time.Time{}
 	opened, sent := 0, 0
 	type running struct {
-		id     permit.ID
+		id     admit.ID
 		server string
 		until  time.Time
 	}
@@ -438,13 +438,13 @@
 	for i := range uint64(8400) {
 		now = now.Add(time.Second / 280)
 		for len(all) > 0 && now.After(all[0].until) {
-			c.Complete(now, permit.Completion{ID: all[0].id, Server: all[0].server, Route: "read", Took: 500 * time.Millisecond})
+			c.Complete(now, admit.Completion{ID: all[0].id, Server: all[0].server, Route: "read", Took: 500 * time.Millisecond})
 			all = all[1:]
 		}
 		req := newRequest(i, now)
 		req.From = fmt.Sprintf("i%d", random.IntN(40))
 		req.TargetAt, req.Deadline = now.Add(1500*time.Millisecond), now.Add(3*time.Second)
-		g, admitted := c.Decide(now, req).(permit.Admitted)
+		g, admitted := c.Decide(now, req).(admit.Admitted)
 		if !admitted {
 			continue
 		}
@@ -470,17 +470,17 @@
 	now := start
 	for i := range uint64(20) {
 		req := newRequest(i, now)
-		g, admitted := c.Decide(now, req).(permit.Admitted)
+		g, admitted := c.Decide(now, req).(admit.Admitted)
 		is.True(admitted) // at once, however many requests the server has turned away
-		c.Complete(now, permit.Completion{
-			ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 1, Known: true},
+		c.Complete(now, admit.Completion{
+			ID: g.ID, Server: g.Server, Route: "read", Outcome: admit.Full, Load: admit.Load{Running: 1, Known: true},
 		})
 		now = now.Add(2 * time.Millisecond)
 	}
 	req := newRequest(100, now)
-	g := c.Decide(now, req).(permit.Admitted)
-	c.Complete(now, permit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: permit.Full, Load: permit.Load{Running: 2, Waiting: 3, Known: true}})
-	is.Equal(c.Decide(now, newRequest(101, now)), permit.Queued{ID: permit.ID{From: "a", Serial: 101}}) // the server is full
+	g := c.Decide(now, req).(admit.Admitted)
+	c.Complete(now, admit.Completion{ID: g.ID, Server: g.Server, Route: "read", Outcome: admit.Full, Load: admit.Load{Running: 2, Waiting: 3, Known: true}})
+	is.Equal(c.Decide(now, newRequest(101, now)), admit.Queued{ID: admit.ID{From: "a", Serial: 101}}) // the server is full
 }
 
 // Guards against servers that stand idle while requests wait for them, until the controller hears
--- a/internal/permit/pool_test.go
+++ b/internal/admit/pool_test.go
@@ -1,4 +1,4 @@
-package permit_test
+package admit_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/permit"
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/rules"
 )
 
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			all := serversInDomains(test.servers, test.domains, test.slots)
-			pools := permit.SplitIntoPools("books", all)
+			pools := admit.SplitIntoPools("books", all)
 			is.Equal(len(pools), test.pools)
 			members := 0
 			for _, p := range pools {
@@ -47,7 +47,7 @@
 			}
 			is.Equal(members, test.servers) // each server is in one pool
 			slices.Reverse(all)
-			again := permit.SplitIntoPools("books", all)
+			again := admit.SplitIntoPools("books", all)
 			for i, p := range pools {
 				is.Equal(again[i].Name, p.Name) // the order of the servers does not matter
 				is.Equal(len(again[i].Servers), len(p.Servers))
@@ -61,11 +61,11 @@
 func TestSmallDomainsShareAPool(t *testing.T) {
 	is := is.New(t)
 	all := append(serversInDomains(40, 1, 2), server("a", "small", 2), server("b", "tiny", 2))
-	pools := permit.SplitIntoPools("books", all)
+	pools := admit.SplitIntoPools("books", all)
 	is.Equal(len(pools), 2)
 	is.Equal(pools[0].Domain, "")
 	is.Equal(len(pools[0].Servers), 2)
-	picker := permit.NewPicker("i", "small", pools, rand.New(rand.NewPCG(1, 2)))
+	picker := admit.NewPicker("i", "small", pools, rand.New(rand.NewPCG(1, 2)))
 	candidates := picker.Candidates(start)
 	is.True(len(candidates) >= 2)
 }
@@ -77,16 +77,16 @@
 		times[sv.ID] = work
 	}
 	s := newSimulator(seed, times, 2)
-	s.pools, s.pickers = map[string]*permit.Controller{}, map[string]*permit.Picker{}
-	pools := permit.SplitIntoPools("books", servers)
+	s.pools, s.pickers = map[string]*admit.Controller{}, map[string]*admit.Picker{}
+	pools := admit.SplitIntoPools("books", servers)
 	for i, pool := range pools {
-		c := permit.New(rand.New(rand.NewPCG(seed, uint64(10+i))))
+		c := admit.New(rand.New(rand.NewPCG(seed, uint64(10+i))))
 		c.SetServers(start, pool.Servers)
 		s.pools[pool.Name] = c
 	}
 	for i := range domains {
 		domain := fmt.Sprintf("d%d", i)
-		s.pickers[domain] = permit.NewPicker("i"+domain, domain, pools, rand.New(rand.NewPCG(seed, uint64(100+i))))
+		s.pickers[domain] = admit.NewPicker("i"+domain, domain, pools, rand.New(rand.NewPCG(seed, uint64(100+i))))
 	}
 	return s
 }
--- a/internal/permit/tick.go
+++ b/internal/admit/tick.go
@@ -1,4 +1,4 @@
-package permit
+package admit
 
 import (
 	"time"
--- a/internal/dgram/dgram.go
+++ b/internal/dgram/dgram.go
@@ -11,9 +11,9 @@
 	"net/netip"
 	"sync/atomic"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/follow"
 	"example.org/mustardring/internal/pack"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/shard"
 )
@@ -60,14 +60,14 @@
 		Pool        string
 		Server      string
 		Route       string
-		Outcome     permit.Outcome
+		Outcome     admit.Outcome
 		DurationUs  int
 		AnswerBytes int
 		// Running, Waiting and Slowdown are the load that the server reported, valid if LoadKnown is set.
 		Running   int
 		Waiting   int
 		LoadKnown bool
-		// Slowdown is permit.Load.Slowdown in hundredths.
+		// Slowdown is admit.Load.Slowdown in hundredths.
 		Slowdown int
 	}
 	// Cancel cancels an AdmissionRequest or gives up the admission that followed. Pool is empty if the
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -12,9 +12,9 @@
 	"net/http"
 	"time"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/inlet"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
 )
@@ -39,7 +39,7 @@
 	// not the one that was addressed, or does not own the key.
 	NotRun      bool
 	Misdirected bool
-	Load        permit.Load
+	Load        admit.Load
 	// LoadErr is set if the server stated a malformed load.
 	LoadErr error
 }
@@ -57,7 +57,7 @@
 	// Acquire waits for an admission. It returns either an admission, which must be completed,
 	// or a rejection. If the request names its server, domain is the failure domain of that
 	// server; otherwise domain is empty.
-	Acquire(ctx context.Context, a permit.Request, domain string) (Admission, *permit.Rejected)
+	Acquire(ctx context.Context, a admit.Request, domain string) (Admission, *admit.Rejected)
 }
 
 // Admission is the right to send one request to a server.
@@ -66,7 +66,7 @@
 	Server() string
 	// Complete reports the end of the request and frees the slot of the server. It must be
 	// called exactly once.
-	Complete(d permit.Completion)
+	Complete(d admit.Completion)
 }
 
 // Cluster is this instance's current view of the configuration, the servers and the owners of keys.
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -16,10 +16,10 @@
 	"github.com/charmbracelet/log"
 	"github.com/matryer/is"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/edge"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/inlet"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
 )
@@ -121,8 +121,8 @@
 type fakeAdmitter struct {
 	ids       []string
 	next      int
-	rejection *permit.Rejected
-	outcomes  []permit.Outcome
+	rejection *admit.Rejected
+	outcomes  []admit.Outcome
 }
 
 // fakeAdmission implements edge.Admission and records the outcome of its request.
@@ -132,11 +132,11 @@
 }
 
 func (a *fakeAdmission) Server() string { return a.server }
-func (a *fakeAdmission) Complete(d permit.Completion) {
+func (a *fakeAdmission) Complete(d admit.Completion) {
 	a.admitter.outcomes = append(a.admitter.outcomes, d.Outcome)
 }
 
-func (f *fakeAdmitter) Acquire(_ context.Context, r permit.Request, _ string) (edge.Admission, *permit.Rejected) {
+func (f *fakeAdmitter) Acquire(_ context.Context, r admit.Request, _ string) (edge.Admission, *admit.Rejected) {
 	if f.rejection != nil {
 		return nil, f.rejection
 	}
@@ -265,7 +265,7 @@
 		"no configuration": {func(f *fixture) { f.cluster.config = nil }, "a.example", 503},
 		"no route":         {func(*fixture) {}, "b.example", 404},
 		"overload": {func(f *fixture) {
-			f.admitter.rejection = &permit.Rejected{Reason: permit.Overload, RetryIn: time.Second}
+			f.admitter.rejection = &admit.Rejected{Reason: admit.Overload, RetryIn: time.Second}
 		}, "a.example", 503},
 		"crashes servers": {func(f *fixture) { f.cluster.quarantined = true }, "a.example", 502},
 		"service is gone": {func(f *fixture) { f.cluster.config.Services = nil }, "a.example", 503},
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -8,8 +8,8 @@
 
 	"example.org/mustardring/internal/worker"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/inlet"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
 	"example.org/mustardring/internal/upstr"
@@ -91,7 +91,7 @@
 func (q *request) acquire(ctx context.Context) (Admission, rules.Server, *inlet.Reply) {
 	startedAt := time.Now()
 	defer func() { q.waited += time.Since(startedAt) }()
-	req := permit.Request{
+	req := admit.Request{
 		Service: q.service, Route: q.route.Name, Priority: q.route.Priority, Returning: q.returning || q.attempts > 0,
 		TargetAt: q.targetAt, Deadline: q.deadline, Avoid: q.avoid,
 	}
@@ -114,7 +114,7 @@
 	}
 	s, found := q.edge.Cluster.Server(a.Server())
 	if !found || s.Closed(q.divided, time.Now()) {
-		a.Complete(permit.Completion{Outcome: permit.Unsent})
+		a.Complete(admit.Completion{Outcome: admit.Unsent})
 		return nil, rules.Server{}, nil
 	}
 	return a, s, nil
@@ -122,15 +122,15 @@
 
 // handleRejection returns the reply to a rejection by the admission controller, or nil if the
 // admission should be requested again.
-func (q *request) handleRejection(ctx context.Context, rejected *permit.Rejected) *inlet.Reply {
+func (q *request) handleRejection(ctx context.Context, rejected *admit.Rejected) *inlet.Reply {
 	switch {
-	case rejected.Reason == permit.OwnerGone:
+	case rejected.Reason == admit.OwnerGone:
 		if !worker.Sleep(ctx, misdirectedDelay) {
 			q.reason = endNoOwner
 			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
 		return nil
-	case rejected.Reason == permit.NoServer:
+	case rejected.Reason == admit.NoServer:
 		q.reason = endNoServer
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		q.reason = endCallerLeft
@@ -180,7 +180,7 @@
 	defer q.edge.inFlight.add(s.Domain, -1)
 	startedAt := time.Now()
 	response, err := q.send(ctx, s)
-	completion := permit.Completion{}
+	completion := admit.Completion{}
 	defer func() {
 		completion.Took = time.Since(startedAt)
 		a.Complete(completion)
@@ -208,23 +208,23 @@
 
 // handleResponse decides what a complete response means for the caller and for the admission. It sets
 // the outcome of the completion and returns the results of attempt.
-func (q *request) handleResponse(ctx context.Context, completion *permit.Completion, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
+func (q *request) handleResponse(ctx context.Context, completion *admit.Completion, s rules.Server, info ResponseInfo, reply *inlet.Reply) (*inlet.Reply, bool) {
 	switch {
 	case info.NotRun && info.Misdirected:
-		completion.Outcome = permit.NotOwner
+		completion.Outcome = admit.NotOwner
 		q.reason = endNoOwner
 		worker.Sleep(ctx, misdirectedDelay)
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
 	case info.NotRun:
-		completion.Outcome = permit.Full
+		completion.Outcome = admit.Full
 		q.reason, q.avoid = endServerFull, s.ID
 		return errorReply(http.StatusServiceUnavailable, retryAfterServerFull), true
 	case reply.Status >= http.StatusInternalServerError:
-		completion.Outcome = permit.Failed
+		completion.Outcome = admit.Failed
 		q.reason, q.avoid, q.mayHaveRun = endAnswered, s.ID, true
 		return reply, q.route.Kind.Idempotent()
 	default:
-		completion.Outcome = permit.Answered
+		completion.Outcome = admit.Answered
 		q.reason = endAnswered
 		return reply, false
 	}
@@ -232,24 +232,24 @@
 
 // handleFailure decides what an attempt without a complete response means for the caller and for the
 // admission. It sets the outcome of the completion and returns the results of attempt.
-func (q *request) handleFailure(ctx context.Context, completion *permit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
+func (q *request) handleFailure(ctx context.Context, completion *admit.Completion, s rules.Server, err error) (*inlet.Reply, bool) {
 	unsent := errors.Is(err, upstr.ErrNotSent)
 	q.err = err
-	completion.Outcome = permit.Lost
+	completion.Outcome = admit.Lost
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		completion.Outcome = permit.Cancelled
+		completion.Outcome = admit.Cancelled
 		q.mayHaveRun = q.mayHaveRun || !unsent
 		q.reason = endCallerLeft
 		return &inlet.Reply{Abort: true}, false
 	case errors.Is(err, errServerClosed):
-		completion.Outcome = permit.Unsent
+		completion.Outcome = admit.Unsent
 		q.attempts--
 		q.reason = endNoOwner
 		return nil, true
 	case unsent:
 		if errors.Is(err, upstr.ErrConnLimit) {
-			completion.Outcome = permit.Unsent
+			completion.Outcome = admit.Unsent
 		}
 		q.reason, q.avoid = endUnsent, s.ID
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/roster"
 )
 
@@ -119,9 +119,9 @@
 
 // request requests an admission from one controller and waits for the final decision, as long as the request is
 // queued there. It returns false if the controller does not answer or the context ends.
-func (c *admissionClient) request(ctx context.Context, r permit.Request, controller roster.Peer, to netip.AddrPort) (dgram.AdmissionDecision, bool) {
+func (c *admissionClient) request(ctx context.Context, r admit.Request, controller roster.Peer, to netip.AddrPort) (dgram.AdmissionDecision, bool) {
 	serial, decisions := c.open()
-	r.ID = permit.ID{Serial: serial}
+	r.ID = admit.ID{Serial: serial}
 	m, answered := c.requestUntilFinal(ctx, r, to, decisions, c.replyTimeoutFor(controller))
 	if !answered || m.Server == "" {
 		c.close(serial)
@@ -148,7 +148,7 @@
 
 // requestUntilFinal sends the request, again if necessary, until there is a final decision. It returns false if the
 // controller stops answering or the context ends.
-func (c *admissionClient) requestUntilFinal(ctx context.Context, r permit.Request, to netip.AddrPort, decisions <-chan dgram.AdmissionDecision, timeout time.Duration) (dgram.AdmissionDecision, bool) {
+func (c *admissionClient) requestUntilFinal(ctx context.Context, r admit.Request, to netip.AddrPort, decisions <-chan dgram.AdmissionDecision, timeout time.Duration) (dgram.AdmissionDecision, bool) {
 	for {
 		var m dgram.AdmissionDecision
 		answered := false
@@ -202,7 +202,7 @@
 // isFinal reports whether a request is admitted or rejected, that is, not queued.
 func isFinal(m dgram.AdmissionDecision) bool { return m.Server != "" || m.Reason != "" }
 
-func requestMessage(r permit.Request) dgram.AdmissionRequest {
+func requestMessage(r admit.Request) dgram.AdmissionRequest {
 	return dgram.AdmissionRequest{
 		Serial: r.Serial, Pool: r.Pool, Server: r.Server, Domain: r.Domain, Route: r.Route, Priority: r.Priority,
 		Returning: r.Returning, Avoid: r.Avoid, HasFallback: r.HasFallback,
--- a/internal/node/admission_client_test.go
+++ b/internal/node/admission_client_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/matryer/is"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/dgram"
-	"example.org/mustardring/internal/permit"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/rules"
 )
@@ -26,12 +26,12 @@
 	replyDelay   time.Duration
 
 	mu         sync.Mutex
-	controller *permit.Controller
+	controller *admit.Controller
 }
 
 func newRemoteController(port uint16, requestDelay, replyDelay time.Duration, slots int) *remoteController {
 	rc := &remoteController{address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port), requestDelay: requestDelay, replyDelay: replyDelay}
-	rc.controller = permit.New(rand.New(rand.NewPCG(1, 2)))
+	rc.controller = admit.New(rand.New(rand.NewPCG(1, 2)))
 	rc.controller.SetServers(time.Now(), []rules.Server{{ID: "s", Service: "books", Slots: slots}})
 	return rc
 }
@@ -40,18 +40,18 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	now := time.Now()
-	id := func(serial uint64) permit.ID { return permit.ID{From: "a", Serial: serial} }
-	var decisions []permit.Decision
+	id := func(serial uint64) admit.ID { return admit.ID{From: "a", Serial: serial} }
+	var decisions []admit.Decision
 	switch m := m.(type) {
 	case dgram.AdmissionRequest:
-		decisions = []permit.Decision{rc.controller.Decide(now, permit.Request{
+		decisions = []admit.Decision{rc.controller.Decide(now, admit.Request{
 			ID: id(m.Serial), Service: "books", Server: m.Server, Route: "read",
 			TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
 		})}
 	case dgram.Cancel:
 		decisions = rc.controller.Cancel(now, id(m.Serial))
 	case dgram.Completion:
-		decisions = rc.controller.Complete(now, permit.Completion{ID: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
+		decisions = rc.controller.Complete(now, admit.Completion{ID: id(m.Serial), Server: "s", Route: "read", Took: 100 * time.Millisecond})
 	}
 	for _, v := range decisions {
 		time.AfterFunc(rc.replyDelay, func() { rc.client.handleDecision(rc.address, decisionMessage(v)) })
@@ -74,12 +74,12 @@
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	now := time.Now()
-	request := permit.Request{
-		ID: permit.ID{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
+	request := admit.Request{
+		ID: admit.ID{From: "probe", Serial: serial}, Service: "books", Server: "s", Route: "read",
 		TargetAt: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
 		HasFallback: true, // reject instead of queueing
 	}
-	_, admitted := rc.controller.Decide(now, request).(permit.Admitted)
+	_, admitted := rc.controller.Decide(now, request).(admit.Admitted)
 	rc.controller.Cancel(now, request.ID)
 	return admitted
 }
@@ -105,7 +105,7 @@
 				// The server of the second controller is busy for a moment, so that the request is queued first.
 				second.handle(dgram.AdmissionRequest{Serial: 99, Server: "s"})
 				time.AfterFunc(300*time.Millisecond, func() { second.handle(dgram.Completion{Serial: 99}) })
-				request := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
+				request := admit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 				for _, rc := range []*remoteController{first, second} {
 					v, answered := client.request(t.Context(), request, roster.Peer{Name: "k", Entry: roster.Entry{Share: 1}}, rc.address)
 					if !answered {
@@ -136,7 +136,7 @@
 		rc.client = client
 		ctx, leave := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer leave()
-		_, answered := client.request(ctx, permit.Request{Service: "books", Server: "s", Deadline: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
+		_, answered := client.request(ctx, admit.Request{Service: "books", Server: "s", Deadline: time.Now().Add(20 * time.Second)}, roster.Peer{}, rc.address)
 		is.True(!answered)
 		rc.handle(dgram.Cancel{Serial: client.lastSerial})
 		time.Sleep(time.Second)
@@ -152,7 +152,7 @@
 		rc := newRemoteController(1, time.Millisecond, time.Millisecond, 1)
 		client := newAdmissionClient(network(rc), func(string) {}, 1, 10)
 		rc.client = client
-		request := permit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
+		request := admit.Request{Service: "books", Server: "s", TargetAt: time.Now().Add(time.Second), Deadline: time.Now().Add(20 * time.Second)}
 		v, answered := client.request(t.Context(), request, roster.Peer{}, rc.address)
 		is.True(answered)
 		rc.mu.Lock()
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/edge"
 	"example.org/mustardring/internal/event"
-	"example.org/mustardring/internal/permit"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 	mu sync.Mutex
 	// controllers holds the controllers of pools by name, and those of services divided by key by service.
-	controllers map[string]*permit.Controller
+	controllers map[string]*admit.Controller
 	pools       *pools
 	// queued signals that a request was queued while none was.
 	queued chan struct{}
@@ -41,7 +41,7 @@
 
 func newAdmissions(n *Node) *admissions {
 	return &admissions{
-		node: n, controllers: map[string]*permit.Controller{}, pools: newPools(n.settings.Name, n.settings.Domain), queued: make(chan struct{}, 1),
+		node: n, controllers: map[string]*admit.Controller{}, pools: newPools(n.settings.Name, n.settings.Domain), queued: make(chan struct{}, 1),
 		client: newAdmissionClient(n.port.Send, n.controllerUnreachable, n.settings.CPUShare, n.settings.LinkMbps),
 	}
 }
@@ -95,7 +95,7 @@
 //
 // When a failure domain is cut off, its instances hold admissions that they cannot give up. These would occupy free
 // slots of servers, and requests would be rejected there.
-func (ad *admissions) recheck(c *permit.Controller, id permit.ID, now time.Time) {
+func (ad *admissions) recheck(c *admit.Controller, id admit.ID, now time.Time) {
 	if !ad.node.roster.Reachable(id.From, now) {
 		ad.node.events.Record(event.StateChange, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
 		ad.deliver(c.Cancel(now, id))
@@ -107,10 +107,10 @@
 }
 
 // controller returns the controller of a pool, or of a service that is divided by key. The lock is held.
-func (ad *admissions) controller(pool string) *permit.Controller {
+func (ad *admissions) controller(pool string) *admit.Controller {
 	c := ad.controllers[pool]
 	if c == nil {
-		c = permit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+		c = admit.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 		ad.controllers[pool] = c
 		ad.deliver(c.SetServers(time.Now(), ad.pools.serversOf(pool)))
 	}
@@ -128,7 +128,7 @@
 }
 
 // capacityReport returns what the controller of a service has measured of its servers since the last call.
-func (ad *admissions) capacityReport(service string) map[string]permit.Capacity {
+func (ad *admissions) capacityReport(service string) map[string]admit.Capacity {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	c := ad.controllers[service]
@@ -139,9 +139,9 @@
 }
 
 // deliver sends decisions to the instances that requested them, or passes them to the own client. The lock is held.
-func (ad *admissions) deliver(decisions []permit.Decision) {
+func (ad *admissions) deliver(decisions []admit.Decision) {
 	for _, v := range decisions {
-		id := permit.IDOf(v)
+		id := admit.IDOf(v)
 		m := decisionMessage(v)
 		if id.From == "" {
 			ad.client.handleDecision(netip.AddrPort{}, m)
@@ -154,15 +154,15 @@
 }
 
 // decisionMessage returns the message that states a decision.
-func decisionMessage(v permit.Decision) dgram.AdmissionDecision {
-	m := dgram.AdmissionDecision{Serial: permit.IDOf(v).Serial}
+func decisionMessage(v admit.Decision) dgram.AdmissionDecision {
+	m := dgram.AdmissionDecision{Serial: admit.IDOf(v).Serial}
 	switch v := v.(type) {
-	case permit.Admitted:
+	case admit.Admitted:
 		m.Server = v.Server
-	case permit.Rejected:
+	case admit.Rejected:
 		m.Reason = string(v.Reason)
 		m.RetryInMs, m.WaitMs = int(v.RetryIn.Milliseconds()), int(v.Wait.Milliseconds())
-	case permit.Queued:
+	case admit.Queued:
 	}
 	return m
 }
@@ -172,8 +172,8 @@
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	now := time.Now()
-	r := permit.Request{
-		ID: permit.ID{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
+	r := admit.Request{
+		ID: admit.ID{From: from.String(), Serial: m.Serial}, Pool: m.Pool, Server: m.Server, Domain: m.Domain,
 		Route: m.Route, Priority: m.Priority, Returning: m.Returning, Avoid: m.Avoid, HasFallback: m.HasFallback,
 		TargetAt: now.Add(time.Duration(m.TargetInMs) * time.Millisecond),
 		Deadline: now.Add(time.Duration(m.DeadlineInMs) * time.Millisecond),
@@ -181,7 +181,7 @@
 	r.NonExclusive = ad.isolated
 	c := ad.controller(m.Pool)
 	idle := c.Idle()
-	ad.deliver([]permit.Decision{c.Decide(now, r)})
+	ad.deliver([]admit.Decision{c.Decide(now, r)})
 	if idle && !c.Idle() {
 		ad.wake()
 	}
@@ -191,10 +191,10 @@
 func (ad *admissions) handleCompletion(from netip.AddrPort, m dgram.Completion) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	ad.deliver(ad.controller(m.Pool).Complete(time.Now(), permit.Completion{
-		ID: permit.ID{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
+	ad.deliver(ad.controller(m.Pool).Complete(time.Now(), admit.Completion{
+		ID: admit.ID{From: from.String(), Serial: m.Serial}, Server: m.Server, Route: m.Route,
 		Outcome: m.Outcome, Took: time.Duration(m.DurationUs) * time.Microsecond, Bytes: m.AnswerBytes,
-		Load: permit.Load{
+		Load: admit.Load{
 			Running: m.Running, Waiting: m.Waiting, Known: m.LoadKnown, Slowdown: float64(m.Slowdown) / slowdownScale,
 		},
 	}))
@@ -204,7 +204,7 @@
 func (ad *admissions) handleCancel(from netip.AddrPort, m dgram.Cancel) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
-	id := permit.ID{From: from.String(), Serial: m.Serial}
+	id := admit.ID{From: from.String(), Serial: m.Serial}
 	for pool, c := range ad.controllers {
 		if m.Pool == "" || m.Pool == pool {
 			ad.deliver(c.Cancel(time.Now(), id))
@@ -228,9 +228,9 @@
 
 // Complete reports the completion of the request to the controller, twice if that is remote: a lost completion would
 // occupy a slot. The second message leaves out the load, which is no longer current.
-func (a *admission) Complete(d permit.Completion) {
+func (a *admission) Complete(d admit.Completion) {
 	defer a.admissions.client.close(a.serial)
-	d.ID, d.Server, d.Route = permit.ID{Serial: a.serial}, a.server, a.route
+	d.ID, d.Server, d.Route = admit.ID{Serial: a.serial}, a.server, a.route
 	if !a.controller.IsValid() {
 		a.admissions.mu.Lock()
 		defer a.admissions.mu.Unlock()
@@ -250,7 +250,7 @@
 
 // Acquire implements edge.Admitter. A request with an owner is decided by the controller of that server; others try
 // the pools of the service in turn until one has room.
-func (ad *admissions) Acquire(ctx context.Context, r permit.Request, domain string) (edge.Admission, *permit.Rejected) {
+func (ad *admissions) Acquire(ctx context.Context, r admit.Request, domain string) (edge.Admission, *admit.Rejected) {
 	if r.Server != "" {
 		r.Pool, r.Domain = r.Service, ad.node.settings.Domain
 		return ad.requestFrom(ctx, r, r.Server, domain)
@@ -262,23 +262,23 @@
 			r.Domain = pool.Domain
 		}
 		admitted, rejected := ad.requestFrom(ctx, r, pool.Name, pool.Domain)
-		if rejected == nil || !r.HasFallback || rejected.Reason != permit.PoolBusy {
+		if rejected == nil || !r.HasFallback || rejected.Reason != admit.PoolBusy {
 			return admitted, rejected
 		}
 		ad.markBusy(pool, rejected.Wait)
 	}
-	return nil, &permit.Rejected{Reason: permit.NoServer}
+	return nil, &admit.Rejected{Reason: admit.NoServer}
 }
 
 // candidates returns the pools that a request should try in turn.
-func (ad *admissions) candidates(service string) []permit.Pool {
+func (ad *admissions) candidates(service string) []admit.Pool {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	return ad.pools.picker(service).Candidates(time.Now())
 }
 
 // markBusy notes that a pool has no room for a time, so that other requests try another pool first.
-func (ad *admissions) markBusy(pool permit.Pool, wait time.Duration) {
+func (ad *admissions) markBusy(pool admit.Pool, wait time.Duration) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
 	ad.pools.picker(pool.Service).MarkBusy(pool.Name, wait, time.Now())
@@ -286,7 +286,7 @@
 
 // requestFrom asks the instances that are responsible for a pool or a server in turn, and decides locally if this
 // instance is one of them or they do not answer.
-func (ad *admissions) requestFrom(ctx context.Context, r permit.Request, name, domain string) (edge.Admission, *permit.Rejected) {
+func (ad *admissions) requestFrom(ctx context.Context, r admit.Request, name, domain string) (edge.Admission, *admit.Rejected) {
 	for i, controller := range ad.node.roster.Rank(name, domain, time.Now()) {
 		if i == maxControllersTried {
 			r.NonExclusive = true
@@ -301,30 +301,30 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return nil, &permit.Rejected{Reason: permit.Overload}
+			return nil, &admit.Rejected{Reason: admit.Overload}
 		}
 	}
 	return ad.result(r, ad.requestLocally(ctx, r), netip.AddrPort{})
 }
 
 // result converts a final decision to an admission or a rejection.
-func (ad *admissions) result(r permit.Request, m dgram.AdmissionDecision, controller netip.AddrPort) (edge.Admission, *permit.Rejected) {
+func (ad *admissions) result(r admit.Request, m dgram.AdmissionDecision, controller netip.AddrPort) (edge.Admission, *admit.Rejected) {
 	if m.Server != "" {
 		return &admission{admissions: ad, serial: m.Serial, pool: r.Pool, route: r.Route, server: m.Server, controller: controller}, nil
 	}
-	reason := permit.Reason(m.Reason)
+	reason := admit.Reason(m.Reason)
 	if reason == "" {
-		reason = permit.Overload
+		reason = admit.Overload
 	}
-	return nil, &permit.Rejected{
+	return nil, &admit.Rejected{
 		Pool: r.Pool, Reason: reason, RetryIn: time.Duration(m.RetryInMs) * time.Millisecond, Wait: time.Duration(m.WaitMs) * time.Millisecond,
 	}
 }
 
 // requestLocally requests an admission from this instance's own controller and waits for the final decision.
-func (ad *admissions) requestLocally(ctx context.Context, r permit.Request) dgram.AdmissionDecision {
+func (ad *admissions) requestLocally(ctx context.Context, r admit.Request) dgram.AdmissionDecision {
 	serial, decisions := ad.client.open()
-	r.ID = permit.ID{Serial: serial}
+	r.ID = admit.ID{Serial: serial}
 	ad.mu.Lock()
 	r.NonExclusive = r.NonExclusive || ad.isolated
 	m := decisionMessage(ad.controller(r.Pool).Decide(time.Now(), r))
@@ -339,7 +339,7 @@
 			ad.mu.Lock()
 			ad.deliver(ad.controller(r.Pool).Cancel(time.Now(), r.ID))
 			ad.mu.Unlock()
-			m = dgram.AdmissionDecision{Reason: string(permit.Overload)}
+			m = dgram.AdmissionDecision{Reason: string(admit.Overload)}
 		}
 	}
 	if m.Server == "" {
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"example.org/mustardring/internal/permit"
+	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/rules"
 )
 
@@ -14,29 +14,29 @@
 	// servers holds the servers by pool, or by service for services that are divided by key.
 	servers map[string][]rules.Server
 	// pickers holds, by service, what chooses the pools that a request asks.
-	pickers map[string]*permit.Picker
+	pickers map[string]*admit.Picker
 }
 
 func newPools(name, domain string) *pools {
-	return &pools{name: name, domain: domain, servers: map[string][]rules.Server{}, pickers: map[string]*permit.Picker{}}
+	return &pools{name: name, domain: domain, servers: map[string][]rules.Server{}, pickers: map[string]*admit.Picker{}}
 }
 
 // serversOf returns the servers of a pool, or of a service that is divided by key.
 func (p *pools) serversOf(pool string) []rules.Server { return p.servers[pool] }
 
 // picker returns the picker of a service. A service without servers has one empty pool.
-func (p *pools) picker(service string) *permit.Picker {
+func (p *pools) picker(service string) *admit.Picker {
 	picker := p.pickers[service]
 	if picker == nil {
-		picker = p.newPicker([]permit.Pool{{Name: service, Service: service}})
+		picker = p.newPicker([]admit.Pool{{Name: service, Service: service}})
 		p.pickers[service] = picker
 	}
 	return picker
 }
 
 // newPicker returns a picker for the pools of one service.
-func (p *pools) newPicker(all []permit.Pool) *permit.Picker {
-	return permit.NewPicker(p.name, p.domain, all, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+func (p *pools) newPicker(all []admit.Pool) *admit.Picker {
+	return admit.NewPicker(p.name, p.domain, all, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // rebuild replaces the pools after a change of servers or configuration. Servers that leave get no new requests,
@@ -49,11 +49,11 @@
 			services[s.Service] = append(services[s.Service], s)
 		}
 	}
-	p.servers, p.pickers = map[string][]rules.Server{}, map[string]*permit.Picker{}
+	p.servers, p.pickers = map[string][]rules.Server{}, map[string]*admit.Picker{}
 	for service, members := range services {
-		all := []permit.Pool{{Name: service, Service: service, Servers: members}}
+		all := []admit.Pool{{Name: service, Service: service, Servers: members}}
 		if !divided(service) {
-			all = permit.SplitIntoPools(service, members)
+			all = admit.SplitIntoPools(service, members)
 		}
 		for _, pool := range all {
 			p.servers[pool.Name] = pool.Servers
