--- a/internal/holder/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -1,4 +1,4 @@
-package holder
+package lease
 
 import (
 	"context"
--- a/internal/holder/guards.go
+++ b/internal/lease/guards.go
@@ -1,4 +1,4 @@
-package holder
+package lease
 
 // guards are the rules that keep each key with at most one owner. All of them are always on; tests turn
 // one off at a time to show that it is needed.
--- a/internal/holder/holder.go
+++ b/internal/lease/manager.go
@@ -1,4 +1,4 @@
-// Package holder manages the leases of backend servers: the right of a server to a range of keys,
+// Package lease manages the leases of backend servers: the right of a server to a range of keys,
 // with a fencing token. It renews leases and, on the leader, moves ranges from one server to another.
 //
 // Two servers must never hold the same key at the same time. Five rules ensure this:
@@ -21,7 +21,7 @@
 //
 // Renewals change no owner, so any instance may send them. That only one instance decides about owners
 // saves work; the rules hold without it.
-package holder
+package lease
 
 import (
 	"context"
@@ -39,15 +39,15 @@
 // The errors of a LeaseClient.
 var (
 	// ErrFenced means that the server has seen a higher fence on some of the keys.
-	ErrFenced = errors.New("holder: server has seen a higher fence")
+	ErrFenced = errors.New("lease: server has seen a higher fence")
 	// ErrNoAnswer means that no answer came: the server may still carry out the request, also later.
-	ErrNoAnswer = errors.New("holder: no answer from server")
+	ErrNoAnswer = errors.New("lease: no answer from server")
 	// ErrServerGone means that another server, or another incarnation of the server, has the address.
-	ErrServerGone = errors.New("holder: another server has the address")
+	ErrServerGone = errors.New("lease: another server has the address")
 	// ErrRefused means that the server refused the request for another reason.
-	ErrRefused = errors.New("holder: server refused the request")
+	ErrRefused = errors.New("lease: server refused the request")
 	// ErrUnverified means that a grant was not sent because its GrantCheck did not pass in time.
-	ErrUnverified = errors.New("holder: grant not verified as current")
+	ErrUnverified = errors.New("lease: grant not verified as current")
 )
 
 // The parameters of leases and moves.
--- a/internal/holder/register.go
+++ b/internal/lease/register.go
@@ -1,4 +1,4 @@
-package holder
+package lease
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 )
 
 // errNotRegisterRecord is the error for any other record in a register update of another instance.
-var errNotRegisterRecord = errors.New("holder: not a record of the register")
+var errNotRegisterRecord = errors.New("lease: not a record of the register")
 
 // RegisterUpdates takes the records of the register that the leader broadcasts, in the order of their offsets.
 //
--- a/internal/holder/renew.go
+++ b/internal/lease/renew.go
@@ -1,4 +1,4 @@
-package holder
+package lease
 
 import (
 	"context"
@@ -104,7 +104,7 @@
 }
 
 // errStaleView means that the view is too old to renew by, or that this instance is not registered.
-var errStaleView = errors.New("holder: view of the owners is too old")
+var errStaleView = errors.New("lease: view of the owners is too old")
 
 // renew renews the lease of one range.
 func (r *renewer) renew(ctx context.Context, service string, keyRange shard.Range) error {
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -7,7 +7,7 @@
 	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/lease"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/shard"
 )
@@ -51,7 +51,7 @@
 
 // adoptView passes the view of a peer to the lease manager.
 func (n *Node) adoptView(m dgram.ViewSnapshot) {
-	view := &holder.View{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
+	view := &lease.View{End: m.End, Maps: map[string]*shard.Map{}, Instances: map[string]roster.Entry{}}
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
 		if err != nil {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -8,7 +8,7 @@
 	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/lease"
 	"example.org/mustardring/internal/rules"
 )
 
@@ -28,7 +28,7 @@
 	snapshot atomic.Pointer[map[string]rules.Server]
 	// snapshotVersion counts how often snapshot was replaced.
 	snapshotVersion atomic.Uint64
-	owners          func() *holder.View
+	owners          func() *lease.View
 
 	mu sync.Mutex
 	// changed is closed and replaced when the owners change.
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -9,7 +9,7 @@
 	"example.org/mustardring/internal/dgram"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/lease"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
 )
@@ -252,7 +252,7 @@
 // is read from the store instead.
 func (n *Node) handleOwnerChange(m dgram.OwnerChange) {
 	select {
-	case n.leases.OwnerChanges() <- holder.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
+	case n.leases.OwnerChanges() <- lease.OwnerChange{Service: m.Service, Offset: m.Offset, Fence: m.Fence, Changes: m.Changes}:
 	default:
 		n.requestRead(n.platform.OwnersTopic)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,8 +24,8 @@
 	"example.org/mustardring/internal/edge"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/holder"
 	"example.org/mustardring/internal/inlet"
+	"example.org/mustardring/internal/lease"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/worker"
@@ -34,7 +34,7 @@
 // Platform is what the adapter of a platform provides: the calls to outside systems and the decoders of their data.
 type Platform struct {
 	Store       follow.Store
-	LeaseClient holder.LeaseClient
+	LeaseClient lease.LeaseClient
 	Codec       edge.HeaderCodec
 	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
 	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
@@ -68,7 +68,7 @@
 	port        *dgram.Port
 	admissions  *admissions
 	loadTracker *loadTracker
-	leases      *holder.Manager
+	leases      *lease.Manager
 	edge        *edge.Edge
 	suspects    *edge.CrashTracker
 	meters      *edge.Meters
@@ -141,7 +141,7 @@
 	}
 	n.loadTracker = newLoadTracker()
 	n.admissions = newAdmissions(n)
-	n.leases = holder.New(holder.Deps{
+	n.leases = lease.New(lease.Deps{
 		Name: settings.Name, Domain: settings.Domain, LeaseClient: platform.LeaseClient, Store: n.platform.Store,
 		Topic: platform.OwnersTopic, Incarnation: n.incarnation, Clock: clock.Boot{}, Roster: n.roster, Events: events,
 		Servers: n.cluster.servers, DirectoryVersion: n.cluster.snapshotVersion.Load, Services: n.cluster.dividedServices, TargetLatency: n.cluster.shortestTarget, Load: n.loadTracker.load, Capacities: n.loadTracker.capacities,
@@ -312,7 +312,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = n.platform.Store.Append(ctx, n.platform.OwnersTopic, holder.InstanceKey(n.settings.Name), value, -1)
+	_, err = n.platform.Store.Append(ctx, n.platform.OwnersTopic, lease.InstanceKey(n.settings.Name), value, -1)
 	return err
 }
 
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -16,7 +16,7 @@
 	"example.org/mustardring/internal/config"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/follow"
-	"example.org/mustardring/internal/holder"
+	"example.org/mustardring/internal/lease"
 	"example.org/mustardring/internal/roster"
 	"example.org/mustardring/internal/worker"
 )
@@ -86,7 +86,7 @@
 		n.readRequests[topic] = make(chan struct{}, 1)
 		n.peerUpdates[topic] = make(chan follow.PeerUpdate, maxQueuedPeerUpdates)
 	}
-	n.leases = holder.New(holder.Deps{Clock: testClock{}, Roster: n.roster})
+	n.leases = lease.New(lease.Deps{Clock: testClock{}, Roster: n.roster})
 	for i := range others + 1 {
 		name := fmt.Sprintf("i%d", i)
 		n.roster.Put(name, roster.Entry{Address: fmt.Sprintf("127.0.0.1:%d", 1000+i), Domain: "a", Incarnation: 1, Share: 1}, time.Now())
