--- a/internal/cmds/bundlelog_test.go
+++ b/internal/cmds/bundlelog_test.go
@@ -10,7 +10,7 @@
 	"example.org/mustardring/internal/fold"
 	"example.org/mustardring/internal/logcl"
 	"example.org/mustardring/internal/record"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/bundle"
 )
 
@@ -19,12 +19,12 @@
 func TestSubmitOverHTTP(t *testing.T) {
 	is := is.New(t)
 	env := newOperatorEnv(t)
-	service := stand.NewLogService(stand.LogSettings{AppendRate: 1000})
+	service := stubs.NewLogService(stubs.LogSettings{AppendRate: 1000})
 	server := httptest.NewServer(service)
 	defer server.Close()
 	signers, err := readSigners(env.roots)
 	is.NoErr(err)
-	service.SetFault(stand.LogFault{LoseAnswers: 1})
+	service.SetFault(stubs.LogFault{LoseAnswers: 1})
 	c := BundlePublishCmd{File: env.writeBundle(1, "one.json", nil), bundleSignFlags: env.signFlags("ana")}
 	var out bytes.Buffer
 	is.NoErr(c.run(t.Context(), newBundleLog(logcl.New(server.URL, server.Client()), signers), &out))
--- a/internal/cmds/standin.go
+++ b/internal/cmds/standin.go
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/log"
 
 	"example.org/mustardring/internal/config"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // StandInCmd runs stand-ins for the platform's log and instance list and for backend servers, for
@@ -20,12 +20,12 @@
 
 // Run serves until the process gets SIGINT or SIGTERM.
 func (c *StandInCmd) Run(logger *log.Logger) error {
-	settings, err := config.Load[stand.Settings](c.Settings)
+	settings, err := config.Load[stubs.Settings](c.Settings)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	logger.Info("stand-in-starting", "servers", len(settings.Servers), "log", settings.Log != nil, "list", settings.List != nil)
-	return stand.New(settings).Run(ctx)
+	return stubs.New(settings).Run(ctx)
 }
--- a/internal/entry/logworker_test.go
+++ b/internal/entry/logworker_test.go
@@ -18,7 +18,7 @@
 	"example.org/mustardring/internal/logcl"
 	"example.org/mustardring/internal/place"
 	"example.org/mustardring/internal/record"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/grant"
 	"example.org/mustardring/pkg/keys"
 )
@@ -27,7 +27,7 @@
 // faulty for a minute. The move must be acknowledged with its offset, and the state read from the log
 // must contain it.
 func TestLogWorkerSurvivesFaults(t *testing.T) {
-	tests := map[string]stand.LogFault{
+	tests := map[string]stubs.LogFault{
 		"no fault":     {},
 		"down":         {Down: true},
 		"answers lost": {LoseAnswers: 1000},
@@ -37,13 +37,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := stand.NewLogService(stand.LogSettings{})
+				service := stubs.NewLogService(stubs.LogSettings{})
 				service.SetFault(fault)
-				time.AfterFunc(time.Minute, func() { service.SetFault(stand.LogFault{}) })
+				time.AfterFunc(time.Minute, func() { service.SetFault(stubs.LogFault{}) })
 				e, err := New(Deps{
 					Settings:    config.Run{Name: "klet-1", Domain: "klet"},
 					TLS:         &tls.Config{MinVersion: tls.VersionTLS13},
-					Log:         logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}}),
+					Log:         logcl.New("http://log", &http.Client{Transport: stubs.HandlerTransport{Handler: service}}),
 					Placer:      place.New(),
 					Logger:      log.New(io.Discard),
 					Incarnation: 1,
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -20,7 +20,7 @@
 	"example.org/mustardring/internal/logcl"
 	"example.org/mustardring/internal/place"
 	"example.org/mustardring/internal/record"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/bundle"
 	"example.org/mustardring/pkg/caller"
 )
@@ -94,20 +94,20 @@
 }
 
 func (s *site) startStandIns() {
-	settings := stand.Settings{
-		Log:  &stand.LogSettings{Address: s.address(0, 1, 7000)},
-		List: &stand.ListSettings{Address: s.address(0, 1, 7001)},
+	settings := stubs.Settings{
+		Log:  &stubs.LogSettings{Address: s.address(0, 1, 7000)},
+		List: &stubs.ListSettings{Address: s.address(0, 1, 7001)},
 	}
 	for _, v := range s.bundle.Services {
 		for _, b := range v.Servers {
-			settings.Servers = append(settings.Servers, stand.ServerSettings{
+			settings.Servers = append(settings.Servers, stubs.ServerSettings{
 				Name: b.Name, Service: v.Name, Domain: b.Domain, Address: b.Address,
 				ChecksGrants: b.ChecksGrants, Slots: b.Slots, MaxLeaseMillis: 1200,
 			})
 		}
 	}
 	s.is.NoErr(settings.Check("test"))
-	s.start("stand-in", stand.New(settings).Run)
+	s.start("stand-in", stubs.New(settings).Run)
 }
 
 // start runs a part of the site until the test ends. It fails the test if run returns an error.
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // ErrViolations says that the audit found violations of the guarantees to callers.
@@ -22,7 +22,7 @@
 
 // serverRun is one run of a request, with the name of the server that ran it.
 type serverRun struct {
-	stand.Run
+	stubs.Run
 	server string
 }
 
@@ -221,7 +221,7 @@
 // fetchServerRuns fetches all runs of the server at an address, page by page.
 func fetchServerRuns(ctx context.Context, client *http.Client, address string) (runs []serverRun, all bool, err error) {
 	for {
-		url := fmt.Sprintf("http://%s%s?from=%d&limit=%d", address, stand.RunsPath, len(runs), maxRunsPerPage)
+		url := fmt.Sprintf("http://%s%s?from=%d&limit=%d", address, stubs.RunsPath, len(runs), maxRunsPerPage)
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
 			return nil, false, err
@@ -230,7 +230,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		var page stand.RunsPage
+		var page stubs.RunsPage
 		err = json.NewDecoder(resp.Body).Decode(&page)
 		resp.Body.Close()
 		if err != nil {
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // BenchmarkStandInServer measures how many requests per second the load tool gets from one stand-in
 // server without an entry instance in between, which is an upper limit for measurements through an
 // entry instance. Set -cpu to the number of cores for the tool and the server together.
 func BenchmarkStandInServer(b *testing.B) {
-	server := stand.NewServer(stand.ServerSettings{
+	server := stubs.NewServer(stubs.ServerSettings{
 		Name: "s1", Service: "oddaja", Address: "127.0.0.1:0", Slots: 1024, Queue: 1024,
 	})
 	ctx, cancel := context.WithCancel(b.Context())
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 )
 
@@ -186,7 +186,7 @@
 		return record{planned: planned{id: 1, nonIdempotent: once}, result: result}
 	}
 	runAt := func(server string, start, end int64) serverRun {
-		return serverRun{server: server, Run: stand.Run{RequestID: "run-1", Key: "k", Start: start, End: end}}
+		return serverRun{server: server, Run: stubs.Run{RequestID: "run-1", Key: "k", Start: start, End: end}}
 	}
 	one := []serverRun{runAt("a", 1, 2)}
 	two := []serverRun{runAt("a", 1, 2), runAt("a", 3, 4)}
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -17,7 +17,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 )
 
@@ -105,7 +105,7 @@
 	}
 	url := "http://" + address + "/" + service.Name + "/load"
 	if service.AnswerBytes > 0 {
-		url += "?" + stand.QueryBytes + "=" + strconv.Itoa(service.AnswerBytes)
+		url += "?" + stubs.QueryBytes + "=" + strconv.Itoa(service.AnswerBytes)
 	}
 	body := s.bodies[r.service]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
@@ -163,7 +163,7 @@
 	r.cut = found && !whole
 }
 
-// replyID returns the request ID in the JSON of a stand.Reply. The result whole is false if the
+// replyID returns the request ID in the JSON of a stubs.Reply. The result whole is false if the
 // JSON ends within the ID: an answer with a wrong Content-Length is truncated without a read error.
 func replyID(head []byte) (id string, found, whole bool) {
 	_, rest, found := bytes.Cut(head, []byte(`"request-id":"`))
--- a/internal/load/transport_test.go
+++ b/internal/load/transport_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // startServer runs a stand-in server that ignores grants until the test ends.
-func startServer(t *testing.T, s stand.ServerSettings) string {
+func startServer(t *testing.T, s stubs.ServerSettings) string {
 	t.Helper()
 	s.Name, s.Service, s.Address, s.Slots, s.Queue = "s1", "oddaja", "127.0.0.1:0", 64, 64
-	server := stand.NewServer(s)
+	server := stubs.NewServer(s)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended, err := server.Start(ctx)
 	if err != nil {
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := profile(func(p *Profile) {
-				p.Entries, p.Servers = nil, []string{startServer(t, stand.ServerSettings{})}
+				p.Entries, p.Servers = nil, []string{startServer(t, stubs.ServerSettings{})}
 				p.Rate, p.DurationMillis, p.DirectShare, p.InFlight = 2000, 100, 1, 16
 				p.DeadlineMillis = 60_000
 				p.Services = []Service{service}
@@ -59,7 +59,7 @@
 // does not write a request twice because of that, and each request is counted once.
 func TestTransportSendsOnce(t *testing.T) {
 	is := is.New(t)
-	address := startServer(t, stand.ServerSettings{})
+	address := startServer(t, stubs.ServerSettings{})
 	p := profile(func(p *Profile) {
 		p.Entries, p.Servers, p.DirectShare, p.InFlight = nil, []string{address}, 1, 1
 		p.DeadlineMillis = 60_000
@@ -69,10 +69,10 @@
 	var all []record
 	for n := range 20 {
 		if n == 5 {
-			postFault(t, address, stand.ServerFault{DropConnections: true})
+			postFault(t, address, stubs.ServerFault{DropConnections: true})
 		}
 		if n == 10 {
-			postFault(t, address, stand.ServerFault{HalfAnswers: 1, WrongLengths: 1})
+			postFault(t, address, stubs.ServerFault{HalfAnswers: 1, WrongLengths: 1})
 		}
 		all = s.send(t.Context(), planned{id: n, direct: true, nonIdempotent: true}, all)
 	}
@@ -94,13 +94,13 @@
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-func postFault(t *testing.T, address string, f stand.ServerFault) {
+func postFault(t *testing.T, address string, f stubs.ServerFault) {
 	t.Helper()
 	body, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := plainClient().Post("http://"+address+stand.FaultPath, "application/json", bytes.NewReader(body))
+	resp, err := plainClient().Post("http://"+address+stubs.FaultPath, "application/json", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/logcl/fuzz_test.go
+++ b/internal/logcl/fuzz_test.go
@@ -8,7 +8,7 @@
 
 	"example.org/mustardring/internal/logcl"
 	"example.org/mustardring/internal/record"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // FuzzReader passes entries with arbitrary data to the Reader, which must apply each one with
@@ -39,7 +39,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) })
-		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: handler}})
+		client := logcl.New("http://log", &http.Client{Transport: stubs.HandlerTransport{Handler: handler}})
 		var members map[string]any
 		_ = json.NewDecoder(bytes.NewReader(answer)).Decode(&members)
 		if _, err := client.Append(t.Context(), "id", nil); err == nil && len(members) == 0 {
--- a/internal/proof/cutoff_test.go
+++ b/internal/proof/cutoff_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // A failure domain is cut off from the log. It loses its leader and a server, and an instance
@@ -21,7 +21,7 @@
 	l.set(true)
 	leader := s.leader(1)
 	s.kill(instance(1, leader))
-	s.fault(s.at(2, 101, 8000), stand.ServerFault{Crash: true, RestartMillis: 3000})
+	s.fault(s.at(2, 101, 8000), stubs.ServerFault{Crash: true, RestartMillis: 3000})
 	f.flow()
 	s.startInstance(1, leader)
 	s.eventually("the new instance has the bundle", func() bool {
--- a/internal/proof/poison_test.go
+++ b/internal/proof/poison_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 )
 
@@ -19,7 +19,7 @@
 	const poison = "poison"
 	s := startSite(t, 210+os.Getpid()%4)
 	for _, b := range s.bundle.Services[0].Servers {
-		s.fault(b.Address, stand.ServerFault{Poison: poison, RestartMillis: 300})
+		s.fault(b.Address, stubs.ServerFault{Poison: poison, RestartMillis: 300})
 	}
 	f := s.startTraffic()
 	f.flow()
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // Callers send submissions while parts of the system are taken away. What they would see is a
@@ -21,15 +21,15 @@
 			f.flow()
 		},
 		"server lost": func(s *site, f *traffic) {
-			s.fault(s.at(1, 101, 8000), stand.ServerFault{Crash: true, RestartMillis: 4000})
+			s.fault(s.at(1, 101, 8000), stubs.ServerFault{Crash: true, RestartMillis: 4000})
 			f.flow()
 		},
 		"server and leader lost while the log is down": func(s *site, f *traffic) {
-			s.faultLog(stand.LogFault{Down: true})
+			s.faultLog(stubs.LogFault{Down: true})
 			s.kill(instance(0, s.leader(0)))
-			s.fault(s.at(1, 101, 8000), stand.ServerFault{Crash: true, RestartMillis: 4000})
+			s.fault(s.at(1, 101, 8000), stubs.ServerFault{Crash: true, RestartMillis: 4000})
 			f.flow()
-			s.faultLog(stand.LogFault{})
+			s.faultLog(stubs.LogFault{})
 			f.flow()
 		},
 		"leader paused and back": func(s *site, f *traffic) {
@@ -41,14 +41,14 @@
 			f.flow()
 		},
 		"server frozen and back": func(s *site, f *traffic) {
-			s.fault(s.at(1, 102, 8000), stand.ServerFault{FreezeUntil: time.Now().Add(3 * time.Second).UnixMilli()})
+			s.fault(s.at(1, 102, 8000), stubs.ServerFault{FreezeUntil: time.Now().Add(3 * time.Second).UnixMilli()})
 			f.flow()
 			time.Sleep(3 * time.Second)
 			f.flow()
 		},
 		"connections go silent": func(s *site, f *traffic) {
-			s.fault(s.at(1, 102, 8000), stand.ServerFault{SilenceConnections: true})
-			s.fault(s.at(2, 121, 8000), stand.ServerFault{SilenceConnections: true})
+			s.fault(s.at(1, 102, 8000), stubs.ServerFault{SilenceConnections: true})
+			s.fault(s.at(2, 121, 8000), stubs.ServerFault{SilenceConnections: true})
 			f.flow()
 		},
 		"every instance replaced in turn": func(s *site, f *traffic) {
@@ -63,14 +63,14 @@
 		},
 		"every server of a domain restarted in turn": func(s *site, f *traffic) {
 			for k := 1; k <= 3; k++ {
-				s.fault(s.at(1, 100+k, 8000), stand.ServerFault{Crash: true, RestartMillis: 200})
+				s.fault(s.at(1, 100+k, 8000), stubs.ServerFault{Crash: true, RestartMillis: 200})
 				f.flow()
 				time.Sleep(3 * time.Second)
 				f.flow()
 			}
 		},
 		"log loses answers": func(s *site, f *traffic) {
-			s.faultLog(stand.LogFault{LoseAnswers: 20})
+			s.faultLog(stubs.LogFault{LoseAnswers: 20})
 			s.kill(instance(1, s.leader(1)))
 			f.flow()
 		},
--- a/internal/proof/roll_test.go
+++ b/internal/proof/roll_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 const rollsMeasured = 12
@@ -37,7 +37,7 @@
 func TestRollReachesEveryInstance(t *testing.T) {
 	tests := map[string]func(s *site, l *link){
 		"log healthy":            func(*site, *link) {},
-		"log slow":               func(s *site, _ *link) { s.faultLog(stand.LogFault{SlowMillis: 400}) },
+		"log slow":               func(s *site, _ *link) { s.faultLog(stubs.LogFault{SlowMillis: 400}) },
 		"log cut off one domain": func(_ *site, l *link) { l.set(true) },
 	}
 	network := 100 + 3*(os.Getpid()%10)
--- a/internal/proof/site_test.go
+++ b/internal/proof/site_test.go
@@ -20,7 +20,7 @@
 	"example.org/mustardring/internal/config"
 	"example.org/mustardring/internal/logcl"
 	"example.org/mustardring/internal/record"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/bundle"
 )
 
@@ -186,13 +186,13 @@
 }
 
 func (s *site) writeStandIn() {
-	settings := stand.Settings{
-		Log:  &stand.LogSettings{Address: s.at(0, 1, 7000)},
-		List: &stand.ListSettings{Address: s.at(0, 1, 7001), LagMillis: 500},
+	settings := stubs.Settings{
+		Log:  &stubs.LogSettings{Address: s.at(0, 1, 7000)},
+		List: &stubs.ListSettings{Address: s.at(0, 1, 7001), LagMillis: 500},
 	}
 	for _, v := range s.bundle.Services {
 		for _, b := range v.Servers {
-			settings.Servers = append(settings.Servers, stand.ServerSettings{
+			settings.Servers = append(settings.Servers, stubs.ServerSettings{
 				Name: b.Name, Service: v.Name, Domain: b.Domain, Address: b.Address, ChecksGrants: b.ChecksGrants,
 				Slots: b.Slots, RunMillis: 1, MaxLeaseMillis: 1200,
 			})
@@ -366,11 +366,11 @@
 func (s *site) fault(address string, fault any) {
 	data, err := json.Marshal(fault)
 	s.is.NoErr(err)
-	resp, err := http.Post("http://"+address+stand.FaultPath, "application/json", bytes.NewReader(data))
+	resp, err := http.Post("http://"+address+stubs.FaultPath, "application/json", bytes.NewReader(data))
 	s.is.NoErr(err)
 	resp.Body.Close()
 }
 
-func (s *site) faultLog(f stand.LogFault) {
+func (s *site) faultLog(f stubs.LogFault) {
 	s.fault(s.at(0, 1, 7000), f)
 }
--- a/internal/proof/traffic_test.go
+++ b/internal/proof/traffic_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 )
 
@@ -235,10 +235,10 @@
 }
 
 // page returns what a server ran.
-func (s *site) page(address string) stand.RunsPage {
-	var page stand.RunsPage
+func (s *site) page(address string) stubs.RunsPage {
+	var page stubs.RunsPage
 	s.eventually("the runs of "+address, func() bool {
-		resp, err := http.Get("http://" + address + stand.RunsPath)
+		resp, err := http.Get("http://" + address + stubs.RunsPath)
 		if err != nil {
 			return false
 		}
--- a/internal/stand/grants.go
+++ b/internal/stubs/grants.go
@@ -1,4 +1,4 @@
-package stand
+package stubs
 
 import (
 	"math/rand/v2"
--- a/internal/stand/grants_test.go
+++ b/internal/stubs/grants_test.go
@@ -1,4 +1,4 @@
-package stand_test
+package stubs_test
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 	"example.org/mustardring/pkg/grant"
 	"example.org/mustardring/pkg/keys"
@@ -43,7 +43,7 @@
 // received a grant for all keys, and after a crash starts with a new incarnation and no grant.
 func TestServerObeysGrant(t *testing.T) {
 	is := is.New(t)
-	base, client := start(t, stand.ServerSettings{ChecksGrants: true})
+	base, client := start(t, stubs.ServerSettings{ChecksGrants: true})
 	got, err := send(t.Context(), client, base, "a")
 	is.NoErr(err)
 	is.Equal(got.status, http.StatusMisdirectedRequest)
@@ -62,7 +62,7 @@
 	is.NoErr(err)
 	is.Equal(got.outcome, caller.Ran)
 
-	setFault(t, base, stand.ServerFault{Crash: true, RestartMillis: 1})
+	setFault(t, base, stubs.ServerFault{Crash: true, RestartMillis: 1})
 	// The old process may answer once more, and until the new one starts the exchange fails.
 	after := grant.Answer{Incarnation: before.Incarnation}
 	for err != nil || after.Incarnation == before.Incarnation {
--- a/internal/stand/instances_test.go
+++ b/internal/stubs/instances_test.go
@@ -1,4 +1,4 @@
-package stand_test
+package stubs_test
 
 import (
 	"net/http"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"example.org/mustardring/internal/listcl"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 // A process replaces another of the same name. The list shows it only after the lag, and the late
@@ -19,8 +19,8 @@
 		is := is.New(t)
 		first := listcl.Instance{Name: "a", Incarnation: 1}
 		second := listcl.Instance{Name: "a", Incarnation: 2}
-		service := stand.NewInstanceList(stand.ListSettings{LagMillis: 3000, Instances: []listcl.Instance{first}}, nil)
-		client := listcl.New("http://list", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
+		service := stubs.NewInstanceList(stubs.ListSettings{LagMillis: 3000, Instances: []listcl.Instance{first}}, nil)
+		client := listcl.New("http://list", &http.Client{Transport: stubs.HandlerTransport{Handler: service}})
 		is.NoErr(client.Register(t.Context(), second))
 		is.NoErr(client.ReportEnded(t.Context(), first))
 		time.Sleep(3*time.Second - time.Nanosecond)
--- a/internal/stand/logservice_test.go
+++ b/internal/stubs/logservice_test.go
@@ -1,4 +1,4 @@
-package stand_test
+package stubs_test
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"github.com/matryer/is"
 
 	"example.org/mustardring/internal/logcl"
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 )
 
 func TestLogServiceFaults(t *testing.T) {
 	tests := map[string]struct {
-		settings   stand.LogSettings
-		fault      stand.LogFault
+		settings   stubs.LogSettings
+		fault      stubs.LogFault
 		appends    int
 		wantAppend error
 		wantCount  int
@@ -25,19 +25,19 @@
 		wantRead   error
 	}{
 		"no fault":        {appends: 3, wantCount: 3},
-		"down":            {fault: stand.LogFault{Down: true}, appends: 1, wantAppend: logcl.ErrUnavailable, wantRead: logcl.ErrUnavailable},
-		"answer lost":     {fault: stand.LogFault{LoseAnswers: 1}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1},
-		"slow":            {fault: stand.LogFault{SlowMillis: 60_000}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1, from: 1, wantRead: logcl.ErrUnavailable},
-		"beyond the rate": {settings: stand.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrRateLimited, wantCount: 2},
-		"count retained":  {settings: stand.LogSettings{RetainCount: 2}, appends: 3, wantCount: 3, wantRead: logcl.ErrGap},
+		"down":            {fault: stubs.LogFault{Down: true}, appends: 1, wantAppend: logcl.ErrUnavailable, wantRead: logcl.ErrUnavailable},
+		"answer lost":     {fault: stubs.LogFault{LoseAnswers: 1}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1},
+		"slow":            {fault: stubs.LogFault{SlowMillis: 60_000}, appends: 1, wantAppend: logcl.ErrUncertain, wantCount: 1, from: 1, wantRead: logcl.ErrUnavailable},
+		"beyond the rate": {settings: stubs.LogSettings{AppendRate: 8}, appends: 3, wantAppend: logcl.ErrRateLimited, wantCount: 2},
+		"count retained":  {settings: stubs.LogSettings{RetainCount: 2}, appends: 3, wantCount: 3, wantRead: logcl.ErrGap},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := stand.NewLogService(test.settings)
+				service := stubs.NewLogService(test.settings)
 				service.SetFault(test.fault)
-				client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
+				client := logcl.New("http://log", &http.Client{Transport: stubs.HandlerTransport{Handler: service}})
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				var err error
@@ -59,8 +59,8 @@
 func TestLogServiceReadWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
+		service := stubs.NewLogService(stubs.LogSettings{})
+		client := logcl.New("http://log", &http.Client{Transport: stubs.HandlerTransport{Handler: service}})
 		start := time.Now()
 		time.AfterFunc(time.Second, func() { _, _ = client.Append(context.Background(), "a", []byte("x")) })
 		batch, err := client.Read(t.Context(), 0, 10)
@@ -76,15 +76,15 @@
 func TestLogServiceStartsAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
+		service := stubs.NewLogService(stubs.LogSettings{})
+		client := logcl.New("http://log", &http.Client{Transport: stubs.HandlerTransport{Handler: service}})
 		for range 2 {
 			_, err := client.Append(t.Context(), "a", nil)
 			is.NoErr(err)
 		}
 		before, err := client.Read(t.Context(), 0, 10)
 		is.NoErr(err)
-		time.AfterFunc(time.Second, func() { service.SetFault(stand.LogFault{StartAnew: true}) })
+		time.AfterFunc(time.Second, func() { service.SetFault(stubs.LogFault{StartAnew: true}) })
 		after, err := client.Read(t.Context(), 2, 10)
 		is.NoErr(err)
 		is.True(before.Identity != after.Identity)
--- a/internal/stand/request.go
+++ b/internal/stubs/request.go
@@ -1,4 +1,4 @@
-package stand
+package stubs
 
 import (
 	"context"
@@ -38,7 +38,7 @@
 }
 
 // errCrashed ends a request that crashed its server.
-var errCrashed = errors.New("stand: server crashed")
+var errCrashed = errors.New("stubs: server crashed")
 
 // bodyBuffers holds buffers for reading bodies. They are reused because the stand-in has to cost
 // little in comparison with the system that it helps to measure.
--- a/internal/stand/server.go
+++ b/internal/stubs/server.go
@@ -1,4 +1,4 @@
-package stand
+package stubs
 
 import (
 	"context"
@@ -98,7 +98,7 @@
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.Address())
 	if err != nil {
-		return fmt.Errorf("stand: server %s: %w", s.settings.Name, err)
+		return fmt.Errorf("stubs: server %s: %w", s.settings.Name, err)
 	}
 	p := &process{
 		checker: s.newChecker(),
--- a/internal/stand/server_test.go
+++ b/internal/stubs/server_test.go
@@ -1,4 +1,4 @@
-package stand_test
+package stubs_test
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 
 	"github.com/matryer/is"
 
-	"example.org/mustardring/internal/stand"
+	"example.org/mustardring/internal/stubs"
 	"example.org/mustardring/pkg/caller"
 )
 
 // start runs a server on a free port until the test ends.
-func start(t *testing.T, s stand.ServerSettings) (base string, client *http.Client) {
+func start(t *testing.T, s stubs.ServerSettings) (base string, client *http.Client) {
 	t.Helper()
 	s.Name, s.Service, s.Address = "s1", "oddaja", "127.0.0.1:0"
-	server := stand.NewServer(s)
+	server := stubs.NewServer(s)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended, err := server.Start(ctx)
 	if err != nil {
@@ -63,13 +63,13 @@
 // it.
 var admin = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func setFault(t *testing.T, base string, f stand.ServerFault) {
+func setFault(t *testing.T, base string, f stubs.ServerFault) {
 	t.Helper()
 	body, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := admin.Post(base+stand.FaultPath, "application/json", bytes.NewReader(body))
+	resp, err := admin.Post(base+stubs.FaultPath, "application/json", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,14 +79,14 @@
 	}
 }
 
-func runsOf(t *testing.T, base string) stand.RunsPage {
+func runsOf(t *testing.T, base string) stubs.RunsPage {
 	t.Helper()
-	resp, err := admin.Get(base + stand.RunsPath)
+	resp, err := admin.Get(base + stubs.RunsPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var page stand.RunsPage
+	var page stubs.RunsPage
 	if err := json.NewDecoder(resp.Body).Decode(&page); err != nil {
 		t.Fatal(err)
 	}
@@ -95,25 +95,25 @@
 
 func TestServerFaults(t *testing.T) {
 	tests := map[string]struct {
-		fault   stand.ServerFault
+		fault   stubs.ServerFault
 		outcome caller.Outcome
 		cut     bool
 		ran     int
 	}{
 		"no fault":     {outcome: caller.Ran, ran: 1},
-		"shed":         {fault: stand.ServerFault{Shed: true}, outcome: caller.NotRun},
-		"half answer":  {fault: stand.ServerFault{HalfAnswers: 1}, outcome: caller.Ran, cut: true, ran: 1},
-		"wrong length": {fault: stand.ServerFault{WrongLengths: 1}, outcome: caller.Ran, ran: 1},
+		"shed":         {fault: stubs.ServerFault{Shed: true}, outcome: caller.NotRun},
+		"half answer":  {fault: stubs.ServerFault{HalfAnswers: 1}, outcome: caller.Ran, cut: true, ran: 1},
+		"wrong length": {fault: stubs.ServerFault{WrongLengths: 1}, outcome: caller.Ran, ran: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			base, client := start(t, stand.ServerSettings{})
+			base, client := start(t, stubs.ServerSettings{})
 			setFault(t, base, test.fault)
 			got, err := send(t.Context(), client, base, "a")
 			is.Equal(err != nil, test.cut)
 			is.Equal(got.outcome, test.outcome)
-			var reply stand.Reply
+			var reply stubs.Reply
 			whole := json.Unmarshal(got.body, &reply) == nil && reply.RequestID == "a"
 			is.Equal(whole, name == "no fault")
 			is.Equal(runsOf(t, base).Total, test.ran)
@@ -125,8 +125,8 @@
 // both runs across the crashes, so that a test can count how many processes a request crashed.
 func TestServerCrashesOnPoison(t *testing.T) {
 	is := is.New(t)
-	base, client := start(t, stand.ServerSettings{})
-	setFault(t, base, stand.ServerFault{Poison: "bad", RestartMillis: 1})
+	base, client := start(t, stubs.ServerSettings{})
+	setFault(t, base, stubs.ServerFault{Poison: "bad", RestartMillis: 1})
 	for range 2 {
 		_, err := send(t.Context(), client, base, "bad")
 		is.True(err != nil)
@@ -149,10 +149,10 @@
 // runs.
 func TestServerSilentConnection(t *testing.T) {
 	is := is.New(t)
-	base, client := start(t, stand.ServerSettings{})
+	base, client := start(t, stubs.ServerSettings{})
 	_, err := send(t.Context(), client, base, "a")
 	is.NoErr(err)
-	setFault(t, base, stand.ServerFault{SilenceConnections: true})
+	setFault(t, base, stubs.ServerFault{SilenceConnections: true})
 	ctx, cancel := context.WithCancel(t.Context())
 	answered := make(chan error, 1)
 	go func() {
--- a/internal/stand/settings.go
+++ b/internal/stubs/settings.go
@@ -1,8 +1,8 @@
-// Package stand provides stand-ins for the platform, which are the log service and the list of
+// Package stubs provides stand-ins for the platform, which are the log service and the list of
 // instances and servers, and for backend servers. Tests and examples run them in one process. Each
 // stand-in has fault switches. The log counts the appends that took effect, and the servers record
 // the requests that they really ran, so that a test can compare that with what callers saw.
-package stand
+package stubs
 
 import (
 	"cmp"
--- a/internal/stand/stand.go
+++ b/internal/stubs/stubs.go
@@ -1,4 +1,4 @@
-package stand
+package stubs
 
 import (
 	"context"
@@ -84,7 +84,7 @@
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
-		return fmt.Errorf("stand: %s: %w", name, err)
+		return fmt.Errorf("stubs: %s: %w", name, err)
 	}
 	server := &http.Server{Handler: handler}
 	group.Go(name+" stop", func(ctx context.Context) error {
@@ -93,7 +93,7 @@
 	})
 	group.Go(name, func(context.Context) error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return fmt.Errorf("stand: %s: %w", name, err)
+			return fmt.Errorf("stubs: %s: %w", name, err)
 		}
 		return nil
 	})
--- a/internal/stand/transport.go
+++ b/internal/stubs/transport.go
@@ -1,4 +1,4 @@
-package stand
+package stubs
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 )
 
 // errAborted is the transport error for a handler that panics, as with http.ErrAbortHandler.
-var errAborted = errors.New("stand: handler aborted the response")
+var errAborted = errors.New("stubs: handler aborted the response")
 
 // HandlerTransport is an http.RoundTripper that calls a handler without sockets, so that a test can
 // run on a fake clock. A handler that panics looks like a broken connection.
