--- a/internal/proof/cutoff_test.go
+++ b/internal/proof/cutoff_test.go
@@ -7,47 +7,47 @@
 	"example.org/mustardring/internal/stand"
 )
 
-// A failure domain is cut off from the log. It loses its leader and a server, and an instance
-// is replaced by one that has never read the log. Callers must be served all the time, each
-// submission once, and after the cut every assignment made meanwhile must stand in the log.
-// An instance that trusted only the log would have no bundle and serve nothing.
+// TestCutOffDomainServesAndRejoins cuts off a failure domain from the log. The domain then loses its
+// leader and a server, and a new instance that has never read the log becomes leader. Requests must
+// still be served, each running once, and after the cut every assignment made during it must be in
+// the log. An instance that took the bundle only from the log would have none and serve nothing.
 func TestCutOffDomainServesAndRejoins(t *testing.T) {
-	s := prepareSite(t, 250+os.Getpid()%4)
-	l := startLink(t, s.at(0, 2, 7000), s.at(0, 1, 7000))
-	s.logOf[1] = "http://" + s.at(0, 2, 7000)
+	s := newSystem(t, 250+os.Getpid()%4)
+	l := startLink(t, s.address(0, 2, 7000), s.address(0, 1, 7000))
+	s.logURLs[1] = "http://" + s.address(0, 2, 7000)
 	s.launch()
-	f := s.startTraffic()
-	f.flow()
-	l.set(true)
+	tr := s.startTraffic()
+	tr.awaitRequests()
+	l.setDown(true)
 	leader := s.leader(1)
-	s.kill(instance(1, leader))
-	s.fault(s.at(2, 101, 8000), stand.ServerFault{Crash: true, RestartMillis: 3000})
-	f.flow()
+	s.kill(instanceName(1, leader))
+	s.setFault(s.address(2, 101, 8000), stand.ServerFault{Crash: true, RestartMillis: 3000})
+	tr.awaitRequests()
 	s.startInstance(1, leader)
 	s.eventually("the new instance has the bundle", func() bool {
 		status, answered := s.status(1, leader)
 		return answered && status.BundleVersion == s.bundle.Version && status.NextLogOffset == 0
 	})
 	s.eventually("every range is owned", s.everyRangeOwned)
-	f.flow()
-	for h := 1; h <= hosts; h++ {
+	tr.awaitRequests()
+	for h := 1; h <= hostsPerDomain; h++ {
 		if h != leader {
-			s.kill(instance(1, h))
+			s.kill(instanceName(1, h))
 		}
 	}
 	s.eventually("the new instance leads", func() bool {
 		status, answered := s.status(1, leader)
 		return answered && status.Leading && status.OwnedShare == 1
 	})
-	for h := 1; h <= hosts; h++ {
+	for h := 1; h <= hostsPerDomain; h++ {
 		if h != leader {
 			s.startInstance(1, h)
 		}
 	}
-	f.flow()
-	l.set(false)
+	tr.awaitRequests()
+	l.setDown(false)
 	s.eventually("every assignment is in the log", func() bool {
-		for h := 1; h <= hosts; h++ {
+		for h := 1; h <= hostsPerDomain; h++ {
 			status, answered := s.status(1, h)
 			if !answered || status.NextLogOffset == 0 || status.Provisional > 0 {
 				return false
@@ -55,6 +55,6 @@
 		}
 		return true
 	})
-	f.flow()
-	f.finishAll()
+	tr.awaitRequests()
+	tr.stopAndCheck()
 }
--- a/internal/proof/drain_test.go
+++ b/internal/proof/drain_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Operators roll a bundle in which two servers leave, one of a service that is divided and one
-// that is not. Both must get no new work, and what they run must end: a buyer's order sent to
-// a server that is about to go would be lost with it.
+// TestLeavingServersAreEmptied rolls a bundle in which two servers leave, one of a divided and one of
+// an undivided service. Both must finish their running requests and get no new ones: a request sent
+// to a server that is about to stop would be lost with it.
 func TestLeavingServersAreEmptied(t *testing.T) {
-	s := startSite(t, 230+os.Getpid()%4)
-	f := s.startTraffic()
-	f.flow()
+	s := startSystem(t, 230+os.Getpid()%4)
+	tr := s.startTraffic()
+	tr.awaitRequests()
 	leaving := []string{s.bundle.Services[0].Servers[0].Address, s.bundle.Services[1].Servers[0].Address}
 	s.bundle.Services[0].Servers[0].Leaving = true
 	s.bundle.Services[1].Servers[0].Leaving = true
-	s.next()
+	s.rollNextVersion()
 	rolled := time.Now()
 	name := s.bundle.Services[0].Servers[0].Name
 	s.eventually("the leaving server owns nothing", func() bool {
@@ -28,20 +28,20 @@
 		}
 		return s.everyRangeOwned()
 	})
-	t.Logf("emptied %v after the roll", time.Since(rolled).Round(time.Millisecond))
-	before := []int{len(s.runs(leaving[0])), len(s.runs(leaving[1]))}
-	f.flow()
+	t.Logf("server owned nothing %v after the roll", time.Since(rolled).Round(time.Millisecond))
+	before := []int{len(s.runCounts(leaving[0])), len(s.runCounts(leaving[1]))}
+	tr.awaitRequests()
 	for i, address := range leaving {
-		s.is.Equal(len(s.runs(address)), before[i])
+		s.is.Equal(len(s.runCounts(address)), before[i])
 	}
-	f.finishAll()
+	tr.stopAndCheck()
 }
 
-// owners returns the owning server of each probed key, as an instance knows it; empty for keys
-// of other domains.
-func (s *site) owners(domain, host int) []string {
+// owners returns the server that owns each probed key according to an instance, or an empty name
+// if the key belongs to another domain. It returns nil if the instance does not answer.
+func (s *system) owners(domain, host int) []string {
 	var names []string
-	for i := range probedKeys {
+	for i := range probedKeyCount {
 		o, answered := s.owner(domain, host, keyName(i))
 		if !answered {
 			return nil
@@ -51,7 +51,7 @@
 	return names
 }
 
-// keyName returns the name of a key that callers and probes use.
+// keyName returns the key with the given number. Callers and probes use the same keys.
 func keyName(number int) string {
 	return fmt.Sprintf("key-%d", number)
 }
--- a/internal/proof/link_test.go
+++ b/internal/proof/link_test.go
@@ -7,23 +7,24 @@
 	"testing"
 )
 
-// link carries TCP connections from one address to another until it is cut.
+// link forwards TCP connections from its listener to a target address. A test can cut it.
 type link struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mu    sync.Mutex
 	down  bool
 	conns map[net.Conn]bool
 }
 
+// startLink starts a link that ends with the test.
 func startLink(t *testing.T, from, to string) *link {
 	t.Helper()
 	listener, err := net.Listen("tcp", from)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{listener: listener, to: to, conns: make(map[net.Conn]bool)}
+	l := &link{listener: listener, target: to, conns: make(map[net.Conn]bool)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -31,30 +32,32 @@
 	}()
 	t.Cleanup(func() {
 		listener.Close()
-		l.set(true)
+		l.setDown(true)
 		<-ended
 	})
 	return l
 }
 
+// accept forwards connections until the listener is closed.
 func (l *link) accept() {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.carry(conn)
+		go l.forward(conn)
 	}
 }
 
-func (l *link) carry(near net.Conn) {
+// forward copies bytes in both directions until either side closes its connection.
+func (l *link) forward(near net.Conn) {
 	defer near.Close()
-	far, err := net.Dial("tcp", l.to)
+	far, err := net.Dial("tcp", l.target)
 	if err != nil {
 		return
 	}
 	defer far.Close()
-	if !l.keep(near) || !l.keep(far) {
+	if !l.track(near) || !l.track(far) {
 		return
 	}
 	done := make(chan struct{}, 2)
@@ -67,8 +70,8 @@
 	<-done
 }
 
-// keep notes a connection, to be closed by a cut. It reports false while the link is cut.
-func (l *link) keep(c net.Conn) bool {
+// track registers a connection, so that a cut closes it. It reports false while the link is cut.
+func (l *link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
@@ -78,8 +81,8 @@
 	return true
 }
 
-// set cuts the link, or mends it.
-func (l *link) set(down bool) {
+// setDown cuts or restores the link. Both close the open connections.
+func (l *link) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
--- a/internal/proof/move_test.go
+++ b/internal/proof/move_test.go
@@ -10,35 +10,36 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// A whole failure domain is lost. Buyers of its cheese get no stock checks until another
-// domain takes its keys over, which the rule "move" allows after the last leases that the lost
-// domain can have renewed. When the domain is back, it gets its keys back. At no time may two
-// servers run one order.
+// TestLostDomainMoves kills all instances of a failure domain. Its keys are unavailable until another
+// domain takes them over. The isolation rule "move" allows this once the last leases that the lost
+// domain can have renewed have expired. After its restart the domain gets its keys back. No request
+// may run at two servers at any time.
 func TestLostDomainMoves(t *testing.T) {
-	s := prepareSite(t, 240+os.Getpid()%4)
+	s := newSystem(t, 240+os.Getpid()%4)
 	s.bundle.Services[0].Isolation = bundle.IsolationMove
 	s.launch()
-	f := s.startTraffic()
-	f.flow()
-	for h := 1; h <= hosts; h++ {
-		s.kill(instance(1, h))
+	tr := s.startTraffic()
+	tr.awaitRequests()
+	for h := 1; h <= hostsPerDomain; h++ {
+		s.kill(instanceName(1, h))
 	}
 	lost := time.Now()
-	s.eventually("every key is served by the other domain", func() bool { return s.serves(0) })
-	t.Logf("every key served %v after the loss of the domain", time.Since(lost).Round(time.Second))
-	for h := 1; h <= hosts; h++ {
+	s.eventually("every key is served by the other domain", func() bool { return s.servesProbedKeys(0) })
+	t.Logf("every probed key served %v after the loss of the domain", time.Since(lost).Round(time.Second))
+	for h := 1; h <= hostsPerDomain; h++ {
 		s.startInstance(1, h)
 	}
 	s.eventually("the domain has its keys back", s.everyRangeOwned)
-	f.flow()
-	f.finishAll()
+	tr.awaitRequests()
+	tr.stopAndCheck()
 }
 
-// serves reports whether each probed key is served through a domain.
-func (s *site) serves(domain int) bool {
+// servesProbedKeys reports whether reads of all probed keys run when they are sent to the first
+// instance of a domain.
+func (s *system) servesProbedKeys(domain int) bool {
 	client := &http.Client{Timeout: time.Second}
-	for i := range probedKeys {
-		req, err := http.NewRequest(http.MethodGet, "http://"+s.at(domain+1, 1, 8080)+"/"+divided+"/stock", nil)
+	for i := range probedKeyCount {
+		req, err := http.NewRequest(http.MethodGet, "http://"+s.address(domain+1, 1, 8080)+"/"+dividedService+"/stock", nil)
 		s.is.NoErr(err)
 		req.Header.Set(caller.HeaderKey, keyName(i))
 		resp, err := client.Do(req)
--- a/internal/proof/poison_test.go
+++ b/internal/proof/poison_test.go
@@ -12,28 +12,29 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// An order crashes each server that runs it, and its caller sends it again and again, under a
-// new id each time. It must be refused after two servers were lost, or it takes the whole
-// domain down; and the orders of others that ran at those servers must not be refused.
+// TestRequestThatCrashesServersIsBlocked repeats a request that crashes every server that runs it,
+// with a new request ID each time. The request must be blocked after two servers are lost, or it
+// takes down the whole domain. Requests of other callers that ran at these servers must not be
+// blocked.
 func TestRequestThatCrashesServersIsBlocked(t *testing.T) {
 	const poison = "poison"
-	s := startSite(t, 210+os.Getpid()%4)
+	s := startSystem(t, 210+os.Getpid()%4)
 	for _, b := range s.bundle.Services[0].Servers {
-		s.fault(b.Address, stand.ServerFault{Poison: poison, RestartMillis: 300})
+		s.setFault(b.Address, stand.ServerFault{Poison: poison, RestartMillis: 300})
 	}
-	f := s.startTraffic()
-	f.flow()
+	tr := s.startTraffic()
+	tr.awaitRequests()
 	blocked := 0
-	s.eventually("the order is blocked", func() bool {
+	s.eventually("the request is blocked", func() bool {
 		time.Sleep(300 * time.Millisecond)
-		if s.reasonOf(poison) == "blocked" {
+		if s.refusalReason(poison) == "blocked" {
 			blocked++
 		}
 		return blocked == 5
 	})
 	crashed := 0
 	for _, b := range s.bundle.Services[0].Servers {
-		for _, r := range s.page(b.Address).Runs {
+		for _, r := range s.runsPage(b.Address).Runs {
 			if r.Crashed {
 				crashed++
 			}
@@ -42,14 +43,15 @@
 	t.Logf("servers crashed %d times", crashed)
 	s.is.Equal(crashed, s.bundle.Services[0].Limits.CrashServers)
 	s.eventually("every range is owned", s.everyRangeOwned)
-	f.flow()
-	f.finishAll()
-	s.is.Equal(f.faults[divided+" not-run blocked"], 0)
+	tr.awaitRequests()
+	tr.stopAndCheck()
+	s.is.Equal(tr.refusals[dividedService+" not-run blocked"], 0)
 }
 
-// reasonOf sends an order for a key and returns the reason of its refusal, if any.
-func (s *site) reasonOf(key string) string {
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.at(1, 1, 8080)+"/"+divided+"/order", nil)
+// refusalReason sends a non-idempotent request for a key and returns the reason of its refusal. The
+// reason is empty if the request ran or got no answer.
+func (s *system) refusalReason(key string) string {
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.address(1, 1, 8080)+"/"+dividedService+"/order", nil)
 	s.is.NoErr(err)
 	req.Header.Set(caller.HeaderKey, key)
 	req.Header.Set(caller.HeaderRequestID, fmt.Sprintf("poison-%d", time.Now().UnixNano()))
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,4 +1,4 @@
-// Package proof holds tests that run the program as separate processes, over loopback
-// addresses, and take parts of it away while callers send requests. Each counts afterwards
-// what the backend servers really ran.
+// Package proof holds end-to-end tests. They run the program as separate processes on loopback
+// addresses and inject failures while callers send requests. Most of them then compare the outcomes
+// that the callers received with the requests that the backend servers ran.
 package proof
--- a/internal/proof/roll_test.go
+++ b/internal/proof/roll_test.go
@@ -11,16 +11,17 @@
 
 const rollsMeasured = 12
 
-// next rolls another version of the bundle and waits until it is in force at all instances.
-// It returns the time from the roll's acknowledgement to the last instance.
-func (s *site) next() time.Duration {
+// rollNextVersion rolls another version of the bundle and waits until it is in force at all
+// instances. It returns the time from the acknowledgement of the roll by the log to the moment when
+// the last instance has the version in force.
+func (s *system) rollNextVersion() time.Duration {
 	s.bundle.Follows = s.bundle.Version
 	s.bundle.Version++
-	s.roll()
+	s.publishAndRoll()
 	began := time.Now()
-	s.eventually("the version in force everywhere", func() bool {
-		for d := range domains {
-			for h := 1; h <= hosts; h++ {
+	s.eventually("the version is in force at all instances", func() bool {
+		for d := range domainNames {
+			for h := 1; h <= hostsPerDomain; h++ {
 				status, answered := s.status(d, h)
 				if !answered || status.BundleVersion < s.bundle.Version {
 					return false
@@ -32,29 +33,30 @@
 	return time.Since(began)
 }
 
-// Operators roll a bundle. It must come in force at every instance, also in a domain that is
-// cut off from the log, which has it from its neighbours; the times are logged.
+// TestRollReachesEveryInstance checks that each rolled bundle comes into force at every instance. A
+// domain that is cut off from the log gets the bundle from instances of the other domain. The test
+// logs how long the rolls take.
 func TestRollReachesEveryInstance(t *testing.T) {
-	tests := map[string]func(s *site, l *link){
-		"log healthy":            func(*site, *link) {},
-		"log slow":               func(s *site, _ *link) { s.faultLog(stand.LogFault{SlowMillis: 400}) },
-		"log cut off one domain": func(_ *site, l *link) { l.set(true) },
+	tests := map[string]func(s *system, l *link){
+		"log healthy":                     func(*system, *link) {},
+		"log slow":                        func(s *system, _ *link) { s.setLogFault(stand.LogFault{SlowMillis: 400}) },
+		"one domain cut off from the log": func(_ *system, l *link) { l.setDown(true) },
 	}
 	network := 100 + 3*(os.Getpid()%10)
 	for name, disturb := range tests {
 		network++
 		t.Run(name, func(t *testing.T) {
-			s := prepareSite(t, network)
-			l := startLink(t, s.at(0, 2, 7000), s.at(0, 1, 7000))
-			s.logOf[1] = "http://" + s.at(0, 2, 7000)
+			s := newSystem(t, network)
+			l := startLink(t, s.address(0, 2, 7000), s.address(0, 1, 7000))
+			s.logURLs[1] = "http://" + s.address(0, 2, 7000)
 			s.launch()
 			disturb(s, l)
 			var times []time.Duration
 			for range rollsMeasured {
-				times = append(times, s.next())
+				times = append(times, s.rollNextVersion())
 			}
 			slices.Sort(times)
-			t.Logf("%d rolls, 6 instances: p50 %v, worst %v", len(times),
+			t.Logf("%d rolls, 6 instances: p50 %v, max %v", len(times),
 				times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
 		})
 	}
--- a/internal/proof/traffic_test.go
+++ b/internal/proof/traffic_test.go
@@ -14,69 +14,74 @@
 )
 
 const (
-	callers     = 12
+	callerCount = 12
 	keyCount    = 48
-	maxResends  = 25
-	resendPause = 50 * time.Millisecond
-	// attemptLimit is when a caller, or the balancer before it, turns to another instance.
-	attemptLimit = time.Second
-	// Keys that are probed, how often, and when a probe turns to another instance.
-	probedKeys = 24
-	probePause = 20 * time.Millisecond
-	probeLimit = 250 * time.Millisecond
+	maxAttempts = 25
+	retryDelay  = 50 * time.Millisecond
+	// attemptTimeout is when a caller, or a load balancer in front of the instances, tries another
+	// instance.
+	attemptTimeout = time.Second
+	// Each probe reads one of the first probedKeyCount keys. It waits probeDelay before each request
+	// and tries another instance after probeTimeout.
+	probedKeyCount = 24
+	probeDelay     = 20 * time.Millisecond
+	probeTimeout   = 250 * time.Millisecond
 )
 
-// traffic is a number of callers who send non-idempotent requests one after the other, and
-// send one again, with the same id, until they are told that it ran.
+// traffic is a group of callers and probes. Each caller sends non-idempotent requests one after the
+// other, and retries each with the same ID until an answer says that it ran, at most maxAttempts
+// times. Each probe reads one key.
 type traffic struct {
-	site *site
-	stop chan struct{}
-	wait sync.WaitGroup
+	system *system
+	stop   chan struct{}
+	group  sync.WaitGroup
 
 	mu sync.Mutex
-	// ran has the ids whose caller was told that the request ran, others the last outcome of
-	// the rest.
-	ran    map[string]bool
-	others map[string]caller.Outcome
-	sent   int
-	// served has when each key was last served, and gap its longest time between.
-	served map[string]time.Time
-	gap    map[string]time.Duration
-	faults map[string]int
-	probes int
+	// ranIDs has the IDs of the requests that were reported as run, lastOutcomes the last outcome
+	// of those that the callers gave up.
+	ranIDs       map[string]bool
+	lastOutcomes map[string]caller.Outcome
+	attempts     int
+	// lastServed is when a probe of each key last succeeded, and longestGap the longest time between
+	// two successes.
+	lastServed map[string]time.Time
+	longestGap map[string]time.Duration
+	// refusals counts the answers that do not say that the request ran, by service, outcome and reason.
+	refusals     map[string]int
+	servedProbes int
 }
 
-func (s *site) startTraffic() *traffic {
-	t := &traffic{
-		site: s, stop: make(chan struct{}), ran: make(map[string]bool), others: make(map[string]caller.Outcome),
-		served: make(map[string]time.Time), gap: make(map[string]time.Duration), faults: make(map[string]int),
+func (s *system) startTraffic() *traffic {
+	tr := &traffic{
+		system: s, stop: make(chan struct{}), ranIDs: make(map[string]bool), lastOutcomes: make(map[string]caller.Outcome),
+		lastServed: make(map[string]time.Time), longestGap: make(map[string]time.Duration), refusals: make(map[string]int),
 	}
-	for i := range callers {
-		t.wait.Add(1)
-		go t.call(i)
+	for i := range callerCount {
+		tr.group.Add(1)
+		go tr.runCaller(i)
 	}
-	for i := range probedKeys {
-		t.wait.Add(1)
-		go t.probe(i)
+	for i := range probedKeyCount {
+		tr.group.Add(1)
+		go tr.runProbe(i)
 	}
-	return t
+	return tr
 }
 
-// probe asks for one key again and again, with reads that may run twice, to see for how long
-// it is not served.
-func (t *traffic) probe(number int) {
-	defer t.wait.Done()
+// runProbe reads one key repeatedly to find out for how long the key is unavailable. Its requests
+// have no ID and may run more than once.
+func (tr *traffic) runProbe(number int) {
+	defer tr.group.Done()
 	random := rand.New(rand.NewPCG(uint64(number), 8))
-	client := &http.Client{Timeout: probeLimit}
+	client := &http.Client{Timeout: probeTimeout}
 	key := keyName(number)
 	for {
 		select {
-		case <-t.stop:
+		case <-tr.stop:
 			return
-		case <-time.After(probePause):
+		case <-time.After(probeDelay):
 		}
-		address := t.site.at(1+random.IntN(len(domains)), 1+random.IntN(hosts), 8080)
-		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+divided+"/stock", nil)
+		address := tr.system.address(1+random.IntN(len(domainNames)), 1+random.IntN(hostsPerDomain), 8080)
+		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+dividedService+"/stock", nil)
 		if err != nil {
 			panic(err)
 		}
@@ -87,50 +92,53 @@
 		}
 		resp.Body.Close()
 		if resp.Header.Get(caller.HeaderOutcome) == string(caller.Ran) {
-			t.note(key)
+			tr.recordServed(key)
 		}
 	}
 }
 
-func (t *traffic) call(number int) {
-	defer t.wait.Done()
+// runCaller sends the requests of one caller, a quarter of them on average to the undivided service.
+func (tr *traffic) runCaller(number int) {
+	defer tr.group.Done()
 	random := rand.New(rand.NewPCG(uint64(number), 7))
-	client := &http.Client{Timeout: attemptLimit}
+	client := &http.Client{Timeout: attemptTimeout}
 	for i := 0; ; i++ {
 		select {
-		case <-t.stop:
+		case <-tr.stop:
 			return
 		default:
 		}
-		service := divided
+		service := dividedService
 		if random.IntN(4) == 0 {
-			service = undivided
+			service = undividedService
 		}
-		id := fmt.Sprintf("%s-%d-%d", t.site.t.Name(), number, i)
-		t.finish(client, random, service, id, keyName(random.IntN(keyCount)))
+		id := fmt.Sprintf("%s-%d-%d", tr.system.t.Name(), number, i)
+		tr.sendUntilRan(client, random, service, id, keyName(random.IntN(keyCount)))
 	}
 }
 
-// finish sends a request until its caller knows that it ran, or gives up.
-func (t *traffic) finish(client *http.Client, random *rand.Rand, service, id, key string) {
+// sendUntilRan sends a request to random instances until an answer says that it ran, at most
+// maxAttempts times, and records the result.
+func (tr *traffic) sendUntilRan(client *http.Client, random *rand.Rand, service, id, key string) {
 	outcome := caller.NotRun
-	for i := range maxResends {
-		address := t.site.at(1+random.IntN(len(domains)), 1+random.IntN(hosts), 8080)
-		outcome = t.send(client, address, service, id, key, i+1)
+	for i := range maxAttempts {
+		address := tr.system.address(1+random.IntN(len(domainNames)), 1+random.IntN(hostsPerDomain), 8080)
+		outcome = tr.send(client, address, service, id, key, i+1)
 		if outcome == caller.Ran {
-			t.mu.Lock()
-			t.ran[id] = true
-			t.mu.Unlock()
+			tr.mu.Lock()
+			tr.ranIDs[id] = true
+			tr.mu.Unlock()
 			return
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryDelay)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.others[id] = outcome
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.lastOutcomes[id] = outcome
 }
 
-func (t *traffic) send(client *http.Client, address, service, id, key string, attempt int) caller.Outcome {
+// send makes one attempt and returns its outcome, which is unknown if there is no answer.
+func (tr *traffic) send(client *http.Client, address, service, id, key string, attempt int) caller.Outcome {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/"+service+"/order", nil)
 	if err != nil {
 		panic(err)
@@ -138,9 +146,9 @@
 	req.Header.Set(caller.HeaderRequestID, id)
 	req.Header.Set(caller.HeaderKey, key)
 	req.Header.Set(caller.HeaderAttempt, strconv.Itoa(attempt))
-	t.mu.Lock()
-	t.sent++
-	t.mu.Unlock()
+	tr.mu.Lock()
+	tr.attempts++
+	tr.mu.Unlock()
 	resp, err := client.Do(req)
 	if err != nil {
 		return caller.Unknown
@@ -152,92 +160,93 @@
 			Reason string `json:"reason"`
 		}
 		_ = json.NewDecoder(resp.Body).Decode(&problem)
-		t.mu.Lock()
-		t.faults[service+" "+string(outcome)+" "+problem.Reason]++
-		t.mu.Unlock()
+		tr.mu.Lock()
+		tr.refusals[service+" "+string(outcome)+" "+problem.Reason]++
+		tr.mu.Unlock()
 	}
 	return outcome
 }
 
-// note says that a key was served.
-func (t *traffic) note(key string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.probes++
+// recordServed records a successful probe of a key.
+func (tr *traffic) recordServed(key string) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.servedProbes++
 	now := time.Now()
-	if last, found := t.served[key]; found {
-		t.gap[key] = max(t.gap[key], now.Sub(last))
+	if last, found := tr.lastServed[key]; found {
+		tr.longestGap[key] = max(tr.longestGap[key], now.Sub(last))
 	}
-	t.served[key] = now
+	tr.lastServed[key] = now
 }
 
-// total returns the number of requests that are known to have run.
-func (t *traffic) total() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.ran)
+// ranCount returns the number of requests that were reported as run.
+func (tr *traffic) ranCount() int {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return len(tr.ranIDs)
 }
 
-// flow waits until many more requests have run.
-func (t *traffic) flow() {
-	start := t.total()
-	t.site.eventually("requests run", func() bool { return t.total() > start+500 })
+// awaitRequests waits until more than 500 further requests are reported as run.
+func (tr *traffic) awaitRequests() {
+	start := tr.ranCount()
+	tr.system.eventually("more requests ran", func() bool { return tr.ranCount() > start+500 })
 }
 
-// finishAll stops the callers and checks what they were told against what the servers ran.
-func (t *traffic) finishAll() {
-	close(t.stop)
-	t.wait.Wait()
-	s := t.site
+// stopAndCheck stops the callers and probes. It fails the test if a request ran more than once, or
+// if a reported outcome contradicts the runs that the servers recorded.
+func (tr *traffic) stopAndCheck() {
+	close(tr.stop)
+	tr.group.Wait()
+	s := tr.system
 	counts := make(map[string]int)
 	for _, v := range s.bundle.Services {
 		for _, b := range v.Servers {
-			for id, n := range s.runs(b.Address) {
+			for id, n := range s.runCounts(b.Address) {
 				counts[id] += n
 			}
 		}
 	}
-	doubled, lost, untrue := 0, 0, 0
-	delete(counts, "") // Probes have no id and may run more than once.
+	duplicates, falselyRan, falselyNotRun := 0, 0, 0
+	delete(counts, "") // Probes have no request ID and may run more than once.
 	for id, n := range counts {
 		if n > 1 {
-			doubled++
-			s.t.Errorf("%s ran %d times", id, n)
+			duplicates++
+			s.t.Errorf("request %s ran %d times", id, n)
 		}
 	}
-	for id := range t.ran {
+	for id := range tr.ranIDs {
 		if counts[id] == 0 {
-			lost++
-			s.t.Errorf("%s was said to have run and did not", id)
+			falselyRan++
+			s.t.Errorf("request %s was reported as run but did not run", id)
 		}
 	}
-	for id, outcome := range t.others {
+	for id, outcome := range tr.lastOutcomes {
 		if outcome == caller.NotRun && counts[id] > 0 {
-			untrue++
-			s.t.Errorf("%s was said not to have run and did", id)
+			falselyNotRun++
+			s.t.Errorf("request %s was reported as not run but ran", id)
 		}
 	}
-	var worst time.Duration
-	for _, g := range t.gap {
-		worst = max(worst, g)
+	var longest time.Duration
+	for _, g := range tr.longestGap {
+		longest = max(longest, g)
 	}
-	s.t.Logf("sent %d, ran %d, in doubt or not run %d, doubled %d, lost %d, falsely not run %d, %d probes, worst gap of a key %v, refusals %v",
-		t.sent, len(t.ran), len(t.others), doubled, lost, untrue, t.probes, worst.Round(time.Millisecond), t.faults)
+	s.t.Logf("attempts %d, reported as run %d, unknown or not run %d, ran more than once %d, falsely reported as run %d, falsely reported as not run %d, successful probes %d, longest gap of a key %v, answers other than ran %v",
+		tr.attempts, len(tr.ranIDs), len(tr.lastOutcomes), duplicates, falselyRan, falselyNotRun, tr.servedProbes, longest.Round(time.Millisecond), tr.refusals)
 }
 
-// runs returns how often a server ran each request id.
-func (s *site) runs(address string) map[string]int {
+// runCounts returns how often a server ran each request ID.
+func (s *system) runCounts(address string) map[string]int {
 	counts := make(map[string]int)
-	for _, r := range s.page(address).Runs {
+	for _, r := range s.runsPage(address).Runs {
 		counts[r.RequestID]++
 	}
 	return counts
 }
 
-// page returns what a server ran.
-func (s *site) page(address string) stand.RunsPage {
+// runsPage returns the requests that a server recorded as run.
+func (s *system) runsPage(address string) stand.RunsPage {
 	var page stand.RunsPage
-	s.eventually("the runs of "+address, func() bool {
+	s.eventually("runs are readable from "+address, func() bool {
 		resp, err := http.Get("http://" + address + stand.RunsPath)
 		if err != nil {
 			return false
