--- a/internal/cmds/replay.go
+++ b/internal/cmds/replay.go
@@ -54,12 +54,12 @@
 }
 
 // trace returns the trace that the arguments name.
-func (c *ReplayCmd) trace() ([]replay.Stamped, error) {
+func (c *ReplayCmd) trace() ([]replay.TimedEvent, error) {
 	switch {
 	case c.Recipe != "" && c.Trace != "":
 		return nil, fmt.Errorf("%w: name either a trace or a recipe", ErrReplay)
 	case c.Recipe != "":
-		return replay.Make(c.Recipe, c.Deployment, c.Seed)
+		return replay.Generate(c.Recipe, c.Deployment, c.Seed)
 	case c.Trace == "":
 		return nil, fmt.Errorf("%w: name a trace or a recipe", ErrReplay)
 	case c.Write != "":
@@ -74,7 +74,7 @@
 }
 
 // write writes a trace to the file asked for.
-func (c *ReplayCmd) write(trace []replay.Stamped) error {
+func (c *ReplayCmd) write(trace []replay.TimedEvent) error {
 	file, err := os.Create(c.Write)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrReplay, err)
@@ -89,7 +89,7 @@
 // listRecipes shows what recipes there are.
 func listRecipes() error {
 	for _, r := range replay.Recipes() {
-		if _, err := fmt.Printf("%s %v\n    %s\n", r.Name, r.Deployments, r.Story); err != nil {
+		if _, err := fmt.Printf("%s %v\n    %s\n", r.Name, r.Deployments, r.Description); err != nil {
 			return err
 		}
 	}
--- a/internal/cmds/run.go
+++ b/internal/cmds/run.go
@@ -62,7 +62,7 @@
 	}
 	tlsConfig, err := certs.Config(pair, authority)
 	if err != nil {
-		return entry.Deps{}, &config.Error{File: file, Field: "tls", Found: err.Error(), Mend: "name PEM files made by mustardring certs"}
+		return entry.Deps{}, &config.Error{File: file, Field: "tls", Found: err.Error(), Fix: "name PEM files made by mustardring certs"}
 	}
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return nil, &config.Error{File: file, Field: field, Found: err.Error(), Mend: "name a PEM file that can be read"}
+		return nil, &config.Error{File: file, Field: field, Found: err.Error(), Fix: "name a PEM file that can be read"}
 	}
 	return data, nil
 }
--- a/internal/cmds/serve.go
+++ b/internal/cmds/serve.go
@@ -34,7 +34,7 @@
 	}
 	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMB) * (1 << 20)))
 	events := eventlog.New(os.Stdout, logger.GetLevel())
-	n, err := node.New(settings, platform.New(settings.Store), events)
+	n, err := node.New(settings, platform.New(settings.StoreAddress), events)
 	if err != nil {
 		return err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,12 +18,12 @@
 	File  string
 	Field string
 	Found string
-	Mend  string
+	Fix   string
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return fmt.Sprintf("settings file=%s field=%s found=%s mend=%s", e.File, quote(e.Field), quote(e.Found), quote(e.Mend))
+	return fmt.Sprintf("settings file=%s field=%s found=%s mend=%s", e.File, quote(e.Field), quote(e.Found), quote(e.Fix))
 }
 
 func quote(text string) string {
@@ -47,7 +47,7 @@
 	var settings T
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return settings, &Error{File: file, Field: "-", Found: err.Error(), Mend: "name a file that can be read"}
+		return settings, &Error{File: file, Field: "-", Found: err.Error(), Fix: "name a file that can be read"}
 	}
 	if err := decode(file, data, &settings); err != nil {
 		return settings, err
@@ -65,7 +65,7 @@
 		return describe(file, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return &Error{File: file, Field: "-", Found: "text after the settings", Mend: "keep one JSON object in the file"}
+		return &Error{File: file, Field: "-", Found: "text after the settings", Fix: "keep one JSON object in the file"}
 	}
 	return nil
 }
@@ -75,10 +75,10 @@
 func describe(file string, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return &Error{File: file, Field: wrongType.Field, Found: wrongType.Value, Mend: "give a value of type " + wrongType.Type.String()}
+		return &Error{File: file, Field: wrongType.Field, Found: wrongType.Value, Fix: "give a value of type " + wrongType.Type.String()}
 	}
 	if name, found := strings.CutPrefix(err.Error(), unknownField); found {
-		return &Error{File: file, Field: strings.Trim(name, `"`), Found: "an unknown field", Mend: "remove it or correct its name"}
+		return &Error{File: file, Field: strings.Trim(name, `"`), Found: "an unknown field", Fix: "remove it or correct its name"}
 	}
-	return &Error{File: file, Field: "-", Found: err.Error(), Mend: "write one JSON object"}
+	return &Error{File: file, Field: "-", Found: err.Error(), Fix: "write one JSON object"}
 }
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -106,7 +106,7 @@
 
 func (c *checks) fail(field, found, mend string) {
 	if c.fault == nil {
-		c.fault = &Error{File: c.file, Field: field, Found: found, Mend: mend}
+		c.fault = &Error{File: c.file, Field: field, Found: found, Fix: mend}
 	}
 }
 
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -7,14 +7,14 @@
 	Domain string `json:"domain"`
 	// IP is the address for what instances say to one another.
 	IP string `json:"ip"`
-	// Front is the address for callers, Ready the one that the platform's balancer asks.
-	Front string `json:"front"`
-	Ready string `json:"ready"`
+	// CallerAddress is the address for callers, Ready the one that the platform's balancer asks.
+	CallerAddress    string `json:"front"`
+	ReadinessAddress string `json:"ready"`
 	// PeerPorts is the first and the last port for what instances say to one another.
 	PeerPorts   []int `json:"peer-ports"`
 	MetricsPort int   `json:"metrics-port"`
-	// Store is the address of the shared store.
-	Store string `json:"store"`
+	// StoreAddress is the address of the shared store.
+	StoreAddress string `json:"store"`
 	// EntrySeconds is how often a backend server writes its entry; zero means once a second.
 	EntrySeconds float64 `json:"entry-seconds"`
 	// CPUShare is the part of a core that the instance has, LinkMbps the speed of its link,
@@ -51,9 +51,9 @@
 	c := checks{file: file}
 	c.need("name", s.Name)
 	c.need("domain", s.Domain)
-	c.address("front", s.Front)
-	c.address("ready", s.Ready)
-	c.address("store", s.Store)
+	c.address("front", s.CallerAddress)
+	c.address("ready", s.ReadinessAddress)
+	c.address("store", s.StoreAddress)
 	if len(s.PeerPorts) != 2 || s.PeerPorts[0] <= 0 || s.PeerPorts[1] < s.PeerPorts[0] {
 		c.fail("peer-ports", "no range of ports", "give the first and the last port, such as [7200, 7215]")
 	}
--- a/internal/duty/pause.go
+++ b/internal/duty/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits and returns false if the context ended before.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits and returns false if the context ended before.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/edge/malformedload.go
+++ b/internal/edge/malformedload.go
@@ -33,6 +33,6 @@
 // logMalformedLoad logs, once for each server, that the server stated a malformed load.
 func (e *Edge) logMalformedLoad(server string, err error) {
 	if e.malformedLoads.add(server) {
-		e.Events.Note(event.Belief, "load-malformed", "server", server, "error", err)
+		e.Events.Record(event.StateChange, "load-malformed", "server", server, "error", err)
 	}
 }
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -139,7 +139,7 @@
 // reject logs and counts a request that ends before its first attempt, and returns its reply.
 func (e *Edge) reject(q *request, reason endReason, reply *inlet.Reply) *inlet.Reply {
 	e.Meters.RecordRequest("", reason, time.Since(q.arrivedAt))
-	e.Events.Note(event.Failure, "request", "id", q.info.ID, "status", reply.Status, "why", reason,
+	e.Events.Record(event.Failure, "request", "id", q.info.ID, "status", reply.Status, "why", reason,
 		"config", q.configVersion, "host", q.Host, "path", q.URL.Path)
 	return reply
 }
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -125,7 +125,7 @@
 func (q *request) handleRejection(ctx context.Context, rejected *permit.Rejected) *inlet.Reply {
 	switch {
 	case rejected.Reason == permit.OwnerGone:
-		if !duty.Pause(ctx, misdirectedDelay) {
+		if !duty.Sleep(ctx, misdirectedDelay) {
 			q.reason = endNoOwner
 			return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner)
 		}
@@ -213,7 +213,7 @@
 	case info.NotRun && info.Misdirected:
 		completion.Outcome = permit.NotOwner
 		q.reason = endNoOwner
-		duty.Pause(ctx, misdirectedDelay)
+		duty.Sleep(ctx, misdirectedDelay)
 		return errorReply(http.StatusServiceUnavailable, retryAfterNoOwner), true
 	case info.NotRun:
 		completion.Outcome = permit.Full
--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -12,7 +12,7 @@
 	b := e.state.bundle()
 	e.meter.BundleVersion.Set(int64(b.Version))
 	e.deps.Logger.Info("bundle-in-force", "version", b.Version)
-	if err := e.front.Lift(b.Lifted); err != nil {
+	if err := e.front.SetLiftedBlocks(b.Lifted); err != nil {
 		e.deps.Logger.Warn("lifted-block-ignored", "error", err)
 	}
 	e.notifyHomesCore(ctx, homes.BundleInForce{Bundle: b})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -79,7 +79,7 @@
 	gateGains  *gateGains
 	replaced   *replacedProcesses
 	gateLease  *gateLease
-	meter      *meter.Control
+	meter      *meter.Counters
 	loads      *loadCounter
 	reports    *loadReports
 	list       listTracker
@@ -113,7 +113,7 @@
 	}
 	lc := leader.DefaultConfig(d.Settings.Domain, d.Settings.Name, d.Incarnation)
 	e.leaderCore = leader.New(lc, d.Placer)
-	e.meter = meter.NewControl()
+	e.meter = meter.NewCounters()
 	e.homesCore = homes.New(homesConfig(lc))
 	e.peers = newPeers(d.Settings, d.Incarnation, d.TLS, e.meter)
 	e.holders = newGrantHolders(d.Incarnation, e.grantNow)
@@ -124,24 +124,24 @@
 	e.replaced = newReplacedProcesses()
 	e.replicator = newReplicator(e.peers, e.gateGains, e.replaced, e.state, d.Logger)
 	f, err := front.New(front.Deps{
-		Instance:      d.Settings.Name,
-		Domain:        d.Settings.Domain,
-		Finder:        e.state.directory,
-		Right:         gateChecker{holders: e.holders, gateLease: e.gateLease, now: e.now},
-		Witness:       e.replicator,
-		Ran:           e.countRequest,
-		Home:          e.state.directory.FindHome,
-		Forward:       newForwardTransport(d.TLS),
-		ForwardScheme: "https",
-		Tracer:        d.Tracer,
-		Log:           d.Logger,
+		Instance:         d.Settings.Name,
+		Domain:           d.Settings.Domain,
+		Finder:           e.state.directory,
+		Authorizer:       gateChecker{holders: e.holders, gateLease: e.gateLease, now: e.now},
+		Replicator:       e.replicator,
+		ObserveRun:       e.countRequest,
+		FindHome:         e.state.directory.FindHome,
+		ForwardTransport: newForwardTransport(d.TLS),
+		ForwardScheme:    "https",
+		Tracer:           d.Tracer,
+		Log:              d.Logger,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("entry: %w", err)
 	}
 	e.front = f
-	e.callerServer = newServer(f.Callers())
-	e.forwardServer = newServer(f.Forwards())
+	e.callerServer = newServer(f.CallerHandler())
+	e.forwardServer = newServer(f.ForwardHandler())
 	return e, nil
 }
 
@@ -157,7 +157,7 @@
 
 // ControlCounters returns the counters of this instance's traffic with the log, other instances and
 // servers, apart from requests.
-func (e *Entry) ControlCounters() *meter.Control {
+func (e *Entry) ControlCounters() *meter.Counters {
 	return e.meter
 }
 
@@ -235,8 +235,8 @@
 
 // awaitBalancer reports the instance as not ready and waits for balancerDelay.
 func (e *Entry) awaitBalancer(ctx context.Context) {
-	e.front.Refuse()
-	duty.Pause(ctx, balancerDelay)
+	e.front.SetNotReady()
+	duty.Sleep(ctx, balancerDelay)
 }
 
 func (e *Entry) startWorkers(group *duty.Group, l *listeners) {
--- a/internal/entry/gatelease.go
+++ b/internal/entry/gatelease.go
@@ -36,11 +36,11 @@
 // A non-idempotent request is sent only under a valid gate lease. Otherwise a gate that was cut off
 // or paused could send a request after the next gate, which has no record of it, has already sent
 // the caller's retry.
-func (c gateChecker) Begin(a front.Approach) (front.Work, error) {
+func (c gateChecker) Begin(a front.Attempt) (front.Work, error) {
 	if !a.Idempotent && c.now() >= c.gateLease.until() {
 		return nil, errGateLeaseExpired
 	}
-	if a.Checks || !a.Divided {
+	if a.ChecksGrants || !a.Divided {
 		return untrackedWork{}, nil
 	}
 	return c.holders.begin(a.Service, a.Server, a.Hash)
--- a/internal/entry/gates.go
+++ b/internal/entry/gates.go
@@ -42,7 +42,7 @@
 // instance is already its gate.
 func (e *Entry) closeExpiredGrants() {
 	for _, name := range e.holders.newlyExpired() {
-		e.front.RightLost(name.service, name.server)
+		e.front.LeaseLost(name.service, name.server)
 	}
 }
 
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -128,7 +128,7 @@
 // routing table if the other instance has newer ones. isNew reports that the state has changed.
 func (e *Entry) handleState(ctx context.Context, s InstanceState, isNew bool) {
 	if isNew {
-		e.front.Merge(s.Blocks)
+		e.front.MergeCrashRecords(s.Blocks)
 	}
 	if s.Domain == e.deps.Settings.Domain {
 		e.notifyLeaderCore(ctx, leaderHeartbeat(s))
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -44,7 +44,7 @@
 	if view.Table != nil {
 		s.TableTerm, s.TableSerial = view.Table.Term, view.Table.Serial
 	}
-	s.Blocks = e.front.Blocks()
+	s.Blocks = e.front.CrashRecords()
 	slices.SortFunc(s.Blocks, compareBlocks)
 	if core := e.leadership.heartbeat.Load(); core != nil {
 		s.Leading, s.Term = core.Leading, core.Term
--- a/internal/entry/list.go
+++ b/internal/entry/list.go
@@ -28,7 +28,7 @@
 			e.list.registered = e.register(ctx)
 		}
 		e.readList(ctx)
-		duty.Pause(ctx, listInterval)
+		duty.Sleep(ctx, listInterval)
 	}
 	return ctx.Err()
 }
--- a/internal/entry/loads.go
+++ b/internal/entry/loads.go
@@ -132,7 +132,7 @@
 // runLoads periodically reports loads to the leader of the domain.
 func (e *Entry) runLoads(ctx context.Context) error {
 	for ctx.Err() == nil {
-		duty.Pause(ctx, loadInterval)
+		duty.Sleep(ctx, loadInterval)
 		report := e.loads.flush(e.deps.Settings.Name, time.Now())
 		leads, client := e.leaderClient()
 		switch {
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -131,7 +131,7 @@
 
 // fetch waits until a read is due, makes it and sends the result to fetched.
 func (w *logWorker) fetch(ctx context.Context, f logcl.Fetch) {
-	duty.Pause(ctx, time.Duration(f.At-w.entry.now()))
+	duty.Sleep(ctx, time.Duration(f.At-w.entry.now()))
 	result := logcl.FetchResult{Fetch: f, AskedAt: w.entry.now()}
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/entry/logworker_test.go
+++ b/internal/entry/logworker_test.go
@@ -43,7 +43,7 @@
 				e, err := New(Deps{
 					Settings:    config.Run{Name: "klet-1", Domain: "klet"},
 					TLS:         &tls.Config{MinVersion: tls.VersionTLS13},
-					Log:         logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}}),
+					Log:         logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}}),
 					Placer:      place.New(),
 					Logger:      log.New(io.Discard),
 					Incarnation: 1,
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -23,7 +23,7 @@
 func newTestInstance(name string, incarnation uint64) *testInstance {
 	settings := config.Run{Name: name, Domain: "klet", PeerAddress: name + ":1", ForwardAddress: name + ":2"}
 	return &testInstance{
-		peers: newPeers(settings, incarnation, nil, meter.NewControl()),
+		peers: newPeers(settings, incarnation, nil, meter.NewCounters()),
 		state: InstanceState{
 			Name: name, Domain: "klet", Incarnation: incarnation,
 			PeerAddress: settings.PeerAddress, ForwardAddress: settings.ForwardAddress,
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -102,7 +102,7 @@
 		for _, b := range v.Servers {
 			settings.Servers = append(settings.Servers, stand.ServerSettings{
 				Name: b.Name, Service: v.Name, Domain: b.Domain, Address: b.Address,
-				ChecksGrants: b.ChecksGrants, Slots: b.Slots, LeaseMaxMillis: 1200,
+				ChecksGrants: b.ChecksGrants, Slots: b.Slots, MaxLeaseMillis: 1200,
 			})
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -24,7 +24,7 @@
 	// self are the settings of this instance, and process its current process.
 	self      config.Run
 	tlsConfig *tls.Config
-	meter     *meter.Control
+	meter     *meter.Counters
 
 	mu         sync.Mutex
 	membership *member.Core
@@ -52,7 +52,7 @@
 	fetching atomic.Bool
 }
 
-func newPeers(self config.Run, incarnation uint64, tlsConfig *tls.Config, m *meter.Control) *peers {
+func newPeers(self config.Run, incarnation uint64, tlsConfig *tls.Config, m *meter.Counters) *peers {
 	own := member.Process{Name: self.Name, Incarnation: incarnation}
 	p := &peers{self: self, tlsConfig: tlsConfig, meter: m, process: own, known: make(map[string]*remote)}
 	p.membership = member.New(member.Config{
--- a/internal/entry/recordholders.go
+++ b/internal/entry/recordholders.go
@@ -109,7 +109,7 @@
 	}
 	clients := e.peers.liveInDomain()
 	for _, s := range b.Services {
-		records := e.front.Marks(s.Name, keys.Full)
+		records := e.front.Records(s.Name, keys.Full)
 		for batch := range slices.Chunk(records, maxRecordsPerCall) {
 			for _, c := range clients[:min(len(clients), handOverCopies)] {
 				if _, err := call[ReplicateBatchCall, Empty](ctx, c, handOverTimeout, methodReplicateBatch, ReplicateBatchCall{Records: batch}); err != nil {
@@ -122,7 +122,7 @@
 
 func (e *Entry) handleReplicateBatch(_ context.Context, c ReplicateBatchCall) (Empty, error) {
 	for _, r := range c.Records {
-		if !e.front.Witnessed(r) {
+		if !e.front.AddRecord(r) {
 			return Empty{}, errMemoryFull
 		}
 	}
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -89,7 +89,7 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := asker.replicator.Recall(ctx, service, keys.Full)
+			_, err := asker.replicator.Recover(ctx, service, keys.Full)
 			s.is.Equal(errors.Is(err, errUnrecoverable), test.wantErr)
 		})
 	}
@@ -105,6 +105,6 @@
 	asker := s.newProcess(2, 12)
 	s.receiveState(witness, asker)
 	s.servePeers(witness)
-	_, err := asker.replicator.Recall(t.Context(), service, keys.Full)
+	_, err := asker.replicator.Recover(t.Context(), service, keys.Full)
 	s.is.True(errors.Is(err, errUnrecoverable))
 }
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -86,9 +86,9 @@
 	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.IdempotencyRecord, outcomeCapacity), logger: l}
 }
 
-// Begin implements front.Witness. A hash of the record selects the instance that gets the copy. If
+// Replicate implements front.Witness. A hash of the record selects the instance that gets the copy. If
 // that one does not answer, the next one in the order of names gets it.
-func (r *replicator) Begin(ctx context.Context, rec policy.IdempotencyRecord) error {
+func (r *replicator) Replicate(ctx context.Context, rec policy.IdempotencyRecord) error {
 	others := r.peers.liveInDomain()
 	if len(others) == 0 {
 		return nil
@@ -115,9 +115,9 @@
 	return err
 }
 
-// End implements front.Witness. It drops the outcome if the channel is full. The copy then still
+// ReplicateOutcome implements front.Witness. It drops the outcome if the channel is full. The copy then still
 // says that the outcome is unknown, which is safe.
-func (r *replicator) End(rec policy.IdempotencyRecord) {
+func (r *replicator) ReplicateOutcome(rec policy.IdempotencyRecord) {
 	select {
 	case r.outcomes <- rec:
 	default:
@@ -140,7 +140,7 @@
 			}
 			go func() {
 				defer func() { <-free }()
-				if err := r.Begin(ctx, rec); err != nil && ctx.Err() == nil {
+				if err := r.Replicate(ctx, rec); err != nil && ctx.Err() == nil {
 					r.logger.Warn("mark-untold", "service", rec.Service, "error", err)
 				}
 			}()
@@ -148,10 +148,10 @@
 	}
 }
 
-// Recall implements front.Witness. It returns an error while a former gate of a server of the
+// Recover implements front.Witness. It returns an error while a former gate of a server of the
 // service may still send requests: of a request that it is about to send there is no record yet.
 // This ends when the former gate reports the current routing table, or when its lease has expired.
-func (r *replicator) Recall(ctx context.Context, service string, rng keys.Range) ([]policy.IdempotencyRecord, error) {
+func (r *replicator) Recover(ctx context.Context, service string, rng keys.Range) ([]policy.IdempotencyRecord, error) {
 	clients := r.peers.recentInDomain(time.Now())
 	type answer struct {
 		result RecoverResult
@@ -197,7 +197,7 @@
 }
 
 func (e *Entry) handleReplicate(_ context.Context, c ReplicateCall) (Empty, error) {
-	if !e.front.Witnessed(c.Record) {
+	if !e.front.AddRecord(c.Record) {
 		return Empty{}, errMemoryFull
 	}
 	return Empty{}, nil
@@ -208,6 +208,6 @@
 	if t := e.state.table(); t != nil {
 		result.TableTerm, result.TableSerial = t.Term, t.Serial
 	}
-	result.Records = e.front.Marks(c.Service, c.Range)
+	result.Records = e.front.Records(c.Service, c.Range)
 	return result, nil
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -22,8 +22,8 @@
 
 // The classes.
 const (
-	// Belief is a change of what the process believes: rare, and never thinned out.
-	Belief Class = iota
+	// StateChange is a change of what the process believes: rare, and never thinned out.
+	StateChange Class = iota
 	// Failure is a request that did not end well.
 	Failure
 	// Success is a request that did.
@@ -81,8 +81,8 @@
 	return l
 }
 
-// Note takes one event. Pairs are keys and values in turn.
-func (l *Log) Note(c Class, name string, pairs ...any) {
+// Record takes one event. Pairs are keys and values in turn.
+func (l *Log) Record(c Class, name string, pairs ...any) {
 	l.count.Add(name, 1)
 	if !l.limits[c].Allow() {
 		l.dropped[c].Add(1)
@@ -114,7 +114,7 @@
 	for {
 		select {
 		case n := <-l.ring:
-			if l.write(n); !duty.Pause(ctx, gatherTime) {
+			if l.write(n); !duty.Sleep(ctx, gatherTime) {
 				return ctx.Err()
 			}
 			l.drain()
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -49,13 +49,13 @@
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run(ctx) }()
 		for range 50 {
-			l.Note(Success, "request", "id", "x")
+			l.Record(Success, "request", "id", "x")
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(gatherTime)
 		is.Equal(w.lines(), 50)
 		is.True(w.calls <= 3)
-		l.Note(Belief, "stop")
+		l.Record(StateChange, "stop")
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 		is.Equal(w.lines(), 51) // the last line is written at the end
@@ -71,8 +71,8 @@
 		l := New(w, log.InfoLevel)
 		began := time.Now()
 		for range 5000 {
-			l.Note(Success, "request")
-			l.Note(Failure, "request")
+			l.Record(Success, "request")
+			l.Record(Failure, "request")
 		}
 		is.Equal(time.Since(began), time.Duration(0))
 		is.True(l.dropped[Success].Load() > l.dropped[Failure].Load()-int64(ringSize))
--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -143,7 +143,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		w := &discard{header: http.Header{}}
-		i.front.Callers().ServeHTTP(w, r)
+		i.front.CallerHandler().ServeHTTP(w, r)
 		if w.header.Get(caller.HeaderOutcome) != string(caller.Ran) {
 			b.Fatal(w.header)
 		}
--- a/internal/front/broken_test.go
+++ b/internal/front/broken_test.go
@@ -69,7 +69,7 @@
 			is := is.New(t)
 			var runs atomic.Int32
 			broken := &fragile{RoundTripper: &http.Transport{DisableKeepAlives: true}}
-			gate, entry := start(t, "one", nil), start(t, "two", func(d *Deps) { d.Forward = broken })
+			gate, entry := start(t, "one", nil), start(t, "two", func(d *Deps) { d.ForwardTransport = broken })
 			gate.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })))
 			entry.finder.set(route.Forward{Service: testService(), Addresses: []string{address(gate.forwards)}})
 			for range 10 {
@@ -98,9 +98,9 @@
 	var runs atomic.Int32
 	d := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	broken := &fragile{RoundTripper: &http.Transport{DisableKeepAlives: true}}
-	entry := start(t, "two", func(d *Deps) { d.Forward = broken })
+	entry := start(t, "two", func(d *Deps) { d.ForwardTransport = broken })
 	old := start(t, "one", nil)
-	next := start(t, "three", func(d *Deps) { d.Witness = refuser{recall: errors.New("cut off")} })
+	next := start(t, "three", func(d *Deps) { d.Replicator = refuser{recall: errors.New("cut off")} })
 	old.finder.set(d)
 	next.finder.set(d)
 	to := func(i *instance) route.Forward {
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -66,15 +66,15 @@
 	is.Equal(blocked.problem(t).Reason, "blocked")
 	is.True(blocked.header.Get("Retry-After") != "")
 
-	two.front.Merge(one.front.Blocks())
+	two.front.MergeCrashRecords(one.front.CrashRecords())
 	is.Equal(do(t, post(is, two.callers.URL+"/oddaja/x", "poison")).problem(t).Reason, "blocked")
 	is.Equal(do(t, post(is, two.callers.URL+"/oddaja/x", "bread")).outcome(), caller.Ran)
 	is.Equal(deaths(), int32(2))
 
-	is.NoErr(two.front.Lift([]string{two.front.Blocks()[0].Fingerprint.String()}))
+	is.NoErr(two.front.SetLiftedBlocks([]string{two.front.CrashRecords()[0].Fingerprint.String()}))
 	do(t, post(is, two.callers.URL+"/oddaja/x", "poison"))
 	is.Equal(deaths(), int32(3))
-	is.True(two.front.Lift([]string{"no print"}) != nil)
+	is.True(two.front.SetLiftedBlocks([]string{"no print"}) != nil)
 }
 
 // The same with an idempotent request, which the gate itself would try again: it stops
@@ -113,7 +113,7 @@
 		is.Equal(got.problem(t).Reason, "server-lost")
 		i.settled()
 	}
-	is.Equal(len(i.front.Blocks()), 0)
+	is.Equal(len(i.front.CrashRecords()), 0)
 }
 
 // The same with an idempotent request, which the gate tries again: the server closed two
--- a/internal/front/fault_test.go
+++ b/internal/front/fault_test.go
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	var seen atomic.Int32
 	holder := &rightHolder{}
-	i := start(t, "one", func(d *Deps) { d.Right = holder })
+	i := start(t, "one", func(d *Deps) { d.Authorizer = holder })
 	begun := make(chan struct{}, 1)
 	d := here(testService(), backend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -212,7 +212,7 @@
 	r := post(is, i.callers.URL+"/oddaja/x", "text")
 	go func() {
 		<-begun
-		i.front.RightLost("oddaja", "oddaja-a")
+		i.front.LeaseLost("oddaja", "oddaja-a")
 	}()
 	is.Equal(do(t, r).outcome(), caller.Unknown)
 	is.Equal(seen.Load(), int32(1))
@@ -221,7 +221,7 @@
 // rightHolder is a Right that tests take away.
 type rightHolder struct{ fault atomic.Bool }
 
-func (r *rightHolder) Begin(Approach) (Work, error) {
+func (r *rightHolder) Begin(Attempt) (Work, error) {
 	if r.fault.Load() {
 		return nil, errors.New("lapsed")
 	}
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	i := &instance{finder: &finder{}}
 	transport := &http.Transport{}
-	d := Deps{Instance: name, Domain: "klet", Finder: i.finder, Forward: transport, ForwardScheme: "http"}
+	d := Deps{Instance: name, Domain: "klet", Finder: i.finder, ForwardTransport: transport, ForwardScheme: "http"}
 	if change != nil {
 		change(&d)
 	}
@@ -97,10 +97,10 @@
 		t.Fatal(err)
 	}
 	i.front = f
-	i.callers = httptest.NewUnstartedServer(f.Callers())
+	i.callers = httptest.NewUnstartedServer(f.CallerHandler())
 	i.callers.Config.ConnState = i.count
 	i.callers.Start()
-	i.forwards = httptest.NewServer(f.Forwards())
+	i.forwards = httptest.NewServer(f.ForwardHandler())
 	t.Cleanup(func() {
 		i.callers.Close()
 		f.Close()
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -167,7 +167,7 @@
 	}
 	r.front.meters.forwarded.Add(1)
 	defer r.front.nextSpan(ctx, spanForward, address, out.Header)()
-	response, err := r.front.deps.Forward.RoundTrip(out)
+	response, err := r.front.deps.ForwardTransport.RoundTrip(out)
 	if err != nil {
 		return nil, connected.Load(), errors.Join(errForward, err)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -24,23 +24,23 @@
 // ErrDeps is returned by New when a dependency is missing.
 var ErrDeps = errors.New("front: missing dependency")
 
-// Right is this instance's right to send work to backend servers as their gate.
-type Right interface {
+// Authorizer is this instance's right to send work to backend servers as their gate.
+type Authorizer interface {
 	// Begin returns nil if the server may be sent the request at this moment. It is called
 	// immediately before each write to a server. The Work is ended when the server is done.
-	Begin(a Approach) (Work, error)
+	Begin(a Attempt) (Work, error)
 }
 
-// Approach is a request that is about to be written to a server.
-type Approach struct {
+// Attempt is a request that is about to be written to a server.
+type Attempt struct {
 	Service string
 	Server  string
 	Hash    uint64
 	// Divided says that each key of the service has one owner.
 	Divided bool
-	// Checks says that the server itself checks grants.
-	Checks     bool
-	Idempotent bool
+	// ChecksGrants says that the server itself checks grants.
+	ChecksGrants bool
+	Idempotent   bool
 }
 
 // Work is a request that was written to a server.
@@ -49,18 +49,18 @@
 	End()
 }
 
-// Witness is the memory that one other instance of the domain keeps of non-idempotent
+// Replicator is the memory that one other instance of the domain keeps of non-idempotent
 // requests at this gate, so that the loss of one instance loses none.
-type Witness interface {
-	// Begin returns nil when one other instance remembers the mark, or when the domain has no
+type Replicator interface {
+	// Replicate returns nil when one other instance remembers the mark, or when the domain has no
 	// other instance. It is called before the first byte is written to a server.
-	Begin(ctx context.Context, m policy.IdempotencyRecord) error
-	// End tells the outcome to the instance that remembers the mark. It does not wait.
-	End(m policy.IdempotencyRecord)
-	// Recall returns the marks that the other instances of the domain hold for a range of a
+	Replicate(ctx context.Context, m policy.IdempotencyRecord) error
+	// ReplicateOutcome tells the outcome to the instance that remembers the mark. It does not wait.
+	ReplicateOutcome(m policy.IdempotencyRecord)
+	// Recover returns the marks that the other instances of the domain hold for a range of a
 	// service. Each mark is held by two instances, so one instance may fail to answer; an
 	// error says that more did.
-	Recall(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
+	Recover(ctx context.Context, service string, r keys.Range) ([]policy.IdempotencyRecord, error)
 }
 
 // Deps is what a Front depends on. Instance, Domain, Finder and Forward are required.
@@ -69,25 +69,25 @@
 	Instance string
 	Domain   string
 	Finder   route.Finder
-	// Home returns the destination of a named, non-idempotent request to a service that is
+	// FindHome returns the destination of a named, non-idempotent request to a service that is
 	// not divided: the gate in the domain that policy.Home names for the hash of the id, so
 	// that a resend through any domain meets the memory of the first sending. Nil means
 	// Finder.Find.
-	Home func(service string, hash uint64) route.Destination
-	// Right is asked before each write to a server. Nil means that it is always held.
-	Right Right
-	// Witness is nil when there is no other instance.
-	Witness Witness
-	// Forward carries requests to other instances, at URLs with ForwardScheme, https if empty.
-	Forward       http.RoundTripper
-	ForwardScheme string
+	FindHome func(service string, hash uint64) route.Destination
+	// Authorizer is asked before each write to a server. Nil means that it is always held.
+	Authorizer Authorizer
+	// Replicator is nil when there is no other instance.
+	Replicator Replicator
+	// ForwardTransport carries requests to other instances, at URLs with ForwardScheme, https if empty.
+	ForwardTransport http.RoundTripper
+	ForwardScheme    string
 	// CallerHeader names the request header that identifies a caller. Empty means the remote
 	// address.
 	CallerHeader string
 	// Hint returns the last reported load of a server; it breaks ties only.
 	Hint func(service, server string) float64
-	// Ran is told of each request that ran, for the load of ranges.
-	Ran func(service, server string, hash uint64, d time.Duration)
+	// ObserveRun is told of each request that ran, for the load of ranges.
+	ObserveRun func(service, server string, hash uint64, d time.Duration)
 	// Tracer makes a span for each hop. Nil means none.
 	Tracer trace.Tracer
 	Log    *log.Logger
@@ -119,7 +119,7 @@
 
 // New returns the request path of one instance.
 func New(d Deps) (*Front, error) {
-	if d.Finder == nil || d.Forward == nil || d.Instance == "" || d.Domain == "" {
+	if d.Finder == nil || d.ForwardTransport == nil || d.Instance == "" || d.Domain == "" {
 		return nil, fmt.Errorf("%w: Instance, Domain, Finder and Forward are required", ErrDeps)
 	}
 	if d.Log == nil {
@@ -142,12 +142,12 @@
 	return f, nil
 }
 
-// Callers returns the handler for callers: /{service}/{rest...}.
-func (f *Front) Callers() http.Handler { return f.callers }
+// CallerHandler returns the handler for callers: /{service}/{rest...}.
+func (f *Front) CallerHandler() http.Handler { return f.callers }
 
-// Forwards returns the handler for requests that other instances forward. Only instances may
+// ForwardHandler returns the handler for requests that other instances forward. Only instances may
 // reach it: it believes their headers.
-func (f *Front) Forwards() http.Handler { return f.forwards }
+func (f *Front) ForwardHandler() http.Handler { return f.forwards }
 
 // GateMoved says that another instance is the gate of a server now. What runs goes on to its
 // end, what waits is looked up anew, and what was recalled for the server is recalled anew before it serves again.
@@ -158,9 +158,9 @@
 	}
 }
 
-// RightLost says that the right to send to a server that checks nothing has ended. All
+// LeaseLost says that the right to send to a server that checks nothing has ended. All
 // connections to it are closed at once, since another gate may use the server by now.
-func (f *Front) RightLost(service, server string) {
+func (f *Front) LeaseLost(service, server string) {
 	if s := f.known(service); s != nil {
 		s.unrecall(server)
 		s.cut(server)
@@ -170,8 +170,8 @@
 // Ready reports whether the balancer should send callers here.
 func (f *Front) Ready() bool { return !f.draining.Load() }
 
-// Refuse makes Ready report false. Requests are served as before.
-func (f *Front) Refuse() { f.draining.Store(true) }
+// SetNotReady makes Ready report false. Requests are served as before.
+func (f *Front) SetNotReady() { f.draining.Store(true) }
 
 // Drain refuses readiness and returns when no request is in flight, or with the context's
 // error. Requests that still come are served: the balancer's view lags.
@@ -187,9 +187,9 @@
 	}
 }
 
-// Marks returns what this instance remembers of requests in a range of a service, for
+// Records returns what this instance remembers of requests in a range of a service, for
 // another instance's Recall.
-func (f *Front) Marks(service string, r keys.Range) []policy.IdempotencyRecord {
+func (f *Front) Records(service string, r keys.Range) []policy.IdempotencyRecord {
 	s := f.known(service)
 	if s == nil {
 		return nil
@@ -199,14 +199,14 @@
 	return s.core.Records(f.now(), r)
 }
 
-// Witnessed takes in a mark for which another instance's Begin or End asks. It reports false
+// AddRecord takes in a mark for which another instance's Begin or End asks. It reports false
 // when there is no room for it.
-func (f *Front) Witnessed(m policy.IdempotencyRecord) bool {
+func (f *Front) AddRecord(m policy.IdempotencyRecord) bool {
 	return f.service(m.Service).adopt(m)
 }
 
-// Blocks returns what is known of requests that may crash servers, for the other instances.
-func (f *Front) Blocks() []policy.CrashRecord {
+// CrashRecords returns what is known of requests that may crash servers, for the other instances.
+func (f *Front) CrashRecords() []policy.CrashRecord {
 	var blocks []policy.CrashRecord
 	for _, s := range f.all() {
 		s.mu.Lock()
@@ -216,8 +216,8 @@
 	return blocks
 }
 
-// Merge takes in the Blocks of another instance.
-func (f *Front) Merge(blocks []policy.CrashRecord) {
+// MergeCrashRecords takes in the Blocks of another instance.
+func (f *Front) MergeCrashRecords(blocks []policy.CrashRecord) {
 	for _, b := range blocks {
 		s := f.service(b.Service)
 		s.mu.Lock()
@@ -226,9 +226,9 @@
 	}
 }
 
-// Lift replaces the set of blocked requests that operators let pass: the lifted-blocks of the
+// SetLiftedBlocks replaces the set of blocked requests that operators let pass: the lifted-blocks of the
 // bundle in force. Text that is no print is ignored and reported.
-func (f *Front) Lift(texts []string) error {
+func (f *Front) SetLiftedBlocks(texts []string) error {
 	var faults []error
 	prints := make([]policy.Fingerprint, 0, len(texts))
 	for _, text := range texts {
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add("", "", "", "", "", "", "", "/oddaja", false)
 	f.Add(strings.Repeat("k", 2000), strings.Repeat("i", 200), "-1", "yes", "256", "0", "zz", "//", true)
 	f.Add("k", "i", "9223372036854775807", "TRUE", "+1", "1e3", "", "/a%2Fb/%", false)
-	front, err := New(Deps{Instance: "one", Domain: "klet", Finder: &finder{}, Forward: http.DefaultTransport})
+	front, err := New(Deps{Instance: "one", Domain: "klet", Finder: &finder{}, ForwardTransport: http.DefaultTransport})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -34,7 +34,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, i := range d.instances {
-		if name != d.self && i.front.Witnessed(m) {
+		if name != d.self && i.front.AddRecord(m) {
 			d.told[m.RequestID] = i
 			return nil
 		}
@@ -46,7 +46,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i := d.told[m.RequestID]; i != nil {
-		i.front.Witnessed(m)
+		i.front.AddRecord(m)
 		delete(d.told, m.RequestID)
 	}
 }
@@ -55,7 +55,7 @@
 	var marks []policy.IdempotencyRecord
 	for name, i := range d.instances {
 		if name != d.self {
-			marks = append(marks, i.front.Marks(service, r)...)
+			marks = append(marks, i.front.Records(service, r)...)
 		}
 	}
 	return marks, nil
@@ -65,7 +65,7 @@
 func startDomain(t *testing.T, names ...string) map[string]*instance {
 	d := &domain{instances: map[string]*instance{}}
 	for _, name := range names {
-		d.instances[name] = start(t, name, func(deps *Deps) { deps.Witness = d.join(name) })
+		d.instances[name] = start(t, name, func(deps *Deps) { deps.Replicator = d.join(name) })
 	}
 	return d.instances
 }
@@ -289,8 +289,8 @@
 	}
 	klet.finder.set(a)
 	dvorana.finder.set(b)
-	klet.front.deps.Home = home("klet", dvorana)
-	dvorana.front.deps.Home = home("dvorana-a", klet)
+	klet.front.deps.FindHome = home("klet", dvorana)
+	dvorana.front.deps.FindHome = home("dvorana-a", klet)
 	for n := range 10 {
 		id := fmt.Sprint("id-", n)
 		for _, i := range []*instance{klet, dvorana} {
@@ -326,7 +326,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i := start(t, "one", func(d *Deps) { d.Witness = tt.witness })
+			i := start(t, "one", func(d *Deps) { d.Replicator = tt.witness })
 			i.finder.set(here(testService(), backend(t, echo)))
 			got := do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "x"))
 			is.Equal(got.status, http.StatusServiceUnavailable)
@@ -346,8 +346,8 @@
 	d := here(testService(), backend(t, echo))
 	makeGate(instances, "one", d)
 	gate := instances["one"].front
-	willing := gate.deps.Witness
-	gate.deps.Witness = refuser{recall: errors.New("cut off")}
+	willing := gate.deps.Replicator
+	gate.deps.Replicator = refuser{recall: errors.New("cut off")}
 	request := func(name string) *http.Request {
 		return post(is, instances[name].callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "evening")
 	}
@@ -356,6 +356,6 @@
 		is.Equal(refused.outcome(), caller.Unknown)
 		is.Equal(refused.header.Get(caller.HeaderUnsent), "true")
 	}
-	gate.deps.Witness = willing
+	gate.deps.Replicator = willing
 	is.Equal(do(t, request("three")).outcome(), caller.Ran)
 }
--- a/internal/front/recall.go
+++ b/internal/front/recall.go
@@ -46,7 +46,7 @@
 // recall makes sure that the memory holds what other instances know of a hash. The epoch
 // changes whenever the server gets or loses a range.
 func (s *service) recall(ctx context.Context, hash uint64, server string, epoch grant.Epoch) error {
-	witness := s.front.deps.Witness
+	witness := s.front.deps.Replicator
 	if witness == nil {
 		return nil
 	}
@@ -64,9 +64,9 @@
 
 // recallShard asks until all that is needed answered, or the context ends. In a planned move
 // the former gate answers within a few round trips.
-func (s *service) recallShard(ctx context.Context, witness Witness, k shard, epoch grant.Epoch) error {
+func (s *service) recallShard(ctx context.Context, witness Replicator, k shard, epoch grant.Epoch) error {
 	for {
-		marks, err := witness.Recall(ctx, s.name, k.hashes())
+		marks, err := witness.Recover(ctx, s.name, k.hashes())
 		if err == nil {
 			return s.remember(k, epoch, marks)
 		}
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -77,12 +77,12 @@
 	if _, fresh := known.(policy.Fresh); !fresh {
 		return j.answerKnown(w, known), true
 	}
-	if j.witness != "" && j.witness != j.front.deps.Instance || j.front.deps.Witness == nil {
+	if j.witness != "" && j.witness != j.front.deps.Instance || j.front.deps.Replicator == nil {
 		return nil, false
 	}
 	ctx, cancel := context.WithDeadline(j.Context(), j.front.at(j.deadline))
 	defer cancel()
-	if err := j.front.deps.Witness.Begin(ctx, j.mark(caller.Unknown, 0)); err != nil {
+	if err := j.front.deps.Replicator.Replicate(ctx, j.mark(caller.Unknown, 0)); err != nil {
 		j.service.forget(j.policy)
 		j.front.deps.Log.Warn("no-witness", "request", j.id, "service", j.service.name, "error", err)
 		return &refusal{
@@ -110,7 +110,7 @@
 // tellEnd tells the witness what became of the request.
 func (j *job) tellEnd(o caller.Outcome, status int) {
 	if j.told {
-		j.front.deps.Witness.End(j.mark(o, status))
+		j.front.deps.Replicator.ReplicateOutcome(j.mark(o, status))
 	}
 }
 
@@ -251,8 +251,8 @@
 		return j.refused(slot, response)
 	}
 	no, again := j.answer(w, slot, t, response)
-	if f.deps.Ran != nil {
-		f.deps.Ran(j.request.service, server, j.hash, time.Duration(f.now()-began))
+	if f.deps.ObserveRun != nil {
+		f.deps.ObserveRun(j.request.service, server, j.hash, time.Duration(f.now()-began))
 	}
 	return no, again
 }
@@ -264,17 +264,17 @@
 // gates would then send to two servers for one key, or run one request twice. It is called
 // when the connection is there, as opening one may take long.
 func (j *job) permit(t route.Target, work *Work) func() error {
-	if j.front.deps.Right == nil {
+	if j.front.deps.Authorizer == nil {
 		return nil
 	}
 	return func() error {
-		begun, err := j.front.deps.Right.Begin(Approach{
-			Service:    j.request.service,
-			Server:     t.Server.Name,
-			Hash:       j.hash,
-			Divided:    j.dest.Service.Divided,
-			Checks:     t.Server.ChecksGrants,
-			Idempotent: j.idempotent,
+		begun, err := j.front.deps.Authorizer.Begin(Attempt{
+			Service:      j.request.service,
+			Server:       t.Server.Name,
+			Hash:         j.hash,
+			Divided:      j.dest.Service.Divided,
+			ChecksGrants: t.Server.ChecksGrants,
+			Idempotent:   j.idempotent,
 		})
 		if err != nil {
 			return fmt.Errorf("%w: %w", errNoRight, err)
--- a/internal/front/serve.go
+++ b/internal/front/serve.go
@@ -71,10 +71,10 @@
 		return d
 	}
 	q.hash = keys.Hash(q.service, q.id)
-	if f.deps.Home == nil {
+	if f.deps.FindHome == nil {
 		return d
 	}
-	return f.deps.Home(q.service, q.hash)
+	return f.deps.FindHome(q.service, q.hash)
 }
 
 // divided reports whether a destination is in a divided service, or none at all.
--- a/internal/front/witness_test.go
+++ b/internal/front/witness_test.go
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			witness := &counter{}
-			gate := start(t, "gate", func(d *Deps) { d.Witness = witness })
+			gate := start(t, "gate", func(d *Deps) { d.Replicator = witness })
 			gate.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {})))
 			edge := start(t, "edge", func(d *Deps) { d.Domain = tt.domain })
 			edge.finder.set(route.Forward{Service: testService(), Domain: "klet", Addresses: []string{address(gate.forwards)}})
@@ -61,7 +61,7 @@
 // and every later one was refused as in progress.
 func TestUnsentRequestIsNotRemembered(t *testing.T) {
 	is := is.New(t)
-	gate := start(t, "gate", func(d *Deps) { d.Witness = &counter{} })
+	gate := start(t, "gate", func(d *Deps) { d.Replicator = &counter{} })
 	target := here(testService(), backend(t, func(http.ResponseWriter, *http.Request) {}))
 	gate.finder.set(route.Unavailable{Reason: route.ReasonNoOwner})
 	edge := start(t, "edge", nil)
@@ -72,7 +72,7 @@
 		return do(t, r)
 	}
 	is.Equal(send().outcome(), caller.Unknown)
-	is.Equal(len(edge.front.Marks("oddaja", keys.Full)), 0)
+	is.Equal(len(edge.front.Records("oddaja", keys.Full)), 0)
 	gate.finder.set(target)
 	is.Equal(send().outcome(), caller.Ran)
 }
--- a/internal/holder/cluster_test.go
+++ b/internal/holder/cluster_test.go
@@ -74,7 +74,7 @@
 func (c *storeClient) Append(ctx context.Context, topic, key string, value []byte, expectedEnd int64) (int64, error) {
 	c.cluster.delay()
 	if c.cut() {
-		duty.Pause(ctx, c.cluster.appendTimeout)
+		duty.Sleep(ctx, c.cluster.appendTimeout)
 		return 0, follow.ErrNotDone
 	}
 	if topic == ownersTopic && c.cluster.chance(c.cluster.lostAppends) {
@@ -189,7 +189,7 @@
 	tc.pending.Add(1)
 	go func() {
 		defer tc.pending.Done()
-		if duty.Pause(tc.ctx, d) {
+		if duty.Sleep(tc.ctx, d) {
 			do()
 		}
 	}()
@@ -274,7 +274,7 @@
 	defer close(n.done)
 	value, _ := entry.Encode()
 	enroll := func(ctx context.Context) error {
-		for duty.Pause(ctx, 300*time.Millisecond) {
+		for duty.Sleep(ctx, 300*time.Millisecond) {
 			if n.manager.Registered() {
 				continue
 			}
@@ -309,7 +309,7 @@
 // heartbeatLoop returns a loop that sends heartbeats, some of which are lost.
 func (n *instance) heartbeatLoop(incarnation uint64) func(context.Context) error {
 	return func(ctx context.Context) error {
-		for duty.Pause(ctx, 100*time.Millisecond) {
+		for duty.Sleep(ctx, 100*time.Millisecond) {
 			b := roster.Heartbeat{
 				Name: n.name, Incarnation: incarnation, Confirmed: n.manager.ConfirmedOffset(), Known: n.manager.View().End,
 				StoreOK: n.manager.StoreOK(), Failing: n.manager.Failing(),
--- a/internal/holder/lead.go
+++ b/internal/holder/lead.go
@@ -27,7 +27,7 @@
 		lm.leading.Store(leads)
 		lm.Roster.SetLeading(leads, now)
 		lm.LeadershipChanged(leads)
-		lm.Events.Note(event.Belief, "leading", "leads", leads, "offset", lm.view.get().End)
+		lm.Events.Record(event.StateChange, "leading", "leads", leads, "offset", lm.view.get().End)
 	}
 	lm.pruneMoves(lm.view.get())
 	if !leads {
@@ -53,7 +53,7 @@
 		return
 	}
 	lm.knownLeader = name
-	lm.Events.Note(event.Belief, "leader", "instance", name, "store-reached", lm.storeReachable.Load(), "entitled", lm.mayAct(),
+	lm.Events.Record(event.StateChange, "leader", "instance", name, "store-reached", lm.storeReachable.Load(), "entitled", lm.mayAct(),
 		"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 }
 
@@ -68,7 +68,7 @@
 		if p.SinceHeartbeat(now) < removalTimeout {
 			continue
 		}
-		lm.Events.Note(event.Belief, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
+		lm.Events.Record(event.StateChange, "instance-removed", "instance", p.Name, "silent-for", p.SinceHeartbeat(now))
 		e := p.Entry
 		e.Removed = true
 		if value, err := e.Encode(); err == nil {
@@ -95,7 +95,7 @@
 	startedAt := lm.Clock.Now()
 	offset, err := lm.Store.Append(ctx, lm.Topic, key, value, end)
 	if err != nil {
-		lm.Events.Note(event.Belief, "owners-not-written", "key", key, "as-of", end, "error", err)
+		lm.Events.Record(event.StateChange, "owners-not-written", "key", key, "as-of", end, "error", err)
 		lm.nextWriteAt = time.Now().Add(writeRetryDelay)
 		if !errors.Is(err, follow.ErrConflict) {
 			lm.storeReachable.Store(false)
@@ -160,7 +160,7 @@
 	next := shard.Plan(in)
 	if next != nil {
 		took, uses := time.Since(startedAt), shard.ServerLoads(in)
-		lm.Events.Note(event.Belief, "planned", "service", service, "took", took, "servers", len(uses),
+		lm.Events.Record(event.StateChange, "planned", "service", service, "took", took, "servers", len(uses),
 			"uses", fmt.Sprintf("%.3v", uses[:min(len(uses), maxLoggedServers)]))
 	}
 	return next
@@ -345,7 +345,7 @@
 func (lm *Manager) writeOwners(ctx context.Context, service string, from, to *shard.Map) {
 	value, err := to.Encode()
 	if err != nil {
-		lm.Events.Note(event.Belief, "owners-not-written", "service", service, "error", err)
+		lm.Events.Record(event.StateChange, "owners-not-written", "service", service, "error", err)
 		return
 	}
 	lm.plannedAt = time.Now()
@@ -355,7 +355,7 @@
 	lm.recordDecided(service, from, to)
 	offset := lm.view.get().End - 1
 	lm.BroadcastOwners(service, offset, to.Fence, to.Changes(from))
-	lm.Events.Note(event.Belief, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
+	lm.Events.Record(event.StateChange, "owners-written", "service", service, "offset", offset, "fence", to.Fence,
 		"ranges", len(to.Ranges), "changes", describeChanges(from, to))
 	lm.completedMoves = slices.DeleteFunc(lm.completedMoves, func(c completedMove) bool { return c.service == service })
 }
--- a/internal/holder/move.go
+++ b/internal/holder/move.go
@@ -164,7 +164,7 @@
 			if h != "" {
 				handover = h
 			}
-			lm.Events.Note(event.Belief, "right-ended", "service", service, "from", r.From, "to", r.To,
+			lm.Events.Record(event.StateChange, "right-ended", "service", service, "from", r.From, "to", r.To,
 				"server", former.Server, "fence", r.Fence, "how", how, "took", time.Since(startedAt))
 		}()
 	}
@@ -227,7 +227,7 @@
 			released <- handover
 			return
 		}
-		duty.Pause(ctx, orderRetryDelay)
+		duty.Sleep(ctx, orderRetryDelay)
 	}
 }
 
@@ -258,7 +258,7 @@
 		if lm.Roster.HalfConfirmed(p.offset, since) {
 			staleUntil = min(staleUntil, lm.Clock.Now().Add(time.Duration(float64(lm.Roster.ContactTimeout())*maxClockDrift)))
 		}
-		if !duty.Pause(ctx, tickInterval) {
+		if !duty.Sleep(ctx, tickInterval) {
 			return false
 		}
 	}
@@ -275,7 +275,7 @@
 		if left <= 0 {
 			return true
 		}
-		if !duty.Pause(ctx, left) {
+		if !duty.Sleep(ctx, left) {
 			return false
 		}
 	}
@@ -291,7 +291,7 @@
 	for ctx.Err() == nil {
 		s, found := lm.Servers()[r.Server]
 		if !found {
-			if !duty.Pause(ctx, orderRetryDelay) {
+			if !duty.Sleep(ctx, orderRetryDelay) {
 				return
 			}
 			continue
@@ -301,11 +301,11 @@
 		switch {
 		case err == nil && !granted:
 			granted, delay = true, renewInterval
-			lm.Events.Note(event.Belief, "moved", "service", service, "from", r.From, "to", r.To, "server", r.Server,
+			lm.Events.Record(event.StateChange, "moved", "service", service, "from", r.From, "to", r.To, "server", r.Server,
 				"fence", r.Fence, "handover", handover != "", "took", time.Since(startedAt))
 			lm.completions <- completedMove{service, r.From, r.Fence}
 		case err != nil:
-			lm.Events.Note(event.Belief, "first-grant-failed", "server", r.Server, "fence", r.Fence, "error", err)
+			lm.Events.Record(event.StateChange, "first-grant-failed", "server", r.Server, "fence", r.Fence, "error", err)
 		}
 		if errors.Is(err, ErrFenced) {
 			return
@@ -313,10 +313,10 @@
 		if errors.Is(err, context.Canceled) {
 			// A later record that changed other keys of the server canceled the grant. The move is still
 			// right, and its keys have no owner until it is granted, so retry without orderRetryDelay.
-			duty.Pause(ctx, verifyInterval)
+			duty.Sleep(ctx, verifyInterval)
 			continue
 		}
-		duty.Pause(ctx, delay)
+		duty.Sleep(ctx, delay)
 	}
 }
 
--- a/internal/holder/register.go
+++ b/internal/holder/register.go
@@ -29,7 +29,7 @@
 	follows, err := lm.view.applyRegister(records)
 	switch {
 	case err != nil:
-		lm.Events.Note(event.Belief, "register-malformed", "offset", records[0].Offset, "error", err)
+		lm.Events.Record(event.StateChange, "register-malformed", "offset", records[0].Offset, "error", err)
 	case !follows:
 		lm.RereadOwners()
 	default:
@@ -55,7 +55,7 @@
 			break
 		}
 		if _, err := roster.Decode(r.Value); len(r.Value) > 0 && err != nil {
-			lm.Events.Note(event.Belief, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
+			lm.Events.Record(event.StateChange, "register-not-told", "key", r.Key, "offset", r.Offset, "error", err)
 			break
 		}
 		records = append(records, r)
--- a/internal/holder/renew.go
+++ b/internal/holder/renew.go
@@ -189,7 +189,7 @@
 	switch {
 	case err == nil:
 		if r.failures >= maxRenewalFailures {
-			lm.Events.Note(event.Belief, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.answeredAt))
+			lm.Events.Record(event.StateChange, "server-regained", "server", r.server.ID, "silent-for", time.Since(r.answeredAt))
 			lm.SendHeartbeat()
 		}
 		r.failures, r.fencedSince, r.answeredAt = 0, 0, time.Now()
@@ -198,12 +198,12 @@
 		if errors.Is(err, ErrUnverified) {
 			r.dueAt = time.Now().Add(tickInterval)
 		}
-		lm.Events.Note(event.Belief, "renewal-withheld", "server", r.server.ID, "reason", err,
+		lm.Events.Record(event.StateChange, "renewal-withheld", "server", r.server.ID, "reason", err,
 			"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 		return false
 	}
 	r.failures++
-	lm.Events.Note(event.Belief, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
+	lm.Events.Record(event.StateChange, "renewal-failed", "server", r.server.ID, "failures", r.failures, "error", err)
 	if r.failures == maxRenewalFailures {
 		lm.SendHeartbeat()
 	}
@@ -229,7 +229,7 @@
 	lm := r.manager
 	if r.fencedSince == 0 {
 		r.fencedSince = lm.Clock.Now()
-		lm.Events.Note(event.Belief, "renewal-fenced", "server", r.server.ID,
+		lm.Events.Record(event.StateChange, "renewal-fenced", "server", r.server.ID,
 			"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 	}
 	return lm.view.currentAt(r.fencedSince.Add(maxRecordDelay))
--- a/internal/holder/run.go
+++ b/internal/holder/run.go
@@ -206,7 +206,7 @@
 	if !lm.view.replace(peer) {
 		return
 	}
-	lm.Events.Note(event.Belief, "owners-adopted", "offset", peer.End, "known-before", before.End)
+	lm.Events.Record(event.StateChange, "owners-adopted", "offset", peer.End, "known-before", before.End)
 	lm.viewChanged(before)
 }
 
@@ -245,9 +245,9 @@
 	if (u.Err == nil) != lm.storeReachable.Load() {
 		lm.storeReachable.Store(u.Err == nil)
 		if u.Err == nil {
-			lm.Events.Note(event.Belief, "owners-regained", "offset", u.End)
+			lm.Events.Record(event.StateChange, "owners-regained", "offset", u.End)
 		} else {
-			lm.Events.Note(event.Belief, "owners-unread", "error", u.Err, "knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
+			lm.Events.Record(event.StateChange, "owners-unread", "error", u.Err, "knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 		}
 	}
 	if u.Err != nil {
@@ -256,7 +256,7 @@
 	before := lm.view.get()
 	changed, faults := lm.view.applyUpdate(u)
 	for _, err := range faults {
-		lm.Events.Note(event.Belief, "owners-malformed", "error", err)
+		lm.Events.Record(event.StateChange, "owners-malformed", "error", err)
 	}
 	if !changed {
 		return
@@ -345,7 +345,7 @@
 // wait for the store, and leases would expire meanwhile.
 func (lm *Manager) renewLoop(ctx context.Context) error {
 	var set renewalSet
-	for duty.Pause(ctx, tickInterval) {
+	for duty.Sleep(ctx, tickInterval) {
 		if !lm.isStopping() {
 			lm.startDueRenewals(ctx, &set, time.Now())
 		}
--- a/internal/holder/verify.go
+++ b/internal/holder/verify.go
@@ -40,7 +40,7 @@
 				lm.ReadDirectory()
 			}
 		}
-		if !duty.Pause(ctx, verifyInterval) {
+		if !duty.Sleep(ctx, verifyInterval) {
 			return ErrUnverified
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -30,7 +30,7 @@
 	if len(p.Servers) == 0 {
 		return report, nil
 	}
-	duty.Pause(ctx, settle)
+	duty.Sleep(ctx, settle)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	runs, complete, err := fetchRuns(ctx, client, p.Servers)
 	if err != nil {
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -85,7 +85,7 @@
 // Check implements config.Checker and fills in what is unstated.
 func (p *Profile) Check(file string) error {
 	if field, found, mend := p.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
+		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
 	}
 	return nil
 }
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -66,7 +66,7 @@
 		if r.result == ResultRan || attempt > s.profile.Resend.Tries || p.direct || ctx.Err() != nil {
 			return to
 		}
-		duty.Pause(ctx, time.Duration(s.profile.Resend.WaitMillis)*time.Millisecond)
+		duty.Sleep(ctx, time.Duration(s.profile.Resend.WaitMillis)*time.Millisecond)
 		p.target = (p.target + 1) % len(s.profile.Entries)
 		start = time.Since(s.started)
 	}
--- a/internal/logcl/fuzz_test.go
+++ b/internal/logcl/fuzz_test.go
@@ -39,7 +39,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) })
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: handler}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: handler}})
 		var members map[string]any
 		_ = json.NewDecoder(bytes.NewReader(answer)).Decode(&members)
 		if _, err := client.Append(t.Context(), "id", nil); err == nil && len(members) == 0 {
--- a/internal/meter/control.go
+++ b/internal/meter/control.go
@@ -3,9 +3,9 @@
 
 import "expvar"
 
-// Control counts the traffic by which instances lead, agree and learn. The names of the
+// Counters counts the traffic by which instances lead, agree and learn. The names of the
 // variables are those of the fields in kebab case.
-type Control struct {
+type Counters struct {
 	all *expvar.Map
 
 	// ExchangesSent and ExchangesFailed count exchanges with servers and gates, ExchangeBytes
@@ -37,9 +37,9 @@
 	EventsDropped *expvar.Int
 }
 
-// NewControl returns counters at zero, not published yet.
-func NewControl() *Control {
-	c := &Control{all: new(expvar.Map).Init()}
+// NewCounters returns counters at zero, not published yet.
+func NewCounters() *Counters {
+	c := &Counters{all: new(expvar.Map).Init()}
 	for name, into := range c.fields() {
 		*into = new(expvar.Int)
 		c.all.Set(name, *into)
@@ -48,11 +48,11 @@
 }
 
 // Var returns the counters as one variable.
-func (c *Control) Var() expvar.Var {
+func (c *Counters) Var() expvar.Var {
 	return c.all
 }
 
-func (c *Control) fields() map[string]**expvar.Int {
+func (c *Counters) fields() map[string]**expvar.Int {
 	return map[string]**expvar.Int{
 		"exchanges-sent":     &c.ExchangesSent,
 		"exchanges-failed":   &c.ExchangesFailed,
--- a/internal/node/admission_client.go
+++ b/internal/node/admission_client.go
@@ -220,5 +220,5 @@
 		return
 	}
 	n.unreachableLoggedAt[controller] = now
-	n.events.Note(event.Belief, "keeper-silent", "keeper", controller)
+	n.events.Record(event.StateChange, "keeper-silent", "keeper", controller)
 }
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -84,7 +84,7 @@
 			ad.recheck(c, id, now)
 		}
 		if n := c.Expired(); n > 0 {
-			ad.node.events.Note(event.Belief, "permits-expired", "pool", pool, "count", n)
+			ad.node.events.Record(event.StateChange, "permits-expired", "pool", pool, "count", n)
 		}
 	}
 	return waiting
@@ -97,7 +97,7 @@
 // slots of servers, and requests would be rejected there.
 func (ad *admissions) recheck(c *permit.Controller, id permit.ID, now time.Time) {
 	if !ad.node.roster.Reachable(id.From, now) {
-		ad.node.events.Note(event.Belief, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
+		ad.node.events.Record(event.StateChange, "permit-taken-back", "from", id.From, "serial", id.Serial, "reason", "instance-silent")
 		ad.deliver(c.Cancel(now, id))
 		return
 	}
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -18,7 +18,7 @@
 func (n *Node) broadcast(m gram.Message) {
 	data, err := gram.Encode(m)
 	if err != nil {
-		n.events.Note(event.Belief, "message-not-sent", "error", err)
+		n.events.Record(event.StateChange, "message-not-sent", "error", err)
 		return
 	}
 	direct, relays := n.roster.Relays(time.Now())
@@ -30,7 +30,7 @@
 func (n *Node) forward(from netip.AddrPort, m gram.Relay) {
 	inner, err := gram.Decode(m.Data)
 	if _, nested := inner.(gram.Relay); err != nil || nested {
-		n.events.Note(event.Belief, "message-malformed", "from", from, "error", err)
+		n.events.Record(event.StateChange, "message-malformed", "from", from, "error", err)
 		return
 	}
 	var peers []roster.Peer
@@ -92,7 +92,7 @@
 	case queue <- u:
 	default:
 		// The other instances learn from heartbeats that they are behind.
-		n.events.Note(event.Belief, "news-not-told", "topic", u.Topic, "end", u.End)
+		n.events.Record(event.StateChange, "news-not-told", "topic", u.Topic, "end", u.End)
 	}
 }
 
@@ -144,7 +144,7 @@
 		u.From = part.End
 		if i < len(parts)-1 {
 			// Without a pause, the next part would find the link full and be lost to all.
-			duty.Pause(ctx, partSpacing*n.sendTime(recordsSize(part.Records...)))
+			duty.Sleep(ctx, partSpacing*n.sendTime(recordsSize(part.Records...)))
 		}
 	}
 }
--- a/internal/node/catchup.go
+++ b/internal/node/catchup.go
@@ -33,7 +33,7 @@
 	for service, ranges := range view.Maps {
 		data, err := ranges.Encode()
 		if err != nil {
-			n.events.Note(event.Belief, "owners-not-told", "service", service, "error", err)
+			n.events.Record(event.StateChange, "owners-not-told", "service", service, "error", err)
 			return
 		}
 		snapshot.Maps[service] = data
@@ -41,7 +41,7 @@
 	for name, entry := range view.Instances {
 		data, err := entry.Encode()
 		if err != nil {
-			n.events.Note(event.Belief, "owners-not-told", "instance", name, "error", err)
+			n.events.Record(event.StateChange, "owners-not-told", "instance", name, "error", err)
 			return
 		}
 		snapshot.Instances[name] = data
@@ -55,7 +55,7 @@
 	for service, data := range m.Maps {
 		ranges, err := shard.Decode(data)
 		if err != nil {
-			n.events.Note(event.Belief, "owners-malformed", "service", service, "error", err)
+			n.events.Record(event.StateChange, "owners-malformed", "service", service, "error", err)
 			return
 		}
 		view.Maps[service] = ranges
@@ -63,7 +63,7 @@
 	for name, data := range m.Instances {
 		entry, err := roster.Decode(data)
 		if err != nil {
-			n.events.Note(event.Belief, "owners-malformed", "instance", name, "error", err)
+			n.events.Record(event.StateChange, "owners-malformed", "instance", name, "error", err)
 			return
 		}
 		view.Instances[name] = entry
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -111,7 +111,7 @@
 		return
 	}
 	c.config.Store(cfg)
-	c.events.Note(event.Belief, "configuration", "version", cfg.Version, "hosts", len(cfg.Hosts), "services", len(cfg.Services))
+	c.events.Record(event.StateChange, "configuration", "version", cfg.Version, "hosts", len(cfg.Hosts), "services", len(cfg.Services))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.publish()
@@ -125,7 +125,7 @@
 	now := time.Now()
 	if u.Err != nil {
 		if !c.storeDown {
-			c.events.Note(event.Belief, "directory-unread", "error", u.Err)
+			c.events.Record(event.StateChange, "directory-unread", "error", u.Err)
 		}
 		c.storeDown = true
 		return false
@@ -133,7 +133,7 @@
 	if c.storeDown {
 		c.storeDown = false
 		c.missingUntil = now.Add(entryReturnTime)
-		c.events.Note(event.Belief, "directory-regained", "offset", u.End)
+		c.events.Record(event.StateChange, "directory-regained", "offset", u.End)
 	}
 	leaveBy := now.Add(c.drainTime - age)
 	c.directory.apply(u, now, leaveBy, decode)
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -54,7 +54,7 @@
 			// Another writer stored this entry. It describes no usable server, and does not mean that the server of that
 			// name is gone: the last valid entry holds until the server writes another one or its entry is removed.
 			// Otherwise anyone who can write an entry could take a working server out.
-			d.events.Note(event.Belief, "entry-malformed", "server", r.Key, "offset", r.Offset, "error", err)
+			d.events.Record(event.StateChange, "entry-malformed", "server", r.Key, "offset", r.Offset, "error", err)
 			continue
 		}
 		if d.put(r, s, now, leaveBy, !grouped) {
@@ -88,7 +88,7 @@
 	}
 	maps.DeleteFunc(d.servers, func(id string, s rules.Server) bool {
 		if s.StartedAt == 0 {
-			d.events.Note(event.Belief, "entry-malformed", "server", id, "error", "no start, though most servers state theirs")
+			d.events.Record(event.StateChange, "entry-malformed", "server", id, "error", "no start, though most servers state theirs")
 		}
 		return s.StartedAt == 0
 	})
@@ -108,7 +108,7 @@
 	}
 	for at, members := range ids {
 		slices.Sort(members)
-		d.events.Note(event.Belief, "servers", "service", at.service, "domain", at.domain, "count", len(members),
+		d.events.Record(event.StateChange, "servers", "service", at.service, "domain", at.domain, "count", len(members),
 			"servers", strings.Join(members, ","), "offset", offset)
 	}
 }
@@ -119,14 +119,14 @@
 func (d *directory) put(r follow.Record, s rules.Server, now, leaveBy time.Time, logNew bool) (joined bool) {
 	old, known := d.newest[r.Key]
 	if known && older(s, old) {
-		d.events.Note(event.Belief, "entry-outdated", "server", s.ID, "known", old.ID, "sequence", s.Sequence,
+		d.events.Record(event.StateChange, "entry-outdated", "server", s.ID, "known", old.ID, "sequence", s.Sequence,
 			"sequence-known", old.Sequence, "offset", r.Offset)
 		return false
 	}
 	if known && old.ID != s.ID {
 		// The previous incarnation has ended, whatever its entry said: it cannot be reached any more.
 		if _, found := d.servers[old.ID]; found {
-			d.events.Note(event.Belief, "server-started-again", "server", s.ID, "before", old.ID, "offset", r.Offset)
+			d.events.Record(event.StateChange, "server-started-again", "server", s.ID, "before", old.ID, "offset", r.Offset)
 		}
 		delete(d.servers, old.ID)
 	}
@@ -139,7 +139,7 @@
 		}
 	}
 	if changed := known && old.Draining != s.Draining; changed || !known && (logNew || s.Draining) {
-		d.events.Note(event.Belief, "server", "server", s.ID, "service", s.Service, "address", s.Address,
+		d.events.Record(event.StateChange, "server", "server", s.ID, "service", s.Service, "address", s.Address,
 			"domain", s.Domain, "draining", s.Draining, "leave-in", s.LeavesIn(now), "warm-in", s.WarmAt.Sub(now),
 			"offset", r.Offset)
 	}
@@ -189,7 +189,7 @@
 	for name := range d.missing {
 		id := d.newest[name].ID
 		if s, known := d.servers[id]; known {
-			d.events.Note(event.Belief, "server-gone", "server", id, "service", s.Service)
+			d.events.Record(event.StateChange, "server-gone", "server", id, "service", s.Service)
 			delete(d.servers, id)
 		}
 		delete(d.missing, name)
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -50,7 +50,7 @@
 		return false
 	}
 	e.active[domain] = evacuation{record: r, knownAt: now, closeAt: closeAt}
-	e.events.Note(event.Belief, "evacuation", "domain", domain, "close-in", closeAt.Sub(now), "offset", r.Offset)
+	e.events.Record(event.StateChange, "evacuation", "domain", domain, "close-in", closeAt.Sub(now), "offset", r.Offset)
 	return true
 }
 
@@ -65,7 +65,7 @@
 	}
 	delete(e.active, domain)
 	e.ended[domain] = now
-	e.events.Note(event.Belief, "evacuation-ended", "domain", domain, "took", now.Sub(known.knownAt), "emptied", known.empty, "offset", offset)
+	e.events.Record(event.StateChange, "evacuation-ended", "domain", domain, "took", now.Sub(known.knownAt), "emptied", known.empty, "offset", offset)
 	return true
 }
 
@@ -155,9 +155,9 @@
 		}
 		rest := remainingIn(domain)
 		if v.empty = rest == (remaining{}); v.empty {
-			c.events.Note(event.Belief, "domain-empty", "domain", domain, "took", now.Sub(v.knownAt))
+			c.events.Record(event.StateChange, "domain-empty", "domain", domain, "took", now.Sub(v.knownAt))
 		} else if now.After(v.closeAt) && now.Sub(v.closeAt) < checkInterval {
-			c.events.Note(event.Belief, "domain-not-empty", "domain", domain, "requests", rest.requests, "keys", rest.keys)
+			c.events.Record(event.StateChange, "domain-not-empty", "domain", domain, "requests", rest.requests, "keys", rest.keys)
 		}
 		c.evacuations.active[domain] = v
 	}
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -92,7 +92,7 @@
 	if u.Topic == n.platform.OwnersTopic {
 		age = n.leases.Age()
 	}
-	n.events.Note(event.Belief, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
+	n.events.Record(event.StateChange, "store-read", "topic", u.Topic, "reason", u.Reason, "from", u.From, "end", u.End,
 		"records", len(u.Records), "wait", u.WaitDeadline.Sub(u.StartedAt), "took", u.EndedAt.Sub(u.StartedAt),
 		"knowledge-age", age, "error", u.Err)
 }
@@ -110,7 +110,7 @@
 	now := n.currentReach()
 	if now != n.loggedReach {
 		n.loggedReach = now
-		n.events.Note(event.Belief, "store-reached", "owners", now.owners, "directory", now.directory)
+		n.events.Record(event.StateChange, "store-reached", "owners", now.owners, "directory", now.directory)
 	}
 }
 
@@ -123,7 +123,7 @@
 	if u.StartedAt != 0 {
 		from, took = "store", clock.Boot{}.Now().Sub(u.StartedAt)
 	}
-	n.events.Note(event.Belief, "directory-news", "from", from, "records", len(u.Records), "whole", u.Snapshot, "overdue", u.Overdue,
+	n.events.Record(event.StateChange, "directory-news", "from", from, "records", len(u.Records), "whole", u.Snapshot, "overdue", u.Overdue,
 		"took", took, "age", n.updateAge(u), "end", u.End)
 }
 
@@ -157,7 +157,7 @@
 // applyConfigTopic applies the evacuations and the configuration in an update of ConfigTopic.
 func (n *Node) applyConfigTopic(u follow.Update) {
 	if u.Err != nil {
-		n.events.Note(event.Belief, "configuration-unread", "error", u.Err)
+		n.events.Record(event.StateChange, "configuration-unread", "error", u.Err)
 		return
 	}
 	changed := n.cluster.applyEvacuations(u, n.updateAge(u), n.platform.DecodeEvacuation)
@@ -167,7 +167,7 @@
 		}
 		c, err := n.platform.DecodeConfig(r.Value)
 		if err != nil {
-			n.events.Note(event.Belief, "configuration-malformed", "offset", r.Offset, "error", err)
+			n.events.Record(event.StateChange, "configuration-malformed", "offset", r.Offset, "error", err)
 			continue
 		}
 		n.cluster.applyConfig(c)
@@ -311,7 +311,7 @@
 			_ = c.Close()
 			return
 		}
-		n.events.Note(event.Belief, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
+		n.events.Record(event.StateChange, "server-lost-in-request", "print", print, "server", s.ID, "error", err)
 		n.suspects.RecordCrash(print, s.ID, time.Now())
 		n.broadcast(gram.CrashReport{Fingerprint: print, Server: s.ID})
 	}()
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -204,7 +204,7 @@
 	if !n.lag[topic].observe(peerEnd, ownEnd, n.lagTimeout(), now) {
 		return false
 	}
-	n.events.Note(event.Belief, "behind", "topic", topic, "known", ownEnd, "known-elsewhere", peerEnd)
+	n.events.Record(event.StateChange, "behind", "topic", topic, "known", ownEnd, "known-elsewhere", peerEnd)
 	n.requestRead(topic)
 	return true
 }
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -187,7 +187,7 @@
 			return ctx.Err()
 		}
 		if lost, failed := n.port.Dropped.Swap(0), n.port.Failed.Swap(0); lost+failed > 0 {
-			n.events.Note(event.Belief, "messages-lost", "lost", lost, "failed", failed)
+			n.events.Record(event.StateChange, "messages-lost", "lost", lost, "failed", failed)
 		}
 		reports := n.loadTracker.flush(n.settings.Name)
 		for _, service := range n.cluster.dividedServices() {
--- a/internal/node/moves.go
+++ b/internal/node/moves.go
@@ -39,7 +39,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		duty.Pause(ctx, time.Duration(n.instances())*gatherDelayPerInstance)
+		duty.Sleep(ctx, time.Duration(n.instances())*gatherDelayPerInstance)
 		for len(n.completedMoves) > 0 && len(ranges) < maxCompletedMoves {
 			ranges = append(ranges, <-n.completedMoves)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -243,12 +243,12 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	n.events.Note(event.Belief, "start", "instance", n.settings.Name, "domain", n.settings.Domain,
+	n.events.Record(event.StateChange, "start", "instance", n.settings.Name, "domain", n.settings.Domain,
 		"incarnation", n.incarnation, "first-start", n.settings.FirstStart)
 	// Time limits detect callers that vanish. TCP keep-alive would cost four system calls per
 	// connection.
 	listener := net.ListenConfig{KeepAlive: -1}
-	front, err := listener.Listen(ctx, "tcp4", n.settings.Front)
+	front, err := listener.Listen(ctx, "tcp4", n.settings.CallerAddress)
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
@@ -283,7 +283,7 @@
 		case end := <-group.Ends():
 			ended++
 			if end.Err != nil {
-				n.events.Note(event.Belief, "duty-failed", "duty", end.Name, "error", end.Err)
+				n.events.Record(event.StateChange, "duty-failed", "duty", end.Name, "error", end.Err)
 				err = errors.Join(err, fmt.Errorf("node: worker %s: %w", end.Name, end.Err))
 			}
 			running = false
@@ -295,7 +295,7 @@
 // reload handles SIGHUP. It only logs it: the settings do not change while the process runs, and the configuration
 // comes from the store.
 func (n *Node) reload() {
-	n.events.Note(event.Belief, "reload", "instance", n.settings.Name)
+	n.events.Record(event.StateChange, "reload", "instance", n.settings.Name)
 }
 
 // entry returns the record of this instance for the register.
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -101,7 +101,7 @@
 // heartbeatsFromOthers gives an instance heartbeats of all others, which know no more than it does, until the context
 // ends.
 func (n *Node) heartbeatsFromOthers(ctx context.Context) error {
-	for duty.Pause(ctx, 200*time.Millisecond) {
+	for duty.Sleep(ctx, 200*time.Millisecond) {
 		for _, p := range n.roster.Others() {
 			n.roster.RecordHeartbeat(roster.Heartbeat{Name: p.Name, Incarnation: 1}, time.Now())
 		}
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -56,13 +56,13 @@
 func (n *Node) registerLoop(ctx context.Context) error {
 	var r registration
 	following := false
-	for ; ctx.Err() == nil; duty.Pause(ctx, registerInterval) {
+	for ; ctx.Err() == nil; duty.Sleep(ctx, registerInterval) {
 		switch {
 		case following && n.isStopping():
 		case r.due(n.leases.Registered(), time.Now()):
 			err := n.appendEntry(ctx, false)
 			if err != nil {
-				n.events.Note(event.Belief, "not-registered", "error", err)
+				n.events.Record(event.StateChange, "not-registered", "error", err)
 			}
 			if !r.attempted(err, time.Now()) {
 				continue
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -36,7 +36,7 @@
 // stop ends the instance gracefully: it reports that it is not ready, hands its responsibilities over, takes requests
 // until the load balancer has removed it, and answers what is in progress.
 func (n *Node) stop(ctx context.Context, front net.Listener) {
-	n.events.Note(event.Belief, "stop", "instance", n.settings.Name, "busy", n.inlet.InFlight())
+	n.events.Record(event.StateChange, "stop", "instance", n.settings.Name, "busy", n.inlet.InFlight())
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
@@ -56,7 +56,7 @@
 		n.inlet.Finish()
 	}
 	n.recordEnd(ctx, deadline.Add(stopReserve/2))
-	n.events.Note(event.Belief, "stopped", "instance", n.settings.Name, "busy", n.inlet.InFlight(), "took", time.Since(began))
+	n.events.Record(event.StateChange, "stopped", "instance", n.settings.Name, "busy", n.inlet.InFlight(), "took", time.Since(began))
 }
 
 // recordEnd writes to the register that this instance ends. It gives up at a deadline, soon after which the process
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	if err := n.appendEntry(ctx, true); err != nil {
-		n.events.Note(event.Belief, "end-not-recorded", "error", err)
+		n.events.Record(event.StateChange, "end-not-recorded", "error", err)
 	}
 }
 
@@ -83,7 +83,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return serveHTTP(ctx, n.settings.Ready, mux)
+	return serveHTTP(ctx, n.settings.ReadinessAddress, mux)
 }
 
 // serveMetrics serves counters and latencies, as text at /metrics and as JSON at /debug/vars.
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -47,7 +47,7 @@
 	offset, err := s.Store.Append(ctx, topic, key, value, asOf)
 	took := clock.Boot{}.Now().Sub(begun)
 	s.times.Record("append "+topic, took)
-	s.events.Note(event.Belief, "store-append", "topic", topic, "key", key, "bytes", len(value), "as-of", asOf,
+	s.events.Record(event.StateChange, "store-append", "topic", topic, "key", key, "bytes", len(value), "as-of", asOf,
 		"offset", offset, "took", took, "error", err)
 	return offset, err
 }
--- a/internal/proof/system_test.go
+++ b/internal/proof/system_test.go
@@ -202,7 +202,7 @@
 		for _, b := range v.Servers {
 			settings.Servers = append(settings.Servers, stand.ServerSettings{
 				Name: b.Name, Service: v.Name, Domain: b.Domain, Address: b.Address, ChecksGrants: b.ChecksGrants,
-				Slots: b.Slots, RunMillis: 1, LeaseMaxMillis: 1200,
+				Slots: b.Slots, RunMillis: 1, MaxLeaseMillis: 1200,
 			})
 		}
 	}
--- a/internal/replay/codec.go
+++ b/internal/replay/codec.go
@@ -14,8 +14,8 @@
 // maxLine bounds the length of one line of a trace in bytes.
 const maxLine = 1 << 20
 
-// Stamped is an event with its time.
-type Stamped struct {
+// TimedEvent is an event with its time.
+type TimedEvent struct {
 	At    Time
 	Event Event
 }
@@ -35,10 +35,10 @@
 
 // Read reads a trace of JSON lines. It checks that the header comes first, that time does
 // not go back and that the trace ends.
-func Read(r io.Reader) ([]Stamped, error) {
+func Read(r io.Reader) ([]TimedEvent, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 1<<16), maxLine)
-	var trace []Stamped
+	var trace []TimedEvent
 	for number := 1; lines.Scan(); number++ {
 		var l line
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
@@ -51,7 +51,7 @@
 		if last := len(trace) - 1; last >= 0 && l.At < trace[last].At {
 			return nil, fmt.Errorf("%w: line %d: time goes back", ErrTrace, number)
 		}
-		trace = append(trace, Stamped{At: l.At, Event: ev})
+		trace = append(trace, TimedEvent{At: l.At, Event: ev})
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrTrace, err)
@@ -60,7 +60,7 @@
 }
 
 // check looks at what holds for a trace as a whole.
-func check(trace []Stamped) error {
+func check(trace []TimedEvent) error {
 	if len(trace) == 0 {
 		return fmt.Errorf("%w: empty", ErrTrace)
 	}
@@ -98,7 +98,7 @@
 }
 
 // Write writes a trace as JSON lines.
-func Write(w io.Writer, trace []Stamped) error {
+func Write(w io.Writer, trace []TimedEvent) error {
 	encoder := json.NewEncoder(w)
 	for _, s := range trace {
 		if err := encoder.Encode(lineOf(s)); err != nil {
@@ -109,7 +109,7 @@
 }
 
 // lineOf returns the line of an event.
-func lineOf(s Stamped) line {
+func lineOf(s TimedEvent) line {
 	l := line{At: s.At}
 	switch ev := s.Event.(type) {
 	case Header:
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -43,7 +43,7 @@
 }
 
 // Run plays a trace and returns the report.
-func Run(trace []Stamped, methods []Method) (Report, error) {
+func Run(trace []TimedEvent, methods []Method) (Report, error) {
 	p := &player{
 		methods:   methods,
 		tallies:   map[string][]*tally{},
@@ -64,7 +64,7 @@
 }
 
 // namesOf returns the keys of each service in a trace by hash.
-func namesOf(trace []Stamped) map[string]map[uint64]string {
+func namesOf(trace []TimedEvent) map[string]map[uint64]string {
 	names := map[string]map[uint64]string{}
 	seen := map[others]bool{}
 	for _, s := range trace {
--- a/internal/replay/recipe.go
+++ b/internal/replay/recipe.go
@@ -13,8 +13,8 @@
 // Recipe makes a trace from a seed.
 type Recipe struct {
 	Name string
-	// Story says what happens in the trace.
-	Story string
+	// Description says what happens in the trace.
+	Description string
 	// Deployments are those that the recipe is made for.
 	Deployments []string
 	make        func(m *maker)
@@ -31,24 +31,24 @@
 	both := []string{"rokopisna", "uva"}
 	return []Recipe{
 		{Name: "busy-volume", Deployments: []string{"rokopisna"}, make: busyVolume,
-			Story: "One hour; the pages of one parish volume draw up to a third of all requests, then fade."},
+			Description: "One hour; the pages of one parish volume draw up to a third of all requests, then fade."},
 		{Name: "hotel-season", Deployments: []string{"uva"}, make: hotelSeason,
-			Story: "Four hours; requests triple while a few cheeses become popular and stay so."},
+			Description: "Four hours; requests triple while a few cheeses become popular and stay so."},
 		{Name: "coming-and-going", Deployments: both, make: comingAndGoing,
-			Story: "A day; each server stops three times, half of them lost without notice, and returns cold within minutes."},
+			Description: "A day; each server stops three times, half of them lost without notice, and returns cold within minutes."},
 		{Name: "rolling-replacement", Deployments: both, make: rollingReplacement,
-			Story: "Each server in turn leaves, is replaced after 30 s and returns cold; four minutes for each."},
+			Description: "Each server in turn leaves, is replaced after 30 s and returns cold; four minutes for each."},
 		{Name: "domain-cut", Deployments: both, make: domainCut,
-			Story: "Three hours; the first domain is cut off for two, and loses a server meanwhile."},
+			Description: "Three hours; the first domain is cut off for two, and loses a server meanwhile."},
 		{Name: "log-down", Deployments: both, make: logDown,
-			Story: "Two hours; the log is down for one, in which the second domain loses its leader and a server at once."},
+			Description: "Two hours; the log is down for one, in which the second domain loses its leader and a server at once."},
 		{Name: "hot-shift", Deployments: both, make: hotShift,
-			Story: "Two hours; a set of 24 hot keys is replaced each four minutes."},
+			Description: "Two hours; a set of 24 hot keys is replaced each four minutes."},
 	}
 }
 
-// Make makes the trace of a recipe for a deployment.
-func Make(recipe, deployed string, seed uint64) ([]Stamped, error) {
+// Generate makes the trace of a recipe for a deployment.
+func Generate(recipe, deployed string, seed uint64) ([]TimedEvent, error) {
 	at := slices.IndexFunc(Recipes(), func(r Recipe) bool { return r.Name == recipe })
 	if at < 0 {
 		return nil, fmt.Errorf("%w: %q", ErrRecipe, recipe)
@@ -65,7 +65,7 @@
 	m.add(0, Header{Deployment: d.name, Recipe: recipe, Seed: seed, OneWayMicros: d.oneWayMicros})
 	m.add(0, Bundled{Bundle: d.bundle()})
 	r.make(m)
-	slices.SortStableFunc(m.trace, func(a, b Stamped) int { return int(a.At - b.At) })
+	slices.SortStableFunc(m.trace, func(a, b TimedEvent) int { return int(a.At - b.At) })
 	return m.trace, nil
 }
 
@@ -73,11 +73,11 @@
 type maker struct {
 	deployment deployment
 	random     *rand.Rand
-	trace      []Stamped
+	trace      []TimedEvent
 }
 
 func (m *maker) add(at Time, ev Event) {
-	m.trace = append(m.trace, Stamped{At: at, Event: ev})
+	m.trace = append(m.trace, TimedEvent{At: at, Event: ev})
 }
 
 // hotKey is a hot key with its part of all requests of its service.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			deployed, recipe, _ := strings.Cut(name, "-")
-			trace, err := Make(recipe, deployed, 1)
+			trace, err := Generate(recipe, deployed, 1)
 			is.NoErr(err)
 			var made bytes.Buffer
 			is.NoErr(Write(&made, trace))
@@ -136,20 +136,20 @@
 func TestSingleRequestsCount(t *testing.T) {
 	is := is.New(t)
 	d := uva()
-	trace := []Stamped{
+	trace := []TimedEvent{
 		{Event: Header{Deployment: d.name, OneWayMicros: d.oneWayMicros}},
 		{Event: Bundled{Bundle: d.bundle()}},
 		{Event: Requests{Service: "stockbook", SpanMillis: 10_000, Counts: map[string]int{"a": 1}}},
 		{At: 500, Event: Requests{Service: "stockbook", SpanMillis: 10_000, Counts: map[string]int{"b": 1}}},
 	}
 	for i := range 18 {
-		trace = append(trace, Stamped{At: 20_000, Event: Server{Name: d.services[0].serverName(i), State: StateLost}})
+		trace = append(trace, TimedEvent{At: 20_000, Event: Server{Name: d.services[0].serverName(i), State: StateLost}})
 	}
 	trace = append(trace,
-		Stamped{At: 50_000, Event: Server{Name: "stockbook-00", State: StateUp}},
-		Stamped{At: 50_000, Event: Server{Name: "stockbook-01", State: StateUp}},
-		Stamped{At: 50_000, Event: Server{Name: "stockbook-02", State: StateUp}},
-		Stamped{At: 60_000, Event: Ended{}})
+		TimedEvent{At: 50_000, Event: Server{Name: "stockbook-00", State: StateUp}},
+		TimedEvent{At: 50_000, Event: Server{Name: "stockbook-01", State: StateUp}},
+		TimedEvent{At: 50_000, Event: Server{Name: "stockbook-02", State: StateUp}},
+		TimedEvent{At: 60_000, Event: Ended{}})
 	report, err := Run(trace, DefaultMethods())
 	is.NoErr(err)
 	is.Equal(report.Services[0].Keys, 2)
--- a/internal/stand/direct.go
+++ b/internal/stand/direct.go
@@ -9,14 +9,14 @@
 // errBroken is what the caller of an aborted handler sees.
 var errBroken = errors.New("stand: connection broken")
 
-// Direct is an http.RoundTripper that calls a handler without sockets, so that a test can run
+// HandlerTransport is an http.RoundTripper that calls a handler without sockets, so that a test can run
 // on a fake clock. An aborted handler is a broken connection.
-type Direct struct {
+type HandlerTransport struct {
 	Handler http.Handler
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d Direct) RoundTrip(r *http.Request) (resp *http.Response, err error) {
+func (d HandlerTransport) RoundTrip(r *http.Request) (resp *http.Response, err error) {
 	recorder := httptest.NewRecorder()
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/stand/guard.go
+++ b/internal/stand/guard.go
@@ -64,6 +64,6 @@
 		Server:      s.Name,
 		Incarnation: rand.Uint64() | 1,
 		Clock:       grant.NewClock(),
-		MaxLease:    time.Duration(s.LeaseMaxMillis) * time.Millisecond,
+		MaxLease:    time.Duration(s.MaxLeaseMillis) * time.Millisecond,
 	})}
 }
--- a/internal/stand/instances_test.go
+++ b/internal/stand/instances_test.go
@@ -20,7 +20,7 @@
 		first := listcl.Instance{Name: "a", Incarnation: 1}
 		second := listcl.Instance{Name: "a", Incarnation: 2}
 		service := stand.NewInstanceList(stand.ListSettings{LagMillis: 3000, Instances: []listcl.Instance{first}}, nil)
-		client := listcl.New("http://list", &http.Client{Transport: stand.Direct{Handler: service}})
+		client := listcl.New("http://list", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 		is.NoErr(client.Register(t.Context(), second))
 		is.NoErr(client.Gone(t.Context(), first))
 		time.Sleep(3*time.Second - time.Nanosecond)
--- a/internal/stand/logservice_test.go
+++ b/internal/stand/logservice_test.go
@@ -37,7 +37,7 @@
 				is := is.New(t)
 				service := stand.NewLogService(test.settings)
 				service.SetFault(test.fault)
-				client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+				client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				var err error
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 		start := time.Now()
 		time.AfterFunc(time.Second, func() { _, _ = client.Append(context.Background(), "a", []byte("x")) })
 		batch, err := client.Read(t.Context(), 0, 10)
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := stand.NewLogService(stand.LogSettings{})
-		client := logcl.New("http://log", &http.Client{Transport: stand.Direct{Handler: service}})
+		client := logcl.New("http://log", &http.Client{Transport: stand.HandlerTransport{Handler: service}})
 		for range 2 {
 			_, err := client.Append(t.Context(), "a", nil)
 			is.NoErr(err)
--- a/internal/stand/settings.go
+++ b/internal/stand/settings.go
@@ -55,8 +55,8 @@
 	ColdMillis int64 `json:"cold-ms,omitempty"`
 	// LoadLagMillis is how old what the load endpoint shows may be.
 	LoadLagMillis int64 `json:"load-lag-ms,omitempty"`
-	// LeaseMaxMillis is the farthest grant deadline that the server accepts, 10000 if unstated.
-	LeaseMaxMillis int64 `json:"lease-max-ms,omitempty"`
+	// MaxLeaseMillis is the farthest grant deadline that the server accepts, 10000 if unstated.
+	MaxLeaseMillis int64 `json:"lease-max-ms,omitempty"`
 }
 
 // The values of what is left unstated.
@@ -70,7 +70,7 @@
 // Check implements config.Checker and fills in what is unstated.
 func (s *Settings) Check(file string) error {
 	if field, found, mend := s.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Mend: mend}
+		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 	}
 	s.Slots = cmp.Or(s.Slots, defaultSlots)
 	s.Queue = cmp.Or(s.Queue, defaultQueue)
-	s.LeaseMaxMillis = cmp.Or(s.LeaseMaxMillis, defaultLeaseMax)
+	s.MaxLeaseMillis = cmp.Or(s.MaxLeaseMillis, defaultLeaseMax)
 	return "", "", ""
 }
 
