--- a/internal/entry/core.go
+++ b/internal/entry/core.go
@@ -13,8 +13,8 @@
 // tickInterval is how often the leader core checks its deadlines.
 const tickInterval = 20 * time.Millisecond
 
-// heldInterval is how often the homes core is told which ranges this instance holds, in addition
-// to the report before each of its events.
+// heldInterval is how often the ranges that this instance holds are reported to the homes core, in
+// addition to the report before each of its events.
 const heldInterval = 100 * time.Millisecond
 
 // event is an input of the worker that runs the cores: a leaderEvent or a homesEvent. The set is
@@ -89,8 +89,8 @@
 	e.leadership.heartbeat.Store(&heartbeat)
 }
 
-// reportHeldRanges tells the homes core which ranges of each divided service this instance holds
-// as leader, or that it does not lead.
+// reportHeldRanges reports to the homes core which ranges of each divided service this instance
+// holds as leader, or that it does not lead.
 func (e *Entry) reportHeldRanges() {
 	term, leads := e.leaderCore.LogTerm()
 	b := e.state.bundle()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -83,7 +83,7 @@
 	loads      *loadCounter
 	reports    *loadReports
 	list       listTracker
-	// nextDomainsAt is when the homes core is next told which domains are reachable. Only the
+	// nextDomainsAt is when the reachable domains are next reported to the homes core. Only the
 	// heartbeat worker uses it.
 	nextDomainsAt leader.Time
 	front         *front.Front
--- a/internal/entry/gatelease.go
+++ b/internal/entry/gatelease.go
@@ -31,7 +31,7 @@
 	now       func() leader.Time
 }
 
-// Begin implements front.Right.
+// Begin implements front.Authorizer.
 //
 // A non-idempotent request is sent only under a valid gate lease. Otherwise a gate that was cut off
 // or paused could send a request after the next gate, which has no record of it, has already sent
--- a/internal/entry/heartbeats.go
+++ b/internal/entry/heartbeats.go
@@ -22,7 +22,7 @@
 	heartbeatTick           = 50 * time.Millisecond
 	fetchTimeout            = 2 * time.Second
 	heartbeatResultCapacity = 64
-	// domainsInterval is how often the homes core is told which domains are reachable: a tenth of
+	// domainsInterval is how often the reachable domains are reported to the homes core: a tenth of
 	// the time without heartbeats after which ranges of a domain may be freed.
 	domainsInterval = time.Second
 )
@@ -33,8 +33,8 @@
 	maxFullMesh = 16
 	// maxDelegates is the number of instances of each other domain that get heartbeats.
 	maxDelegates = 2
-	// maxHearsay is the maximum number of heartbeat counts of other instances in one heartbeat.
-	maxHearsay = 64
+	// maxGossip is the maximum number of heartbeat counts of other instances in one heartbeat.
+	maxGossip = 64
 	// listedNameTimeout is the time without a heartbeat of a process after which another process
 	// may take over its name while the platform's list still shows the old one.
 	listedNameTimeout = 3 * time.Second
--- a/internal/entry/instancestate.go
+++ b/internal/entry/instancestate.go
@@ -87,9 +87,9 @@
 	return h
 }
 
-// memberBeat returns the heartbeat of a sender with state s as an input of the membership core. self
-// is the process of the receiver.
-func (h Heartbeat) memberBeat(s InstanceState, self member.Process) member.Heartbeat {
+// memberHeartbeat returns the heartbeat of a sender with state s as an input of the membership core.
+// self is the process of the receiver.
+func (h Heartbeat) memberHeartbeat(s InstanceState, self member.Process) member.Heartbeat {
 	b := member.Heartbeat{
 		Instance: s.memberInstance(),
 		Count:    h.Count,
--- a/internal/entry/logworker.go
+++ b/internal/entry/logworker.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// handleFolded handles one log entry that the reader has applied to its state or refused.
+// handleFolded handles one log entry that the reader has applied to its state or rejected.
 func (w *logWorker) handleFolded(ctx context.Context, f logcl.EntryApplied) {
-	if v, refused := f.Result.(fold.Rejected); refused {
+	if v, rejected := f.Result.(fold.Rejected); rejected {
 		w.entry.meter.RecordsRefused.Add(1)
 		w.entry.deps.Logger.Warn("record-refused", "offset", v.Offset, "cause", v.Cause, "reason", v.Reason)
 	}
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -126,7 +126,7 @@
 	if !found {
 		return s, false, false
 	}
-	p.membership.Handle(now, member.HeartbeatReceived{Heartbeat: h.memberBeat(s, p.process), IsReply: isAnswer})
+	p.membership.Handle(now, member.HeartbeatReceived{Heartbeat: h.memberHeartbeat(s, p.process), IsReply: isAnswer})
 	if !p.membership.IsCurrent(s.memberInstance().Process) {
 		return s, false, false
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -64,7 +64,7 @@
 		MaxFullMesh:         maxFullMesh,
 		ContactsPerDomain:   maxDelegates,
 		ReplaceDelay:        listedNameTimeout,
-		MaxGossip:           maxHearsay,
+		MaxGossip:           maxGossip,
 	})
 	for _, seed := range self.Peers {
 		p.add(seed)
@@ -145,13 +145,14 @@
 
 // acceptsWork reports whether work may be sent to an instance: it is not leaving, and heartbeats with
 // it succeed in both directions. LinkNone is accepted as well: in a large domain most instances are
-// not in direct contact and are known to be live by hearsay only.
+// not in direct contact and are known to be live only from the heartbeats of others.
 func acceptsWork(l member.LiveInstance) bool {
 	return !l.Leaving && (l.Link == member.LinkBoth || l.Link == member.LinkNone)
 }
 
-// recentInDomain returns the clients of the other instances of this domain that were heard within
-// the recoveryWindow, so that their records may still be needed, in the order of their names.
+// recentInDomain returns the clients of the other instances of this domain, in the order of their
+// names, whose last heartbeat or answer arrived within recoveryWindow: their records may still be
+// needed.
 func (p *peers) recentInDomain(now time.Time) []*peer.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,13 +230,13 @@
 func (p *peers) reachableDomains() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var heard []string
+	var reachable []string
 	for _, d := range p.membership.View().Domains {
 		if len(d.Reachable) > 0 {
-			heard = append(heard, d.Name)
+			reachable = append(reachable, d.Name)
 		}
 	}
-	return heard
+	return reachable
 }
 
 // bundleVersions returns the lowest and highest bundle version in force in each domain, sorted by
--- a/internal/entry/recordholders.go
+++ b/internal/entry/recordholders.go
@@ -123,7 +123,7 @@
 func (e *Entry) handleReplicateBatch(_ context.Context, c ReplicateBatchCall) (Empty, error) {
 	for _, r := range c.Records {
 		if !e.front.AddRecord(r) {
-			return Empty{}, errMemoryFull
+			return Empty{}, errTableFull
 		}
 	}
 	return Empty{}, nil
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -50,19 +50,19 @@
 func TestRecoverFromRestartedProcesses(t *testing.T) {
 	tests := map[string]struct {
 		// restarted are the hosts that were killed and restarted, down those that were killed. If
-		// heard is true, the asker has received the state of the new processes.
+		// known is true, the asker has received the state of the new processes.
 		restarted, down []int
-		heard           bool
+		known           bool
 		wantErr         bool
 	}{
 		"nobody was lost":                       {},
 		"one is new":                            {restarted: []int{2}},
-		"one is new, and known":                 {restarted: []int{2}, heard: true},
+		"one is new, and known":                 {restarted: []int{2}, known: true},
 		"one is down":                           {down: []int{2}},
 		"both are new":                          {restarted: []int{2, 3}, wantErr: true},
-		"both are new, and known":               {restarted: []int{2, 3}, heard: true, wantErr: true},
+		"both are new, and known":               {restarted: []int{2, 3}, known: true, wantErr: true},
 		"one is new, the other down":            {restarted: []int{2}, down: []int{3}, wantErr: true},
-		"one is new, and known, the other down": {restarted: []int{2}, down: []int{3}, heard: true, wantErr: true},
+		"one is new, and known, the other down": {restarted: []int{2}, down: []int{3}, known: true, wantErr: true},
 		"both are down":                         {down: []int{2, 3}, wantErr: true},
 	}
 	network := 210
@@ -77,7 +77,7 @@
 			}
 			for _, host := range test.restarted {
 				processes[host] = s.newProcess(host, uint64(10+host))
-				if test.heard {
+				if test.known {
 					s.receiveState(processes[host], asker)
 				}
 			}
@@ -96,15 +96,15 @@
 }
 
 // An instance that has just started knows only the one that answers it. That one knows two processes
-// that were killed, so Recall must report that their records are lost.
+// that were killed, so Recover must report that their records are lost.
 func TestRecoverByRestartedProcess(t *testing.T) {
 	s := newSite(t, 230)
-	witness, killed := s.newProcess(1, 1), s.newProcess(3, 3)
-	s.receiveState(s.newProcess(2, 2), witness)
-	s.receiveState(killed, witness)
+	observer, killed := s.newProcess(1, 1), s.newProcess(3, 3)
+	s.receiveState(s.newProcess(2, 2), observer)
+	s.receiveState(killed, observer)
 	asker := s.newProcess(2, 12)
-	s.receiveState(witness, asker)
-	s.servePeers(witness)
+	s.receiveState(observer, asker)
+	s.servePeers(observer)
 	_, err := asker.replicator.Recover(t.Context(), service, keys.Full)
 	s.is.True(errors.Is(err, errUnrecoverable))
 }
--- a/internal/entry/replicator.go
+++ b/internal/entry/replicator.go
@@ -27,7 +27,8 @@
 	outcomeCapacity  = 4096
 	// maxOutcomeSenders is the maximum number of outcomes that are being sent at once.
 	maxOutcomeSenders = 8
-	// recoveryWindow is how long after it was last heard an instance is asked for its records.
+	// recoveryWindow is how long after its last heartbeat or answer an instance is asked for its
+	// records.
 	recoveryWindow = 10 * time.Minute
 	// maxLostHolders is the maximum number of processes whose records may be lost: two processes hold
 	// each record.
@@ -36,7 +37,7 @@
 
 // Errors of the replication of idempotency records.
 var (
-	errMemoryFull    = errors.New("entry: no room for another idempotency record")
+	errTableFull     = errors.New("entry: no room for another idempotency record")
 	errUnrecoverable = errors.New("entry: processes that may hold idempotency records did not answer")
 	errFormerGate    = errors.New("entry: the former gate may still send requests")
 )
@@ -67,7 +68,7 @@
 
 // replicator keeps a copy of each idempotency record at one other instance of the domain. The record
 // of a non-idempotent request prevents a retry from running the request twice. The replicator
-// implements front.Witness.
+// implements front.Replicator.
 type replicator struct {
 	peers     *peers
 	gateGains *gateGains
@@ -86,8 +87,8 @@
 	return &replicator{peers: p, gateGains: g, replaced: replaced, state: s, outcomes: make(chan policy.IdempotencyRecord, outcomeCapacity), logger: l}
 }
 
-// Replicate implements front.Witness. A hash of the record selects the instance that gets the copy. If
-// that one does not answer, the next one in the order of names gets it.
+// Replicate implements front.Replicator. A hash of the record selects the instance that gets the copy.
+// If that one does not answer, the next one in the order of names gets it.
 func (r *replicator) Replicate(ctx context.Context, rec policy.IdempotencyRecord) error {
 	others := r.peers.liveInDomain()
 	if len(others) == 0 {
@@ -115,8 +116,8 @@
 	return err
 }
 
-// ReplicateOutcome implements front.Witness. It drops the outcome if the channel is full. The copy then still
-// says that the outcome is unknown, which is safe.
+// ReplicateOutcome implements front.Replicator. It drops the outcome if the channel is full. The copy
+// then still says that the outcome is unknown, which is safe.
 func (r *replicator) ReplicateOutcome(rec policy.IdempotencyRecord) {
 	select {
 	case r.outcomes <- rec:
@@ -148,8 +149,8 @@
 	}
 }
 
-// Recover implements front.Witness. It returns an error while a former gate of a server of the
-// service may still send requests: of a request that it is about to send there is no record yet.
+// Recover implements front.Replicator. It returns an error while a former gate of a server of the
+// service may still send requests: a request that it is about to send may have no record yet.
 // This ends when the former gate reports the current routing table, or when its lease has expired.
 func (r *replicator) Recover(ctx context.Context, service string, rng keys.Range) ([]policy.IdempotencyRecord, error) {
 	clients := r.peers.recentInDomain(time.Now())
@@ -198,7 +199,7 @@
 
 func (e *Entry) handleReplicate(_ context.Context, c ReplicateCall) (Empty, error) {
 	if !e.front.AddRecord(c.Record) {
-		return Empty{}, errMemoryFull
+		return Empty{}, errTableFull
 	}
 	return Empty{}, nil
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -49,8 +49,8 @@
 }
 
 // applyBundle installs a bundle received from another instance, as an update of the current one or
-// as a whole proof. Only the signatures are trusted, not the sender. It returns fold.ErrOlder if the
-// bundle is not newer.
+// as a whole proof. Only the signatures are trusted, not the sender. It returns fold.ErrNotNewer if
+// the bundle is not newer.
 func (s *state) applyBundle(push BundlePush) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
