--- a/internal/front/bench_test.go
+++ b/internal/front/bench_test.go
@@ -10,7 +10,7 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// smallAnswer responds with a few bytes, like a query of the stock.
+// smallAnswer responds with a few bytes.
 func smallAnswer(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "42 wheels of cheese")
 }
--- a/internal/front/crash_test.go
+++ b/internal/front/crash_test.go
@@ -60,8 +60,8 @@
 		do(t, post(is, one.callers.URL+"/oddaja/x", "poison", caller.HeaderRequestID, fmt.Sprint("id-", i)))
 		one.awaitIdle()
 	}
-	deaths := func() int32 { return a.crashes.Load() + b.crashes.Load() + c.crashes.Load() }
-	is.Equal(deaths(), int32(2))
+	totalCrashes := func() int32 { return a.crashes.Load() + b.crashes.Load() + c.crashes.Load() }
+	is.Equal(totalCrashes(), int32(2))
 	blocked := do(t, post(is, one.callers.URL+"/oddaja/x", "poison"))
 	is.Equal(blocked.outcome(), caller.NotRun)
 	is.Equal(blocked.problem(t).Reason, "blocked")
@@ -70,11 +70,11 @@
 	two.front.MergeCrashRecords(one.front.CrashRecords())
 	is.Equal(do(t, post(is, two.callers.URL+"/oddaja/x", "poison")).problem(t).Reason, "blocked")
 	is.Equal(do(t, post(is, two.callers.URL+"/oddaja/x", "bread")).outcome(), caller.Ran)
-	is.Equal(deaths(), int32(2))
+	is.Equal(totalCrashes(), int32(2))
 
 	is.NoErr(two.front.SetLiftedBlocks([]string{two.front.CrashRecords()[0].Fingerprint.String()}))
 	do(t, post(is, two.callers.URL+"/oddaja/x", "poison"))
-	is.Equal(deaths(), int32(3))
+	is.Equal(totalCrashes(), int32(3))
 	is.True(two.front.SetLiftedBlocks([]string{"no print"}) != nil)
 }
 
@@ -93,11 +93,11 @@
 		is.Equal(got.outcome(), want)
 		is.Equal(got.problem(t).Reason, "blocked")
 	}
-	deaths := int32(0)
+	totalCrashes := int32(0)
 	for _, s := range servers {
-		deaths += s.crashes.Load()
+		totalCrashes += s.crashes.Load()
 	}
-	is.Equal(deaths, int32(2))
+	is.Equal(totalCrashes, int32(2))
 }
 
 // A server closes the connection of each request without responding, but does not crash. The
--- a/internal/front/dedup_test.go
+++ b/internal/front/dedup_test.go
@@ -305,12 +305,14 @@
 }
 
 // failingReplicator is a Replicator that fails with the given errors.
-type failingReplicator struct{ begin, recall error }
+type failingReplicator struct{ replicateErr, recoverErr error }
 
-func (r failingReplicator) Replicate(context.Context, policy.IdempotencyRecord) error { return r.begin }
-func (r failingReplicator) ReplicateOutcome(policy.IdempotencyRecord)                 {}
+func (r failingReplicator) Replicate(context.Context, policy.IdempotencyRecord) error {
+	return r.replicateErr
+}
+func (r failingReplicator) ReplicateOutcome(policy.IdempotencyRecord) {}
 func (r failingReplicator) Recover(context.Context, string, keys.Range) ([]policy.IdempotencyRecord, error) {
-	return nil, r.recall
+	return nil, r.recoverErr
 }
 
 // An instance cannot reach the others of its domain. A deduplicated request must not run while no
@@ -322,8 +324,8 @@
 		want       caller.Outcome
 		reason     string
 	}{
-		"replication fails": {replicator: failingReplicator{begin: fault}, want: caller.NotRun, reason: "no-witness"},
-		"recovery fails":    {replicator: failingReplicator{recall: fault}, want: caller.Unknown, reason: "memory-incomplete"},
+		"replication fails": {replicator: failingReplicator{replicateErr: fault}, want: caller.NotRun, reason: "no-witness"},
+		"recovery fails":    {replicator: failingReplicator{recoverErr: fault}, want: caller.Unknown, reason: "memory-incomplete"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -349,7 +351,7 @@
 	makeGate(instances, "one", d)
 	gate := instances["one"].front
 	working := gate.deps.Replicator
-	gate.deps.Replicator = failingReplicator{recall: errors.New("cut off")}
+	gate.deps.Replicator = failingReplicator{recoverErr: errors.New("cut off")}
 	request := func(name string) *http.Request {
 		return post(is, instances[name].callers.URL+"/oddaja/x", "text", caller.HeaderRequestID, "evening")
 	}
--- a/internal/front/fault_test.go
+++ b/internal/front/fault_test.go
@@ -139,15 +139,15 @@
 // run.
 func TestFrozenServer(t *testing.T) {
 	is := is.New(t)
-	thaw := make(chan struct{})
+	unfreeze := make(chan struct{})
 	i := start(t, "one", nil)
-	i.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { <-thaw })))
+	i.finder.set(here(testService(), backend(t, func(http.ResponseWriter, *http.Request) { <-unfreeze })))
 	soon := strconv.FormatInt(time.Now().Add(100*time.Millisecond).UnixMilli(), 10)
 	got := do(t, post(is, i.callers.URL+"/oddaja/x", "text", caller.HeaderDeadline, soon))
 	is.Equal(got.status, http.StatusGatewayTimeout)
 	is.Equal(got.outcome(), caller.Unknown)
 	is.Equal(got.problem(t).Reason, "timeout")
-	close(thaw)
+	close(unfreeze)
 }
 
 // A caller cancels a request that was forwarded. The cancellation must reach the server.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -43,7 +43,7 @@
 	Hash uint64
 	// Divided says that each key of the service is owned by one server.
 	Divided bool
-	// ChecksGrants says that the server itself rejects requests for keys that it does not own.
+	// ChecksGrants says that the server itself refuses requests for keys that it does not own.
 	ChecksGrants bool
 	Idempotent   bool
 }
--- a/internal/front/resubmit_test.go
+++ b/internal/front/resubmit_test.go
@@ -101,7 +101,7 @@
 	broken := &breakingTransport{RoundTripper: &http.Transport{DisableKeepAlives: true}}
 	edge := start(t, "two", func(d *Deps) { d.ForwardTransport = broken })
 	old := start(t, "one", nil)
-	next := start(t, "three", func(d *Deps) { d.Replicator = failingReplicator{recall: errors.New("cut off")} })
+	next := start(t, "three", func(d *Deps) { d.Replicator = failingReplicator{recoverErr: errors.New("cut off")} })
 	old.finder.set(d)
 	next.finder.set(d)
 	to := func(i *instance) route.Forward {
--- a/internal/homes/bundle_test.go
+++ b/internal/homes/bundle_test.go
@@ -10,7 +10,7 @@
 )
 
 // A new bundle removes a server and changes no home. The leader must get this bundle too; if
-// it gets bundles only when homes change, the removed server goes on getting requests.
+// it gets bundles only when homes change, the removed server keeps getting requests.
 func TestLeaderLearnsOfEachBundle(t *testing.T) {
 	is := is.New(t)
 	c := New(DefaultConfig("badulla-hall"))
--- a/internal/homes/core.go
+++ b/internal/homes/core.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// trackHomes remembers when this instance first read each eviction of another domain and each
+// trackHomes records when this instance first read each eviction of another domain and each
 // notice. A domain that states its homes is alive, even if this instance cannot reach it.
 func (c *Core) trackHomes() {
 	for _, t := range c.homes {
--- a/internal/homes/world_test.go
+++ b/internal/homes/world_test.go
@@ -16,7 +16,7 @@
 )
 
 // world runs one core for each domain over one log in virtual time. Each domain does the
-// worst that it may: it serves what it is allowed at once, and goes on serving what it lost
+// worst that it may: it serves what it is allowed at once, and keeps serving what it lost
 // for the length of a lease, but no longer than IsolationTimeout after its last read of the
 // log.
 type world struct {
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -32,8 +32,9 @@
 	// gates has the instance that is the gate of each server, by the server's name.
 	gates map[string]string
 
-	// leaderHeardAt is when the leader was last heard, or when this instance last began to
-	// wait for a leader: at its start, when it stepped down, or when the log had a new term.
+	// leaderHeardAt is when the last heartbeat of the leader arrived, or when this instance
+	// last began to wait for a leader: at its start, when it stepped down, or when the log had
+	// a new term.
 	leaderHeardAt Time
 	leader        string
 	// resigned says that the last leader announced that it no longer leads.
@@ -59,6 +60,7 @@
 
 // peer is another instance of the domain.
 type peer struct {
+	// heardAt is when its last heartbeat arrived.
 	heardAt Time
 	leaving bool
 }
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -19,9 +19,9 @@
 	deadline Time
 }
 
-// tickFollower starts an election when no leader was heard for long enough. Each instance
-// waits longer than those before it in the order of names, so that usually only one claims a
-// term.
+// tickFollower starts an election when no heartbeat of a leader has arrived for too long. Each
+// instance waits longer than those before it in the order of names, so that usually only one
+// claims a term.
 func (c *Core) tickFollower() {
 	if c.stopping || len(c.services) == 0 {
 		return
--- a/internal/leader/instance_test.go
+++ b/internal/leader/instance_test.go
@@ -179,8 +179,8 @@
 	if n.w.layout.skipPreVote {
 		n.core.resigned = true
 	}
-	beat := n.core.Heartbeat()
-	n.handle(beat)
+	message := n.core.Heartbeat()
+	n.handle(message)
 	for _, o := range n.w.instances {
 		if o == n {
 			continue
@@ -188,7 +188,7 @@
 		generation := o.generation
 		n.w.send(n.name, o.name, func() {
 			if o.generation == generation && o.core != nil {
-				o.handle(beat)
+				o.handle(message)
 			}
 		})
 	}
--- a/internal/leader/placer_test.go
+++ b/internal/leader/placer_test.go
@@ -33,7 +33,7 @@
 	for _, home := range v.Homes {
 		for _, r := range keys.Split(home, p.slicesPerHome) {
 			server := ownerOf(v.Owned, r)
-			if _, fine := count[server]; !fine {
+			if _, accepts := count[server]; !accepts {
 				server = ""
 			}
 			if p.moveRandom != nil && !p.movesEnded() && p.moveRandom.IntN(6) == 0 {
--- a/internal/leader/scenario_test.go
+++ b/internal/leader/scenario_test.go
@@ -268,9 +268,9 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			sound := newWorld(1, tt.layout, "")
-			tt.script(sound)
-			is.Equal(sound.failure, "")
+			unmutated := newWorld(1, tt.layout, "")
+			tt.script(unmutated)
+			is.Equal(unmutated.failure, "")
 			broken := newWorld(1, tt.layout, tt.mutation)
 			tt.script(broken)
 			t.Log(broken.failure)
--- a/internal/leader/schedule_test.go
+++ b/internal/leader/schedule_test.go
@@ -32,10 +32,10 @@
 	if l.checking+l.unchecked < 2 {
 		l.checking += 2
 	}
-	restless := random.IntN(3) > 0
+	movesAtRandom := random.IntN(3) > 0
 	l.placer = func(w *world) place.Placer {
 		p := &slicePlacer{slicesPerHome: 8}
-		if restless {
+		if movesAtRandom {
 			p.moveRandom = w.random
 			p.movesEnded = func() bool { return !w.jitter }
 		}
--- a/internal/policy/core.go
+++ b/internal/policy/core.go
@@ -10,7 +10,7 @@
 )
 
 // RecordRetention is how long the idempotency record of a request is kept after the deadline
-// of the request. A resend within this time is recognised.
+// of the request. A resend within this time is recognized.
 const RecordRetention = 10 * time.Minute
 
 // The limits of a service whose bundle sets none.
@@ -141,8 +141,8 @@
 	return c.enqueue(now, r)
 }
 
-// blockedUntil returns when a blocked request may be sent again. This is after minRetryDelay if
-// the request is blocked only by pending losses.
+// blockedUntil returns when a blocked request may be sent again: when its crash record expires, but
+// not before minRetryDelay. A request that is blocked only by pending losses may have none.
 func (c *Core) blockedUntil(now Time, f Fingerprint) Time {
 	return max(c.time(c.crashes.BlockedUntil(f)), now.Add(minRetryDelay))
 }
--- a/internal/policy/record.go
+++ b/internal/policy/record.go
@@ -3,7 +3,7 @@
 import "example.org/mustardring/pkg/caller"
 
 // IdempotencyRecord says that a non-idempotent request was submitted and what came of it.
-// Instances exchange these records, so that a resend through any instance is recognised.
+// Instances exchange these records, so that a resend through any instance is recognized.
 type IdempotencyRecord struct {
 	Service   string `json:"service"`
 	RequestID ID     `json:"name"`
