--- a/internal/cmds/bundle_test.go
+++ b/internal/cmds/bundle_test.go
@@ -38,7 +38,7 @@
 	is.Equal(strings.Count(out.String(), "accepted\n"), 6)
 }
 
-// The log appends the record but its answer is lost, so the command retries. The operator then
+// The log appends the record but its response is lost, so the command retries. The operator then
 // repeats the command. The record must take effect once.
 func TestPublishAfterLostAnswer(t *testing.T) {
 	env := newOperatorEnv(t)
@@ -94,7 +94,7 @@
 }
 
 // A roll that was planned for another version in force is refused. A roll repeated after a lost
-// answer counts as accepted before.
+// response counts as accepted before.
 func TestRollRaceAndRepeat(t *testing.T) {
 	is := is.New(t)
 	env := newOperatorEnv(t)
--- a/internal/cmds/bundlefixture_test.go
+++ b/internal/cmds/bundlefixture_test.go
@@ -19,7 +19,7 @@
 type fakeLog struct {
 	entries []record.Entry
 	// failCalls is the number of calls that fail before anything is written. loseAnswers is the
-	// number of appends whose answer is lost after the record was written.
+	// number of appends whose response is lost after the record was written.
 	failCalls   int
 	loseAnswers int
 }
--- a/internal/cmds/bundlelog.go
+++ b/internal/cmds/bundlelog.go
@@ -144,7 +144,7 @@
 			continue
 		}
 		last, offset = r.result, r.entry.Offset
-		if _, refused := r.result.(fold.Rejected); !refused {
+		if _, rejected := r.result.(fold.Rejected); !rejected {
 			return last, offset
 		}
 	}
@@ -154,7 +154,7 @@
 // submit appends a record unless its statement has already taken effect, reads the log up to the
 // record, and returns the result of folding it and its offset.
 //
-// After a lost answer of the log, submit retries or the operator repeats the command, so that the
+// After a lost response of the log, submit retries or the operator repeats the command, so that the
 // record may be appended twice. The ID of the statement is the same each time, and the fold lets the
 // record take effect once.
 func (l *bundleLog) submit(ctx context.Context, st bundle.Statement, r record.Record) (fold.Result, uint64, error) {
@@ -163,7 +163,7 @@
 		return nil, 0, failed("%w", err)
 	}
 	if v, offset := l.outcome(st); v != nil {
-		if _, refused := v.(fold.Rejected); !refused {
+		if _, rejected := v.(fold.Rejected); !rejected {
 			return fold.Duplicate{}, offset, nil
 		}
 	}
--- a/internal/cmds/bundlesign.go
+++ b/internal/cmds/bundlesign.go
@@ -257,7 +257,7 @@
 }
 
 // replaces returns the version that the roll replaces. If the version to roll is already in force,
-// the command is being repeated after a lost answer, and must sign the same statement as before.
+// the command is being repeated after a lost response, and must sign the same statement as before.
 func (c *BundleRollCmd) replaces(s *fold.State) uint64 {
 	switch {
 	case c.Replaces != 0 || s.InForce == nil:
--- a/internal/cmds/load.go
+++ b/internal/cmds/load.go
@@ -13,7 +13,7 @@
 	"example.org/mustardring/internal/load"
 )
 
-// LoadCmd sends load to entry instances on this machine and checks the answers.
+// LoadCmd sends load to entry instances on this machine and checks the responses.
 type LoadCmd struct {
 	Profile string `required:"" help:"JSON file that describes the load." type:"path"`
 	Output  string `default:"table" enum:"table,json" help:"Format of the report."`
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -26,13 +26,13 @@
 	server string
 }
 
-// Audit compares the answers to callers with the requests that servers ran.
+// Audit compares the responses to callers with the requests that servers ran.
 type Audit struct {
 	// Complete says that every server still had all of its runs. If it is false, the other fields
 	// do not include runs that a server did not record.
 	Complete bool `json:"complete"`
 	// Ran, NotRun and Unknown count requests by what the caller knows after all submissions. Ran:
-	// at least one answer said ran. NotRun: every submission was answered not-run or was not sent.
+	// at least one response said ran. NotRun: every submission was answered not-run or was not sent.
 	// Unknown: all others.
 	Ran     int `json:"ran"`
 	NotRun  int `json:"not-run"`
@@ -48,7 +48,7 @@
 	Doubled      int `json:"doubled"`
 	// Overlaps counts runs that began while another server ran a request for the same key.
 	Overlaps int `json:"overlaps"`
-	// Crossed counts answers that belong to another request, and Cut truncated answers.
+	// Crossed counts responses that belong to another request, and Cut truncated responses.
 	Crossed int `json:"crossed"`
 	Cut     int `json:"cut"`
 	// Repeated counts idempotent requests that ran more than once, which is allowed.
@@ -60,7 +60,7 @@
 // maxExamples limits the examples of each kind of violation.
 const maxExamples = 5
 
-// Violations returns the number of violations. Truncated answers and allowed repetitions are none.
+// Violations returns the number of violations. Truncated responses and allowed repetitions are none.
 func (a *Audit) Violations() int {
 	return a.NotRunButRan + a.Lost + a.Doubled + a.Overlaps + a.Crossed
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,11 +13,11 @@
 	"github.com/google/uuid"
 )
 
-// settleDelay is the wait between the last answer and the audit, because requests that the sender
+// settleDelay is the wait between the last response and the audit, because requests that the sender
 // gave up on may still run.
 const settleDelay = 500 * time.Millisecond
 
-// Run sends the load of a profile that has passed Check, waits for all answers and audits them
+// Run sends the load of a profile that has passed Check, waits for all responses and audits them
 // against the runs of the servers. The error wraps ErrAudit if the runs could not be fetched, in
 // which case the report has no audit, and ErrViolations if the audit found violations.
 func Run(ctx context.Context, p *Profile) (*Report, error) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,8 +27,8 @@
 	if change != nil {
 		change(p)
 	}
-	if field, _, mend := p.check(); mend != "" {
-		panic(field + ": " + mend)
+	if field, _, fix := p.check(); fix != "" {
+		panic(field + ": " + fix)
 	}
 	return p
 }
@@ -104,8 +104,8 @@
 	return f(r)
 }
 
-// answer returns an answer to r as a stand-in server gives it, with the given outcome.
-func answer(r *http.Request, outcome caller.Outcome) *http.Response {
+// response returns a response to r as a stand-in server gives it, with the given outcome.
+func response(r *http.Request, outcome caller.Outcome) *http.Response {
 	body := fmt.Sprintf(`{"request-id":%q}`, r.Header.Get(caller.HeaderRequestID))
 	return &http.Response{
 		StatusCode: http.StatusOK,
@@ -127,7 +127,7 @@
 			if sent++; sent == 50 {
 				time.Sleep(time.Second)
 			}
-			return answer(r, caller.Ran), nil
+			return response(r, caller.Ran), nil
 		})}
 		report := newReport(p, s.runAll(t.Context()), time.Since(s.started))
 		is.Equal(sent, 199)
@@ -142,7 +142,7 @@
 	})
 }
 
-// A caller resends a request, alternating between the entry instances, until the answer is that it
+// A caller resends a request, alternating between the entry instances, until the response is that it
 // ran. Each submission is recorded, and net/http cannot retry one by itself because the request has
 // no GetBody.
 func TestResend(t *testing.T) {
@@ -164,9 +164,9 @@
 			case 2:
 				return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 			case 3:
-				return answer(r, caller.NotRun), nil
+				return response(r, caller.NotRun), nil
 			default:
-				return answer(r, caller.Ran), nil
+				return response(r, caller.Ran), nil
 			}
 		})}
 		records := s.runAll(t.Context())
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,5 +1,5 @@
 // Package load sends open-loop load to entry instances, measures latency from the intended start of
-// each request, and audits the answers against the requests that the stand-in servers really ran.
+// each request, and audits the responses against the requests that the stand-in servers really ran.
 // It sends to loopback addresses only.
 //
 // A request may be submitted several times under one request ID: sequentially after a failure, or
@@ -65,7 +65,7 @@
 	// NonIdempotentShare is the share of requests that are non-idempotent: they must not run twice.
 	NonIdempotentShare float64 `json:"once-share"`
 	BodyBytes          int     `json:"body-bytes,omitempty"`
-	// AnswerBytes is the number of bytes that a server adds to its answer.
+	// AnswerBytes is the number of bytes that a server adds to its response.
 	AnswerBytes int `json:"answer-bytes,omitempty"`
 }
 
@@ -85,7 +85,7 @@
 	SpreadRandom = "random"
 )
 
-// Values of fields that are zero.
+// Defaults of fields that are zero.
 const (
 	defaultInFlight       = 512
 	defaultDeadlineMillis = 2000
@@ -93,15 +93,15 @@
 
 // Check implements config.Checker. It also sets fields that are zero to their defaults.
 func (p *Profile) Check(file string) error {
-	if field, found, mend := p.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
+	if field, found, fix := p.check(); fix != "" {
+		return &config.Error{File: file, Field: field, Found: found, Fix: fix}
 	}
 	return nil
 }
 
 // check returns the first invalid field, the value found and how to correct it. It returns empty
 // strings if there is none. It also sets defaults.
-func (p *Profile) check() (field, found, mend string) {
+func (p *Profile) check() (field, found, fix string) {
 	if p.InFlight == 0 {
 		p.InFlight = defaultInFlight
 	}
@@ -129,14 +129,14 @@
 	case p.DirectShare > 0 && len(p.Servers) == 0:
 		return "servers", "nothing", "give servers for the direct share"
 	}
-	if field, found, mend := p.checkShares(); mend != "" {
-		return field, found, mend
+	if field, found, fix := p.checkShares(); fix != "" {
+		return field, found, fix
 	}
 	return p.checkAddresses()
 }
 
 // checkShares does the work of check for the services and all shares.
-func (p *Profile) checkShares() (field, found, mend string) {
+func (p *Profile) checkShares() (field, found, fix string) {
 	if len(p.Services) == 0 {
 		return "services", "nothing", "give at least one"
 	}
@@ -158,7 +158,7 @@
 }
 
 // checkAddresses accepts only loopback addresses, so that load goes to no other machine.
-func (p *Profile) checkAddresses() (field, found, mend string) {
+func (p *Profile) checkAddresses() (field, found, fix string) {
 	for field, addresses := range map[string][]string{"entries": p.Entries, "servers": p.Servers} {
 		for _, address := range addresses {
 			parsed, err := netip.ParseAddrPort(address)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -35,7 +35,7 @@
 	Name        string         `json:"name"`
 	Submissions map[string]int `json:"sendings"`
 	// Latency is the distribution over the submissions that were answered ran, from the intended
-	// start to the end of the answer.
+	// start to the end of the response.
 	Latency Latency `json:"latency"`
 	// Unavailable is the distribution of the times for which keys were unavailable: from the
 	// intended start of the first submission for a key that was not answered ran to the end of the
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -21,15 +21,15 @@
 	"example.org/mustardring/pkg/caller"
 )
 
-// deadlineGrace is how long the sender waits beyond the deadline of a request, so that the answer
+// deadlineGrace is how long the sender waits beyond the deadline of a request, so that the response
 // that reports a passed deadline can still arrive.
 const deadlineGrace = 250 * time.Millisecond
 
-// spinTime is the part of the wait before a request that polls the clock instead of using a timer,
-// if the profile is precise.
+// spinTime is how long before the start of a request the sender begins to poll the clock instead of
+// waiting for a timer, if the profile is precise.
 const spinTime = 300 * time.Microsecond
 
-// maxHeadBytes limits how much of an answer is kept in memory. The JSON of a stand-in server fits.
+// maxHeadBytes limits how much of a response is kept in memory. The JSON of a stand-in server fits.
 const maxHeadBytes = 4096
 
 // sender sends the requests of a profile and keeps connections open between them.
@@ -91,7 +91,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	s.readAnswer(resp, r)
+	s.readResponse(resp, r)
 }
 
 // request returns the HTTP request of a submission.
@@ -136,9 +136,9 @@
 	return ResultNoAnswer
 }
 
-// readAnswer reads the whole answer, sets the result and checks that the answer is complete and
-// belongs to the request.
-func (s *sender) readAnswer(resp *http.Response, r *record) {
+// readResponse reads the whole response, sets the result and checks that the response is complete
+// and belongs to the request.
+func (s *sender) readResponse(resp *http.Response, r *record) {
 	switch caller.Outcome(resp.Header.Get(caller.HeaderOutcome)) {
 	case caller.Ran:
 		r.result = ResultRan
@@ -164,7 +164,7 @@
 }
 
 // replyID returns the request ID in the JSON of a stubs.Reply. The result whole is false if the
-// JSON ends within the ID: an answer with a wrong Content-Length is truncated without a read error.
+// JSON ends within the ID: a response with a wrong Content-Length is truncated without a read error.
 func replyID(head []byte) (id string, found, whole bool) {
 	_, rest, found := bytes.Cut(head, []byte(`"request-id":"`))
 	before, _, whole := bytes.Cut(rest, []byte(`"`))
--- a/internal/load/transport.go
+++ b/internal/load/transport.go
@@ -10,9 +10,9 @@
 )
 
 // transport is an http.RoundTripper that writes each request exactly once, to one connection, in the
-// goroutine of the caller. http.Transport is not used because it may retry a request by itself, and because it costs
-// several times as much, with two goroutines per connection: a measurement would show the load tool
-// rather than the entry instance.
+// goroutine of the caller. http.Transport is not used because it may retry a request by itself, and
+// because it costs several times as much, with two goroutines per connection: a measurement would
+// show the load tool rather than the entry instance.
 type transport struct {
 	dialer net.Dialer
 
@@ -33,8 +33,8 @@
 }
 
 // RoundTrip implements http.RoundTripper. It observes the deadline of the context but, once
-// connected, not its cancellation. The connection is reused if the body of the answer is read to its
-// end and closed.
+// connected, not its cancellation. The connection is reused if the body of the response is read to
+// its end and closed.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c, err := t.get(r)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return resp, nil
 }
 
-// exchange writes a request and reads the header of the answer.
+// exchange writes a request and reads the header of the response.
 func (c *clientConn) exchange(r *http.Request) (*http.Response, error) {
 	if err := r.Write(c.writer); err != nil {
 		return nil, err
@@ -119,8 +119,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. The connection is reused only if the answer was read to its end and no
-// bytes follow it: bytes beyond the stated length would be read as the next answer.
+// Close implements io.Closer. The connection is reused only if the response was read to its end and
+// no bytes follow it: bytes beyond the stated length would be read as the next response.
 func (b *responseBody) Close() error {
 	if b.conn == nil {
 		return nil
--- a/internal/load/transport_test.go
+++ b/internal/load/transport_test.go
@@ -31,7 +31,7 @@
 }
 
 // The load tool runs against a server without an entry instance. Each request runs once and gets its
-// own complete answer.
+// own complete response.
 func TestRunAgainstServer(t *testing.T) {
 	tests := map[string]Service{
 		"bodies":       {Name: "oddaja", Share: 1, Keys: 50, NonIdempotentShare: 1, BodyBytes: 300},
@@ -55,7 +55,7 @@
 	}
 }
 
-// The server closes idle connections, truncates an answer and states a wrong length. The transport
+// The server closes idle connections, truncates a response and states a wrong length. The transport
 // does not write a request twice because of that, and each request is counted once.
 func TestTransportSendsOnce(t *testing.T) {
 	is := is.New(t)
@@ -85,7 +85,7 @@
 	is.Equal(got.Cut, 2) // one by the connection, one by its stated length
 	is.Equal(got.Crossed, 0)
 	is.Equal(got.Ran+got.Unknown, 20)
-	is.Equal(got.Ran, 19) // the one on the dropped connection got no answer
+	is.Equal(got.Ran, 19) // the one on the dropped connection got no response
 	is.Equal(got.UnknownNotRun, 1)
 }
 
--- a/internal/stubs/fault.go
+++ b/internal/stubs/fault.go
@@ -16,13 +16,13 @@
 	FreezeUntil int64 `json:"freeze-until,omitempty"`
 	// DropConnections closes the connections that are open now.
 	DropConnections bool `json:"drop-connections,omitempty"`
-	// SilenceConnections makes the connections that are open now lose all requests and answers
+	// SilenceConnections makes the connections that are open now lose all requests and responses
 	// from now on, without closing them. New connections work.
 	SilenceConnections bool `json:"silence-connections,omitempty"`
-	// HalfAnswers truncates this many answers in the middle and closes their connections.
+	// HalfAnswers truncates this many responses in the middle and closes their connections.
 	HalfAnswers int `json:"half-answers,omitempty"`
-	// WrongLengths gives this many answers a Content-Length below that of their body, so
-	// that a client that reuses the connection may read the rest as the next answer.
+	// WrongLengths gives this many responses a Content-Length below that of their body, so
+	// that a client that reuses the connection may read the rest as the next response.
 	WrongLengths int `json:"wrong-lengths,omitempty"`
 	// Poison is a key or request ID. A request with it crashes the server while it runs.
 	Poison string `json:"poison,omitempty"`
@@ -62,8 +62,8 @@
 	f.current = s
 }
 
-// corruptAnswer decides how to corrupt the next answer, if at all, and counts that down.
-func (f *faults) corruptAnswer() (half, wrongLength bool) {
+// corruptResponse decides how to corrupt the next response, if at all, and counts that down.
+func (f *faults) corruptResponse() (half, wrongLength bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -99,7 +99,7 @@
 
 // connection is the state of one open connection.
 type connection struct {
-	// silent makes the connection lose requests and answers.
+	// silent makes the connection lose requests and responses.
 	silent atomic.Bool
 }
 
--- a/internal/stubs/load_test.go
+++ b/internal/stubs/load_test.go
@@ -43,9 +43,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			field, _, mend := test.settings.check()
+			field, _, fix := test.settings.check()
 			is.Equal(field, test.field)
-			is.Equal(mend == "", test.field == "")
+			is.Equal(fix == "", test.field == "")
 		})
 	}
 }
--- a/internal/stubs/logservice.go
+++ b/internal/stubs/logservice.go
@@ -28,7 +28,7 @@
 type LogFault struct {
 	// Down makes appends and reads fail with status 503, without effect.
 	Down bool `json:"down,omitempty"`
-	// SlowMillis delays each answer. An append takes effect before the delay.
+	// SlowMillis delays each response. An append takes effect before the delay.
 	SlowMillis int64 `json:"slow-ms,omitempty"`
 	// LoseAnswers makes this many appends take effect and then breaks their connections.
 	LoseAnswers int `json:"lose-answers,omitempty"`
@@ -132,18 +132,18 @@
 		http.Error(w, "append rate", http.StatusTooManyRequests)
 		return
 	}
-	answer, slow, lost := l.add(req)
+	response, slow, lost := l.add(req)
 	if !sleep(r, slow) {
 		return
 	}
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// add appends a record. It returns the answer, how long to delay it, and whether to lose it.
-func (l *LogService) add(req logcl.AppendRequest) (answer logcl.AppendResponse, slow time.Duration, lost bool) {
+// add appends a record. It returns the response, how long to delay it, and whether to lose it.
+func (l *LogService) add(req logcl.AppendRequest) (response logcl.AppendResponse, slow time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := retained{entry: record.Entry{Offset: l.next, ID: req.ID, Data: req.Data}}
@@ -159,8 +159,8 @@
 		l.fault.LoseAnswers--
 		lost = true
 	}
-	answer = logcl.AppendResponse{Offset: k.entry.Offset, Identity: l.identityText()}
-	return answer, time.Duration(l.fault.SlowMillis) * time.Millisecond, lost
+	response = logcl.AppendResponse{Offset: k.entry.Offset, Identity: l.identityText()}
+	return response, time.Duration(l.fault.SlowMillis) * time.Millisecond, lost
 }
 
 func (l *LogService) handleRead(w http.ResponseWriter, r *http.Request) {
@@ -175,7 +175,7 @@
 		return
 	}
 	batch, ok := l.waitForBatch(r, from, limit)
-	if !ok || !sleep(r, l.answerDelay()) {
+	if !ok || !sleep(r, l.responseDelay()) {
 		return
 	}
 	if from < batch.Oldest {
@@ -242,14 +242,14 @@
 	if n := l.settings.RetainCount; n > 0 && len(l.entries) > n {
 		l.forgetBelow(l.next - uint64(n))
 	}
-	forgotten := 0
+	expired := 0
 	for _, k := range l.entries {
 		if k.expiresAt.IsZero() || k.expiresAt.After(now) {
 			break
 		}
-		forgotten++
+		expired++
 	}
-	l.entries = slices.Delete(l.entries, 0, forgotten)
+	l.entries = slices.Delete(l.entries, 0, expired)
 }
 
 func (l *LogService) forgetBelow(offset uint64) {
@@ -276,7 +276,7 @@
 	return l.fault.Down
 }
 
-func (l *LogService) answerDelay() time.Duration {
+func (l *LogService) responseDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.fault.SlowMillis) * time.Millisecond
--- a/internal/stubs/logservice_test.go
+++ b/internal/stubs/logservice_test.go
@@ -44,10 +44,10 @@
 				for range test.appends {
 					_, err = client.Append(ctx, "id", []byte("data"))
 				}
-				is.True(errors.Is(err, test.wantAppend))    // answer of the last append
+				is.True(errors.Is(err, test.wantAppend))    // response of the last append
 				is.Equal(service.Appends(), test.wantCount) // appends that took effect
 				_, err = client.Read(ctx, test.from, 10)    // the whole log if from is zero
-				is.True(errors.Is(err, test.wantRead))      // answer of the read
+				is.True(errors.Is(err, test.wantRead))      // response of the read
 				is.Equal(err == nil, test.wantRead == nil)  // fails exactly if wantRead is set
 			})
 		})
--- a/internal/stubs/request.go
+++ b/internal/stubs/request.go
@@ -18,14 +18,14 @@
 )
 
 // QueryBytes is the query parameter that asks a backend server to add this many bytes (spaces)
-// after the JSON of its answer, to simulate a large download.
+// after the JSON of its response, to simulate a large download.
 const QueryBytes = "bytes"
 
-// fillChunkBytes is the size of the writes that add bytes to an answer, and of the buffers for
+// fillChunkBytes is the size of the writes that add bytes to a response, and of the buffers for
 // reading bodies.
 const fillChunkBytes = 32 << 10
 
-// Reply is the JSON answer of a backend server to a request that ran.
+// Reply is the JSON response of a backend server to a request that ran.
 type Reply struct {
 	Server    string `json:"server"`
 	Service   string `json:"service"`
@@ -164,14 +164,14 @@
 	return r.Header.Get(caller.HeaderKey) == f.Poison || r.Header.Get(caller.HeaderRequestID) == f.Poison
 }
 
-// reply writes the answer, corrupted if the fault switches say so.
+// reply writes the response, corrupted if the fault switches say so.
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, reply Reply) {
 	body, err := json.Marshal(reply)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	fill, _ := strconv.ParseInt(r.URL.Query().Get(QueryBytes), 10, 64)
-	half, wrongLength := s.faults.corruptAnswer()
+	half, wrongLength := s.faults.corruptResponse()
 	if wrongLength {
 		writeWrongLength(w, s.settings.Name, body)
 		return
--- a/internal/stubs/server.go
+++ b/internal/stubs/server.go
@@ -164,7 +164,8 @@
 }
 
 // withFaults makes a handler wait while the server is frozen and never answer on a silent
-// connection. Handlers of the stand-in itself, such as for fault switches, go without.
+// connection. The handlers for fault switches and recorded runs are not wrapped, so that a test
+// always reaches them.
 func (s *Server) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !waitIfSilent(r.Context()) {
@@ -208,7 +209,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// Load is the JSON answer at grant.LoadPath: the load that a server reports of itself.
+// Load is the JSON response at grant.LoadPath: the load that a server reports of itself.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
--- a/internal/stubs/server_test.go
+++ b/internal/stubs/server_test.go
@@ -33,17 +33,17 @@
 	return "http://" + server.Address(), client
 }
 
-// answer is the answer to a request. The body may be truncated.
-type answer struct {
+// response is the response to a request. The body may be truncated.
+type response struct {
 	outcome caller.Outcome
 	status  int
 	body    []byte
 }
 
-func send(ctx context.Context, client *http.Client, base, id string) (answer, error) {
+func send(ctx context.Context, client *http.Client, base, id string) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/work", bytes.NewReader([]byte("body")))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	// net/http retries a request with an Idempotency-Key when a connection breaks, if it can get
 	// the body again. A request would then run twice without the test noticing.
@@ -52,11 +52,11 @@
 	req.Header.Set(caller.HeaderKey, "key")
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{outcome: caller.Outcome(resp.Header.Get(caller.HeaderOutcome)), status: resp.StatusCode, body: body}, err
+	return response{outcome: caller.Outcome(resp.Header.Get(caller.HeaderOutcome)), status: resp.StatusCode, body: body}, err
 }
 
 // admin uses a new connection for each call, so that connection faults of other calls do not affect
--- a/internal/stubs/settings.go
+++ b/internal/stubs/settings.go
@@ -64,7 +64,7 @@
 	MaxLeaseMillis int64 `json:"lease-max-ms,omitempty"`
 }
 
-// Values of fields that are zero.
+// Defaults of fields that are zero.
 const (
 	defaultAppendRate     = 400
 	defaultSlots          = 2
@@ -74,15 +74,15 @@
 
 // Check implements config.Checker. It also sets fields that are zero to their defaults.
 func (s *Settings) Check(file string) error {
-	if field, found, mend := s.check(); mend != "" {
-		return &config.Error{File: file, Field: field, Found: found, Fix: mend}
+	if field, found, fix := s.check(); fix != "" {
+		return &config.Error{File: file, Field: field, Found: found, Fix: fix}
 	}
 	return nil
 }
 
 // check returns the first invalid field, the value found and how to correct it. It returns empty
 // strings if there is none. It also sets defaults.
-func (s *Settings) check() (field, found, mend string) {
+func (s *Settings) check() (field, found, fix string) {
 	if s.Log == nil && s.List == nil && len(s.Servers) == 0 {
 		return "servers", "nothing", "name a log, a list or servers to run"
 	}
@@ -92,34 +92,34 @@
 			return "log.append-rate", "a negative number", "write a number above zero"
 		}
 		s.Log.AppendRate = cmp.Or(s.Log.AppendRate, defaultAppendRate)
-		if mend := checkAddress(s.Log.Address, "log.address", taken); mend != "" {
-			return "log.address", s.Log.Address, mend
+		if fix := checkAddress(s.Log.Address, "log.address", taken); fix != "" {
+			return "log.address", s.Log.Address, fix
 		}
 	}
 	if s.List != nil {
-		if mend := checkAddress(s.List.Address, "list.address", taken); mend != "" {
-			return "list.address", s.List.Address, mend
+		if fix := checkAddress(s.List.Address, "list.address", taken); fix != "" {
+			return "list.address", s.List.Address, fix
 		}
 	}
 	return s.checkServers(taken)
 }
 
 // checkServers does the work of check for the servers.
-func (s *Settings) checkServers(taken map[string]string) (field, found, mend string) {
+func (s *Settings) checkServers(taken map[string]string) (field, found, fix string) {
 	for i := range s.Servers {
 		server := &s.Servers[i]
 		prefix := fmt.Sprintf("servers[%d].", i)
-		if mend := checkAddress(server.Address, prefix+"address", taken); mend != "" {
-			return prefix + "address", server.Address, mend
+		if fix := checkAddress(server.Address, prefix+"address", taken); fix != "" {
+			return prefix + "address", server.Address, fix
 		}
-		if name, found, mend := server.check(); mend != "" {
-			return prefix + name, found, mend
+		if name, found, fix := server.check(); fix != "" {
+			return prefix + name, found, fix
 		}
 	}
 	return "", "", ""
 }
 
-func (s *ServerSettings) check() (field, found, mend string) {
+func (s *ServerSettings) check() (field, found, fix string) {
 	switch {
 	case s.Name == "":
 		return "name", "nothing", "give a value"
@@ -148,7 +148,7 @@
 		return "give a loopback address"
 	}
 	if other, found := taken[address]; found && parsed.Port() != 0 {
-		return "give another: " + other + " is the same"
+		return "give another address: " + other + " has the same"
 	}
 	taken[address] = field
 	return ""
