--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -59,7 +59,7 @@
 	Authority   string `json:"authority"`
 }
 
-// Peer is another entry instance and the addresses where it listens for instances.
+// Peer is another entry instance and the addresses where it listens for other instances.
 type Peer struct {
 	Name           string `json:"name"`
 	Domain         string `json:"domain"`
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -12,14 +12,14 @@
 	// it answers the readiness checks of the platform's load balancer.
 	CallerAddress    string `json:"front"`
 	ReadinessAddress string `json:"ready"`
-	// PeerPorts is the first and the last port for messages between instances.
+	// PeerPorts are the first and the last port for messages between instances.
 	PeerPorts []int `json:"peer-ports"`
 	// MetricsPort is the port at which metrics are served.
 	MetricsPort int `json:"metrics-port"`
 	// StoreAddress is the address of the shared store.
 	StoreAddress string `json:"store"`
-	// EntrySeconds is the interval in which a backend server writes its entry to the store. Zero
-	// means one second.
+	// EntrySeconds is the interval at which a backend server writes its entry to the store, in
+	// seconds. Zero means one second.
 	EntrySeconds float64 `json:"entry-seconds"`
 	// CPUShare is the part of a core that the instance may use, LinkMbps the speed of its network
 	// link in megabits per second, and MemoryMB its memory in mebibytes.
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -18,8 +18,8 @@
 	"example.org/mustardring/internal/worker"
 )
 
-// Class is the kind of an event. Each class has its own rate limit: the more a dropped event
-// would be missed, the higher the limit.
+// Class is the kind of an event. Each class has its own rate limit: the more important its
+// events, the higher the limit.
 type Class int
 
 // The classes.
@@ -160,8 +160,8 @@
 
 // report logs how many lines of each class were dropped since the last report, if any.
 func (l *Log) report() {
-	beliefs, failures, successes := l.dropped[0].Swap(0), l.dropped[1].Swap(0), l.dropped[2].Swap(0)
-	if beliefs+failures+successes > 0 {
-		l.logger.Warn("lines-dropped", "beliefs", beliefs, "failures", failures, "successes", successes)
+	stateChanges, failures, successes := l.dropped[0].Swap(0), l.dropped[1].Swap(0), l.dropped[2].Swap(0)
+	if stateChanges+failures+successes > 0 {
+		l.logger.Warn("lines-dropped", "beliefs", stateChanges, "failures", failures, "successes", successes)
 	}
 }
--- a/internal/fold/digests.go
+++ b/internal/fold/digests.go
@@ -14,8 +14,8 @@
 // is applied a second time changes nothing. It only turns a rejection into a Duplicate.
 const maxRecentDigests = 4096
 
-// digest identifies an entry by its ID and data. The ID alone would not do: a record that
-// used the ID of another one first would make that one appear as a duplicate.
+// digest identifies an entry by its ID and data. The ID alone is not enough: a record that
+// is written under the ID of a later one would make the later one appear as a duplicate.
 type digest [16]byte
 
 func digestOf(e record.Entry) digest {
--- a/internal/fold/homes.go
+++ b/internal/fold/homes.go
@@ -85,9 +85,9 @@
 }
 
 // applyHomesEvicted records a notice of eviction or, in the second step, frees the ranges.
-// The leader of the evicted domain renews grants of such a service only for a bounded time
-// after its last read of the log. A domain that takes the ranges must therefore wait for that
-// time after it has read the second record.
+// In a service whose ranges may move, the leader of the evicted domain renews grants only for
+// a bounded time after its last read of the log. A domain that takes the ranges must therefore
+// wait for that time after it has read the second record.
 func (s *State) applyHomesEvicted(offset uint64, r record.HomesEvicted) Result {
 	current := FindHomes(s.Homes, r.Service, r.Domain)
 	if len(current.Ranges) == 0 || HomesBase(s.Homes, r.Domain) != r.Base {
--- a/internal/member/core.go
+++ b/internal/member/core.go
@@ -73,14 +73,14 @@
 	leaving bool
 	// count is the newest known heartbeat counter of the present process.
 	count uint64
-	// Without newer heartbeats, the process is live until liveUntil, counts as heard directly
-	// until inboundUntil, and counts as receiving heartbeats of this instance until
-	// outboundUntil.
+	// Without newer heartbeats, the process counts as live until liveUntil, its heartbeats count
+	// as arriving directly until inboundUntil, and those of this instance count as arriving at it
+	// until outboundUntil.
 	liveUntil     Time
 	inboundUntil  Time
 	outboundUntil Time
-	// replyOnlyUntil is until when the replies to its heartbeats replace heartbeats of this
-	// instance.
+	// Until replyOnlyUntil, this instance only replies to the heartbeats of the process and sends
+	// it none, provided that Core.isSender holds for the process.
 	replyOnlyUntil Time
 	// listed reports whether the platform's list has shown the present process.
 	listed bool
--- a/internal/member/send.go
+++ b/internal/member/send.go
@@ -50,13 +50,13 @@
 
 // countDomainPeers returns the number of other instances of the domain that are not removed.
 func (c *Core) countDomainPeers() int {
-	mates := 0
+	peers := 0
 	for _, k := range c.known {
 		if k.Domain == c.config.Self.Domain && !k.removed {
-			mates++
+			peers++
 		}
 	}
-	return mates
+	return peers
 }
 
 // nextAfter returns the time of the next round. It keeps the schedule when ticks come a little
--- a/internal/naive/naive.go
+++ b/internal/naive/naive.go
@@ -14,8 +14,7 @@
 	Slots int
 }
 
-// Key is the hash of a key and its load. All keys have their load in the same unit, whichever it
-// is.
+// Key is the hash of a key and its load. The load may be in any unit, the same one for all keys.
 type Key struct {
 	Hash uint64
 	Load float64
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -30,7 +30,7 @@
 // Call runs a method at the peer and waits for the result or the end of the context. Its errors
 // wrap ErrUnreachable, ErrUncertain or ErrRejected. A call that ends by its context closes the
 // connection: a device between the two ends may have lost the state of the connection, which
-// then stays dead forever while a new connection works.
+// then never recovers, while a new connection works.
 func Call[P, R any](ctx context.Context, c *Client, method Method, params P) (R, error) {
 	var result R
 	conn, err := c.connect(ctx)
--- a/internal/replay/costs.go
+++ b/internal/replay/costs.go
@@ -3,8 +3,8 @@
 // Costs is a model of how long a key cannot be served when its owner changes. All values are in
 // milliseconds. The placement determines how many keys have which cost, but not the costs.
 type Costs struct {
-	// RoundTrip is the round-trip time between a leader and a server. The time between failure
-	// domains is taken for it, although a leader and its servers are in one domain.
+	// RoundTrip is the round-trip time between a leader and a server. It is computed from the
+	// delay between failure domains, although a leader and its servers are in one domain.
 	RoundTrip float64 `json:"round-trip"`
 	// LeaseDuration is how long a server may serve its ranges after the last renewal.
 	LeaseDuration float64 `json:"lease"`
--- a/internal/replay/domainpart.go
+++ b/internal/replay/domainpart.go
@@ -16,8 +16,7 @@
 const (
 	// sketchCounters is the number of counters of the sketch in each domain.
 	sketchCounters = 512
-	// hotShare is the load from which a key is hot, as a fraction of the load of one server if
-	// all servers had the same.
+	// hotShare is the load from which a key is hot, as a fraction of the mean load of the servers.
 	hotShare = 0.05
 	// sketchDecay is the factor by which the older counts of the sketch are multiplied at each
 	// record of requests.
@@ -145,8 +144,8 @@
 	return p.loadSums[last] - p.loadSums[first]
 }
 
-// capacity returns the slots of server i that count at a time: a reduced number while the server
-// is cold, and zero if it does not accept keys.
+// capacity returns the number of slots of server i that count now: a reduced number while the
+// server is cold, and zero if it does not accept keys.
 func (p *domainPart) capacity(i int, now Time) float64 {
 	b := p.servers[i]
 	switch {
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -198,16 +198,16 @@
 		for range p.methods {
 			p.totals[s.Name] = append(p.totals[s.Name], &totals{millisByKey: map[string]float64{}})
 		}
-		for domain, homes := range homesOf(s) {
-			p.parts = append(p.parts, newDomainPart(s, s.Homes[domain].Domain, homes, p.keyNames[s.Name]))
+		for j, homes := range homesOf(s) {
+			p.parts = append(p.parts, newDomainPart(s, s.Homes[j].Domain, homes, p.keyNames[s.Name]))
 		}
 	}
 	for _, part := range p.parts {
-		var subjects []*methodState
+		var states []*methodState
 		for _, m := range p.methods {
-			subjects = append(subjects, newMethodState(m, part))
+			states = append(states, newMethodState(m, part))
 		}
-		p.methodStates = append(p.methodStates, subjects)
+		p.methodStates = append(p.methodStates, states)
 	}
 	for i := range p.parts {
 		p.place(i, triggerServers)
--- a/internal/replay/recipe.go
+++ b/internal/replay/recipe.go
@@ -90,7 +90,7 @@
 }
 
 // drawHotKeys returns n random hot keys. Their shares of all requests sum to the given share, but
-// each is limited to a third of the share of one server if all servers had the same.
+// each is limited to a third of the mean share of a server.
 func (g *generator) drawHotKeys(w workload, n int, share float64) []hotKey {
 	set := make([]hotKey, n)
 	sum := 0.0
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -37,7 +37,8 @@
 }
 
 // ID returns the id under which the record with the statement is appended to the log. It depends
-// only on the signed text, so the log recognises a repeated append of the same statement.
+// only on the signed text, so that the readers of the log recognize a repeated append of the same
+// statement.
 func (s Statement) ID() string {
 	sum := sha256.Sum256(s.Text())
 	return "bundle-" + string(s.Role) + "-" + hex.EncodeToString(sum[:16])
--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -2,7 +2,7 @@
 // exchanges with callers and backend servers.
 package caller
 
-// Headers of requests. Callers set them all but HeaderHops and HeaderEpoch.
+// Headers of requests. Callers set all of them except HeaderHops and HeaderEpoch.
 const (
 	// HeaderKey is the key of a request. In a divided service the request is sent to the server
 	// that owns the key.
--- a/pkg/grant/message.go
+++ b/pkg/grant/message.go
@@ -89,9 +89,10 @@
 	// Known is the epoch whose ranges the leader knows. If the server holds the grant of this
 	// epoch, the answer omits the ranges.
 	Known Epoch `json:"known"`
-	// HomesFence is above the base of every record, possibly still on its way to the log, by
-	// which the domain gives up homes. The server keeps the highest value and reports it to
-	// later leaders, which may be cut off from the log.
+	// HomesFence is higher than the base of every record in which the domain gives up homes,
+	// including a record that has not reached the log yet. The base is the field Base of
+	// HomesTaken in package record. The server keeps the highest value and reports it to later
+	// leaders, which may be cut off from the log.
 	HomesFence uint64 `json:"homes-fence,omitempty"`
 }
 
