--- a/internal/lease/guards.go
+++ b/internal/lease/guards.go
@@ -18,7 +18,7 @@
 	// stopStaleGrants cancels grants that are being sent before the record that contradicts them is confirmed.
 	stopStaleGrants bool
 	// checkIncarnation rejects requests that are meant for another incarnation of a server. Only the fake servers
-	// of the tests read it: a LeaseClient always states the incarnation.
+	// of the tests read it: a Client always states the incarnation.
 	checkIncarnation bool
 	// verifyConnection sends grants only on connections that were opened before the time as of which the grants
 	// are known to be current.
