--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -34,7 +34,7 @@
 type Request struct {
 	ID
 	Service string
-	// Pool is the name of the pool that is asked, or of the service if that is sharded by key.
+	// Pool is the name of the pool that is asked, or of the service if that is divided by key.
 	Pool string
 	// Server is the ID of the owner of the request's key, empty if any server of the pool will do.
 	Server string
--- a/internal/admit/choose.go
+++ b/internal/admit/choose.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Costs that decide which open server gets a request, in units of a mean service time. Without
-// them, a server costs its time ratio.
+// Costs that decide which open server gets a request, in units of a mean service time. They are
+// added to the base cost of a server, which is its time ratio.
 const (
 	// loadCost is added, multiplied by the time ratio, to a server whose slots are all in use, and
 	// in proportion to one with some in use.
@@ -71,7 +71,8 @@
 }
 
 // accepts reports whether the request may be sent to the server at all. A cold server accepts no
-// non-exclusive request, as another controller may be admitting requests to it without counting this one.
+// non-exclusive request, as another controller may be admitting requests to it without counting
+// this one.
 func (s *server) accepts(now time.Time, w *waiter) bool { return !w.NonExclusive || !s.Cold(now) }
 
 // openIn returns the list of open servers of a domain.
--- a/internal/admit/cluster_test.go
+++ b/internal/admit/cluster_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// request asks the instances in charge of a server in turn, as instance i does, and returns the
-// index of the one that admitted the request, -1 if none did.
+// request asks the instances that are responsible for a server in turn, as instance i does, and
+// returns the index of the one that admitted the request, -1 if none did.
 func (c *cluster) request(i int, req admit.Request, now time.Time) int {
 	controller := i
 	for n, p := range c.rosters[i].Rank(req.Server, "d0", now) {
--- a/internal/admit/controller.go
+++ b/internal/admit/controller.go
@@ -50,7 +50,7 @@
 	answers int
 }
 
-// Controller admits requests to the servers of one pool, or of a service that is sharded by key.
+// Controller admits requests to the servers of one pool, or of a service that is divided by key.
 // The cost of a request, of an answer and of a tick grows with the logarithm of the number of
 // servers, and does not depend on the number of waiting requests.
 type Controller struct {
@@ -109,7 +109,7 @@
 }
 
 // SetServers replaces the set of servers that may be used. The caller leaves out draining servers,
-// except those of services that are sharded by key. SetServers returns the new decisions on waiting
+// except those of services that are divided by key. SetServers returns the new decisions on waiting
 // requests.
 func (c *Controller) SetServers(now time.Time, servers []rules.Server) []Decision {
 	var out []Decision
--- a/internal/admit/load_test.go
+++ b/internal/admit/load_test.go
@@ -483,7 +483,7 @@
 	is.Equal(c.Decide(now, newRequest(101, now)), admit.Queued{ID: admit.ID{From: "a", Serial: 101}}) // the server is full
 }
 
-// Guards against servers that stand idle while requests wait for them, until the controller hears
+// Guards against servers that stand idle while requests wait for them, until the controller learns
 // that a slot is free and admits a request, and the request arrives. Messages of 6 ms add up to a
 // fifth of the time between two requests of 100 ms.
 func TestServersDoNotStandIdle(t *testing.T) {
--- a/internal/admit/server.go
+++ b/internal/admit/server.go
@@ -122,7 +122,8 @@
 	listing      listing
 	listed       bool
 	listedDomain string
-	// nextTimerAt is the time of the latest serverChange timer of the server.
+	// nextTimerAt is when the next serverChange timer of the server is due, or in the past if none
+	// is pending.
 	nextTimerAt time.Time
 }
 
--- a/internal/dgram/dgram.go
+++ b/internal/dgram/dgram.go
@@ -79,7 +79,7 @@
 	// AdmissionCheck asks the holder of an admission whether it is still in use. If not, the receiver
 	// answers with Cancel.
 	AdmissionCheck struct{ Serial uint64 }
-	// LoadReport tells the leader how many requests of a service an instance had since its last report,
+	// LoadReport reports to the leader how many requests of a service an instance had since its last report,
 	// by key, and the capacity of servers, with the number of answers that each figure rests on.
 	LoadReport struct {
 		Name    string
--- a/internal/edge/inflight.go
+++ b/internal/edge/inflight.go
@@ -9,14 +9,14 @@
 	counts map[string]int
 }
 
-func (r *inFlightCounter) add(domain string, n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.counts == nil {
-		r.counts = map[string]int{}
+func (c *inFlightCounter) add(domain string, n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	if r.counts[domain] += n; r.counts[domain] == 0 {
-		delete(r.counts, domain)
+	if c.counts[domain] += n; c.counts[domain] == 0 {
+		delete(c.counts, domain)
 	}
 }
 
--- a/internal/edge/returns.go
+++ b/internal/edge/returns.go
@@ -13,7 +13,7 @@
 //
 // The timeouts of first requests differ too, by a sixth at some sites. A fixed bound on the
 // timeout misclassified half of all first requests there as returning, with their target nearly
-// past, and a quarter of the page reads was rejected. So each instance learns the band of
+// past, and a quarter of the page requests was rejected. So each instance learns the band of
 // timeouts that first requests state, from periods with few rejections, in which nearly all
 // requests are first ones.
 
--- a/internal/edge/send.go
+++ b/internal/edge/send.go
@@ -104,8 +104,8 @@
 	// serverIdleTimeout is below the ten seconds after which servers close idle connections.
 	serverIdleTimeout = 8 * time.Second
 	// serverUserTimeout is the time after which a connection to an unreachable machine ends. On a
-	// lossy link, recovering from the loss of three packets in a row takes longer than that in
-	// only about one of ten thousand cases.
+	// lossy link, the recovery from three lost packets in a row takes longer than that only about
+	// once in ten thousand cases.
 	serverUserTimeout = 1200 * time.Millisecond
 	// serverSilenceTimeout is longer than any deadline, so that a server that has not responded
 	// yet is never probed.
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -6,13 +6,12 @@
 	"net/http"
 	"time"
 
-	"example.org/mustardring/internal/worker"
-
 	"example.org/mustardring/internal/admit"
 	"example.org/mustardring/internal/inlet"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
 	"example.org/mustardring/internal/upstr"
+	"example.org/mustardring/internal/worker"
 )
 
 // The delays and limits of attempts.
@@ -149,8 +148,9 @@
 		if found && len(r.FormerOwners) == 0 {
 			return r, nil
 		}
-		// A key without an owner gets one within a few tenths of a second, or else when a
-		// lease has expired. A request that cannot wait for the former is to be retried later.
+		// A key without an owner gets one within a few tenths of a second, or else only after a
+		// lease has expired. The request waits only long enough for the former; after that the
+		// caller is asked to retry.
 		timer := time.NewTimer(min(maxOwnerWait, time.Until(q.targetAt)/2))
 		select {
 		case <-changed:
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -161,7 +161,7 @@
 	// readCurrentAsOf is a time up to which the topic had no records from nextOffset on, zero if there is no known
 	// one.
 	readCurrentAsOf atomic.Int64
-	// lastReadFailed tells whether the last read failed.
+	// lastReadFailed reports whether the last read failed.
 	lastReadFailed atomic.Bool
 
 	// The next five fields are used by the goroutine of Run only. nextOffset is the offset after the last known
@@ -174,7 +174,7 @@
 	needsSnapshot bool
 	lastReason    Reason
 
-	// mu guards appliedEnd, the end of what the receiver of Out acts by, and appliedAsOf, a time up to which the
+	// mu guards appliedEnd, the end of what the receiver of Out acts on, and appliedAsOf, a time up to which the
 	// topic had no records from there on, zero if there is no known one. They are updated together: an end from
 	// before an update with a time from after it would state that the records of the update do not exist.
 	mu          sync.Mutex
@@ -194,7 +194,7 @@
 	minHeldTime = 250 * time.Millisecond
 )
 
-// Age returns the age of what the receiver of Out acts by, or the maximum duration if it is unknown.
+// Age returns the age of what the receiver of Out acts on, or the maximum duration if it is unknown.
 func (w *Watch) Age() time.Duration {
 	_, asOf := w.Known()
 	return w.staleness(asOf)
@@ -207,7 +207,7 @@
 	return w.Clock.Now().Sub(asOf)
 }
 
-// Known returns the end of what the receiver of Out acts by, and a time up to which the topic had no records
+// Known returns the end of what the receiver of Out acts on, and a time up to which the topic had no records
 // from there on, zero if there is no known one.
 func (w *Watch) Known() (end int64, asOf clock.Instant) {
 	w.mu.Lock()
@@ -215,7 +215,7 @@
 	return w.appliedEnd, w.appliedAsOf
 }
 
-// MarkApplied records that the receiver of Out acts by an update.
+// MarkApplied records that the receiver of Out acts on an update.
 func (w *Watch) MarkApplied(u Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -224,7 +224,7 @@
 }
 
 // ConfirmCurrent takes in the statement of another instance that up to asOf the topic had no records from end
-// on. It is ignored unless this instance acts by all records before end.
+// on. It is ignored unless this instance acts on all records before end.
 func (w *Watch) ConfirmCurrent(end int64, asOf clock.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lease/guards.go
+++ b/internal/lease/guards.go
@@ -7,15 +7,16 @@
 	conditionalAppend bool
 	// endOldLeases waits until the lease of the former owner has ended before the new owner gets the keys.
 	endOldLeases bool
-	// awaitConfirmation waits until every instance acts by the new record or its view is too old to act on.
+	// awaitConfirmation waits until every instance acts on the new record or its view is too old to act on.
 	awaitConfirmation bool
 	// awaitExpiry waits until the last lease that may have been granted has expired.
 	awaitExpiry bool
 	// requireFreshView renews only while the view is fresh.
 	requireFreshView bool
-	// requireMajority acts on a view that is no longer fresh by itself only in contact with a majority of the instances.
+	// requireMajority acts on a view that is older than the contact timeout of the roster only while a majority of
+	// the instances agrees with it.
 	requireMajority bool
-	// stopStaleGrants cancels grants that are being sent before the record that contradicts them is confirmed.
+	// stopStaleGrants confirms a new record only after the grants in transit that contradict it have been canceled.
 	stopStaleGrants bool
 	// checkIncarnation rejects requests that are meant for another incarnation of a server. Only the fake servers
 	// of the tests read it: a LeaseClient always states the incarnation.
--- a/internal/lease/lead.go
+++ b/internal/lease/lead.go
@@ -57,8 +57,8 @@
 		"knowledge-age", time.Duration(lm.view.age(lm.Clock.Now())))
 }
 
-// clear marks one instance without heartbeats for removalTimeout as removed. If there is none, it deletes the record
-// of an instance that has been marked for so long that its view and its leases have expired.
+// clear marks one instance that has sent no heartbeat for removalTimeout as removed. If there is none, it deletes the
+// record of an instance that was marked so long ago that its view and its leases have expired.
 func (lm *Manager) clear(ctx context.Context, now time.Time) {
 	if now.Sub(lm.registerCheckedAt) < cleanInterval {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// cleanInterval is the minimum time between two checks for such instances. Each check
-// appends at most one record.
+// cleanInterval is the minimum time between two checks of the register by clear. Each check appends at most one
+// record.
 const cleanInterval = 500 * time.Millisecond
 
 // append appends a record directly behind the view and applies it. It reports whether the record was appended.
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -7,7 +7,7 @@
 //   - The new owner gets its first grant once the former owner has answered a release that carries
 //     the new fence: from then on the former owner rejects older grants, however late they arrive. If it
 //     does not answer, its lease must have expired. The manager waits until every instance has confirmed
-//     that it acts by the new record, or has not read the store for maxViewAge, and then for one lease.
+//     that it acts on the new record, or has not read the store for maxViewAge, and then for one lease.
 //   - A grant is sent only on a connection that was opened before the time as of which its record is
 //     known to be the newest. A restarted server may keep its name but loses the fences that it has
 //     seen, and only the connection tells one incarnation from the next.
--- a/internal/lease/move.go
+++ b/internal/lease/move.go
@@ -7,12 +7,11 @@
 	"sync"
 	"time"
 
-	"example.org/mustardring/internal/worker"
-
 	"example.org/mustardring/internal/clock"
 	"example.org/mustardring/internal/event"
 	"example.org/mustardring/internal/rules"
 	"example.org/mustardring/internal/shard"
+	"example.org/mustardring/internal/worker"
 )
 
 // moveKey identifies a move. Each fence is used for one move only.
--- a/internal/lease/register_test.go
+++ b/internal/lease/register_test.go
@@ -90,7 +90,7 @@
 }
 
 // The leader broadcasts the register records that it reads, up to a record of owners that another instance wrote.
-// An instance that took that record for broadcast as well would act by outdated owners.
+// An instance that took that record for broadcast as well would act on outdated owners.
 func TestLeaderBroadcastsRegister(t *testing.T) {
 	entry, err := roster.Entry{Incarnation: 3}.Encode()
 	if err != nil {
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -31,7 +31,7 @@
 	// jobs counts the goroutines that Run waits for.
 	jobs sync.WaitGroup
 
-	// storeReachable tells whether the last call to the store about owners was answered, leading whether this
+	// storeReachable reports whether the last call to the store about owners was answered, leading whether this
 	// instance decides about owners.
 	storeReachable atomic.Bool
 	leading        atomic.Bool
@@ -82,7 +82,7 @@
 // View returns what this instance believes about the owners. It must not be modified.
 func (lm *Manager) View() *View { return lm.view.get() }
 
-// ConfirmedOffset returns the offset up to which this instance acts by the records of owners: no grant that
+// ConfirmedOffset returns the offset up to which this instance acts on the records of owners: no grant that
 // is based on an older view is being sent any more. Heartbeats carry it.
 func (lm *Manager) ConfirmedOffset() int64 {
 	lm.mu.Lock()
@@ -283,9 +283,9 @@
 }
 
 // HandleHeartbeat uses the statement of another instance that its view is the newest.
-func (lm *Manager) HandleHeartbeat(b roster.Heartbeat) {
-	if b.KnownAge >= 0 && b.EchoAt > 0 {
-		lm.view.confirmCurrent(b.Known, clock.Instant(b.EchoAt), time.Duration(b.KnownAge)*time.Millisecond)
+func (lm *Manager) HandleHeartbeat(h roster.Heartbeat) {
+	if h.KnownAge >= 0 && h.EchoAt > 0 {
+		lm.view.confirmCurrent(h.Known, clock.Instant(h.EchoAt), time.Duration(h.KnownAge)*time.Millisecond)
 	}
 }
 
--- a/internal/lease/schedule_test.go
+++ b/internal/lease/schedule_test.go
@@ -241,9 +241,9 @@
 	tc.store.mu.Unlock()
 }
 
-// Guards against keys with two owners and claims that are accepted twice, while all faults happen at once: instances
-// are cut off from the store, from servers and from each other, requests arrive seconds late, answers of the store
-// are lost, and servers and instances restart.
+// Guards against keys with two owners, and against servers that get keys with a fence that an earlier incarnation of
+// them had, while all faults happen at once: instances are cut off from the store, from servers and from each other,
+// requests arrive seconds late, answers of the store are lost, and servers and instances restart.
 func TestSchedules(t *testing.T) { checkSchedules(t, false) }
 
 // The same with servers that crash and restart in place under the same name. An instance that has missed a move
@@ -276,9 +276,9 @@
 
 // maxSearchedSchedules is how many schedules are searched for one that needs a guard. The order of goroutines that
 // are due at the same instant is not fixed, so the first such schedule differs between runs. For checkIncarnation it
-// is about one schedule in 170: the first was 2, 35, 42, 61, 83, 143, 208, 276, 313, 331 or 356, and twice none was
-// among 400. With 4,000 the test fails by chance once in 10^10 runs. The search stops at the first such schedule,
-// so a high bound does not slow it down.
+// was between 2 and 356, and in two of thirteen searches none was among 400, so about one schedule in 170 needs the
+// guard. With 4,000 the test fails by chance once in 10^10 runs. The search stops at the first such schedule, so a
+// high bound does not slow it down.
 const maxSearchedSchedules = 4000
 
 // expectViolation expects a key with two owners in one of the schedules that are played without a guard.
--- a/internal/node/admissions.go
+++ b/internal/node/admissions.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// tickInterval is the pause between two looks at the queues of the controllers, idleTickInterval that while
-	// nothing is queued, when only the admissions in use are checked: each wake-up costs an idle instance.
+	// tickInterval is the time between two ticks of the controllers while requests are queued, idleTickInterval that
+	// while none is, when only the admissions in use are checked: each wake-up costs an idle instance processor time.
 	tickInterval     = 10 * time.Millisecond
 	idleTickInterval = 50 * time.Millisecond
 )
@@ -35,7 +35,8 @@
 	pools       *pools
 	// queued signals that a request was queued while none was.
 	queued chan struct{}
-	// isolated says that this instance hears too few others to be sure that only it admits requests to its servers.
+	// isolated says that this instance gets heartbeats from too few others to be sure that only it admits requests to
+	// its servers.
 	isolated bool
 }
 
@@ -140,9 +141,9 @@
 
 // deliver sends decisions to the instances that requested them, or passes them to the own client. The lock is held.
 func (ad *admissions) deliver(decisions []admit.Decision) {
-	for _, v := range decisions {
-		id := admit.IDOf(v)
-		m := decisionMessage(v)
+	for _, d := range decisions {
+		id := admit.IDOf(d)
+		m := decisionMessage(d)
 		if id.From == "" {
 			ad.client.handleDecision(netip.AddrPort{}, m)
 			continue
@@ -154,14 +155,14 @@
 }
 
 // decisionMessage returns the message that states a decision.
-func decisionMessage(v admit.Decision) dgram.AdmissionDecision {
-	m := dgram.AdmissionDecision{Serial: admit.IDOf(v).Serial}
-	switch v := v.(type) {
+func decisionMessage(d admit.Decision) dgram.AdmissionDecision {
+	m := dgram.AdmissionDecision{Serial: admit.IDOf(d).Serial}
+	switch d := d.(type) {
 	case admit.Admitted:
-		m.Server = v.Server
+		m.Server = d.Server
 	case admit.Rejected:
-		m.Reason = string(v.Reason)
-		m.RetryInMs, m.WaitMs = int(v.RetryIn.Milliseconds()), int(v.Wait.Milliseconds())
+		m.Reason = string(d.Reason)
+		m.RetryInMs, m.WaitMs = int(d.RetryIn.Milliseconds()), int(d.Wait.Milliseconds())
 	case admit.Queued:
 	}
 	return m
@@ -277,7 +278,7 @@
 	return ad.pools.picker(service).Candidates(time.Now())
 }
 
-// markBusy notes that a pool has no room for a time, so that other requests try another pool first.
+// markBusy records that a pool has no room for a time, so that other requests try another pool first.
 func (ad *admissions) markBusy(pool admit.Pool, wait time.Duration) {
 	ad.mu.Lock()
 	defer ad.mu.Unlock()
@@ -296,8 +297,8 @@
 			break
 		}
 		if to, ok := peerAddress(controller); ok {
-			if v, answered := ad.client.request(ctx, r, controller, to); answered {
-				return ad.result(r, v, to)
+			if m, answered := ad.client.request(ctx, r, controller, to); answered {
+				return ad.result(r, m, to)
 			}
 		}
 		if ctx.Err() != nil {
--- a/internal/node/broadcast.go
+++ b/internal/node/broadcast.go
@@ -62,7 +62,7 @@
 	// maxLinkTime is the maximum time for which an update may fill the link of this instance. An instance on a link of
 	// 10 Mbit/s that broadcast three configurations a second to 80 others was cut off by that.
 	maxLinkTime = 100 * time.Millisecond
-	// partSpacing is the pause after a part, as a multiple of the time that the link needs for it: a relay that passes
+	// partSpacing is the delay after a part, as a multiple of the time that the link needs for it: a relay that passes
 	// the part on may have a slower link.
 	partSpacing = 2
 )
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -12,7 +12,7 @@
 )
 
 // directory holds the servers as their entries state them. Of each name, only the incarnation that started last
-// counts. It is pure state, apart from log lines; clusterState guards it.
+// counts. It does no I/O but for log lines; the lock of clusterState guards it.
 type directory struct {
 	events *event.Log
 	// servers holds the servers by the id of their incarnation. apply and removeMissing replace the map instead of
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -24,8 +24,8 @@
 	empty bool
 }
 
-// evacuations holds the failure domains that operators evacuate, and those whose evacuation has ended. It is pure
-// state, apart from log lines; clusterState guards it.
+// evacuations holds the failure domains that operators evacuate, and those whose evacuation has ended. It does no I/O
+// but for log lines; the lock of clusterState guards it.
 type evacuations struct {
 	events *event.Log
 	// active holds the evacuations in force by domain, ended the times at which others ended.
--- a/internal/node/handlers.go
+++ b/internal/node/handlers.go
@@ -14,7 +14,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// checkInterval is the pause between two checks for changes that no update announces: servers whose entries stay
+// checkInterval is the time between two checks for changes that no update announces: servers whose entries stay
 // missing, the reachability of the store, and evacuated failure domains that become empty.
 const checkInterval = 100 * time.Millisecond
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// applyUpdate applies an update to the part that it is for, and queues it for the broadcast to peers.
+// applyUpdate passes an update to what depends on its topic, and queues it for the broadcast to peers.
 func (n *Node) applyUpdate(ctx context.Context, u follow.Update) {
 	n.logRead(u)
 	if u.Err == nil && u.StartedAt != 0 {
@@ -302,8 +302,8 @@
 // crashProbeTimeout limits the check whether a server that lost a connection still accepts new ones.
 const crashProbeTimeout = 300 * time.Millisecond
 
-// ReportCrash implements edge.Cluster. Servers also break off single answers, so a lost connection counts as a crash only
-// if the server does not accept a new one.
+// ReportCrash implements edge.Cluster. Servers also break off single responses, so a lost connection counts as a crash
+// only if the server does not accept a new one.
 func (n *Node) ReportCrash(print uint64, s rules.Server) {
 	go func() {
 		c, err := net.DialTimeout("tcp4", s.Address, crashProbeTimeout)
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -20,8 +20,8 @@
 	toAll
 )
 
-// heartbeatLoop sends heartbeats to the instances of the own failure domain and, less often, to all. When what this
-// instance confirms has changed, it sends one to the leader at once, which may wait for it.
+// heartbeatLoop sends heartbeats to the instances of the own failure domain and, less often, to all. When the confirmed
+// offset or other state of this instance has changed, it sends one at once to the leader, which may be waiting for it.
 func (n *Node) heartbeatLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -75,19 +75,19 @@
 func (n *Node) sendHeartbeats(to scope, echo *echoRequest, now time.Time) {
 	others := n.roster.Others()
 	leader, found := n.roster.Leader(now)
-	b := n.newHeartbeat()
-	n.roster.RecordHeartbeat(b, now)
+	h := n.newHeartbeat()
+	n.roster.RecordHeartbeat(h, now)
 	if found && leader.Name != n.settings.Name {
-		n.sendHeartbeat(leader, b, echo.due(leader.Name, now))
+		n.sendHeartbeat(leader, h, echo.due(leader.Name, now))
 	}
 	for _, p := range others {
 		if p.Name != leader.Name && (to == toAll || to == toDomain && p.Domain == n.settings.Domain) {
-			n.sendHeartbeat(p, b, false)
+			n.sendHeartbeat(p, h, false)
 		}
 	}
 }
 
-// echoRequestInterval is the pause between two heartbeats that ask the leader to reply at once. Without these, half a
+// echoRequestInterval is the time between two heartbeats that ask the leader to reply at once. Without these, half a
 // second passes between a heartbeat that the leader gets and the next that it sends, and its information would seem
 // older by that.
 const echoRequestInterval = 2 * time.Second
@@ -108,10 +108,10 @@
 }
 
 // sendHeartbeat sends a heartbeat to one peer, with the echo of the peer's last one. Ask asks for a reply at once.
-func (n *Node) sendHeartbeat(p roster.Peer, b roster.Heartbeat, ask bool) {
+func (n *Node) sendHeartbeat(p roster.Peer, h roster.Heartbeat, ask bool) {
 	if to, ok := peerAddress(p); ok {
-		b.EchoAt, b.ReplyNow = p.Heartbeat.SentAt, ask
-		n.port.Send(to, dgram.Heartbeat{Heartbeat: b})
+		h.EchoAt, h.ReplyNow = p.Heartbeat.SentAt, ask
+		n.port.Send(to, dgram.Heartbeat{Heartbeat: h})
 	}
 }
 
@@ -141,9 +141,9 @@
 	}
 }
 
-// completeness returns the end offsets of the configuration and the directory that this instance acts by, and the age
-// of its knowledge that nothing is missing before them, in milliseconds at an instant; negative if it is of no use to
-// peers.
+// completeness returns the end offsets of the configuration and the directory that this instance acts on, and how long
+// before an instant they were last known to be the ends of their topics, in milliseconds; negative if that is too long
+// ago to be of use to peers.
 func (n *Node) completeness(at clock.Instant) (age, configEnd, serversEnd int64) {
 	configEnd, configUntil := n.watches[n.platform.ConfigTopic].Known()
 	serversEnd, serversUntil := n.watches[n.platform.ServersTopic].Known()
@@ -162,33 +162,33 @@
 
 // confirmCurrent uses the statement of a peer that it misses nothing before the ends that it knows: a watch of this
 // instance with the same end is current as of the same time. A watch with a lower end must read the store instead.
-func (n *Node) confirmCurrent(b roster.Heartbeat) {
-	sentAt, dated := n.roster.EarliestSendTime(b.Name, b.SentAt, clock.Boot{}.Now())
-	if b.CompleteAge < 0 || !dated {
+func (n *Node) confirmCurrent(h roster.Heartbeat) {
+	sentAt, dated := n.roster.EarliestSendTime(h.Name, h.SentAt, clock.Boot{}.Now())
+	if h.CompleteAge < 0 || !dated {
 		return
 	}
-	until := sentAt.Add(-time.Duration(b.CompleteAge) * time.Millisecond)
-	n.watches[n.platform.ConfigTopic].ConfirmCurrent(b.ConfigEnd, until)
-	n.watches[n.platform.ServersTopic].ConfirmCurrent(b.ServersEnd, until)
+	until := sentAt.Add(-time.Duration(h.CompleteAge) * time.Millisecond)
+	n.watches[n.platform.ConfigTopic].ConfirmCurrent(h.ConfigEnd, until)
+	n.watches[n.platform.ServersTopic].ConfirmCurrent(h.ServersEnd, until)
 }
 
 // handleHeartbeat processes the heartbeat of a peer, and reads the topics of which the peer knows more.
-func (n *Node) handleHeartbeat(b roster.Heartbeat) {
+func (n *Node) handleHeartbeat(h roster.Heartbeat) {
 	now := time.Now()
-	n.roster.RecordHeartbeat(b, now)
-	n.roster.RecordEcho(b, clock.Boot{}.Now())
-	if b.ReplyNow {
-		n.replyWithHeartbeat(b.Name)
+	n.roster.RecordHeartbeat(h, now)
+	n.roster.RecordEcho(h, clock.Boot{}.Now())
+	if h.ReplyNow {
+		n.replyWithHeartbeat(h.Name)
 	}
-	n.leases.HandleHeartbeat(b)
-	if n.checkLag(n.platform.OwnersTopic, b.Known, n.leases.View().End, now) {
-		n.requestView(b.Name)
+	n.leases.HandleHeartbeat(h)
+	if n.checkLag(n.platform.OwnersTopic, h.Known, n.leases.View().End, now) {
+		n.requestView(h.Name)
 	}
 	configEnd, _ := n.watches[n.platform.ConfigTopic].Known()
 	serversEnd, _ := n.watches[n.platform.ServersTopic].Known()
-	n.checkLag(n.platform.ConfigTopic, b.ConfigEnd, configEnd, now)
-	n.checkLag(n.platform.ServersTopic, b.ServersEnd, serversEnd, now)
-	n.confirmCurrent(b)
+	n.checkLag(n.platform.ConfigTopic, h.ConfigEnd, configEnd, now)
+	n.checkLag(n.platform.ServersTopic, h.ServersEnd, serversEnd, now)
+	n.confirmCurrent(h)
 }
 
 // replyWithHeartbeat sends a heartbeat at once to the peer that asked for it.
--- a/internal/node/lag.go
+++ b/internal/node/lag.go
@@ -13,8 +13,8 @@
 // lagDetector detects that this instance knows less of a topic than its peers although the update should have
 // arrived: a read that waits for records may have lost its answer, or a message was lost.
 type lagDetector struct {
-	// ownEnd is the end of the topic that this instance knew when it first fell behind, since is when that was or when
-	// the lag was last reported.
+	// ownEnd is the end of the topic that this instance knew when it fell behind. since is when that was, or when the
+	// lag was last reported.
 	ownEnd int64
 	since  time.Time
 }
--- a/internal/node/loads.go
+++ b/internal/node/loads.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// reportInterval is the pause between two load reports to the leader.
+	// reportInterval is the time between two load reports to the leader.
 	reportInterval = 500 * time.Millisecond
 	// capacityHalfLife is the time after which an answer counts half for the capacity of a server, and
-	// minCapacityAnswers the number of answers, so weighted, from which on a capacity is taken as known.
+	// minCapacityAnswers the number of answers, so weighted, from which on a capacity counts as known.
 	capacityHalfLife   = 3 * time.Second
 	minCapacityAnswers = 3
 	// minEstimateAnswers is the number of answers, so weighted, below which an estimate is dropped.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,13 +84,13 @@
 	updates      chan follow.Update
 	readRequests map[string]chan struct{}
 	peerUpdates  map[string]chan follow.PeerUpdate
-	// broadcasts holds, by topic, updates of the configuration and the directory that are to be broadcast.
+	// broadcasts takes, by topic, the updates of the configuration and the directory that are to be broadcast.
 	broadcasts map[string]chan follow.Update
 	// unreachableMu guards unreachableLoggedAt, which holds, by instance, when it was last logged that this controller
 	// does not answer.
 	unreachableMu       sync.Mutex
 	unreachableLoggedAt map[string]time.Time
-	// completedMoves holds ranges whose moves are complete and are to be broadcast.
+	// completedMoves takes the ranges whose completed moves are to be broadcast.
 	completedMoves chan dgram.MovedRange
 	// heartbeatLeaderNow and heartbeatAllNow ask for a heartbeat at once.
 	heartbeatLeaderNow chan struct{}
@@ -98,7 +98,7 @@
 	watches            map[string]*follow.Watch
 	// storeAnsweredAt is when the store last answered a read of this instance, by the lease clock; zero for never.
 	storeAnsweredAt atomic.Int64
-	// lag holds, by topic, what detects that peers know more.
+	// lag holds the detectors of peers that know more, by topic.
 	lag map[string]*lagDetector
 	// registered is closed when the first record of this instance may be in the register, stopping when the
 	// instance begins to stop.
@@ -172,7 +172,8 @@
 	maxEntryTime        = 1100 * time.Millisecond
 )
 
-// entryTime returns that time for an interval in seconds; zero means that the interval is not known.
+// entryTime returns how long an entry may be missing, given the interval in seconds at which servers write theirs, zero
+// if that is not known.
 func entryTime(interval float64) time.Duration {
 	if interval <= 0 {
 		return maxEntryTime
@@ -237,18 +238,17 @@
 // sendHeartbeatToAll asks heartbeatLoop for a heartbeat to all instances at once.
 func (n *Node) sendHeartbeatToAll() { signalOnce(n.heartbeatAllNow) }
 
-// Run serves until the context ends, a worker ends, or SIGTERM or SIGINT asks for a graceful stop. It returns the joined
-// errors of the workers.
+// Run serves until the context ends, a worker ends, or SIGTERM or SIGINT asks for a graceful stop. It returns the
+// joined errors of the workers.
 func (n *Node) Run(ctx context.Context) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	n.events.Record(event.StateChange, "start", "instance", n.settings.Name, "domain", n.settings.Domain,
 		"incarnation", n.incarnation, "first-start", n.settings.FirstStart)
-	// Time limits detect callers that vanish. TCP keep-alive would cost four system calls per
-	// connection.
-	listener := net.ListenConfig{KeepAlive: -1}
-	front, err := listener.Listen(ctx, "tcp4", n.settings.CallerAddress)
+	// Timeouts detect callers that vanish. TCP keep-alive would cost four system calls per connection.
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	listener, err := listenConfig.Listen(ctx, "tcp4", n.settings.CallerAddress)
 	if err != nil {
 		return fmt.Errorf("node: %w", err)
 	}
@@ -268,7 +268,7 @@
 	group.Go("loads", n.reportLoop)
 	group.Go("ready", n.serveReady)
 	group.Go("metrics", n.serveMetrics)
-	group.Go("front", func(ctx context.Context) error { return n.inlet.Serve(ctx, front) })
+	group.Go("front", func(ctx context.Context) error { return n.inlet.Serve(ctx, listener) })
 	n.startWatches(group)
 	ended := 0
 	for running := true; running; {
@@ -278,7 +278,7 @@
 				n.reload()
 				continue
 			}
-			n.stop(ctx, front)
+			n.stop(ctx, listener)
 			running = false
 		case end := <-group.Ends():
 			ended++
@@ -316,11 +316,12 @@
 	return err
 }
 
-// fullLinkMbps is the speed of a link, in Mbit/s, from which on it does not limit what an instance can do for
-// others.
+// fullLinkMbps is the speed of a link, in Mbit/s, from which on it does not limit the work of an instance on
+// behalf of others.
 const fullLinkMbps = 100
 
-// workShare returns what this instance can do for others: its share of a core, less on a slow link.
+// workShare returns the capacity of this instance for work on behalf of others: its share of a core, less on a slow
+// link.
 func (n *Node) workShare() float64 {
 	return n.settings.CPUShare * min(1, n.settings.LinkMbps/fullLinkMbps)
 }
--- a/internal/node/register.go
+++ b/internal/node/register.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// registerInterval is the pause between two checks whether this instance is still registered, and the pause after
+	// registerInterval is the time between two checks whether this instance is still registered, and the delay after
 	// a record that the store refused.
 	registerInterval = 400 * time.Millisecond
 	// maxAppendTime is how long it may take until a record that was sent can be read: appends wait up to two seconds
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -35,22 +35,22 @@
 
 // stop ends the instance gracefully: it reports that it is not ready, hands its responsibilities over, takes requests
 // until the load balancer has removed it, and answers what is in progress.
-func (n *Node) stop(ctx context.Context, front net.Listener) {
+func (n *Node) stop(ctx context.Context, listener net.Listener) {
 	n.events.Record(event.StateChange, "stop", "instance", n.settings.Name, "busy", n.inlet.InFlight())
 	began := time.Now()
 	deadline := began.Add(time.Duration(n.settings.Bounds.StopSeconds*float64(time.Second)) - stopReserve)
 	close(n.stopping)
 	n.leases.Stop()
-	// The others take over its lease renewals only once they know that it stops, which must be within
-	// the duration of a lease.
+	// The others take over its lease renewals only once they know that it stops, which must be within the duration of
+	// a lease.
 	n.sendHeartbeatToAll()
 	n.inlet.Drain()
 	for time.Since(began) < balancerTime && ctx.Err() == nil {
 		time.Sleep(stopPollInterval)
 	}
-	_ = front.Close()
+	_ = listener.Close()
 	n.inlet.Finish()
-	// A connection stays open until the caller has read the last answer from it.
+	// A connection stays open until the caller has read the last reply from it.
 	for n.inlet.Conns() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		time.Sleep(stopPollInterval)
 		n.inlet.Finish()
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -40,14 +40,14 @@
 }
 
 // Append implements follow.Store. The kind of a record is the part of its key before the first slash.
-func (s *instrumentedStore) Append(ctx context.Context, topic, key string, value []byte, asOf int64) (int64, error) {
+func (s *instrumentedStore) Append(ctx context.Context, topic, key string, value []byte, expectedEnd int64) (int64, error) {
 	kind, _, _ := strings.Cut(key, "/")
 	s.calls.Add("append "+topic+" "+kind, 1)
 	begun := clock.Boot{}.Now()
-	offset, err := s.Store.Append(ctx, topic, key, value, asOf)
+	offset, err := s.Store.Append(ctx, topic, key, value, expectedEnd)
 	took := clock.Boot{}.Now().Sub(begun)
 	s.times.Record("append "+topic, took)
-	s.events.Record(event.StateChange, "store-append", "topic", topic, "key", key, "bytes", len(value), "as-of", asOf,
+	s.events.Record(event.StateChange, "store-append", "topic", topic, "key", key, "bytes", len(value), "as-of", expectedEnd,
 		"offset", offset, "took", took, "error", err)
 	return offset, err
 }
--- a/internal/node/watches.go
+++ b/internal/node/watches.go
@@ -18,14 +18,14 @@
 	followerPollTimeout  = 20 * time.Second
 	minLeaderPollTimeout = 400 * time.Millisecond
 	maxLeaderPollTimeout = 1500 * time.Millisecond
-	// followerOwnersReadInterval and leaderOwnersReadInterval are the pauses between reads of the owners. The leader
+	// followerOwnersReadInterval and leaderOwnersReadInterval are the delays between reads of the owners. The leader
 	// reads often: its heartbeats keep the views of the others current, which bridges outages of the store. An
 	// instance whose view has not been confirmed for maxOwnersAge reads as well, well before the view is too old to
 	// act on.
 	followerOwnersReadInterval = 3 * time.Second
 	leaderOwnersReadInterval   = 1500 * time.Millisecond
 	maxOwnersAge               = 6 * time.Second
-	// minBatchDelay, or batchDelayPerInstance for each instance if that is more, is the pause that combines changes of
+	// minBatchDelay, or batchDelayPerInstance for each instance if that is more, is the delay that combines changes of
 	// servers into one read, as when 300 servers start within 8 seconds. It is part of the time, at least two seconds,
 	// within which a leaving server must be known.
 	minBatchDelay         = 200 * time.Millisecond
@@ -77,16 +77,16 @@
 	// stalenessSlack is how late the leader's confirmation may arrive that no record is missing.
 	stalenessSlack = 250 * time.Millisecond
 	// stalenessReserve is kept of the time within which a change must be known everywhere. It covers the slack and the
-	// spread, the pause between two checks of the age, a read, and what follows from it.
+	// spread, the interval between two checks of the age, a read, and what follows from it.
 	stalenessReserve = time.Second
 	// maxStalenessSpread, or stalenessSpreadPerInstance for each instance if that is less, is the range over which the
-	// instances spread their reads, so that they do not read at the same moment: the first that reads tells the
-	// others, which takes a read and a message.
+	// instances spread their reads, so that they do not read at the same moment: the first that reads
+	// broadcasts what it has read, which takes a read and a message.
 	maxStalenessSpread         = 300 * time.Millisecond
 	stalenessSpreadPerInstance = 25 * time.Millisecond
-	// minRetryDelay, or retryDelayPerInstance for each live instance if that is more, is the mean pause after a failed
-	// read, maxRetryDelay the limit of that mean. So all instances that hear one another together call equally often
-	// whatever their number; the first that gets an answer tells the others.
+	// minRetryDelay, or retryDelayPerInstance for each live instance if that is more, is the mean delay after a failed
+	// read, maxRetryDelay the limit of that mean. So the instances that reach one another call the store equally often in
+	// total whatever their number; the first that gets an answer broadcasts it.
 	minRetryDelay         = 250 * time.Millisecond
 	retryDelayPerInstance = 40 * time.Millisecond
 	maxRetryDelay         = 10 * time.Second
@@ -103,7 +103,7 @@
 	return n.leaderPollTimeout() + n.roster.LeaderHeartbeatInterval() + stalenessSlack + time.Duration(part*float64(spread))
 }
 
-// retryDelay returns the pause after a failed read. It varies by half the mean each way, so that instances that lost
+// retryDelay returns the delay after a failed read. It varies by half the mean each way, so that instances that lost
 // the store together do not keep calling it together.
 func (n *Node) retryDelay() time.Duration {
 	alive := len(n.roster.Alive(time.Now()))
@@ -116,11 +116,11 @@
 // other instance, which reads when no confirmation arrives.
 func (n *Node) readsStore() bool { return n.leases.Leads() }
 
-// readsOwners reports whether this instance reads the owners from the store: the leader does, and an instance that
-// has not heard from others for some time that nothing has changed.
+// readsOwners reports whether this instance reads the owners from the store: the leader does, and an instance whose
+// view no other has confirmed as current for some time.
 func (n *Node) readsOwners() bool { return n.leases.Leads() || n.leases.Age() > maxOwnersAge }
 
-// batchDelay returns the pause after records of the directory before the next read.
+// batchDelay returns the delay between a read that returned records of the directory and the next one.
 func (n *Node) batchDelay() time.Duration {
 	return min(max(minBatchDelay, time.Duration(n.instances())*batchDelayPerInstance), maxBatchDelay)
 }
@@ -134,7 +134,7 @@
 }
 
 // leaderPollTimeout returns how long a read of the leader waits for records. If the leader is lost, the others read
-// by themselves after that time and the pause between two heartbeats, and must still know of a change within the time
+// by themselves after that time and the interval of its heartbeats, and must still know of a change within the time
 // limits in the settings.
 func (n *Node) leaderPollTimeout() time.Duration {
 	bound := n.settings.Bounds.DrainSeconds
@@ -145,7 +145,7 @@
 	return min(max(wait, minLeaderPollTimeout), maxLeaderPollTimeout)
 }
 
-// ownersReadInterval returns the pause between two reads of the owners.
+// ownersReadInterval returns the delay between two reads of the owners.
 func (n *Node) ownersReadInterval() time.Duration {
 	if n.leases.Leads() {
 		return leaderOwnersReadInterval
--- a/internal/roster/clockoffset.go
+++ b/internal/roster/clockoffset.go
@@ -68,12 +68,12 @@
 
 // RecordEcho updates the clock offset of the sender of a heartbeat that was received at the given time of
 // this instance's lease clock.
-func (r *Roster) RecordEcho(b Heartbeat, now clock.Instant) {
+func (r *Roster) RecordEcho(h Heartbeat, now clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.peers[b.Name]
-	if p != nil && p.Incarnation == b.Incarnation && b.EchoAt > 0 {
-		p.clockOffset.record(clock.Instant(b.SentAt), clock.Instant(b.EchoAt), now)
+	p := r.peers[h.Name]
+	if p != nil && p.Incarnation == h.Incarnation && h.EchoAt > 0 {
+		p.clockOffset.record(clock.Instant(h.SentAt), clock.Instant(h.EchoAt), now)
 	}
 }
 
--- a/internal/roster/quorum.go
+++ b/internal/roster/quorum.go
@@ -29,7 +29,7 @@
 //
 // Without a timeout of its own for instances that lack a majority, the keys of a server that is lost within a
 // second of an instance have no owner until all views are too old, because nobody can tell whether the two
-// have failed or are cut off together.
+// have failed or are cut off together (TestServerAndInstanceLost in package lease).
 const (
 	minContactTimeout = 3 * time.Second
 	contactIntervals  = 3
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -253,23 +253,23 @@
 
 // RecordHeartbeat updates the sender of a heartbeat. It reports whether there is a relevant change: the sender
 // had reached its timeout, or its Confirmed or the number of servers in Failing has changed.
-func (r *Roster) RecordHeartbeat(b Heartbeat, now time.Time) bool {
+func (r *Roster) RecordHeartbeat(h Heartbeat, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.peers[b.Name]
-	if p == nil || p.Incarnation != b.Incarnation {
-		r.unregistered[b.Name] = now
+	p := r.peers[h.Name]
+	if p == nil || p.Incarnation != h.Incarnation {
+		r.unregistered[h.Name] = now
 		return false
 	}
 	timeout := r.heartbeatTimeout(p)
-	changed := now.Sub(p.HeartbeatAt) > timeout || b.Confirmed != p.Heartbeat.Confirmed || len(b.Failing) != len(p.Heartbeat.Failing)
+	changed := now.Sub(p.HeartbeatAt) > timeout || h.Confirmed != p.Heartbeat.Confirmed || len(h.Failing) != len(p.Heartbeat.Failing)
 	if !p.HeartbeatAt.IsZero() && now.Sub(p.HeartbeatAt) > timeout {
 		p.ResumedAt = now
 	}
-	if !slices.Equal(b.Failing, p.Heartbeat.Failing) {
+	if !slices.Equal(h.Failing, p.Heartbeat.Failing) {
 		r.ranking.version++
 	}
-	p.HeartbeatAt, p.Heartbeat, p.suspected = now, b, false
+	p.HeartbeatAt, p.Heartbeat, p.suspected = now, h, false
 	r.refreshPeer(p, now)
 	return changed
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -69,8 +69,8 @@
 	HealthPath string
 	// MaxConns is the number of connections that one server accepts from all instances together.
 	MaxConns int
-	// Divided reports whether the service is sharded by key: each key is owned by one server of the
-	// service.
+	// Divided reports whether the service is divided by key (sharded): each key is owned by one
+	// server of the service.
 	Divided bool
 	// KeyWarmup is how long a server is slow with keys that it took over without their state.
 	KeyWarmup time.Duration
@@ -143,7 +143,7 @@
 // Leaving reports whether the server has to hand over its keys, as it is draining or evacuated.
 func (s Server) Leaving() bool { return s.Draining || s.Evacuated }
 
-// Closed reports whether the server must get no more requests. A leaving server of a sharded
+// Closed reports whether the server must get no more requests. A leaving server of a divided
 // service still serves its keys until they have moved, but not after LeaveBy.
 func (s Server) Closed(divided bool, now time.Time) bool {
 	if s.Leaving() && !divided {
