--- a/internal/lease/grant_test.go
+++ b/internal/lease/grant_test.go
@@ -16,7 +16,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// cancelFirstGrant is a LeaseClient whose first grant is canceled, as by a later record.
+// cancelFirstGrant is a Client whose first grant is canceled, as by a later record.
 type cancelFirstGrant struct{ grants int }
 
 func (o *cancelFirstGrant) Grant(context.Context, shard.Owner, Grant, GrantCheck) error {
--- a/internal/lease/guards.go
+++ b/internal/lease/guards.go
@@ -19,7 +19,7 @@
 	// stopStaleGrants confirms a new record only after the grants in transit that contradict it have been canceled.
 	stopStaleGrants bool
 	// checkIncarnation rejects requests that are meant for another incarnation of a server. Only the fake servers
-	// of the tests read it: a LeaseClient always states the incarnation.
+	// of the tests read it: a Client always states the incarnation.
 	checkIncarnation bool
 	// verifyConnection sends grants only on connections that were opened before the time as of which the grants
 	// are known to be current.
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -36,7 +36,7 @@
 	"example.org/mustardring/internal/shard"
 )
 
-// The errors of a LeaseClient.
+// The errors of a Client.
 var (
 	// ErrFenced means that the server has seen a higher fence on some of the keys.
 	ErrFenced = errors.New("lease: server has seen a higher fence")
@@ -138,11 +138,11 @@
 }
 
 // GrantCheck returns nil if a grant was still current after its connection was opened, and an error
-// otherwise. A LeaseClient calls it before it sends the grant; it may block until ctx is done.
+// otherwise. A Client calls it before it sends the grant; it may block until ctx is done.
 type GrantCheck func(ctx context.Context, openedAt clock.Instant) error
 
-// LeaseClient sends grants and releases to servers.
-type LeaseClient interface {
+// Client sends grants and releases to servers.
+type Client interface {
 	// Grant gives keys to a server, or renews its lease. It names the incarnation of the server that is
 	// meant, and sends nothing on a connection for which check fails: a restarted server has lost the
 	// fences that it had seen, and would accept an old grant.
@@ -167,7 +167,7 @@
 	// Name, Domain and Incarnation identify this instance; Domain is its failure domain.
 	Name        string
 	Domain      string
-	LeaseClient LeaseClient
+	LeaseClient Client
 	Store       follow.Store
 	// Topic is the topic of the store that holds the owners and the register of instances.
 	Topic       string
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 // Platform is what the adapter of a platform provides: the calls to outside systems and the decoders of their data.
 type Platform struct {
 	Store       follow.Store
-	LeaseClient lease.LeaseClient
+	LeaseClient lease.Client
 	Codec       edge.HeaderCodec
 	// ConfigTopic, ServersTopic and OwnersTopic are topics of the store: the configuration and the evacuations of the
 	// operators, the directory of servers, and the owners with the register of instances. ConfigKey is the key of
